--- a/cell/roster.c
+++ b/cell/roster.c
@@ -1,15 +1,16 @@
 /*
- * The list is read once from its beginning, in pages, and then on from there; a
- * stream trimmed meanwhile is read from its beginning again.
+ * The list is read once in pages, the newest entry of each worker, and then
+ * followed from the offset at which that reading began.  When the records from
+ * there on have been trimmed, the whole list is read again.
  */
 
 #include "roster.h"
 
-/* An entry changes on each worker's heartbeat, and reading each change by
- * itself would be a call each. */
-#define READ_EVERY (250 * OGL_MS)
-#define TIMEOUT_MS 1200
-#define RETRY (120 * OGL_MS)
+/* Each heartbeat of a worker changes its entry.  Reading at intervals fetches
+ * many changes with one call. */
+#define READ_INTERVAL (250 * OGL_MS)
+#define READ_TIMEOUT_MS 1200
+#define RETRY_DELAY (120 * OGL_MS)
 
 struct cell_roster {
 	const struct cell_ops *ops;
@@ -18,14 +19,14 @@
 	uint64_t generation;
 	bool loaded;
 	bool reading;
-	bool tail; /* read on from next, not the newest pages */
-	char *after;
-	uint64_t next;
-	ogl_time read_at;
-	GHashTable *named; /* workers on the pages read so far */
+	bool following; /* the list was read: read changes from next_offset */
+	char *last_key; /* of the page before, NULL none */
+	uint64_t next_offset;
+	ogl_time next_read_at;
+	GHashTable *listed; /* workers on the pages read so far */
 };
 
-/* Belongs to an exchange with the store. */
+/* Argument of a read that awaits its answer. */
 struct exchange {
 	struct cell_roster *roster;
 	uint64_t generation;
@@ -41,7 +42,7 @@
 	return x;
 }
 
-/* Frees it; NULL when it was begun before the last opening or closing. */
+/* Frees x.  Returns NULL when it was sent before the last open or close. */
 static struct cell_roster *
 exchange_end(struct exchange *x)
 {
@@ -60,15 +61,16 @@
 
 	r->ops = ops;
 	r->events = *events;
-	r->named = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	r->listed =
+	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	return r;
 }
 
 void
 cell_roster_end(struct cell_roster *r)
 {
-	g_hash_table_unref(r->named);
-	g_free(r->after);
+	g_hash_table_unref(r->listed);
+	g_free(r->last_key);
 	g_free(r);
 }
 
@@ -77,7 +79,7 @@
 {
 	cell_roster_close(r);
 	r->open = true;
-	r->read_at = now;
+	r->next_read_at = now;
 }
 
 void
@@ -87,9 +89,9 @@
 	r->generation++;
 	r->loaded = false;
 	r->reading = false;
-	r->tail = false;
-	g_hash_table_remove_all(r->named);
-	g_clear_pointer(&r->after, g_free);
+	r->following = false;
+	g_hash_table_remove_all(r->listed);
+	g_clear_pointer(&r->last_key, g_free);
 }
 
 bool
@@ -103,8 +105,8 @@
 {
 	const struct cell_worker_entry *e = rec->dropped ? NULL : rec->worker;
 
-	if (e != NULL && !r->tail)
-		g_hash_table_add(r->named, g_strdup(rec->key));
+	if (e != NULL && !r->following)
+		g_hash_table_add(r->listed, g_strdup(rec->key));
 	r->events.entry(r->events.arg, rec->key, e, now);
 }
 
@@ -118,27 +120,27 @@
 		return;
 	r->reading = false;
 	if (a->io != OGL_IO_OK) {
-		r->read_at = now + RETRY;
+		r->next_read_at = now + RETRY_DELAY;
 		return;
 	}
-	if (r->after == NULL) {
-		r->next = a->end;
-		g_hash_table_remove_all(r->named);
+	if (r->last_key == NULL) {
+		r->next_offset = a->end;
+		g_hash_table_remove_all(r->listed);
 	}
 	for (i = 0; i < a->n; i++)
 		take_entry(r, &a->records[i], now);
 	if (a->more && a->n > 0) {
-		g_free(r->after);
-		r->after = g_strdup(a->records[a->n - 1].key);
-		r->read_at = now;
+		g_free(r->last_key);
+		r->last_key = g_strdup(a->records[a->n - 1].key);
+		r->next_read_at = now;
 		return;
 	}
-	g_clear_pointer(&r->after, g_free);
-	r->events.whole(r->events.arg, r->named, now);
-	g_hash_table_remove_all(r->named);
-	r->tail = true;
+	g_clear_pointer(&r->last_key, g_free);
+	r->events.list_read(r->events.arg, r->listed, now);
+	g_hash_table_remove_all(r->listed);
+	r->following = true;
 	r->loaded = true;
-	r->read_at = now + READ_EVERY;
+	r->next_read_at = now + READ_INTERVAL;
 }
 
 static void
@@ -150,33 +152,34 @@
 	if (r == NULL)
 		return;
 	r->reading = false;
-	r->read_at = now + READ_EVERY;
+	r->next_read_at = now + READ_INTERVAL;
 	if (a->io != OGL_IO_OK)
 		return;
 	if (a->trimmed) {
-		r->tail = false;
-		r->read_at = now;
+		r->following = false;
+		r->next_read_at = now;
 		return;
 	}
 	for (i = 0; i < a->n; i++) {
 		take_entry(r, &a->records[i], now);
-		r->next = MAX(r->next, a->records[i].offset + 1);
+		r->next_offset = MAX(r->next_offset, a->records[i].offset + 1);
 	}
 }
 
 void
 cell_roster_step(struct cell_roster *r, ogl_time now)
 {
-	struct cell_read t = {
-	    .stream = CELL_WORKERS, .from = r->next, .timeout_ms = TIMEOUT_MS};
+	struct cell_read t = {.stream = CELL_WORKERS,
+	    .from = r->next_offset,
+	    .timeout_ms = READ_TIMEOUT_MS};
 	struct cell_newest q = {.stream = CELL_WORKERS,
-	    .after = r->after,
-	    .timeout_ms = TIMEOUT_MS};
+	    .after = r->last_key,
+	    .timeout_ms = READ_TIMEOUT_MS};
 
-	if (!r->open || r->reading || now < r->read_at)
+	if (!r->open || r->reading || now < r->next_read_at)
 		return;
 	r->reading = true;
-	if (r->tail)
+	if (r->following)
 		r->ops->read(r->ops->outside, &t, on_tail, exchange_new(r));
 	else
 		r->ops->newest(r->ops->outside, &q, on_page, exchange_new(r));
--- a/cell/roster.h
+++ b/cell/roster.h
@@ -12,9 +12,9 @@
 struct cell_roster_events {
 	void (*entry)(void *arg, const char *id,
 	    const struct cell_worker_entry *e, ogl_time now);
-	/* A worker is on the list; e NULL: no longer, or unreadable. */
-	void (*whole)(void *arg, GHashTable *named, ogl_time now);
-	/* The list was read from its beginning; named: set of the ids on it. */
+	/* A worker's entry was read; e NULL: it was removed or is malformed. */
+	void (*list_read)(void *arg, GHashTable *listed, ogl_time now);
+	/* The whole list was read; listed: set of the ids on it. */
 	void *arg;
 };
 
@@ -23,11 +23,12 @@
 void cell_roster_end(struct cell_roster *r);
 
 void cell_roster_open(struct cell_roster *r, ogl_time now);
+/* Begins to read the list from its beginning. */
 void cell_roster_close(struct cell_roster *r);
 
 void cell_roster_step(struct cell_roster *r, ogl_time now);
-/* Reads on when it is time. */
+/* Sends the next read when it is due. */
 bool cell_roster_loaded(const struct cell_roster *r);
-/* Whether all of the list was read since the opening. */
+/* Whether the whole list was read since cell_roster_open. */
 
 #endif
