--- a/cell/fleet.c
+++ b/cell/fleet.c
@@ -83,7 +83,7 @@
 	uint32_t last_serial;
 	GHashTable *teams; /* name -> struct ogl_res, what may run */
 	const struct cell_zones *zones; /* evacuated ones; NULL not told yet */
-	double sound_pace;              /* of workers that are well */
+	double baseline_pace;           /* of workers that are well */
 	bool open;
 	uint64_t epoch;
 	uint64_t generation;
@@ -146,7 +146,7 @@
 	f->ops = ops;
 	f->limits = limits;
 	f->events = *events;
-	f->sound_pace = 1;
+	f->baseline_pace = 1;
 	f->workers =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, worker_free);
 	f->by_serial = g_hash_table_new(NULL, NULL);
@@ -473,7 +473,7 @@
 double
 cell_fleet_pace(const struct cell_fleet *f, const struct cell_worker *w)
 {
-	return cell_pace_relative(&w->pace, f->sound_pace);
+	return cell_pace_relative(&w->pace, f->baseline_pace);
 }
 
 bool
@@ -817,7 +817,7 @@
 
 	if (step == NULL || step->gang || step->lasting)
 		return;
-	cell_pace_look(&w->pace, f->sound_pace, &r->progress, clock_ms,
+	cell_pace_observe(&w->pace, f->baseline_pace, &r->progress, clock_ms,
 	    r->percent, step->estimate_ms);
 }
 
@@ -1211,20 +1211,20 @@
 		if (cell_pace_known(&w->pace))
 			g_array_append_val(values, w->pace.value);
 	}
-	f->sound_pace = cell_pace_sound(values);
+	f->baseline_pace = cell_pace_baseline(values);
 	g_array_unref(values);
 }
 
 void
 cell_fleet_still(struct cell_fleet *f, struct cell_worker *w)
 {
-	cell_pace_still(&w->pace, f->sound_pace);
+	cell_pace_observe_stall(&w->pace, f->baseline_pace);
 }
 
 void
 cell_fleet_fade(struct cell_fleet *f, struct cell_worker *w)
 {
-	cell_pace_fade(&w->pace, f->sound_pace);
+	cell_pace_decay(&w->pace, f->baseline_pace);
 }
 
 void
--- a/cell/pace.c
+++ b/cell/pace.c
@@ -1,98 +1,103 @@
 /*
- * A run's progress between two looks, in the worker's own time, against its
- * declared time is one sample of the worker's pace.  Declared times are off by
- * a part for each job, and over all jobs together, so samples are smoothed, and
- * a worker is compared with the faster ones instead of with 1.
+ * One sample of a worker's pace is the time that a run took for some progress,
+ * by the worker's clock, divided by the declared time of that progress.
+ * Declared times are wrong to a different degree for each job, and also on
+ * average over all jobs.  So samples are smoothed, and a worker is compared
+ * with the faster workers instead of with 1.
  */
 
 #include <glib.h>
 
 #include "pace.h"
 
-/* Between two samples of one run: shorter ones are mostly rounding of the
- * percentage. */
-#define LOOK_MS 150
-/* Weight of one sample.  A worker with ten runs gives some forty a second, so a
- * change shows within half a second. */
-#define WEIGHT 0.1
-/* Samples that it takes to outweigh having known nothing. */
-#define PRIOR 4
-/* Looks after which a worker counts as known. */
-#define KNOWN 4
-/* Workers that are well: the fastest third sets their pace, as up to half may
- * be slow at a time. */
-#define SOUND_PART 3
-/* No sample counts for more: a run that stands still would otherwise set the
+/* Least time between two samples of one run: over a shorter time the rounding
+ * of the percentage dominates. */
+#define SAMPLE_INTERVAL_MIN_MS 150
+/* Weight of one sample.  A worker with ten runs gives about forty samples a
+ * second, so a change shows within half a second. */
+#define SAMPLE_WEIGHT 0.1
+/* The initial pace of an unknown worker weighs as much as that many samples. */
+#define PRIOR_SAMPLES 4
+/* Samples after which a worker counts as known. */
+#define KNOWN_SAMPLES_MIN 4
+/* The slowest worker of the fastest third gives the pace of healthy workers, as
+ * up to half of all workers may be slow at the same time. */
+#define BASELINE_DIVISOR 3
+/* Samples are limited to this range: a stalled run would otherwise dominate the
  * pace of its worker for a long time. */
 #define SAMPLE_MAX 8.0
 #define SAMPLE_MIN 0.1
-/* A run has to be looked at for so long before it speaks for itself. */
-#define RUN_MS 300
-/* A pace of 8 counts as out of order for some 9 s without work. */
-#define FADE 0.05
-/* A run without progress for this time, and for this part of its declared time,
- * stands still. */
-#define STILL_MS 900
-#define STILL_PART 0.25
+/* A run is observed for at least this time before it has a pace of its own. */
+#define RUN_OBSERVED_MIN_MS 300
+/* Part of the distance to the baseline that an idle worker's pace moves five
+ * times a second: a pace of 8 counts as out of order for about 9 s. */
+#define DECAY_FACTOR 0.05
+/* A run is stalled when it has made no progress for this time, and for this
+ * fraction of its declared time. */
+#define STALL_MIN_MS 900
+#define STALL_MIN_FRACTION 0.25
 
 /*
- * Nothing known counts as a few samples of the usual pace: one odd sample, of a
- * job that declared far too little, must not make a worker look slow.
+ * An unknown worker starts as if it had a few samples of the baseline: a single
+ * sample, of a job that declared far too little time, must not make it look
+ * slow.
  */
 static void
-blend(struct cell_pace *p, double sound, double sample)
+add_sample(struct cell_pace *p, double baseline, double sample)
 {
 	double weight;
 
 	p->samples++;
-	weight = MAX(WEIGHT, 1.0 / (PRIOR + p->samples));
+	weight = MAX(SAMPLE_WEIGHT, 1.0 / (PRIOR_SAMPLES + p->samples));
 	if (p->value <= 0)
-		p->value = sound;
+		p->value = baseline;
 	p->value += weight * (sample - p->value);
 }
 
 void
-cell_pace_look(struct cell_pace *p, double sound, struct cell_progress *seen,
-    uint64_t clock_ms, uint32_t percent, uint32_t estimate_ms)
+cell_pace_observe(struct cell_pace *p, double baseline,
+    struct cell_progress *progress, uint64_t clock_ms, uint32_t percent,
+    uint32_t estimate_ms)
 {
-	double sample, took, planned;
+	double sample, taken_ms, declared_ms;
 
 	if (clock_ms == 0 || estimate_ms == 0)
 		return;
-	if (seen->clock_ms == 0 || clock_ms < seen->clock_ms ||
-	    percent < seen->percent) {
-		seen->clock_ms = clock_ms;
-		seen->percent = percent;
-		seen->first_ms = clock_ms;
-		seen->first_percent = percent;
+	if (progress->clock_ms == 0 || clock_ms < progress->clock_ms ||
+	    percent < progress->percent) {
+		progress->clock_ms = clock_ms;
+		progress->percent = percent;
+		progress->first_ms = clock_ms;
+		progress->first_percent = percent;
 		return;
 	}
-	if (clock_ms - seen->clock_ms < LOOK_MS || percent == seen->percent)
+	if (clock_ms - progress->clock_ms < SAMPLE_INTERVAL_MIN_MS ||
+	    percent == progress->percent)
 		return;
-	took = (double)(clock_ms - seen->clock_ms);
-	planned = (percent - seen->percent) / 100.0 * estimate_ms;
-	sample = CLAMP(took / planned, SAMPLE_MIN, SAMPLE_MAX);
-	blend(p, sound, sample);
-	seen->clock_ms = clock_ms;
-	seen->percent = percent;
+	taken_ms = (double)(clock_ms - progress->clock_ms);
+	declared_ms = (percent - progress->percent) / 100.0 * estimate_ms;
+	sample = CLAMP(taken_ms / declared_ms, SAMPLE_MIN, SAMPLE_MAX);
+	add_sample(p, baseline, sample);
+	progress->clock_ms = clock_ms;
+	progress->percent = percent;
 }
 
 void
-cell_pace_still(struct cell_pace *p, double sound)
+cell_pace_observe_stall(struct cell_pace *p, double baseline)
 {
-	blend(p, sound, SAMPLE_MAX);
+	add_sample(p, baseline, SAMPLE_MAX);
 }
 
 double
-cell_pace_relative(const struct cell_pace *p, double sound)
+cell_pace_relative(const struct cell_pace *p, double baseline)
 {
-	return p->value > 0 ? p->value / sound : 1;
+	return p->value > 0 ? p->value / baseline : 1;
 }
 
 bool
 cell_pace_known(const struct cell_pace *p)
 {
-	return p->samples >= KNOWN;
+	return p->samples >= KNOWN_SAMPLES_MIN;
 }
 
 static gint
@@ -105,46 +110,51 @@
 }
 
 double
-cell_pace_sound(GArray *values)
+cell_pace_baseline(GArray *values)
 {
 	if (values->len == 0)
 		return 1;
 	g_array_sort(values, by_value);
-	return g_array_index(values, double, (values->len - 1) / SOUND_PART);
+	return g_array_index(
+	    values, double, (values->len - 1) / BASELINE_DIVISOR);
 }
 
 double
-cell_pace_of_run(
-    const struct cell_progress *seen, uint64_t clock_ms, uint32_t estimate_ms)
+cell_pace_of_run(const struct cell_progress *progress, uint64_t clock_ms,
+    uint32_t estimate_ms)
 {
-	double took, planned;
+	double taken_ms, declared_ms;
 
-	if (seen->clock_ms == 0 || clock_ms < seen->first_ms + RUN_MS)
+	if (progress->clock_ms == 0 ||
+	    clock_ms < progress->first_ms + RUN_OBSERVED_MIN_MS)
 		return 0;
-	took = (double)(clock_ms - seen->first_ms);
-	planned = (seen->percent - seen->first_percent) / 100.0 * estimate_ms;
-	return planned > 0 ? MIN(took / planned, SAMPLE_MAX) : SAMPLE_MAX;
+	taken_ms = (double)(clock_ms - progress->first_ms);
+	declared_ms =
+	    (progress->percent - progress->first_percent) / 100.0 * estimate_ms;
+	return declared_ms > 0 ? MIN(taken_ms / declared_ms, SAMPLE_MAX)
+			       : SAMPLE_MAX;
 }
 
 /*
- * A worker known as slow is given nothing, so nothing would ever tell that it
- * is well again.
+ * A worker known as slow gets no work, so no sample would ever show that it has
+ * recovered.  Its pace therefore returns to the baseline with time.
  */
 void
-cell_pace_fade(struct cell_pace *p, double sound)
+cell_pace_decay(struct cell_pace *p, double baseline)
 {
 	if (p->value > 0)
-		p->value += FADE * (sound - p->value);
+		p->value += DECAY_FACTOR * (baseline - p->value);
 }
 
 bool
-cell_pace_stands_still(
-    const struct cell_progress *seen, uint64_t clock_ms, uint32_t estimate_ms)
+cell_pace_is_stalled(const struct cell_progress *progress, uint64_t clock_ms,
+    uint32_t estimate_ms)
 {
-	uint64_t still;
+	uint64_t stalled_ms;
 
-	if (seen->clock_ms == 0 || clock_ms <= seen->clock_ms)
+	if (progress->clock_ms == 0 || clock_ms <= progress->clock_ms)
 		return false;
-	still = clock_ms - seen->clock_ms;
-	return still > STILL_MS && still > STILL_PART * estimate_ms;
+	stalled_ms = clock_ms - progress->clock_ms;
+	return stalled_ms > STALL_MIN_MS &&
+	       stalled_ms > STALL_MIN_FRACTION * estimate_ms;
 }
--- a/cell/pace.h
+++ b/cell/pace.h
@@ -1,5 +1,6 @@
 /*
- * How fast workers run, learned from the progress of their tasks.
+ * How fast workers run, measured by the progress of their tasks.  A pace is the
+ * time taken divided by the time declared: 2 is twice as slow as 1.
  */
 
 #ifndef OGL_CELL_PACE_H
@@ -9,52 +10,53 @@
 
 #include "orioleglade.h"
 
-/* What is known of a worker; zeroed: nothing. */
+/* The measured pace of a worker; zeroed: nothing measured yet. */
 struct cell_pace {
-	double value; /* time taken over time declared, smoothed; 0 not known */
+	double value; /* smoothed; 0 not known */
 	uint32_t samples;
 };
 
-/* How far a run was when it was last looked at; zeroed: not yet. */
+/* Progress of a run when it was last sampled; zeroed: not yet. */
 struct cell_progress {
-	uint64_t clock_ms; /* of the worker; 0: not looked at yet */
+	uint64_t clock_ms; /* the worker's clock; 0: not sampled yet */
 	uint32_t percent;
-	uint64_t first_ms; /* the first look */
+	uint64_t first_ms; /* the worker's clock at the first observation */
 	uint32_t first_percent;
 };
 
-void cell_pace_look(struct cell_pace *p, double sound,
-    struct cell_progress *seen, uint64_t clock_ms, uint32_t percent,
+void cell_pace_observe(struct cell_pace *p, double baseline,
+    struct cell_progress *progress, uint64_t clock_ms, uint32_t percent,
     uint32_t estimate_ms);
-/* A run with that declared time was so far at that moment of the worker's
- * clock.  An estimate of 0 teaches nothing.  sound: the pace of workers that are
- * well, from which an unknown worker starts. */
+/* Adds what a run of the worker, with a declared time of estimate_ms, had
+ * reached at clock_ms of the worker's clock.  An estimate of 0 is ignored.
+ * baseline: the pace of healthy workers, the initial pace of a worker that is
+ * not known. */
 
-void cell_pace_still(struct cell_pace *p, double sound);
-/* One of the worker's runs stands still. */
+void cell_pace_observe_stall(struct cell_pace *p, double baseline);
+/* Adds a run of the worker that makes no progress. */
 
-double cell_pace_relative(const struct cell_pace *p, double sound);
-/* 1: as fast as a worker that is well, or not known; 2: half as fast. */
+double cell_pace_relative(const struct cell_pace *p, double baseline);
+/* 1: as fast as a healthy worker, or not known; 2: half as fast. */
 
-double cell_pace_sound(GArray *values);
-/* The pace of workers that are well, given those of all workers that are known
- * (double; gets sorted). */
+double cell_pace_baseline(GArray *values);
+/* The pace of healthy workers, given the paces of all workers that are known
+ * (double; the array gets sorted); 1 when there are none. */
 
 bool cell_pace_known(const struct cell_pace *p);
-/* Whether there were enough looks to count the worker among those. */
+/* Whether there are enough samples for the worker to count as known. */
 
-double cell_pace_of_run(
-    const struct cell_progress *seen, uint64_t clock_ms, uint32_t estimate_ms);
-/* The pace of the run alone, from its first look on; 0 while it was looked at
- * for too short a time to tell. */
+double cell_pace_of_run(const struct cell_progress *progress, uint64_t clock_ms,
+    uint32_t estimate_ms);
+/* The pace of one run since its first observation; 0 while that is too short a
+ * time to tell. */
 
-void cell_pace_fade(struct cell_pace *p, double sound);
-/* To be called five times a second while the worker runs nothing: what is known
- * of it grows old. */
+void cell_pace_decay(struct cell_pace *p, double baseline);
+/* Moves the pace towards the baseline.  To be called five times a second while
+ * the worker runs nothing. */
 
-bool cell_pace_stands_still(
-    const struct cell_progress *seen, uint64_t clock_ms, uint32_t estimate_ms);
-/* Whether a run has made no progress for so long that it hardly will: its
- * worker answers, the task does not move. */
+bool cell_pace_is_stalled(const struct cell_progress *progress,
+    uint64_t clock_ms, uint32_t estimate_ms);
+/* Whether a run has made no progress for so long that it is unlikely to finish,
+ * although its worker answers. */
 
 #endif
--- a/cell/straggler.c
+++ b/cell/straggler.c
@@ -29,7 +29,7 @@
 #define MOVES_MAX 3
 
 bool
-cell_straggler_move(double left_ms, double anew_ms)
+cell_straggler_worth_moving(double left_ms, double anew_ms)
 {
 	return left_ms > GAIN * anew_ms + MOVE_MS;
 }
@@ -54,7 +54,7 @@
 
 	if (still)
 		return true;
-	return cell_straggler_move(
+	return cell_straggler_worth_moving(
 	    rest * pace, saved ? rest + RESTORE_MS : declared);
 }
 
@@ -73,7 +73,7 @@
 	own = cell_pace_of_run(
 	    &r->progress, w->clock_ms, r->stage->def->estimate_ms);
 	pace = MIN(cell_fleet_pace(f, w), own);
-	still = cell_pace_stands_still(
+	still = cell_pace_is_stalled(
 	    &r->progress, w->clock_ms, r->stage->def->estimate_ms);
 	if (still)
 		cell_fleet_still(f, w);
--- a/cell/straggler.h
+++ b/cell/straggler.h
@@ -14,7 +14,7 @@
  * their tasks wait to be placed then.  To be called every few hundred
  * milliseconds. */
 
-bool cell_straggler_move(double left_ms, double anew_ms);
+bool cell_straggler_worth_moving(double left_ms, double anew_ms);
 /* Whether starting again, which takes anew_ms, gains enough over waiting for
  * left_ms. */
 
--- a/test/test_cell_pace.cc
+++ b/test/test_cell_pace.cc
@@ -1,5 +1,5 @@
 /*
- * How fast workers run: scripted looks at runs and what is concluded.
+ * Pace of workers: scripted progress of runs and the resulting pace.
  */
 
 #include <gtest/gtest.h>
@@ -15,129 +15,134 @@
 class Pace : public testing::Test
 {
       protected:
-	/* A run that declared 1,000 ms, seen every 200 ms of the worker's
-	 * clock, going on at the given pace from `percent`. */
-	void run(struct cell_pace *p, double pace, unsigned looks,
-	    struct cell_progress *seen)
+	/* Observes a run with a declared time of 1,000 ms every 200 ms of the
+	 * worker's clock; it starts at 0% and has the given pace. */
+	void run(struct cell_pace *p, double pace, unsigned observations,
+	    struct cell_progress *progress)
 	{
-		for (unsigned i = 0; i < looks; i++) {
+		for (unsigned i = 0; i < observations; i++) {
 			auto percent = static_cast<uint32_t>(
 			    static_cast<double>(i) * 20 / pace);
 
-			cell_pace_look(p, sound_, seen, clock_, percent, 1000);
+			cell_pace_observe(
+			    p, baseline_, progress, clock_, percent, 1000);
 			clock_ += 200;
 		}
 	}
 
+	/* Observes n runs, five times each. */
 	void runs(struct cell_pace *p, double pace, unsigned n)
 	{
 		for (unsigned i = 0; i < n; i++) {
-			struct cell_progress seen = {};
+			struct cell_progress progress = {};
 
-			run(p, pace, 5, &seen);
+			run(p, pace, 5, &progress);
 		}
 	}
 
-	double sound_ = 1;
+	double baseline_ = 1;
 	uint64_t clock_ = 5000;
 };
 
-TEST_F(Pace, UnknownIsUsual)
+TEST_F(Pace, UnknownWorkerHasBaselinePace)
 {
 	struct cell_pace w = {};
 
-	EXPECT_EQ(1.0, cell_pace_relative(&w, sound_));
+	EXPECT_EQ(1.0, cell_pace_relative(&w, baseline_));
 }
 
-TEST_F(Pace, SoundWorkersAreTheFasterOnes)
+TEST_F(Pace, FasterWorkersSetTheBaseline)
 {
 	GArray *a = g_array_new(FALSE, FALSE, sizeof(double));
 
-	EXPECT_EQ(1.0, cell_pace_sound(a));
-	/* Every job declares half of what it takes; half of the workers are
-	 * out of order. */
+	EXPECT_EQ(1.0, cell_pace_baseline(a));
+	/* Every job takes twice the declared time, and half of the workers are
+	 * slow. */
 	for (double v : {2.0, 14.0, 2.1, 15.0, 2.6, 13.0})
 		g_array_append_val(a, v);
-	EXPECT_EQ(2.1, cell_pace_sound(a));
+	EXPECT_EQ(2.1, cell_pace_baseline(a));
 	g_array_unref(a);
 }
 
-TEST_F(Pace, AKnownWorkerIsComparedWithSoundOnes)
+TEST_F(Pace, PaceIsRelativeToTheBaseline)
 {
 	struct cell_pace w = {};
 
-	sound_ = 2;
+	baseline_ = 2;
 	runs(&w, 2.6, 8);
 	EXPECT_TRUE(cell_pace_known(&w));
-	EXPECT_NEAR(1.3, cell_pace_relative(&w, sound_), 0.05);
+	EXPECT_NEAR(1.3, cell_pace_relative(&w, baseline_), 0.05);
 }
 
 /*
- * A job declares a sixth of what its tasks take.  If that alone made its worker
- * look broken, tasks of other jobs would be taken from a sound worker.
+ * Guards against moving tasks of other jobs away from a healthy worker because
+ * one job there declares a sixth of the time that its tasks take.
  */
-TEST_F(Pace, OneOddJobDoesNotMakeAWorkerSlow)
+TEST_F(Pace, OneUnderestimatedJobDoesNotMakeAWorkerSlow)
 {
 	struct cell_pace w = {};
-	struct cell_progress seen = {};
+	struct cell_progress progress = {};
 
-	run(&w, 6.0, 2, &seen);
-	EXPECT_LT(cell_pace_relative(&w, sound_), 2.5);
+	run(&w, 6.0, 2, &progress);
+	EXPECT_LT(cell_pace_relative(&w, baseline_), 2.5);
 }
 
-TEST_F(Pace, AWorkerThatTurnsSlowIsSeenWithinAFewLooks)
+TEST_F(Pace, SlowWorkerIsDetectedWithinAFewSamples)
 {
 	struct cell_pace w = {};
 
 	runs(&w, 1.0, 10);
 	runs(&w, 7.0, 4);
-	EXPECT_GT(cell_pace_relative(&w, sound_), 2.5);
+	EXPECT_GT(cell_pace_relative(&w, baseline_), 2.5);
 }
 
 /*
- * A worker taken for slow gets no work, so nothing would tell that it is well
- * again, and the cell would do without it for ever.
+ * Guards against never using a worker again that was measured as slow: it gets
+ * no work, so no sample shows that it has recovered.
  */
-TEST_F(Pace, WithoutWorkABadPaceFades)
+TEST_F(Pace, PaceDecaysWhileIdle)
 {
 	struct cell_pace w = {};
 
 	for (int i = 0; i < 30; i++)
-		cell_pace_still(&w, sound_);
-	EXPECT_GT(cell_pace_relative(&w, sound_), 2.5);
+		cell_pace_observe_stall(&w, baseline_);
+	EXPECT_GT(cell_pace_relative(&w, baseline_), 2.5);
 	for (int i = 0; i < 60; i++)
-		cell_pace_fade(&w, sound_);
-	EXPECT_LT(cell_pace_relative(&w, sound_), 1.7);
+		cell_pace_decay(&w, baseline_);
+	EXPECT_LT(cell_pace_relative(&w, baseline_), 1.7);
 }
 
-TEST_F(Pace, ARunThatStandsStill)
+TEST_F(Pace, DetectsStalledRun)
 {
 	struct cell_pace w = {};
-	struct cell_progress seen = {};
-
-	run(&w, 1.0, 3, &seen);
-	EXPECT_FALSE(cell_pace_stands_still(&seen, seen.clock_ms + 800, 1000));
-	EXPECT_TRUE(cell_pace_stands_still(&seen, seen.clock_ms + 1000, 1000));
-	/* A long task's percentage rises seldom. */
-	EXPECT_FALSE(cell_pace_stands_still(&seen, seen.clock_ms + 1000, 9000));
+	struct cell_progress progress = {};
+
+	run(&w, 1.0, 3, &progress);
+	EXPECT_FALSE(
+	    cell_pace_is_stalled(&progress, progress.clock_ms + 800, 1000));
+	EXPECT_TRUE(
+	    cell_pace_is_stalled(&progress, progress.clock_ms + 1000, 1000));
+	/* The percentage of a long task rises slowly. */
+	EXPECT_FALSE(
+	    cell_pace_is_stalled(&progress, progress.clock_ms + 1000, 9000));
 }
 
-TEST_F(Pace, AClockThatStartsAnewTeachesNothing)
+TEST_F(Pace, ClockResetAddsNoSample)
 {
 	struct cell_pace w = {};
-	struct cell_progress seen = {};
+	struct cell_progress progress = {};
 
-	run(&w, 1.0, 3, &seen);
-	cell_pace_look(&w, sound_, &seen, 10, 90, 1000);
+	run(&w, 1.0, 3, &progress);
+	cell_pace_observe(&w, baseline_, &progress, 10, 90, 1000);
 	EXPECT_NEAR(1.0, w.value, 0.1);
-	EXPECT_FALSE(cell_pace_stands_still(&seen, 20, 1000));
+	EXPECT_FALSE(cell_pace_is_stalled(&progress, 20, 1000));
 }
 
-TEST(Straggler, MovesOnlyWhatGains)
+TEST(Straggler, MovesOnlyWithEnoughGain)
 {
-	EXPECT_TRUE(cell_straggler_move(5000, 1000));
-	EXPECT_FALSE(cell_straggler_move(1500, 1000));
-	EXPECT_FALSE(cell_straggler_move(700, 300));
+	EXPECT_TRUE(cell_straggler_worth_moving(5000, 1000));
+	EXPECT_FALSE(cell_straggler_worth_moving(1500, 1000));
+	EXPECT_FALSE(cell_straggler_worth_moving(700, 300));
 }
 
 } // namespace
