--- a/cell/fleet.c
+++ b/cell/fleet.c
@@ -1198,7 +1198,7 @@
 }
 
 void
-cell_fleet_compare(struct cell_fleet *f)
+cell_fleet_update_baseline(struct cell_fleet *f)
 {
 	GArray *values = g_array_new(FALSE, FALSE, sizeof(double));
 	GHashTableIter it;
@@ -1216,13 +1216,13 @@
 }
 
 void
-cell_fleet_still(struct cell_fleet *f, struct cell_worker *w)
+cell_fleet_count_stall(struct cell_fleet *f, struct cell_worker *w)
 {
 	cell_pace_observe_stall(&w->pace, f->baseline_pace);
 }
 
 void
-cell_fleet_fade(struct cell_fleet *f, struct cell_worker *w)
+cell_fleet_decay_pace(struct cell_fleet *f, struct cell_worker *w)
 {
 	cell_pace_decay(&w->pace, f->baseline_pace);
 }
--- a/cell/fleet.h
+++ b/cell/fleet.h
@@ -194,10 +194,10 @@
 void cell_fleet_stop(struct cell_fleet *f, struct cell_run *r, ogl_time now);
 /* Orders a stop; ended is called once it is over. */
 
-void cell_fleet_still(struct cell_fleet *f, struct cell_worker *w);
+void cell_fleet_count_stall(struct cell_fleet *f, struct cell_worker *w);
 /* A run of the worker stands still: counts against its pace. */
 
-void cell_fleet_fade(struct cell_fleet *f, struct cell_worker *w);
+void cell_fleet_decay_pace(struct cell_fleet *f, struct cell_worker *w);
 /* The worker runs nothing: what is known of its pace grows old. */
 
 void cell_fleet_move(
@@ -226,7 +226,7 @@
 /* How long the worker takes, against workers that are well; 1 as they, or not
  * known. */
 
-void cell_fleet_compare(struct cell_fleet *f);
+void cell_fleet_update_baseline(struct cell_fleet *f);
 /* Learns anew what workers that are well take. */
 
 bool cell_worker_fits(const struct cell_worker *w, const struct ogl_res *need);
--- a/cell/straggler.c
+++ b/cell/straggler.c
@@ -1,37 +1,37 @@
 /*
- * A worker that turns slow, or that no longer carries its tasks forward, keeps
- * what it was given: its holds are answered, so nothing else speaks against it,
- * and a step waits for its slowest task.  Each run's remaining time there, by
- * the worker's pace, is held against a new start on a worker with room:
+ * A worker may become slow, or make no more progress, while it still answers
+ * its holds.  It would keep its runs, and a step waits for its slowest task.
+ * So the remaining time of each run, by the worker's pace, is compared with a
+ * restart on another worker:
  *
- *	left    (1 - done) x declared time x pace; without end when it stands
- *		still
- *	anew    declared time, or the rest of it where a checkpoint was saved,
- *		and what a stop and a start take
+ *	remaining  (1 - done) x declared time x pace; infinite when the run is
+ *		   stalled
+ *	restart    declared time, or the rest of it when there is a checkpoint,
+ *		   and what a stop and a start take
  *
- * A run is stopped only while another allowed worker has room for it.  Gangs are
- * left alone, as one member moved begins all of them anew, and so are lasting
- * tasks, which are never done.
+ * A run is stopped only while another allowed worker has room for it.  Gangs
+ * are not moved, as moving one member restarts all of them.  Neither are
+ * lasting tasks, which never complete.
  */
 
 #include "ablate.h"
 #include "straggler.h"
 
-/* Below this a task that is merely longer than declared looks the same. */
-#define PACE_SUSPECT 2.5
-/* A stop, a question for a ticket and a start. */
-#define MOVE_MS 450.0
-/* What going on from a checkpoint takes beside. */
-#define RESTORE_MS 600.0
-/* Times the way anew that waiting has to take. */
-#define GAIN 1.3
-/* Moves of one task: more of them speak against the task. */
-#define MOVES_MAX 3
+/* A task that merely takes longer than declared reaches any pace below this. */
+#define STRAGGLER_PACE_MIN 2.5
+/* Duration of a stop, a request for a ticket and a start. */
+#define MOVE_COST_MS 450.0
+/* Additional time to restore a checkpoint. */
+#define RESTORE_COST_MS 600.0
+/* The remaining time must exceed the restart time by this factor. */
+#define GAIN_FACTOR_MIN 1.3
+/* A task that is still slow after so many moves is slow by itself. */
+#define MOVES_PER_TASK_MAX 3
 
 bool
-cell_straggler_worth_moving(double left_ms, double anew_ms)
+cell_straggler_worth_moving(double remaining_ms, double restart_ms)
 {
-	return left_ms > GAIN * anew_ms + MOVE_MS;
+	return remaining_ms > GAIN_FACTOR_MIN * restart_ms + MOVE_COST_MS;
 }
 
 static bool
@@ -42,59 +42,59 @@
 	return st != NULL && r->state == CELL_RUN_UP && !r->open &&
 	       !st->def->gang && !st->def->lasting && !st->def->fills &&
 	       st->def->estimate_ms > 0 &&
-	       st->tasks[r->name.index].moves < MOVES_MAX;
+	       st->tasks[r->name.index].moves < MOVES_PER_TASK_MAX;
 }
 
 static bool
-would_gain(const struct cell_run *r, double pace, bool still)
+restart_gains(const struct cell_run *r, double pace, bool stalled)
 {
-	double declared = r->stage->def->estimate_ms;
-	double rest = declared * (100 - MIN(r->percent, 100)) / 100;
+	double declared_ms = r->stage->def->estimate_ms;
+	double rest_ms = declared_ms * (100 - MIN(r->percent, 100)) / 100;
 	bool saved = r->checkpoint != NULL && *r->checkpoint != '\0';
 
-	if (still)
+	if (stalled)
 		return true;
 	return cell_straggler_worth_moving(
-	    rest * pace, saved ? rest + RESTORE_MS : declared);
+	    rest_ms * pace, saved ? rest_ms + RESTORE_COST_MS : declared_ms);
 }
 
 static void
-look_at_run(struct cell_fleet *f, struct cell_sched *s, struct cell_run *r,
+check_run(struct cell_fleet *f, struct cell_sched *s, struct cell_run *r,
     ogl_time now)
 {
 	struct cell_worker *w = r->worker;
-	double pace, own;
-	bool still;
+	double pace, run_pace;
+	bool stalled;
 
 	if (!may_move(r))
 		return;
 	/* Both the worker and the run itself have to be slow: the worker may
-	 * be well again, the job may have declared too little. */
-	own = cell_pace_of_run(
+	 * have recovered, or the job may have declared too little time. */
+	run_pace = cell_pace_of_run(
 	    &r->progress, w->clock_ms, r->stage->def->estimate_ms);
-	pace = MIN(cell_fleet_pace(f, w), own);
-	still = cell_pace_is_stalled(
+	pace = MIN(cell_fleet_pace(f, w), run_pace);
+	stalled = cell_pace_is_stalled(
 	    &r->progress, w->clock_ms, r->stage->def->estimate_ms);
-	if (still)
-		cell_fleet_still(f, w);
-	if (!still && pace < PACE_SUSPECT)
+	if (stalled)
+		cell_fleet_count_stall(f, w);
+	if (!stalled && pace < STRAGGLER_PACE_MIN)
 		return;
-	if (!would_gain(r, pace, still) ||
+	if (!restart_gains(r, pace, stalled) ||
 	    !cell_sched_has_room(s, r->stage, w, now))
 		return;
 	r->stage->tasks[r->name.index].moves++;
-	cell_fleet_move(f, r, still ? "still" : "slow", now);
+	cell_fleet_move(f, r, stalled ? "still" : "slow", now);
 }
 
 static void
-look_at_worker(struct cell_fleet *f, struct cell_sched *s,
-    struct cell_worker *w, ogl_time now)
+check_worker(struct cell_fleet *f, struct cell_sched *s, struct cell_worker *w,
+    ogl_time now)
 {
 	GPtrArray *runs = cell_worker_runs(w);
 	guint i;
 
 	for (i = 0; i < runs->len; i++)
-		look_at_run(f, s, runs->pdata[i], now);
+		check_run(f, s, runs->pdata[i], now);
 	g_ptr_array_unref(runs);
 }
 
@@ -104,7 +104,7 @@
 	GHashTableIter it;
 	gpointer p;
 
-	cell_fleet_compare(f);
+	cell_fleet_update_baseline(f);
 	if (!CELL_USES_MOVES)
 		return;
 	g_hash_table_iter_init(&it, cell_fleet_workers(f));
@@ -112,8 +112,8 @@
 		struct cell_worker *w = p;
 
 		if (g_hash_table_size(w->runs) == 0)
-			cell_fleet_fade(f, w);
+			cell_fleet_decay_pace(f, w);
 		else if (w->fenced && w->failures == 0)
-			look_at_worker(f, s, w, now);
+			check_worker(f, s, w, now);
 	}
 }
--- a/cell/straggler.h
+++ b/cell/straggler.h
@@ -1,5 +1,5 @@
 /*
- * Tasks on workers that have turned slow or stand still.
+ * Moves tasks away from workers that have become slow or make no progress.
  */
 
 #ifndef OGL_CELL_STRAGGLER_H
@@ -10,12 +10,12 @@
 
 void cell_straggler_step(
     struct cell_fleet *f, struct cell_sched *s, ogl_time now);
-/* Stops the runs that would end sooner if they were started again elsewhere;
- * their tasks wait to be placed then.  To be called every few hundred
- * milliseconds. */
+/* Stops the runs that would end sooner if they were restarted on another
+ * worker; their tasks then wait to be placed again.  To be called five times a
+ * second. */
 
-bool cell_straggler_worth_moving(double left_ms, double anew_ms);
-/* Whether starting again, which takes anew_ms, gains enough over waiting for
- * left_ms. */
+bool cell_straggler_worth_moving(double remaining_ms, double restart_ms);
+/* Whether a restart, which takes restart_ms, gains enough over waiting for
+ * remaining_ms. */
 
 #endif
