--- a/cell/fleet.c
+++ b/cell/fleet.c
@@ -1,25 +1,26 @@
 /*
- * Each worker that has anything to tell or to keep alive has one hold under
- * way.  A hold renews the lease of all that runs there, tells which ends are
- * noted for good, and its answer waits for the next end; both lists of the
- * answer are then compared with what is known here:
+ * A worker that runs something, has not answered yet or has ends that are to be
+ * acknowledged has one hold in flight.  A hold renews the lease of all runs
+ * there and acknowledges the ends that are stored; the worker delays its answer
+ * until the next end, up to a time limit.  The answer lists running and ended
+ * tasks, which are compared with the known runs:
  *
- *	listed as running, known      it is up; its checkpoint is kept
- *	listed as running, unknown    the owner is asked (found)
- *	listed as ended               the run is over
- *	up, but in neither list       it was lost
- *	stop answered, in neither     it never came, and now never will
+ *	listed as running, known       it is running; its checkpoint is kept
+ *	listed as running, unknown     reported to the owner (run_found)
+ *	listed as ended                the run is over
+ *	running, but in neither list   it was lost
+ *	stop answered, in neither      it never began, and can't any more
  *
- * A start without an answer may be carried out seconds later.  It is repeated
- * as it was, which the worker carries out once.  Only a stop that was answered
- * makes certain that the run won't begin any more, so a start that is given up
- * is stopped first.
+ * A start that went unanswered may be carried out seconds later.  It is sent
+ * again unchanged; the worker carries it out only once.  Only an answered stop
+ * makes certain that the run can't begin any more, so a start that is given up
+ * is followed by a stop.
  *
- * A worker that does not answer may go on running all it has until the lease
- * asked for last is over by its own clock, which may be SLOW slower than ours.
- * Until then its runs count as running.  One whose host answers that nothing
- * listens at its address, or where another worker answers, has ended, and all it
- * ran with it.
+ * A worker that does not answer may keep running its tasks until the last lease
+ * asked for ends by its own clock, which may be slower than ours by the factor
+ * CLOCK_SLOW_FACTOR.  Until then its runs count as running.  When connections
+ * to its address are refused, or another worker answers there, the worker has
+ * ended, and its runs with it.
  */
 
 #include <string.h>
@@ -27,52 +28,56 @@
 #include "ablate.h"
 #include "fleet.h"
 
-/* Longest lease asked for.  It has to outlast the loss of an owner (silence,
- * claim, first holds: some 2.5 s) and ends what a worker cut off runs. */
+/* Longest lease asked for.  It has to outlast a change of owner (detection,
+ * claim and first holds take about 2.5 s), and bounds how long a worker that is
+ * cut off keeps running its tasks. */
 #define LEASE_MS 5000
-#define SLOW 1.0205 /* a clock 2% slow takes 1/0.98 of the time */
-#define LAPSE_MARGIN (250 * OGL_MS)
-/* A hold whose answer is lost hides the ends of its worker for as long as it
- * may take, so it is short; a busy worker answers long before. */
+#define CLOCK_SLOW_FACTOR 1.0205 /* 1 / 0.98: a clock may be 2% slow */
+#define LEASE_END_MARGIN (250 * OGL_MS)
+/* When the answer to a hold is lost, the ends at its worker stay unknown until
+ * the timeout, so it is short.  A busy worker answers long before. */
 #define HOLD_WAIT_MS 450
 #define HOLD_TIMEOUT_MS 800
-/* A worker whose answers are lost now and then is asked in short holds for a
- * while, or its ends would be known up to 0.8 s late. */
-#define LOSSY (2 * OGL_SEC)
-#define LOSSY_WAIT_MS 100
-#define LOSSY_TIMEOUT_MS 250
+/* After a lost answer a worker gets short holds for this time: with the usual
+ * ones further lost answers would delay its ends by up to 0.8 s each. */
+#define LOSSY_PERIOD (2 * OGL_SEC)
+#define LOSSY_HOLD_WAIT_MS 100
+#define LOSSY_HOLD_TIMEOUT_MS 250
 /* After a change of owner everything waits for the first answer of each worker.
- * The question may be repeated freely, so it is, soon; each miss doubles it. */
-#define FIRST_TIMEOUT_MS 150
-/* Ends within this time of each other are fetched with one hold. */
-#define HOLD_GAP (20 * OGL_MS)
-/* A hold whose ends are not stored yet would return at once with the same
- * ends; it is sent all the same when the lease wants renewing. */
-#define RENEW (700 * OGL_MS)
-#define HOLD_RETRY (150 * OGL_MS)
-/* A worker has ended when so many connections in a row, over so long a time,
- * met nobody listening; a single one may fall into its start. */
-#define GONE_REFUSALS 3
-#define GONE_AFTER (400 * OGL_MS)
-/* An answer overdue by this makes a worker suspect: nothing new goes there. */
-#define SUSPECT (250 * OGL_MS)
-/* A worker silent for so long is told of to successors: a single lost answer is
- * not worth a record. */
-#define SILENT_TOLD (400 * OGL_MS)
+ * The first hold may be repeated safely, so it has a short timeout, which
+ * doubles with each failure. */
+#define FIRST_HOLD_TIMEOUT_MS 150
+/* Delay of the next hold after one that brought ends, so that ends in short
+ * succession are fetched with one hold. */
+#define ENDS_BATCH_DELAY (20 * OGL_MS)
+/* While ends are not stored, a hold would return at once with the same ends.
+ * It is delayed, but by no more than this, as the lease has to be renewed. */
+#define LEASE_RENEW_AFTER (700 * OGL_MS)
+#define HOLD_RETRY_DELAY (150 * OGL_MS)
+/* A worker has ended when this many connections in a row were refused, over at
+ * least this time; a single one may have been made during its start. */
+#define GONE_REFUSALS_MIN 3
+#define GONE_REFUSED_MIN (400 * OGL_MS)
+/* A worker whose answer is overdue by this gets no new work. */
+#define HOLD_OVERDUE_AFTER (250 * OGL_MS)
+/* The record calls a worker silent after this time; a single lost answer is not
+ * worth a new record. */
+#define SILENT_RECORDED_AFTER (400 * OGL_MS)
 #define ORDER_TIMEOUT_MS 600
-#define ORDER_RETRY (100 * OGL_MS)
-#define START_TRIES 3
-/* Between two looks at all workers, and at all runs: what is due may wait that
- * long, and an owner steps hundreds of times a second. */
-#define SCAN (8 * OGL_MS)
-#define SCAN_RUNS (40 * OGL_MS)
-/* A call without an answer is carried out within this time or never. */
-#define LOOSE_MAX (15 * OGL_SEC)
-#define ENDS_A_PAGE 500 /* a fuller list of ends may not be whole */
-/* A worker that fails STREAK different jobs in a row is set aside. */
-#define STREAK 3
-#define ASIDE (4 * OGL_SEC)
-#define ASIDE_DOUBLINGS 3
+#define ORDER_RETRY_DELAY (100 * OGL_MS)
+#define START_TRIES_MAX 3
+/* Intervals of the scans of all workers and of all runs.  An owner steps
+ * hundreds of times a second, and what is due may wait that long. */
+#define SCAN_INTERVAL (8 * OGL_MS)
+#define RUN_SCAN_INTERVAL (40 * OGL_MS)
+/* A start without an answer is carried out within this time or never. */
+#define UNANSWERED_START_MAX (15 * OGL_SEC)
+#define ENDS_PER_ANSWER_MAX 500 /* a list this long may be incomplete */
+/* A worker that fails this many different jobs in a row gets no work for the
+ * cooldown, which doubles each time until it has been doubled that often. */
+#define FAILURE_STREAK_MAX 3
+#define COOLDOWN (4 * OGL_SEC)
+#define COOLDOWN_DOUBLINGS_MAX 3
 
 struct cell_fleet {
 	const struct cell_ops *ops;
@@ -81,29 +86,30 @@
 	GHashTable *workers;   /* id -> struct cell_worker */
 	GHashTable *by_serial; /* the same workers, not owned */
 	uint32_t last_serial;
-	GHashTable *teams; /* name -> struct ogl_res, what may run */
-	const struct cell_zones *zones; /* evacuated ones; NULL not told yet */
-	double baseline_pace;           /* of workers that are well */
+	GHashTable *teams; /* name -> struct ogl_res of what may run */
+	const struct cell_zones *zones; /* evacuated ones; NULL not set yet */
+	double baseline_pace;           /* of healthy workers */
 	bool open;
 	uint64_t epoch;
 	uint64_t generation;
 	ogl_time opened_at;
-	bool lapsed; /* no lease of an earlier owner is left */
-	bool names_changed;
-	ogl_time confirmed_at; /* ownership, by the store */
-	ogl_time proof_from;   /* it has to be confirmed as of then */
-	ogl_time scan_at;
-	ogl_time scan_runs_at;
+	bool old_leases_expired; /* those of earlier owners */
+	bool record_outdated;
+	ogl_time confirmed_at; /* the store confirmed ownership as of then */
+	/* Nothing is started until ownership is confirmed as of then. */
+	ogl_time confirmation_from;
+	ogl_time next_scan_at;
+	ogl_time next_run_scan_at;
 };
 
-/* An order or hold under way. */
+/* A start, stop or hold that awaits its answer. */
 struct call {
 	struct cell_fleet *fleet;
 	struct cell_worker *worker;
 	struct cell_run *run; /* NULL: a hold */
 	uint64_t generation;
-	uint64_t noted;  /* hold: ends acknowledged */
-	uint64_t number; /* hold */
+	uint64_t ends_acked; /* of a hold: ends up to this were acknowledged */
+	uint64_t number;     /* of a hold */
 	ogl_time sent;
 	bool stop;
 };
@@ -126,14 +132,14 @@
 	struct cell_worker *w = p;
 
 	g_hash_table_unref(w->runs);
-	g_array_unref(w->loose);
+	g_array_unref(w->unanswered_starts);
 	g_free(w->id);
 	g_free(w->addr);
 	g_free(w->zone);
 	g_free(w->rack);
 	g_strfreev(w->labels);
 	g_free(w->service);
-	g_free(w->streak_job);
+	g_free(w->last_failed_job);
 	g_free(w);
 }
 
@@ -156,7 +162,7 @@
 }
 
 static void
-worker_drop_runs(struct cell_worker *w)
+worker_forget_runs(struct cell_worker *w)
 {
 	GHashTableIter it;
 	gpointer p;
@@ -166,14 +172,14 @@
 		struct cell_run *r = p;
 
 		g_hash_table_iter_remove(&it);
-		if (r->open)
+		if (r->order_pending)
 			r->worker = NULL; /* freed when its answer comes */
 		else
 			run_free(r);
 	}
 	memset(&w->used, 0, sizeof w->used);
-	w->nstrays = 0;
-	g_array_set_size(w->loose, 0);
+	w->norphans = 0;
+	g_array_set_size(w->unanswered_starts, 0);
 }
 
 void
@@ -193,10 +199,10 @@
 	f->epoch = epoch;
 	f->generation++;
 	f->confirmed_at = 0;
-	f->proof_from = 0;
-	f->names_changed = true; /* whatever the last owner had stored */
+	f->confirmation_from = 0;
+	f->record_outdated = true; /* the stored one is an earlier owner's */
 	f->opened_at = now;
-	f->lapsed = false;
+	f->old_leases_expired = false;
 }
 
 void
@@ -211,23 +217,23 @@
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct cell_worker *w = p;
 
-		worker_drop_runs(w);
+		worker_forget_runs(w);
 		w->fenced = false;
 		w->holding = false;
 		w->life = 0;
-		w->last_seen = 0;
+		w->ends_stored = 0;
 		w->taken = 0;
-		w->until_ms = 0;
+		w->lease_end_ms = 0;
 		w->listed = false;
 		w->expected = false;
-		w->named = false;
-		w->excused = false;
-		w->named_from = 0;
-		w->moved = false;
-		w->told_silent = false;
+		w->recorded = false;
+		w->tasks_recorded = false;
+		w->recorded_min = 0;
+		w->addr_unrecorded = false;
+		w->recorded_silent = false;
 		w->gone = false;
-		w->refusals = 0;
-		w->acked = 0;
+		w->conn_refusals = 0;
+		w->ends_acked = 0;
 	}
 	g_hash_table_remove_all(f->teams);
 }
@@ -251,7 +257,7 @@
 }
 
 static void
-replace(char **to, const char *from)
+set_string(char **to, const char *from)
 {
 	if (g_strcmp0(*to, from) == 0)
 		return;
@@ -270,9 +276,10 @@
 	w->serial = ++f->last_serial;
 	w->id = g_strdup(id);
 	w->runs = g_hash_table_new(NULL, NULL);
-	w->loose = g_array_new(FALSE, FALSE, sizeof(struct cell_loose));
-	w->hold_at = now;
-	f->names_changed = true;
+	w->unanswered_starts =
+	    g_array_new(FALSE, FALSE, sizeof(struct cell_unanswered_start));
+	w->next_hold_at = now;
+	f->record_outdated = true;
 	g_hash_table_insert(f->workers, w->id, w);
 	g_hash_table_insert(f->by_serial, GUINT_TO_POINTER(w->serial), w);
 	return w;
@@ -288,7 +295,7 @@
 	    "worker=%s addr=%s life=%" G_GUINT64_FORMAT
 	    " runs=%u failures=%u draining=%d hold_ms=%" G_GINT64_FORMAT "%s%s",
 	    w->id, w->addr, w->life, g_hash_table_size(w->runs), w->failures,
-	    w->draining, w->hold_took / OGL_MS, *why != '\0' ? " why=" : "",
+	    w->draining, w->hold_duration / OGL_MS, *why != '\0' ? " why=" : "",
 	    why);
 	f->ops->log(f->ops->ctx, "fleet", event, text);
 }
@@ -299,22 +306,23 @@
 	log_worker_why(f, w, event, "");
 }
 
-/* A successor would call it at its old address, learn there that it has ended,
- * and start elsewhere what runs at the new one; so it is given nothing until a
- * record has the new one. */
+/* A successor that knows only the old address would conclude there that the
+ * worker has ended, and start elsewhere what runs at the new address.  So a
+ * worker that has moved gets no work until a record with its new address is
+ * stored. */
 static void
 set_addr(
     struct cell_fleet *f, struct cell_worker *w, const char *addr, ogl_time now)
 {
-	w->moved = w->addr != NULL;
-	if (w->moved) {
-		w->named = false;
+	w->addr_unrecorded = w->addr != NULL;
+	if (w->addr_unrecorded) {
+		w->recorded = false;
 		w->gone = false;
-		w->refusals = 0;
-		w->hold_at = now;
+		w->conn_refusals = 0;
+		w->next_hold_at = now;
 	}
-	f->names_changed = true;
-	replace(&w->addr, addr);
+	f->record_outdated = true;
+	set_string(&w->addr, addr);
 }
 
 void
@@ -334,16 +342,16 @@
 	w = worker_get(f, id, now);
 	if (g_strcmp0(w->addr, e->addr) != 0)
 		set_addr(f, w, e->addr, now);
-	replace(&w->zone, e->zone);
+	set_string(&w->zone, e->zone);
 	w->evacuated =
 	    f->zones != NULL && cell_zones_evacuated(f->zones, w->zone);
-	replace(&w->rack, e->rack);
-	replace(&w->service, e->service);
+	set_string(&w->rack, e->rack);
+	set_string(&w->service, e->service);
 	g_strfreev(w->labels);
 	w->labels = g_strdupv(e->labels);
 	w->capacity = e->capacity;
 	if (w->draining != e->draining || !w->listed) {
-		f->names_changed |= w->draining != e->draining;
+		f->record_outdated |= w->draining != e->draining;
 		w->draining = e->draining;
 		w->listed = true;
 		log_worker(f, w, "worker_listed");
@@ -351,14 +359,15 @@
 	if (w->entry_born_ms != e->born_ms) {
 		w->entry_born_ms = e->born_ms;
 		w->failures = 0;
-		w->hold_at = now;
-		/* A new life has seen no epoch: it is called at once.  The
-		 * hold under way was the last life's. */
+		w->next_hold_at = now;
+		/* A new incarnation has seen no epoch, so it is called at once.
+		 * A hold in flight belongs to the last incarnation. */
 		if (w->life != 0 && e->born_ms != 0 && e->born_ms != w->life) {
 			w->fenced = false;
 			w->holding = false;
 			w->hold_number++;
-			w->acked = w->last_seen; /* ends of that life */
+			/* No more ends of that incarnation are acknowledged. */
+			w->ends_acked = w->ends_stored;
 		}
 	}
 	if (f->open)
@@ -397,21 +406,22 @@
 	struct cell_worker *w = worker_get(f, k->id, now);
 
 	w->expected = true;
-	w->excused = k->closed;
-	w->named = !k->closed;
+	w->tasks_recorded = k->closed;
+	w->recorded = !k->closed;
 	if (w->addr != NULL)
 		return;
-	replace(&w->addr, k->addr);
-	replace(&w->service, k->service);
-	replace(&w->zone, "");
-	replace(&w->rack, "");
+	set_string(&w->addr, k->addr);
+	set_string(&w->service, k->service);
+	set_string(&w->zone, "");
+	set_string(&w->rack, "");
 }
 
 ogl_time
 cell_fleet_lapse(const struct cell_fleet *f)
 {
-	return f->opened_at + (ogl_time)(LEASE_MS * SLOW) * OGL_MS +
-	       LAPSE_MARGIN;
+	return f->opened_at +
+	       (ogl_time)(LEASE_MS * CLOCK_SLOW_FACTOR) * OGL_MS +
+	       LEASE_END_MARGIN;
 }
 
 void
@@ -419,9 +429,10 @@
 {
 	struct cell_worker *w = g_hash_table_lookup(f->workers, id);
 
-	if (w == NULL || w->named || w->moved || record < w->named_from)
+	if (w == NULL || w->recorded || w->addr_unrecorded ||
+	    record < w->recorded_min)
 		return;
-	w->named = true;
+	w->recorded = true;
 	f->events.room(f->events.arg, f->opened_at);
 }
 
@@ -429,15 +440,16 @@
 cell_worker_silent(const struct cell_worker *w, ogl_time now)
 {
 	return CELL_USES_SILENT && w->life != 0 && w->failures > 0 &&
-	       now - w->silent_since > SILENT_TOLD;
+	       now - w->silent_since > SILENT_RECORDED_AFTER;
 }
 
 /*
- * A worker that starts anew obeys whoever calls it first.  An owner that was
- * replaced while it stood still or was cut off does not know that yet; if it
- * called the new life before its successor, it would start there what already
- * runs elsewhere.  So after a first answer, and after standing still, nothing
- * is started before the store has confirmed the ownership once more.
+ * A restarted worker knows no epoch and obeys whoever calls it first.  An owner
+ * that was suspended or cut off may have been replaced without knowing it.  If
+ * it called the new incarnation before its successor does, it would start there
+ * what already runs elsewhere.  So after a worker's first answer, and after a
+ * suspension of this process, nothing is started until the store has confirmed
+ * the ownership once more.
  */
 void
 cell_fleet_confirm(struct cell_fleet *f, ogl_time at)
@@ -452,21 +464,21 @@
 bool
 cell_fleet_wants_proof(const struct cell_fleet *f)
 {
-	return f->open && f->confirmed_at < f->proof_from;
+	return f->open && f->confirmed_at < f->confirmation_from;
 }
 
 void
 cell_fleet_doubt(struct cell_fleet *f, ogl_time now)
 {
-	f->proof_from = MAX(f->proof_from, now);
+	f->confirmation_from = MAX(f->confirmation_from, now);
 }
 
 bool
 cell_fleet_names_changed(struct cell_fleet *f)
 {
-	bool changed = f->names_changed;
+	bool changed = f->record_outdated;
 
-	f->names_changed = false;
+	f->record_outdated = false;
 	return changed;
 }
 
@@ -486,43 +498,45 @@
 }
 
 static bool
-overdue(const struct cell_worker *w, ogl_time now)
+hold_overdue(const struct cell_worker *w, ogl_time now)
 {
-	return w->holding &&
-	       now - w->hold_sent > HOLD_WAIT_MS * OGL_MS + SUSPECT;
+	return w->holding && now - w->hold_sent_at >
+				 HOLD_WAIT_MS * OGL_MS + HOLD_OVERDUE_AFTER;
 }
 
 bool
 cell_worker_open(const struct cell_worker *w, ogl_time now)
 {
-	return w->listed && w->named && !w->draining && !w->evacuated &&
-	       w->fenced && w->failures == 0 && w->nstrays == 0 &&
-	       now >= w->aside_until && !overdue(w, now);
+	return w->listed && w->recorded && !w->draining && !w->evacuated &&
+	       w->fenced && w->failures == 0 && w->norphans == 0 &&
+	       now >= w->aside_until && !hold_overdue(w, now);
 }
 
 /*
- * One bad job fails wherever it runs, so only failures of different jobs in a
- * row speak against a worker.
+ * A faulty job fails wherever it runs, so only failures of different jobs in a
+ * row count against a worker.
  */
 void
 cell_worker_result(
     struct cell_worker *w, const char *job, bool ok, ogl_time now)
 {
 	if (ok) {
-		w->streak = 0;
-		w->asides = 0;
-		g_clear_pointer(&w->streak_job, g_free);
+		w->failure_streak = 0;
+		w->cooldowns = 0;
+		g_clear_pointer(&w->last_failed_job, g_free);
 		return;
 	}
-	if (g_strcmp0(w->streak_job, job) == 0)
+	if (g_strcmp0(w->last_failed_job, job) == 0)
 		return;
-	replace(&w->streak_job, job);
-	w->streak++;
-	if (w->streak < STREAK)
+	set_string(&w->last_failed_job, job);
+	w->failure_streak++;
+	if (w->failure_streak < FAILURE_STREAK_MAX)
 		return;
-	w->aside_until = now + (ASIDE << MIN(w->asides, ASIDE_DOUBLINGS));
-	w->asides++;
-	w->streak = STREAK - 1; /* one more failure after that is enough */
+	w->aside_until =
+	    now + (COOLDOWN << MIN(w->cooldowns, COOLDOWN_DOUBLINGS_MAX));
+	w->cooldowns++;
+	/* After the cooldown a single failure is enough. */
+	w->failure_streak = FAILURE_STREAK_MAX - 1;
 }
 
 static void
@@ -532,10 +546,10 @@
 		w->silent_since = now;
 }
 
-/* ---- accounts --------------------------------------------------------- */
+/* ---- resources in use ------------------------------------------------- */
 
 static struct ogl_res *
-team_account(struct cell_fleet *f, const char *team)
+team_usage(struct cell_fleet *f, const char *team)
 {
 	struct ogl_res *a = g_hash_table_lookup(f->teams, team);
 
@@ -559,14 +573,14 @@
 cell_fleet_suppose(
     struct cell_fleet *f, const char *team, const struct ogl_res *res)
 {
-	ogl_res_add(team_account(f, team), res);
+	ogl_res_add(team_usage(f, team), res);
 }
 
 void
 cell_fleet_suppose_not(
     struct cell_fleet *f, const char *team, const struct ogl_res *res)
 {
-	ogl_res_sub(team_account(f, team), res);
+	ogl_res_sub(team_usage(f, team), res);
 }
 
 static struct cell_run *
@@ -582,34 +596,34 @@
 	r->res = *res;
 	r->team = g_strdup(team);
 	ogl_res_add(&w->used, res);
-	ogl_res_add(team_account(f, r->team), res);
+	ogl_res_add(team_usage(f, r->team), res);
 	g_hash_table_add(w->runs, r);
 	return r;
 }
 
-/* The run is over: its room is free. */
+/* Releases the resources of a run that is over. */
 static void
-run_end(struct cell_fleet *f, struct cell_run *r, ogl_time now)
+run_remove(struct cell_fleet *f, struct cell_run *r, ogl_time now)
 {
 	struct cell_worker *w = r->worker;
 
 	ogl_res_sub(&w->used, &r->res);
-	ogl_res_sub(team_account(f, r->team), &r->res);
+	ogl_res_sub(team_usage(f, r->team), &r->res);
 	g_hash_table_remove(w->runs, r);
-	if (r->stray)
-		w->nstrays--;
+	if (r->orphan)
+		w->norphans--;
 	r->worker = NULL;
-	if (!r->open)
+	if (!r->order_pending)
 		run_free(r);
 	f->events.room(f->events.arg, now);
 }
 
 static void
-run_over(struct cell_fleet *f, struct cell_run *r, enum cell_end how,
+run_ended(struct cell_fleet *f, struct cell_run *r, enum cell_end how,
     const char *checkpoint, ogl_time now)
 {
-	f->events.ended(f->events.arg, r, how, checkpoint, now);
-	run_end(f, r, now);
+	f->events.run_ended(f->events.arg, r, how, checkpoint, now);
+	run_remove(f, r, now);
 }
 
 /* ---- clocks and leases ------------------------------------------------ */
@@ -623,33 +637,35 @@
 	w->clock_at = now;
 }
 
-/* The worker's clock now, at least. */
+/* The least that the worker's clock shows now. */
 static uint64_t
-clock_now(const struct cell_worker *w, ogl_time now)
+estimate_clock(const struct cell_worker *w, ogl_time now)
 {
 	return w->clock_ms + (uint64_t)((now - w->clock_at) / OGL_MS);
 }
 
 static uint64_t
-lease_end(const struct cell_fleet *f, struct cell_worker *w, ogl_time now)
+extend_lease(const struct cell_fleet *f, struct cell_worker *w, ogl_time now)
 {
 	uint64_t until;
 
 	if (w->life == 0)
 		return 0;
-	until = clock_now(w, now) + MIN(LEASE_MS, f->limits->lease_max_ms);
-	w->until_ms = MAX(w->until_ms, until);
+	until = estimate_clock(w, now) + MIN(LEASE_MS, f->limits->lease_max_ms);
+	w->lease_end_ms = MAX(w->lease_end_ms, until);
 	return until;
 }
 
-/* When the worker's lease is over for certain, if it is not renewed. */
+/* When the worker's lease has certainly expired, if it is not renewed. */
 static ogl_time
-lapse_at(const struct cell_worker *w)
+lease_expires_at(const struct cell_worker *w)
 {
-	double left =
-	    w->until_ms > w->clock_ms ? (double)(w->until_ms - w->clock_ms) : 0;
+	double left = w->lease_end_ms > w->clock_ms
+			  ? (double)(w->lease_end_ms - w->clock_ms)
+			  : 0;
 
-	return w->clock_at + (ogl_time)(left * SLOW * OGL_MS) + LAPSE_MARGIN;
+	return w->clock_at + (ogl_time)(left * CLOCK_SLOW_FACTOR * OGL_MS) +
+	       LEASE_END_MARGIN;
 }
 
 /* ---- ends of runs ----------------------------------------------------- */
@@ -662,7 +678,7 @@
 }
 
 static bool
-row_is_of(const struct cell_run *r, const struct cell_row *row)
+row_matches(const struct cell_run *r, const struct cell_row *row)
 {
 	return r->number == row->run && same_task(&r->name, &row->task);
 }
@@ -677,7 +693,7 @@
 	while (g_hash_table_iter_next(&it, &p, NULL)) {
 		struct cell_run *r = p;
 
-		if (row_is_of(r, row))
+		if (row_matches(r, row))
 			return r;
 	}
 	return NULL;
@@ -696,41 +712,43 @@
 	return a;
 }
 
-/* Whether either list of the answer names the run; NULL lists nothing. */
+/* Whether either list of the answer contains the run; false if a is NULL. */
 static bool
-answer_names(const struct cell_hold_answer *a, const struct cell_run *r)
+answer_lists(const struct cell_hold_answer *a, const struct cell_run *r)
 {
 	size_t i;
 
 	for (i = 0; a != NULL && i < a->nrunning; i++) {
-		if (row_is_of(r, &a->running[i]))
+		if (row_matches(r, &a->running[i]))
 			return true;
 	}
 	for (i = 0; a != NULL && i < a->nended; i++) {
-		if (row_is_of(r, &a->ended[i]))
+		if (row_matches(r, &a->ended[i]))
 			return true;
 	}
 	return false;
 }
 
 static void
-remember_loose(const struct cell_run *r, ogl_time now)
+remember_unanswered_start(const struct cell_run *r, ogl_time now)
 {
-	GArray *a = r->worker->loose;
-	struct cell_loose l = {r->name, r->number, now};
+	GArray *a = r->worker->unanswered_starts;
+	struct cell_unanswered_start l = {r->name, r->number, now};
 
 	while (a->len > 0 &&
-	       now - g_array_index(a, struct cell_loose, 0).sent > LOOSE_MAX)
+	       now - g_array_index(a, struct cell_unanswered_start, 0).sent_at >
+		   UNANSWERED_START_MAX)
 		g_array_remove_index(a, 0);
 	g_array_append_val(a, l);
 }
 
-/* Nothing that was started in the worker's last life runs any more, but for
- * what the new life lists: a start may have reached that already.  asked: when
- * the question was sent that the new life answered. */
+/* Ends the runs of the worker's last incarnation, except for those that the new
+ * incarnation lists, as a start may have reached it already.  reborn_answer:
+ * the new incarnation's answer to the hold sent at asked_at; NULL none. */
 static void
 lose_runs(struct cell_fleet *f, struct cell_worker *w,
-    const struct cell_hold_answer *new_life, ogl_time asked, ogl_time now)
+    const struct cell_hold_answer *reborn_answer, ogl_time asked_at,
+    ogl_time now)
 {
 	GPtrArray *a = cell_worker_runs(w);
 	guint i;
@@ -738,77 +756,81 @@
 	for (i = 0; i < a->len; i++) {
 		struct cell_run *r = a->pdata[i];
 
-		if (answer_names(new_life, r))
+		if (answer_lists(reborn_answer, r))
 			continue;
-		/* Still on its way, it may reach the worker's next life. */
-		if (new_life == NULL && r->open &&
+		/* A start in flight may reach the worker's next incarnation. */
+		if (reborn_answer == NULL && r->order_pending &&
 		    r->state == CELL_RUN_STARTING)
-			remember_loose(r, now);
-		/* A start still without an answer may reach the new life of a
-		 * worker that kept its id, which knows no fence and no run
-		 * yet; only a stop there rules that out.  One that was answered
-		 * since the question may have reached it after it listed what
-		 * it runs. */
-		if (new_life != NULL &&
-		    (r->unsure || r->open || r->up_at > asked)) {
-			r->stop_done = false;
+			remember_unanswered_start(r, now);
+		/* An unanswered start may still reach the new incarnation of a
+		 * worker that kept its id.  That knows no epoch and no run
+		 * yet, so only a stop there rules the start out.  A start
+		 * answered since the hold was sent may have reached the new
+		 * incarnation after it listed its runs. */
+		if (reborn_answer != NULL &&
+		    (r->start_unanswered || r->order_pending ||
+			r->running_since > asked_at)) {
+			r->stop_answered = false;
 			cell_fleet_stop(f, r, now);
 		} else {
-			run_over(f, r, CELL_END_LAPSED, NULL, now);
+			run_ended(f, r, CELL_END_LAPSED, NULL, now);
 		}
 	}
 	g_ptr_array_unref(a);
 }
 
 /*
- * The new life knows no run of before, so a start that went unanswered in the
- * last one would be carried out, though its task has long been done.  A stop
- * for each makes the new life refuse it.
+ * A new incarnation does not know earlier runs.  It would carry out a start
+ * that the last incarnation left unanswered, even if the task is done by now.
+ * A stop for each of these starts makes it refuse them.
  */
 static void
-stop_loose(struct cell_fleet *f, struct cell_worker *w, ogl_time now)
+stop_unanswered_starts(
+    struct cell_fleet *f, struct cell_worker *w, ogl_time now)
 {
 	guint i;
 
-	for (i = 0; i < w->loose->len; i++) {
-		const struct cell_loose *l =
-		    &g_array_index(w->loose, struct cell_loose, i);
+	for (i = 0; i < w->unanswered_starts->len; i++) {
+		const struct cell_unanswered_start *l = &g_array_index(
+		    w->unanswered_starts, struct cell_unanswered_start, i);
 		struct cell_row row = {.task = l->task, .run = l->run};
 
-		if (now - l->sent < LOOSE_MAX && find_run(w, &row) == NULL)
+		if (now - l->sent_at < UNANSWERED_START_MAX &&
+		    find_run(w, &row) == NULL)
 			cell_fleet_stray(f, w, &row, now);
 	}
-	g_array_set_size(w->loose, 0);
+	g_array_set_size(w->unanswered_starts, 0);
 }
 
 static void
 worker_reborn(struct cell_fleet *f, struct cell_worker *w,
-    const struct cell_hold_answer *a, ogl_time asked, ogl_time now)
+    const struct cell_hold_answer *a, ogl_time asked_at, ogl_time now)
 {
 	log_worker(f, w, "worker_reborn");
-	w->acked = 0;
-	w->last_seen = 0;
+	w->ends_acked = 0;
+	w->ends_stored = 0;
 	w->taken = 0;
-	w->until_ms = 0;
+	w->lease_end_ms = 0;
 	memset(&w->pace, 0, sizeof w->pace);
-	lose_runs(f, w, a, asked, now);
-	stop_loose(f, w, now);
+	lose_runs(f, w, a, asked_at, now);
+	stop_unanswered_starts(f, w, now);
 }
 
 /* ---- the answer to a hold --------------------------------------------- */
 
 static void
-run_up(struct cell_fleet *f, struct cell_run *r, ogl_time now)
+run_started(struct cell_fleet *f, struct cell_run *r, ogl_time now)
 {
-	if (r->up_at != 0)
+	if (r->running_since != 0)
 		return;
-	r->up_at = now;
+	r->running_since = now;
 	if (r->state == CELL_RUN_STARTING)
-		r->state = CELL_RUN_UP;
+		r->state = CELL_RUN_RUNNING;
 	f->events.up(f->events.arg, r, now);
 }
 
-/* Of a gang the slowest member sets the pace, and a lasting task has none. */
+/* The progress of a gang is that of its slowest member, and a lasting task
+ * makes none, so neither tells the pace of a worker. */
 static void
 learn_pace(struct cell_fleet *f, struct cell_worker *w, struct cell_run *r,
     uint64_t clock_ms)
@@ -822,7 +844,7 @@
 }
 
 static void
-take_running(struct cell_fleet *f, struct cell_worker *w,
+process_running(struct cell_fleet *f, struct cell_worker *w,
     const struct cell_hold_answer *a, GHashTable *seen, ogl_time now)
 {
 	size_t i;
@@ -832,14 +854,14 @@
 		struct cell_run *r = find_run(w, row);
 
 		if (r == NULL) {
-			f->events.found(f->events.arg, w, row, now);
+			f->events.run_found(f->events.arg, w, row, now);
 			r = find_run(w, row);
 			if (r == NULL)
 				continue;
 		}
 		g_hash_table_add(seen, r);
-		r->unsure = false;
-		run_up(f, r, now);
+		r->start_unanswered = false;
+		run_started(f, r, now);
 		r->percent = row->percent;
 		learn_pace(f, w, r, a->clock_ms);
 		if (*row->checkpoint != '\0' &&
@@ -851,7 +873,7 @@
 }
 
 static void
-take_ended(struct cell_fleet *f, struct cell_worker *w,
+process_ended(struct cell_fleet *f, struct cell_worker *w,
     const struct cell_hold_answer *a, ogl_time now)
 {
 	size_t i;
@@ -865,15 +887,15 @@
 		w->taken = row->number;
 		r = find_run(w, row);
 		if (r != NULL)
-			run_over(f, r, row->how, row->checkpoint, now);
+			run_ended(f, r, row->how, row->checkpoint, now);
 		else
-			f->events.found_end(f->events.arg, w, row, now);
+			f->events.end_found(f->events.arg, w, row, now);
 	}
 }
 
-/* A run that the worker should know of and does not list. */
+/* Ends the runs that the worker should know but does not list. */
 static void
-take_missing(struct cell_fleet *f, struct cell_worker *w, GHashTable *seen,
+process_missing(struct cell_fleet *f, struct cell_worker *w, GHashTable *seen,
     ogl_time sent, ogl_time now)
 {
 	GPtrArray *a = cell_worker_runs(w);
@@ -884,17 +906,17 @@
 
 		if (g_hash_table_contains(seen, r))
 			continue;
-		if (r->stop_done && r->stop_done_at <= sent)
-			run_over(f, r, CELL_END_STOPPED, NULL, now);
-		else if (r->state == CELL_RUN_UP && !r->open &&
-			 r->up_at <= sent)
-			run_over(f, r, CELL_END_LAPSED, NULL, now);
+		if (r->stop_answered && r->stop_answered_at <= sent)
+			run_ended(f, r, CELL_END_STOPPED, NULL, now);
+		else if (r->state == CELL_RUN_RUNNING && !r->order_pending &&
+			 r->running_since <= sent)
+			run_ended(f, r, CELL_END_LAPSED, NULL, now);
 	}
 	g_ptr_array_unref(a);
 }
 
 static void
-take_hold(struct cell_fleet *f, struct call *c,
+process_hold(struct cell_fleet *f, struct call *c,
     const struct cell_hold_answer *a, ogl_time now)
 {
 	struct cell_worker *w = c->worker;
@@ -904,41 +926,41 @@
 
 	if (w->failures > 0)
 		log_worker(f, w, "worker_regained");
-	f->names_changed |= w->told_silent;
+	f->record_outdated |= w->recorded_silent;
 	if (w->gone && w->life == a->born_ms)
 		log_worker(f, w, "worker_was_not_gone");
 	w->gone = false;
-	w->refusals = 0;
+	w->conn_refusals = 0;
 	w->failures = 0;
-	w->excused = false;
-	w->last_ok = now;
+	w->tasks_recorded = false;
+	w->last_answer_at = now;
 	if (w->life != 0 && w->life != a->born_ms)
 		worker_reborn(f, w, a, c->sent, now);
 	read_clock(w, a->clock_ms, now);
 	if (w->life != a->born_ms) {
 		taken = 0;
-		/* An earlier owner may just have renewed the lease of what
-		 * runs there, by as much as any owner asks for. */
-		w->until_ms = a->clock_ms + LEASE_MS;
+		/* An earlier owner may just have renewed the lease of the
+		 * runs there, for the longest time that an owner asks for. */
+		w->lease_end_ms = a->clock_ms + LEASE_MS;
 	}
 	if (w->life == a->born_ms)
-		w->acked = MAX(w->acked, c->noted);
+		w->ends_acked = MAX(w->ends_acked, c->ends_acked);
 	w->life = a->born_ms;
 	w->fenced = true;
 	w->expected = false;
 	seen = g_hash_table_new(NULL, NULL);
-	take_running(f, w, a, seen, now);
-	take_ended(f, w, a, now);
-	if (a->nended < ENDS_A_PAGE)
-		take_missing(f, w, seen, c->sent, now);
+	process_running(f, w, a, seen, now);
+	process_ended(f, w, a, now);
+	if (a->nended < ENDS_PER_ANSWER_MAX)
+		process_missing(f, w, seen, c->sent, now);
 	g_hash_table_unref(seen);
-	w->hold_at = now;
+	w->next_hold_at = now;
 	if (w->taken != taken) {
-		w->hold_at = now + HOLD_GAP;
-		f->events.ends_taken(f->events.arg, w, now);
+		w->next_hold_at = now + ENDS_BATCH_DELAY;
+		f->events.ends_processed(f->events.arg, w, now);
 	}
 	if (first) {
-		f->proof_from = now;
+		f->confirmation_from = now;
 		f->events.answered(f->events.arg, w, now);
 	}
 }
@@ -954,22 +976,22 @@
 }
 
 /*
- * A worker listens for as long as it lives, so a refused connection tells that
- * it has ended: what ran there is started elsewhere after 0.4 s instead of after
- * its lease, 5 s, and a new owner need not wait for it.
+ * A worker listens as long as its process runs, so refused connections mean
+ * that it has ended.  Its tasks are started elsewhere after 0.4 s instead of
+ * after the lease of 5 s, and a new owner need not wait for it.
  */
 static void
-watch_refusals(
+track_conn_refusals(
     struct cell_fleet *f, struct cell_worker *w, bool refused, ogl_time now)
 {
 	if (!refused || !CELL_USES_GONE) {
-		w->refusals = 0;
+		w->conn_refusals = 0;
 		return;
 	}
-	if (w->refusals++ == 0)
-		w->refused_since = now;
-	if (w->gone || w->refusals < GONE_REFUSALS ||
-	    now - w->refused_since < GONE_AFTER)
+	if (w->conn_refusals++ == 0)
+		w->conn_refused_since = now;
+	if (w->gone || w->conn_refusals < GONE_REFUSALS_MIN ||
+	    now - w->conn_refused_since < GONE_REFUSED_MIN)
 		return;
 	set_gone(f, w, now);
 }
@@ -988,19 +1010,19 @@
 hold_failed(struct cell_fleet *f, struct cell_worker *w,
     const struct cell_hold_answer *a, ogl_time now)
 {
-	w->hold_at = w->failures == 0 ? now : now + HOLD_RETRY;
+	w->next_hold_at = w->failures == 0 ? now : now + HOLD_RETRY_DELAY;
 	if (a->why == CELL_REFUSED_FENCE) {
 		f->events.outranked(f->events.arg, now);
 		return;
 	}
 	if (a->io == OGL_IO_LOST)
-		w->lossy_until = now + LOSSY;
+		w->lossy_until = now + LOSSY_PERIOD;
 	if (w->failures == 0)
 		log_worker_why(f, w, "worker_silent", failure_name(a));
 	count_failure(w, now);
-	watch_refusals(f, w, a->no_listener, now);
-	/* Whoever answers is another incarnation: the one we knew has ended,
-	 * and what was meant for it is refused. */
+	track_conn_refusals(f, w, a->no_listener, now);
+	/* Another incarnation answers: the one that we knew has ended, and the
+	 * new one refuses calls meant for it. */
 	if (a->why != CELL_REFUSED_LIFE)
 		return;
 	if (w->gone)
@@ -1010,9 +1032,9 @@
 }
 
 static void
-call_ended(struct call *c)
+call_free(struct call *c)
 {
-	c->worker->nopen--;
+	c->worker->calls_pending--;
 	g_free(c);
 }
 
@@ -1025,19 +1047,20 @@
 
 	if (c->generation == f->generation && c->number == w->hold_number) {
 		w->holding = false;
-		w->hold_took = now - c->sent;
+		w->hold_duration = now - c->sent;
 		if (a->io == OGL_IO_OK)
-			take_hold(f, c, a, now);
+			process_hold(f, c, a, now);
 		else
 			hold_failed(f, w, a, now);
 	}
-	call_ended(c);
+	call_free(c);
 }
 
 /*
- * A worker that does not answer is not asked for a longer lease: the question
- * may reach it all the same, so each would put off the time from which its
- * tasks are certainly over, and they would never be started elsewhere.
+ * A hold to a worker that does not answer does not extend the lease.  It may
+ * reach the worker nevertheless, so each one would postpone the time from which
+ * the worker's tasks are certainly over, and they would never be started
+ * elsewhere.
  */
 static bool
 may_renew(const struct cell_worker *w)
@@ -1046,18 +1069,21 @@
 }
 
 /*
- * Ends count from 1 again when a worker starts anew under its id, so an old
- * number would acknowledge ends of the new life that nobody has seen.  Hence a
- * number is told once, right after its ends were listed, and not while an
- * answer is missing: the new life shows itself in the next one.
+ * Returns the number up to which ends are acknowledged, 0 for none.  When a
+ * worker restarts under its id, its ends count from 1 again, so an old number
+ * would acknowledge ends of the new incarnation that nobody has seen.  Hence a
+ * number is sent only once, right after its ends were listed, and not while
+ * answers are missing: the next answer will tell of a new incarnation.
  */
 static uint64_t
 acknowledge(const struct cell_worker *w)
 {
-	return w->failures == 0 && w->last_seen > w->acked ? w->last_seen : 0;
+	return w->failures == 0 && w->ends_stored > w->ends_acked
+		   ? w->ends_stored
+		   : 0;
 }
 
-/* How long the worker may wait with its answer, and we for it. */
+/* Sets how long the worker may delay its answer and how long we wait for it. */
 static void
 hold_times(
     const struct cell_worker *w, struct cell_hold *h, bool renew, ogl_time now)
@@ -1065,13 +1091,15 @@
 	bool lossy = CELL_USES_LOSSY && now < w->lossy_until;
 
 	if (!w->fenced) {
-		h->timeout_ms = MIN(
-		    FIRST_TIMEOUT_MS << MIN(w->failures, 4), ORDER_TIMEOUT_MS);
-	} else if (!renew || w->hurry) {
-		h->timeout_ms = lossy ? LOSSY_TIMEOUT_MS : ORDER_TIMEOUT_MS;
+		h->timeout_ms =
+		    MIN(FIRST_HOLD_TIMEOUT_MS << MIN(w->failures, 4),
+			ORDER_TIMEOUT_MS);
+	} else if (!renew || w->hold_immediate) {
+		h->timeout_ms =
+		    lossy ? LOSSY_HOLD_TIMEOUT_MS : ORDER_TIMEOUT_MS;
 	} else {
-		h->wait_ms = lossy ? LOSSY_WAIT_MS : HOLD_WAIT_MS;
-		h->timeout_ms = lossy ? LOSSY_TIMEOUT_MS : HOLD_TIMEOUT_MS;
+		h->wait_ms = lossy ? LOSSY_HOLD_WAIT_MS : HOLD_WAIT_MS;
+		h->timeout_ms = lossy ? LOSSY_HOLD_TIMEOUT_MS : HOLD_TIMEOUT_MS;
 	}
 }
 
@@ -1083,7 +1111,7 @@
 	struct cell_hold h = {
 	    .to = {w->addr, w->id, f->epoch},
 	    .last_seen = acknowledge(w),
-	    .until_ms = renew && may_renew(w) ? lease_end(f, w, now) : 0,
+	    .until_ms = renew && may_renew(w) ? extend_lease(f, w, now) : 0,
 	};
 
 	hold_times(w, &h, renew, now);
@@ -1091,12 +1119,12 @@
 	c->worker = w;
 	c->generation = f->generation;
 	c->sent = now;
-	c->noted = h.last_seen;
+	c->ends_acked = h.last_seen;
 	c->number = ++w->hold_number;
-	w->nopen++;
+	w->calls_pending++;
 	w->holding = true;
-	w->hold_sent = now;
-	w->hurry = false;
+	w->hold_sent_at = now;
+	w->hold_immediate = false;
 	f->ops->count(f->ops->ctx, "holds", 1);
 	f->ops->hold(f->ops->outside, &h, on_hold, c);
 }
@@ -1104,31 +1132,32 @@
 static bool
 wants_hold(const struct cell_worker *w, ogl_time now)
 {
-	if (w->holding || now < w->hold_at || w->addr == NULL)
+	if (w->holding || now < w->next_hold_at || w->addr == NULL)
 		return false;
 	if (!w->listed && !w->expected && g_hash_table_size(w->runs) == 0)
 		return false;
-	/* One that went silent is called until it answers, also when nothing
-	 * runs there: it would never be given work again. */
+	/* A silent worker is called until it answers, even if nothing runs
+	 * there; otherwise it would never get work again. */
 	if (!w->fenced || w->failures > 0)
 		return true;
-	/* Its ends are not stored yet. */
-	if (w->taken > w->last_seen && now - w->hold_sent < RENEW)
+	/* Its ends are not stored yet: it would only list them again. */
+	if (w->taken > w->ends_stored &&
+	    now - w->hold_sent_at < LEASE_RENEW_AFTER)
 		return false;
-	return g_hash_table_size(w->runs) > 0 || w->hurry;
+	return g_hash_table_size(w->runs) > 0 || w->hold_immediate;
 }
 
 void
-cell_fleet_noted(
-    struct cell_fleet *f, struct cell_worker *w, uint64_t life, uint64_t number)
+cell_fleet_noted(struct cell_fleet *f, struct cell_worker *w,
+    uint64_t incarnation, uint64_t number)
 {
 	(void)f;
-	if (life != w->life || !w->fenced)
+	if (incarnation != w->life || !w->fenced)
 		return;
-	if (number <= w->last_seen || number > w->taken)
+	if (number <= w->ends_stored || number > w->taken)
 		return;
-	w->last_seen = number;
-	w->hurry = g_hash_table_size(w->runs) == 0;
+	w->ends_stored = number;
+	w->hold_immediate = g_hash_table_size(w->runs) == 0;
 }
 
 /* ---- orders ----------------------------------------------------------- */
@@ -1147,8 +1176,8 @@
 	c->run = r;
 	c->generation = f->generation;
 	c->sent = now;
-	r->worker->nopen++;
-	r->open = true;
+	r->worker->calls_pending++;
+	r->order_pending = true;
 	return c;
 }
 
@@ -1161,7 +1190,7 @@
 	    .task = r->name,
 	    .run = r->number,
 	    .spec = r->spec,
-	    .until_ms = lease_end(f, w, now),
+	    .until_ms = extend_lease(f, w, now),
 	    .checkpoint = r->checkpoint != NULL ? r->checkpoint : "",
 	    .ticket = r->ticket,
 	    .timeout_ms = ORDER_TIMEOUT_MS,
@@ -1193,7 +1222,7 @@
 {
 	r->state = CELL_RUN_STOPPING;
 	r->retry_at = now;
-	if (!r->open && !r->stop_done)
+	if (!r->order_pending && !r->stop_answered)
 		send_stop(f, r, now);
 }
 
@@ -1244,13 +1273,13 @@
 	cell_fleet_stop(f, r, now);
 }
 
-/* The start came to nothing for certain. */
+/* The start was certainly not carried out. */
 static void
 run_refused(struct cell_fleet *f, struct cell_run *r, enum cell_refusal why,
     ogl_time now)
 {
-	f->events.refused(f->events.arg, r, why, now);
-	run_end(f, r, now);
+	f->events.start_refused(f->events.arg, r, why, now);
+	run_remove(f, r, now);
 }
 
 static void
@@ -1261,32 +1290,32 @@
 		f->events.outranked(f->events.arg, now);
 		return;
 	}
-	/* A start sent twice, known to have begun meanwhile: what became of it
-	 * is for the lists to say, not for the second sending's answer.  Taken
-	 * for a refusal, the task would run again after it was done. */
-	if (r->up_at != 0)
+	/* The start was sent twice and the run has begun, so the lists of the
+	 * next hold tell its state.  If this answer counted as a refusal of
+	 * the run, the task would run again after it was done. */
+	if (r->running_since != 0)
 		return;
 	switch (why) {
 	case CELL_REFUSED_LIFE:
 		r->worker->fenced = false;
-		r->worker->hold_at = now;
-		if (r->unsure)
+		r->worker->next_hold_at = now;
+		if (r->start_unanswered)
 			break;
 		run_refused(f, r, why, now);
 		return;
 	case CELL_REFUSED_OLD:
-		if (!r->unsure)
+		if (!r->start_unanswered)
 			break;
-		/* An earlier sending did begin; the next hold tells what
-		 * became of it. */
-		r->unsure = false;
-		run_up(f, r, now);
-		r->worker->hurry = true;
+		/* An earlier sending was carried out; the next hold tells the
+		 * state of the run. */
+		r->start_unanswered = false;
+		run_started(f, r, now);
+		r->worker->hold_immediate = true;
 		return;
 	default:
 		break;
 	}
-	if (r->unsure || r->state == CELL_RUN_STOPPING)
+	if (r->start_unanswered || r->state == CELL_RUN_STOPPING)
 		cell_fleet_stop(f, r, now);
 	else
 		run_refused(f, r, why, now);
@@ -1297,42 +1326,43 @@
     struct cell_fleet *f, struct cell_run *r, enum ogl_io io, ogl_time now)
 {
 	if (io == OGL_IO_LOST) {
-		r->unsure = true;
-		remember_loose(r, now);
+		r->start_unanswered = true;
+		remember_unanswered_start(r, now);
 	}
-	if (io == OGL_IO_NOT_SENT && !r->unsure &&
+	if (io == OGL_IO_NOT_SENT && !r->start_unanswered &&
 	    r->state == CELL_RUN_STARTING) {
-		r->worker->hurry = true;
+		r->worker->hold_immediate = true;
 		count_failure(r->worker, now);
-		r->worker->hold_at = now;
+		r->worker->next_hold_at = now;
 		run_refused(f, r, CELL_REFUSED_BUSY, now);
 		return;
 	}
-	if (r->state == CELL_RUN_STOPPING || r->tries >= START_TRIES)
+	if (r->state == CELL_RUN_STOPPING || r->tries >= START_TRIES_MAX)
 		cell_fleet_stop(f, r, now);
 	else
 		r->retry_at = now;
 }
 
 static void
-start_done(struct cell_fleet *f, struct cell_run *r, ogl_time now)
+start_confirmed(struct cell_fleet *f, struct cell_run *r, ogl_time now)
 {
-	r->unsure = false;
-	run_up(f, r, now);
-	if (r->state == CELL_RUN_STOPPING && !r->stop_done)
+	r->start_unanswered = false;
+	run_started(f, r, now);
+	if (r->state == CELL_RUN_STOPPING && !r->stop_answered)
 		send_stop(f, r, now);
 }
 
-/* Ends what an order's answer has in common; false when nobody waits for it. */
+/* Frees the call of an answered start or stop and sets *run.  Returns false if
+ * the run is no longer known, in which case it is freed. */
 static bool
-order_ended(struct call *c, struct cell_run **run)
+order_finish(struct call *c, struct cell_run **run)
 {
 	struct cell_run *r = c->run;
 	bool current = c->generation == c->fleet->generation;
 
-	r->open = false;
+	r->order_pending = false;
 	*run = r;
-	call_ended(c);
+	call_free(c);
 	if (current && r->worker != NULL)
 		return true;
 	run_free(r);
@@ -1347,14 +1377,14 @@
 	ogl_time sent = c->sent;
 	struct cell_run *r;
 
-	if (!order_ended(c, &r))
+	if (!order_finish(c, &r))
 		return;
 	if (a->io == OGL_IO_OK || a->why != CELL_REFUSED_NOT)
 		read_clock(r->worker, a->clock_ms, now);
 	if (a->io == OGL_IO_OK) {
 		f->ops->observe(
 		    f->ops->ctx, "start_ms", (uint64_t)((now - sent) / OGL_MS));
-		start_done(f, r, now);
+		start_confirmed(f, r, now);
 	} else if (a->io == OGL_IO_REFUSED) {
 		start_refused(f, r, a->why, now);
 	} else {
@@ -1369,12 +1399,12 @@
 	struct cell_fleet *f = c->fleet;
 	struct cell_run *r;
 
-	if (!order_ended(c, &r))
+	if (!order_finish(c, &r))
 		return;
 	if (a->io == OGL_IO_OK) {
-		r->stop_done = true;
-		r->stop_done_at = now;
-		r->worker->hurry = true;
+		r->stop_answered = true;
+		r->stop_answered_at = now;
+		r->worker->hold_immediate = true;
 		return;
 	}
 	if (a->why == CELL_REFUSED_FENCE) {
@@ -1382,10 +1412,10 @@
 		return;
 	}
 	if (a->why == CELL_REFUSED_LIFE) {
-		run_over(f, r, CELL_END_LAPSED, NULL, now);
+		run_ended(f, r, CELL_END_LAPSED, NULL, now);
 		return;
 	}
-	r->retry_at = now + ORDER_RETRY;
+	r->retry_at = now + ORDER_RETRY_DELAY;
 }
 
 struct cell_run *
@@ -1422,10 +1452,10 @@
 
 	r = run_new(f, w, &row->task, row->run, &res, s->job->def->team);
 	r->stage = s;
-	r->state = CELL_RUN_UP;
+	r->state = CELL_RUN_RUNNING;
 	r->rank = rank;
 	r->began = now;
-	r->up_at = now;
+	r->running_since = now;
 	r->percent = row->percent;
 	r->checkpoint = g_strdup(row->checkpoint);
 	return r;
@@ -1433,8 +1463,8 @@
 
 /*
  * A job that ended shortly before a takeover may have tasks that are still
- * being stopped; what they hold is no longer known.  A worker with such a run
- * is given nothing more until it is over, or it might be overfilled.
+ * being stopped, whose resources are no longer known.  A worker with such a run
+ * gets no work until the run is over, as its capacity might be exceeded.
  */
 void
 cell_fleet_stray(struct cell_fleet *f, struct cell_worker *w,
@@ -1443,25 +1473,25 @@
 	struct ogl_res none = {0};
 	struct cell_run *r = run_new(f, w, &row->task, row->run, &none, "");
 
-	r->up_at = now;
-	r->stray = true;
-	w->nstrays++;
+	r->running_since = now;
+	r->orphan = true;
+	w->norphans++;
 	cell_fleet_stop(f, r, now);
 }
 
-/* ---- what falls due --------------------------------------------------- */
+/* ---- periodic work ---------------------------------------------------- */
 
 static void
 step_run(struct cell_fleet *f, struct cell_run *r, ogl_time now)
 {
-	if (r->open || now < r->retry_at)
+	if (r->order_pending || now < r->retry_at)
 		return;
 	if (r->state == CELL_RUN_STARTING && r->worker->evacuated) {
 		cell_fleet_stop(f, r, now);
 	} else if (r->state == CELL_RUN_STARTING) {
 		if (r->worker->fenced)
 			send_start(f, r, now);
-	} else if (r->state == CELL_RUN_STOPPING && !r->stop_done) {
+	} else if (r->state == CELL_RUN_STOPPING && !r->stop_answered) {
 		send_stop(f, r, now);
 	}
 }
@@ -1485,22 +1515,23 @@
     struct cell_fleet *f, struct cell_worker *w, bool runs, ogl_time now)
 {
 	if (w->life != 0 && g_hash_table_size(w->runs) > 0 &&
-	    now > lapse_at(w)) {
+	    now > lease_expires_at(w)) {
 		log_worker(f, w, "worker_lapsed");
 		lose_runs(f, w, NULL, now, now);
 	}
-	if (w->named && cell_worker_silent(w, now))
-		f->names_changed = true;
+	if (w->recorded && cell_worker_silent(w, now))
+		f->record_outdated = true;
 	if (wants_hold(w, now))
 		send_hold(f, w, now);
 	if (runs)
 		step_runs(f, w, now);
 }
 
-/* No owner asks for more than LEASE_MS, and an owner that was replaced has
- * renewed nothing since; a worker not heard of by then runs nothing. */
+/* No owner asks for a lease longer than LEASE_MS, and an owner that was
+ * replaced has renewed none since.  A worker that has not answered by the end
+ * of that time runs nothing. */
 static void
-give_up_expected(struct cell_fleet *f)
+clear_expected(struct cell_fleet *f)
 {
 	GHashTableIter it;
 	gpointer p;
@@ -1517,10 +1548,10 @@
 	struct cell_fleet *f = ctx;
 
 	(void)key;
-	if (w->listed || w->expected || w->nopen > 0 ||
+	if (w->listed || w->expected || w->calls_pending > 0 ||
 	    g_hash_table_size(w->runs) > 0)
 		return FALSE;
-	f->names_changed = true;
+	f->record_outdated = true;
 	g_hash_table_remove(f->by_serial, GUINT_TO_POINTER(w->serial));
 	return TRUE;
 }
@@ -1528,19 +1559,19 @@
 void
 cell_fleet_step(struct cell_fleet *f, ogl_time now)
 {
-	bool runs = now >= f->scan_runs_at;
+	bool runs = now >= f->next_run_scan_at;
 	GHashTableIter it;
 	gpointer p;
 
-	if (!f->open || now < f->scan_at)
+	if (!f->open || now < f->next_scan_at)
 		return;
-	if (!f->lapsed && now > cell_fleet_lapse(f)) {
-		f->lapsed = true;
-		give_up_expected(f);
+	if (!f->old_leases_expired && now > cell_fleet_lapse(f)) {
+		f->old_leases_expired = true;
+		clear_expected(f);
 	}
-	f->scan_at = now + SCAN;
+	f->next_scan_at = now + SCAN_INTERVAL;
 	if (runs)
-		f->scan_runs_at = now + SCAN_RUNS;
+		f->next_run_scan_at = now + RUN_SCAN_INTERVAL;
 	g_hash_table_iter_init(&it, f->workers);
 	while (g_hash_table_iter_next(&it, NULL, &p))
 		step_worker(f, p, runs, now);
@@ -1561,7 +1592,7 @@
 		const struct cell_worker *w = p;
 
 		if ((w->listed || w->expected) && w->life == 0 && !w->gone &&
-		    !w->excused)
+		    !w->tasks_recorded)
 			return false;
 	}
 	return true;
--- a/cell/known.c
+++ b/cell/known.c
@@ -1,14 +1,15 @@
 /*
- * A successor calls every worker that the record names and starts nothing that
- * an earlier owner may have started before each has told what it runs, or its
- * lease is over, which takes 5 s.  A worker lost for a while, or for good, would
- * hold up the whole cell at each change of owner.  So once a worker has been
- * silent for a moment, the record says which tasks may run there, and only those
- * wait for it.
+ * A successor calls every worker in the record.  It starts no task that an
+ * earlier owner may have started until each worker has told what it runs, or
+ * its lease has expired, which takes 5 s.  An unreachable worker would thus
+ * delay the whole cell at each change of owner.  So once a worker has been
+ * silent for a short time, the record lists the tasks that may run there, and
+ * only these wait for it.
  *
- * That holds as long as the worker is given nothing else.  It loses its right to
- * work (named) before the record that calls it silent is sent, and has it back
- * only once a later record, that does not, is stored.
+ * The list stays complete only if the worker gets no other work.  Hence it is
+ * closed to new work (recorded is cleared) before the record that calls it
+ * silent is sent, and opened only once a later record, which does not call it
+ * silent, is stored.
  */
 
 #include <string.h>
@@ -28,7 +29,8 @@
 	return t;
 }
 
-/* All that may run on the worker, or begin there by an order still under way. */
+/* Adds every task that may run on the worker, or that a start which is still in
+ * flight may begin there. */
 static void
 add_tasks(Ogl__CellKnown *k, const struct cell_worker *w)
 {
@@ -41,10 +43,11 @@
 	while (g_hash_table_iter_next(&it, &p, NULL))
 		g_ptr_array_add(
 		    tasks, task_new(&((const struct cell_run *)p)->name));
-	for (i = 0; i < w->loose->len; i++)
-		g_ptr_array_add(tasks,
-		    task_new(
-			&g_array_index(w->loose, struct cell_loose, i).task));
+	for (i = 0; i < w->unanswered_starts->len; i++)
+		g_ptr_array_add(
+		    tasks, task_new(&g_array_index(w->unanswered_starts,
+			       struct cell_unanswered_start, i)
+					 .task));
 	k->n_tasks = tasks->len;
 	k->tasks = (Ogl__CellKnownTask **)g_ptr_array_free(tasks, FALSE);
 }
@@ -58,24 +61,24 @@
 	k->id = g_strdup(w->id);
 	k->addr = g_strdup(w->addr);
 	k->service = g_strdup(w->service);
-	if (w->moved)
-		w->named_from = number;
-	w->moved = false;
-	w->told_silent = cell_worker_silent(w, now);
-	if (w->told_silent || w->draining) {
+	if (w->addr_unrecorded)
+		w->recorded_min = number;
+	w->addr_unrecorded = false;
+	w->recorded_silent = cell_worker_silent(w, now);
+	if (w->recorded_silent || w->draining) {
 		k->closed = true;
-		w->named = false;
-		w->named_from = number;
+		w->recorded = false;
+		w->recorded_min = number;
 		add_tasks(k, w);
 	}
 	return k;
 }
 
-/* What was made with g_new and g_strdup goes as a message of the same kind that
- * was read: both use malloc. */
+/* The message is built with g_new and g_strdup and freed like one that was
+ * unpacked; both use malloc. */
 GBytes *
 cell_known_pack(
-    struct cell_fleet *f, uint64_t number, GPtrArray *open, ogl_time now)
+    struct cell_fleet *f, uint64_t number, GPtrArray *open_ids, ogl_time now)
 {
 	Ogl__CellKnownWorkers *m = g_new(Ogl__CellKnownWorkers, 1);
 	GPtrArray *all = g_ptr_array_new();
@@ -91,7 +94,7 @@
 
 		g_ptr_array_add(all, k);
 		if (!k->closed)
-			g_ptr_array_add(open, g_strdup(k->id));
+			g_ptr_array_add(open_ids, g_strdup(k->id));
 	}
 	m->n_workers = all->len;
 	m->workers = (Ogl__CellKnown **)g_ptr_array_free(all, FALSE);
--- a/cell/known.h
+++ b/cell/known.h
@@ -1,5 +1,5 @@
 /*
- * What a successor has to know of the workers, as stored by the owner.
+ * The owner's stored record of the workers, which its successor reads.
  */
 
 #ifndef OGL_CELL_KNOWN_H
@@ -8,18 +8,18 @@
 #include "fleet.h"
 
 GBytes *cell_known_pack(
-    struct cell_fleet *f, uint64_t number, GPtrArray *open, ogl_time now);
-/* The record with that number (they rise within an epoch), which is to be put
- * on the store now.  Workers that it calls silent are given nothing from here
- * on; the ids of the others are appended to open (to be freed), and may be
- * given work once the record is stored: cell_fleet_named. */
+    struct cell_fleet *f, uint64_t number, GPtrArray *open_ids, ogl_time now);
+/* Returns the record with that number, to be stored now; numbers rise within an
+ * epoch.  Workers that it calls silent or draining get no work from here on.
+ * The ids of the others are appended to open_ids (to be freed): these may be
+ * given work once the record is stored, see cell_fleet_named. */
 
 typedef void cell_known_fn(
     void *arg, const Ogl__CellKnown *known, ogl_time now);
 
 bool cell_known_unpack(
     GBytes *record, cell_known_fn *each, void *arg, ogl_time now);
-/* Calls each for every worker in a record, NULL being an empty one; false when
- * it cannot be read. */
+/* Calls each for every worker in the record; NULL is an empty record.  Returns
+ * false when the record is malformed. */
 
 #endif
--- a/cell/straggler.c
+++ b/cell/straggler.c
@@ -39,9 +39,9 @@
 {
 	const struct cell_stage *st = r->stage;
 
-	return st != NULL && r->state == CELL_RUN_UP && !r->open &&
-	       !st->def->gang && !st->def->lasting && !st->def->fills &&
-	       st->def->estimate_ms > 0 &&
+	return st != NULL && r->state == CELL_RUN_RUNNING &&
+	       !r->order_pending && !st->def->gang && !st->def->lasting &&
+	       !st->def->fills && st->def->estimate_ms > 0 &&
 	       st->tasks[r->name.index].moves < MOVES_PER_TASK_MAX;
 }
 
--- a/test/test_cell_fleet.cc
+++ b/test/test_cell_fleet.cc
@@ -1,4 +1,4 @@
-/* Holds as the owner sends them, driven answer by answer. */
+/* The fleet's calls to one worker, each answered by the test. */
 
 #include <gtest/gtest.h>
 
@@ -20,15 +20,15 @@
 	bool answered;
 };
 
-struct Stop {
+struct Order {
 	cell_order_fn *done;
 	void *arg;
 };
 
 struct Worker {
 	std::vector<Hold> holds;
-	std::vector<Stop> stops;
-	std::vector<Stop> starts;
+	std::vector<Order> stops;
+	std::vector<Order> starts;
 };
 
 void
@@ -65,16 +65,16 @@
 		limits_.lease_max_ms = 10000;
 		e.answered = [](void *, struct cell_worker *, ogl_time) {};
 		e.room = [](void *, ogl_time) {};
-		e.found = [](void *arg, struct cell_worker *w,
-			      const struct cell_row *row, ogl_time now) {
+		e.run_found = [](void *arg, struct cell_worker *w,
+				  const struct cell_row *row, ogl_time now) {
 			auto *t = static_cast<Fleet *>(arg);
 
 			cell_fleet_stray(t->fleet_, w, row, now);
 		};
 		e.arg = this;
 		e.up = [](void *, struct cell_run *, ogl_time) {};
-		e.ended = [](void *arg, struct cell_run *, enum cell_end,
-			      const char *, ogl_time) {
+		e.run_ended = [](void *arg, struct cell_run *, enum cell_end,
+				  const char *, ogl_time) {
 			static_cast<Fleet *>(arg)->ended_++;
 		};
 		ops_.stop = on_stop;
@@ -85,7 +85,7 @@
 		list("10.9.0.1:80");
 	}
 
-	/* The platform's list has the worker at that address. */
+	/* Lists the worker at that address. */
 	void list(const char *addr)
 	{
 		struct cell_worker_entry entry = {};
@@ -99,32 +99,32 @@
 		cell_fleet_entry(fleet_, "w", &entry, now_);
 	}
 
-	/* Every call gets its one answer, also after the end of ownership. */
+	/* Answers every pending call, also after the end of ownership. */
 	void TearDown() override
 	{
 		struct cell_hold_answer lost = {};
-		struct cell_order_answer none = {};
+		struct cell_order_answer unanswered = {};
 
 		lost.io = OGL_IO_LOST;
-		none.io = OGL_IO_LOST;
+		unanswered.io = OGL_IO_LOST;
 		cell_fleet_close(fleet_);
 		for (Hold &h : worker_.holds) {
 			if (!h.answered)
 				h.done(h.arg, &lost, now_);
 		}
-		for (Stop &s : worker_.stops)
-			s.done(s.arg, &none, now_);
+		for (Order &s : worker_.stops)
+			s.done(s.arg, &unanswered, now_);
 		for (size_t i = answered_starts_; i < worker_.starts.size();
 		     i++)
 			worker_.starts[i].done(
-			    worker_.starts[i].arg, &none, now_);
+			    worker_.starts[i].arg, &unanswered, now_);
 		cell_fleet_end(fleet_);
 		cell_zones_end(zones_);
 		if (job_ != nullptr)
 			cell_job_free(job_);
 	}
 
-	/* Lets time pass; the hold sent meanwhile. */
+	/* Advances the clock by ms; returns the last hold sent. */
 	Hold step(ogl_time ms)
 	{
 		now_ += ms * OGL_MS;
@@ -132,7 +132,7 @@
 		return worker_.holds.back();
 	}
 
-	/* Another worker answers at the address. */
+	/* Answers the last hold as another worker at the address would. */
 	void refuse_life()
 	{
 		struct cell_hold_answer a = {};
@@ -144,7 +144,7 @@
 		h.done(h.arg, &a, now_);
 	}
 
-	/* A record of the workers is made. */
+	/* Makes the record of the workers with that number. */
 	void store(uint64_t number)
 	{
 		GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
@@ -158,14 +158,14 @@
 		return cell_fleet_worker(fleet_, "w");
 	}
 
-	/* Its zone is evacuated, or taken back. */
+	/* Evacuates the worker's zone, or takes it back into use. */
 	void evacuate(bool on)
 	{
 		cell_zones_record(zones_, "z", on, ++records_);
 		cell_fleet_zones(fleet_, zones_, now_);
 	}
 
-	/* Starts the task of a job on the worker, and has the start answered. */
+	/* Starts a task on the worker and answers the start with io. */
 	void start(enum ogl_io io = OGL_IO_OK)
 	{
 		auto *d = static_cast<Ogl__CellJob *>(
@@ -191,6 +191,7 @@
 		answered_starts_ = worker_.starts.size();
 	}
 
+	/* Answers the last hold; the worker lists `running` (0 or 1) runs. */
 	void answer(enum ogl_io io, size_t running, uint64_t born = 7)
 	{
 		struct cell_hold_answer a = {};
@@ -221,11 +222,11 @@
 };
 
 /*
- * After all nodes were killed, a worker's answer to the new owner's first
- * question is lost.  Nothing of earlier jobs is started before that answer, so
- * callers of the whole cell would wait for as long as the owner does.
+ * Guards against a long timeout of a new owner's first hold.  After all nodes
+ * were killed, the answer to it may be lost, and no task of an earlier job is
+ * started before that answer, so the whole cell would wait for the timeout.
  */
-TEST_F(Fleet, TheFirstQuestionIsRepeatedSoon)
+TEST_F(Fleet, FirstHoldIsRepeatedWithShortTimeouts)
 {
 	Hold first = step(10);
 
@@ -240,11 +241,11 @@
 }
 
 /*
- * A worker loses some of its answers.  An end that is told in a lost one stays
- * unknown until the hold is given up; with the usual long ones the next step of
- * a short job would begin 0.8 s late.
+ * Guards against late ends on a worker that loses some of its answers.  An end
+ * in a lost answer stays unknown until the hold times out; with the usual
+ * timeout the next step of a short job would begin 0.8 s late.
  */
-TEST_F(Fleet, AWorkerThatLosesAnswersIsAskedInShortHolds)
+TEST_F(Fleet, LostAnswerMakesHoldsShort)
 {
 	step(10);
 	answer(OGL_IO_OK, 1);
@@ -258,9 +259,9 @@
 	EXPECT_EQ(450u, step(2500).wait_ms);
 }
 
-/* Guards against a task started elsewhere while the new life of its worker runs
- * it: the answer to the start came before the one to an earlier question. */
-TEST_F(Fleet, AStartAnsweredAfterTheQuestionMayBeOfTheNewLife)
+/* Guards against starting a task elsewhere while the new incarnation of its
+ * worker runs it: the start was answered before a hold sent earlier. */
+TEST_F(Fleet, StartAnsweredAfterHoldWasSentIsStoppedInNewIncarnation)
 {
 	step(10);
 	answer(OGL_IO_OK, 1);
@@ -273,8 +274,9 @@
 	EXPECT_EQ(2u, worker_.stops.size());
 }
 
-/* Guards against a takeover that waits for a worker whose place another took. */
-TEST_F(Fleet, AWorkerWhoseAddressAnotherHasIsGone)
+/* Guards against a takeover that waits for a worker whose address another
+ * worker has taken. */
+TEST_F(Fleet, WorkerIsGoneWhenAnotherAnswersAtItsAddress)
 {
 	step(10);
 	EXPECT_FALSE(cell_fleet_settled(fleet_, now_));
@@ -282,8 +284,9 @@
 	EXPECT_TRUE(cell_fleet_settled(fleet_, now_));
 }
 
-/* Guards against a takeover that does not wait for a worker that has moved. */
-TEST_F(Fleet, AGoneWorkerListedElsewhereIsWaitedFor)
+/* Guards against a takeover that does not wait for a worker which has moved to
+ * another address. */
+TEST_F(Fleet, GoneWorkerListedAtNewAddressIsWaitedFor)
 {
 	step(10);
 	refuse_life();
@@ -294,8 +297,9 @@
 	EXPECT_TRUE(cell_fleet_settled(fleet_, now_));
 }
 
-/* Guards against work on a worker that a successor would call elsewhere. */
-TEST_F(Fleet, AWorkerThatHasMovedIsGivenNothingUntilThatIsStored)
+/* Guards against work on a worker whose new address a successor would not know.
+ */
+TEST_F(Fleet, MovedWorkerGetsNoWorkUntilRecordIsStored)
 {
 	step(10);
 	answer(OGL_IO_OK, 0);
@@ -314,7 +318,7 @@
 }
 
 /* Guards against work on a worker whose zone is evacuated. */
-TEST_F(Fleet, AnEvacuatedWorkerIsGivenNothing)
+TEST_F(Fleet, WorkerInEvacuatedZoneGetsNoWork)
 {
 	step(10);
 	answer(OGL_IO_OK, 0);
@@ -328,8 +332,8 @@
 	EXPECT_TRUE(cell_worker_open(worker(), now_));
 }
 
-/* Guards against a lost start that is ordered again in an evacuated zone. */
-TEST_F(Fleet, ALostStartIsNotRepeatedOnAnEvacuatedWorker)
+/* Guards against repeating a lost start in an evacuated zone. */
+TEST_F(Fleet, LostStartIsNotRepeatedInEvacuatedZone)
 {
 	step(10);
 	answer(OGL_IO_OK, 0);
@@ -340,8 +344,8 @@
 	EXPECT_EQ(1u, worker_.stops.size());
 }
 
-/* A start that was lost is repeated as long as the zone is used. */
-TEST_F(Fleet, ALostStartIsRepeated)
+/* A lost start is repeated as long as the zone is not evacuated. */
+TEST_F(Fleet, LostStartIsRepeated)
 {
 	step(10);
 	answer(OGL_IO_OK, 0);
