--- a/cell/fleet.c
+++ b/cell/fleet.c
@@ -74,7 +74,7 @@
 #define UNANSWERED_START_MAX (15 * OGL_SEC)
 #define ENDS_PER_ANSWER_MAX 500 /* a list this long may be incomplete */
 /* A worker that fails this many different jobs in a row gets no work for the
- * cooldown, which doubles each time until it has been doubled that often. */
+ * cooldown, which doubles each time, at most COOLDOWN_DOUBLINGS_MAX times. */
 #define FAILURE_STREAK_MAX 3
 #define COOLDOWN (4 * OGL_SEC)
 #define COOLDOWN_DOUBLINGS_MAX 3
