--- a/cell/advice.c
+++ b/cell/advice.c
@@ -161,7 +161,7 @@
 }
 
 bool
-cell_advice_free(struct cell_advice *a, uint32_t rank, ogl_time now)
+cell_advice_lane_free(struct cell_advice *a, uint32_t rank, ogl_time now)
 {
 	return pick_lane(a, rank, now) != NULL;
 }
@@ -201,7 +201,7 @@
 	q->occurrence = s->occurrence;
 	q->step = s->step;
 	q->workers = g_ptr_array_new_with_free_func(g_free);
-	for (i = 0; i < workers->len && i < CELL_ADVICE_MAX; i++) {
+	for (i = 0; i < workers->len && i < CELL_ADVICE_WORKERS_MAX; i++) {
 		const struct cell_worker *w = workers->pdata[i];
 
 		g_ptr_array_add(q->workers, g_strdup(w->id));
@@ -229,8 +229,9 @@
 		return;
 	g = cell_stage_good(s, w->serial);
 	if (g == NULL) {
-		g_array_set_size(s->good, s->good->len + 1);
-		g = &g_array_index(s->good, struct cell_good, s->good->len - 1);
+		g_array_set_size(s->approvals, s->approvals->len + 1);
+		g = &g_array_index(
+		    s->approvals, struct cell_good, s->approvals->len - 1);
 		g->worker = w->serial;
 	}
 	g_free(g->ticket);
@@ -332,7 +333,7 @@
 }
 
 const struct cell_good *
-cell_advice_good(const struct cell_stage *s, const struct cell_worker *w)
+cell_advice_approval(const struct cell_stage *s, const struct cell_worker *w)
 {
 	const struct cell_good *g = cell_stage_good(s, w->serial);
 
--- a/cell/advice.h
+++ b/cell/advice.h
@@ -37,16 +37,16 @@
 /* A node is there to ask through; to be said again at least each second. */
 void cell_advice_no_node(struct cell_advice *a, const char *addr);
 
-bool cell_advice_free(struct cell_advice *a, uint32_t rank, ogl_time now);
+bool cell_advice_lane_free(struct cell_advice *a, uint32_t rank, ogl_time now);
 /* Whether a question of that rank could be asked now. */
 
 bool cell_advice_ask(struct cell_advice *a, struct cell_stage *s,
     const struct cell_policy *p, GPtrArray *workers, uint32_t rank,
     ogl_time now);
-/* Asks for up to CELL_ADVICE_MAX workers (struct cell_worker); false when no
+/* Asks for up to CELL_ADVICE_WORKERS_MAX workers (struct cell_worker); false when no
  * node is free to ask through.  Some lanes are kept for rank 0. */
 
-#define CELL_ADVICE_MAX 100
+#define CELL_ADVICE_WORKERS_MAX 100
 
 void cell_advice_answer(
     struct cell_advice *a, const Ogl__CellAdvice *m, ogl_time now);
@@ -54,7 +54,7 @@
 void cell_advice_step(struct cell_advice *a, ogl_time now);
 /* Gives up questions that got no answer. */
 
-const struct cell_good *cell_advice_good(
+const struct cell_good *cell_advice_approval(
     const struct cell_stage *s, const struct cell_worker *w);
 /* What the service said of a worker in its present life; NULL: not allowed,
  * or not asked. */
--- a/cell/job.c
+++ b/cell/job.c
@@ -81,8 +81,8 @@
 	s->ntasks = s->def->count;
 	s->tasks = g_new0(struct cell_task, s->ntasks);
 	s->link.data = s;
-	s->good = g_array_new(FALSE, TRUE, sizeof(struct cell_good));
-	g_array_set_clear_func(s->good, good_clear);
+	s->approvals = g_array_new(FALSE, TRUE, sizeof(struct cell_good));
+	g_array_set_clear_func(s->approvals, good_clear);
 	s->asked = g_hash_table_new(NULL, NULL);
 }
 
@@ -98,7 +98,7 @@
 			g_array_unref(s->tasks[i].failed_runs);
 	}
 	g_free(s->tasks);
-	g_array_unref(s->good);
+	g_array_unref(s->approvals);
 	g_hash_table_unref(s->asked);
 }
 
@@ -120,15 +120,15 @@
 {
 	size_t i, k;
 
-	j->tail_ms = g_new0(double, j->def->n_steps);
+	j->chain_from_ms = g_new0(double, j->def->n_steps);
 	for (i = j->def->n_steps; i-- > 0;) {
 		const Ogl__CellStep *s = j->def->steps[i];
 
-		j->tail_ms[i] += s->estimate_ms;
+		j->chain_from_ms[i] += s->estimate_ms;
 		for (k = 0; k < s->n_after; k++) {
-			double *before = &j->tail_ms[s->after[k]];
+			double *before = &j->chain_from_ms[s->after[k]];
 
-			*before = MAX(*before, j->tail_ms[i]);
+			*before = MAX(*before, j->chain_from_ms[i]);
 		}
 	}
 }
@@ -136,7 +136,7 @@
 static double
 step_ms(const struct cell_job *j, size_t step)
 {
-	double took = j->took_ms[step];
+	double took = j->measured_ms[step];
 
 	return took > 0 ? took : j->def->steps[step]->estimate_ms;
 }
@@ -167,7 +167,7 @@
 {
 	size_t i;
 
-	j->took_ms = g_new0(double, j->def->n_steps);
+	j->measured_ms = g_new0(double, j->def->n_steps);
 	j->chain_ms = longest_chain_ms(j);
 	for (i = 0; i < j->def->n_steps; i++) {
 		const Ogl__CellStep *s = j->def->steps[i];
@@ -181,7 +181,7 @@
 void
 cell_job_took(struct cell_job *j, uint32_t step, double ms)
 {
-	j->took_ms[step] = MAX(j->took_ms[step], ms);
+	j->measured_ms[step] = MAX(j->measured_ms[step], ms);
 }
 
 double
@@ -235,9 +235,9 @@
 	if (j->def != NULL)
 		ogl__cell_job__free_unpacked(j->def, NULL);
 	j->def = NULL;
-	g_clear_pointer(&j->terms, g_free);
-	g_clear_pointer(&j->tail_ms, g_free);
-	g_clear_pointer(&j->took_ms, g_free);
+	g_clear_pointer(&j->queue_config, g_free);
+	g_clear_pointer(&j->chain_from_ms, g_free);
+	g_clear_pointer(&j->measured_ms, g_free);
 }
 
 void
@@ -329,9 +329,9 @@
 {
 	guint i;
 
-	for (i = 0; i < s->good->len; i++) {
+	for (i = 0; i < s->approvals->len; i++) {
 		struct cell_good *g =
-		    &g_array_index(s->good, struct cell_good, i);
+		    &g_array_index(s->approvals, struct cell_good, i);
 
 		if (g->worker == worker)
 			return g;
--- a/cell/job.h
+++ b/cell/job.h
@@ -43,14 +43,14 @@
 
 /* Why tasks whose turn has come are not running. */
 enum cell_wait {
-	CELL_WAIT_NOT,    /* they run, or nothing was tried yet */
-	CELL_WAIT_STORE,  /* the job is not on the store yet */
-	CELL_WAIT_SETTLE, /* an earlier owner may have started them */
-	CELL_WAIT_LIMIT,  /* the team has running what it may */
-	CELL_WAIT_ADVICE, /* no worker is known to be allowed yet */
-	CELL_WAIT_TICKET, /* allowed workers have room, tickets ran out */
-	CELL_WAIT_ROOM,   /* no allowed worker has room */
-	CELL_WAIT_APART   /* those with room have enough of the step */
+	CELL_WAIT_NONE,      /* they run, or nothing was tried yet */
+	CELL_WAIT_STORE,     /* the job is not on the store yet */
+	CELL_WAIT_SETTLE,    /* an earlier owner may have started them */
+	CELL_WAIT_LIMIT,     /* the team has running what it may */
+	CELL_WAIT_ADVICE,    /* no worker is known to be allowed yet */
+	CELL_WAIT_TICKET,    /* allowed workers have room, tickets ran out */
+	CELL_WAIT_ROOM,      /* no allowed worker has room */
+	CELL_WAIT_WORKER_MAX /* those with room have enough of the step */
 };
 
 struct cell_stage {
@@ -64,11 +64,11 @@
 	uint32_t nactive; /* tasks with a run */
 	GQueue *queue;    /* list of the scheduler that it is in */
 	GList link;
-	GArray *good;      /* struct cell_good */
+	GArray *approvals; /* struct cell_good */
 	GHashTable *asked; /* set of workers' serials whose answer is known */
 	bool asking;
-	enum cell_wait waits; /* why it waits, as last logged */
-	ogl_time waits_since;
+	enum cell_wait wait_reason; /* why it waits, as last logged */
+	ogl_time wait_since;
 	ogl_time blocked_since; /* could not be placed; 0 it could */
 };
 
@@ -89,22 +89,24 @@
 	ogl_time accepted; /* node clock */
 	uint64_t ended_ms; /* wall clock */
 	bool begun;
-	bool stored;     /* the submission is on the store */
-	bool over;       /* beyond its team's rate when it came */
-	bool dirty;      /* in the journal's list */
-	bool write_def;  /* the submission is to be written */
-	bool drop_def;   /* its record is to be dropped */
-	bool forget;     /* all of it is to be dropped */
-	uint32_t nruns;  /* runs on any worker, whatever their state */
-	double work;     /* processor seconds declared, all steps */
-	double chain_ms; /* longest chain of declared run times */
-	double *tail_ms; /* the same from each step on */
-	double *took_ms; /* by the longest run of each step that was done; 0
+	bool stored;           /* the submission is on the store */
+	bool over;             /* beyond its team's rate when it came */
+	bool dirty;            /* in the journal's list */
+	bool write_def;        /* the submission is to be written */
+	bool drop_def;         /* its record is to be dropped */
+	bool forget;           /* all of it is to be dropped */
+	uint32_t nruns;        /* runs on any worker, whatever their state */
+	double work;           /* processor seconds declared, all steps */
+	double chain_ms;       /* longest chain of declared run times */
+	double *chain_from_ms; /* the same from each step on */
+	double *measured_ms; /* by the longest run of each step that was done; 0
 			  * not known */
-	bool shown;      /* its end is stored, so callers may be told */
-	uint64_t terms_version;   /* configuration that terms are taken from */
-	struct cell_queue *terms; /* how its queue treats it; NULL not known */
-	bool settled; /* not from an earlier owner, or all workers have
+	bool shown;          /* its end is stored, so callers may be told */
+	uint64_t
+	    queue_config_version; /* configuration that terms are taken from */
+	struct cell_queue
+	    *queue_config; /* how its queue treats it; NULL not known */
+	bool settled;      /* not from an earlier owner, or all workers have
 			  * answered: what does not run may be started */
 };
 
--- a/cell/schedule.c
+++ b/cell/schedule.c
@@ -191,13 +191,13 @@
 	uint64_t version =
 	    s->config != NULL ? cell_config_version(s->config) : 0;
 
-	if (j->terms == NULL || j->terms_version != version) {
-		g_free(j->terms);
-		j->terms = g_new(struct cell_queue, 1);
-		*j->terms = cell_queue_of_job(s->config, j->def);
-		j->terms_version = version;
+	if (j->queue_config == NULL || j->queue_config_version != version) {
+		g_free(j->queue_config);
+		j->queue_config = g_new(struct cell_queue, 1);
+		*j->queue_config = cell_queue_of_job(s->config, j->def);
+		j->queue_config_version = version;
 	}
-	return j->terms;
+	return j->queue_config;
 }
 
 static uint32_t
@@ -292,8 +292,8 @@
 {
 	const struct cell_job *j = st->job;
 	double objective = objective_ms(q, j);
-	double end =
-	    (double)(now - j->accepted) / OGL_MS + HOPE * j->tail_ms[st->step];
+	double end = (double)(now - j->accepted) / OGL_MS +
+		     HOPE * j->chain_from_ms[st->step];
 	unsigned class = 0;
 
 	if (st->def->lasting)
@@ -313,7 +313,7 @@
 	const struct cell_job *j = st->job;
 	double left = objective_ms(q, j) - (double)(now - j->accepted) / OGL_MS;
 
-	return !st->def->lasting && left < HURRY * j->tail_ms[st->step];
+	return !st->def->lasting && left < HURRY * j->chain_from_ms[st->step];
 }
 
 /* ---- candidates ------------------------------------------------------- */
@@ -390,9 +390,9 @@
 	struct ogl_res need = cell_stage_need(st);
 	guint i;
 
-	for (i = 0; i < st->good->len; i++) {
+	for (i = 0; i < st->approvals->len; i++) {
 		const struct cell_good *g =
-		    &g_array_index(st->good, struct cell_good, i);
+		    &g_array_index(st->approvals, struct cell_good, i);
 		struct cell_worker *w =
 		    cell_fleet_by_serial(s->parts.fleet, g->worker);
 
@@ -686,11 +686,11 @@
 {
 	double n = p->worker_ms > 0
 		       ? (FIRST_ASK_MS - p->decide_ms) / p->worker_ms
-		       : CELL_ADVICE_MAX;
+		       : CELL_ADVICE_WORKERS_MAX;
 
 	if (s->spare)
 		n = MIN(n, SPARE_ASK_A_TASK * cell_stage_waiting(st));
-	return (guint)CLAMP(n, FIRST_ASK_MIN, CELL_ADVICE_MAX);
+	return (guint)CLAMP(n, FIRST_ASK_MIN, CELL_ADVICE_WORKERS_MAX);
 }
 
 static bool
@@ -791,7 +791,7 @@
 	const struct cell_policy *p = &q->policy;
 
 	if (!p->needed || st->asking ||
-	    !cell_advice_free(s->parts.advice, rank_of(s, st), now))
+	    !cell_advice_lane_free(s->parts.advice, rank_of(s, st), now))
 		return;
 	if (g_hash_table_size(st->asked) == 0) {
 		ask_new(s, st, q, now);
@@ -827,7 +827,7 @@
 	struct ogl_res used;
 	char text[256];
 
-	if (st->waits == why)
+	if (st->wait_reason == why)
 		return;
 	t = cell_config_team(s->config, st->job->def->team);
 	used = cell_fleet_team_used(s->parts.fleet, st->job->def->team);
@@ -836,16 +836,17 @@
 	    " room_cpu=%" G_GUINT64_FORMAT " used_cpu=%u max_cpu=%u",
 	    st->job->id, st->occurrence, st->step, wait_name(why),
 	    cell_stage_waiting(st),
-	    st->waits != CELL_WAIT_NOT ? (now - st->waits_since) / OGL_MS : 0,
+	    st->wait_reason != CELL_WAIT_NONE ? (now - st->wait_since) / OGL_MS
+					      : 0,
 	    s->room_cpu, used.cpu_milli, t != NULL ? t->max.cpu_milli : 0);
 	s->parts.ops->log(s->parts.ops->ctx, "owner", "stage_waits", text);
-	st->waits = why;
-	st->waits_since = now;
+	st->wait_reason = why;
+	st->wait_since = now;
 }
 
 /* Of a stage that was looked at and not placed whole. */
 static enum cell_wait
-wait_reason(const struct cell_sched *s, const struct cell_stage *st,
+find_wait_reason(const struct cell_sched *s, const struct cell_stage *st,
     const struct cell_policy *p)
 {
 	struct ogl_res need = cell_stage_need(st);
@@ -855,12 +856,12 @@
 		return CELL_WAIT_ADVICE;
 	for (i = 0; i < s->candidates->len; i++) {
 		if (cell_worker_fits(s->candidates->pdata[i], &need))
-			return st->def->worker_max > 0 ? CELL_WAIT_APART
+			return st->def->worker_max > 0 ? CELL_WAIT_WORKER_MAX
 						       : CELL_WAIT_ROOM;
 	}
 	if (s->stale->len > 0)
 		return CELL_WAIT_TICKET;
-	return s->apart ? CELL_WAIT_APART : CELL_WAIT_ROOM;
+	return s->apart ? CELL_WAIT_WORKER_MAX : CELL_WAIT_ROOM;
 }
 
 /* ---- placing ---------------------------------------------------------- */
@@ -875,7 +876,7 @@
 start_task(struct cell_sched *s, struct cell_stage *st, uint32_t index,
     struct cell_worker *w, uint64_t run, uint32_t rank, ogl_time now)
 {
-	const struct cell_good *g = cell_advice_good(st, w);
+	const struct cell_good *g = cell_advice_approval(st, w);
 	struct cell_task *t = &st->tasks[index];
 
 	t->run = run;
@@ -972,7 +973,7 @@
 		struct cell_worker *w = s->open->pdata[i];
 
 		if (kept_from(w, rank) || !suits(st, w) ||
-		    (policy && cell_advice_good(st, w) == NULL))
+		    (policy && cell_advice_approval(st, w) == NULL))
 			continue;
 		n += times_in(&w->capacity, &need);
 		w->reserved = rank + 1;
@@ -1088,13 +1089,13 @@
 		placed = place_tasks(s, st, rank, now);
 	if (placed) {
 		st->blocked_since = 0;
-		note_wait(s, st, CELL_WAIT_NOT, now);
+		note_wait(s, st, CELL_WAIT_NONE, now);
 		cell_sched_remove(st);
 		return PLACED;
 	}
 	if (st->blocked_since == 0)
 		st->blocked_since = now;
-	note_wait(s, st, wait_reason(s, st, &q->policy), now);
+	note_wait(s, st, find_wait_reason(s, st, &q->policy), now);
 	seek_advice(s, st, q, now);
 	if (st->def->gang && stand == 0)
 		reserve(s, st, rank, policy);
@@ -1192,7 +1193,7 @@
 			misses = 0;
 			break;
 		case MISSED:
-			if (st->waits == CELL_WAIT_ROOM)
+			if (st->wait_reason == CELL_WAIT_ROOM)
 				s->missed_at = now;
 			misses++;
 			break;
@@ -1261,7 +1262,7 @@
 
 		if (w == other || !is_room(s, st, w, now))
 			continue;
-		if (!policy || cell_advice_good(st, w) != NULL)
+		if (!policy || cell_advice_approval(st, w) != NULL)
 			return true;
 	}
 	return false;
