--- a/cell/schedule.c
+++ b/cell/schedule.c
@@ -1,23 +1,25 @@
 /*
- * Waiting stages lie in one list a rank (queue priority), oldest first.  A
- * pass looks at each in the order of
+ * Waiting stages are kept in one list per rank (queue priority), oldest first.
+ * A pass visits them in the order of
  *
- *	standing  can still end within its objective; later than that; too
- *	          late to be worth anything; each first for teams within their
- *	          rate, then for those beyond it
- *	rank      the queue's priority
- *	age       the longest waiting first
+ *	precedence  first stages that can still end within their objective,
+ *	            then those that cannot, then those so late that their
+ *	            result is worthless; all three first for teams within
+ *	            their rate, then for teams beyond it
+ *	rank        the queue's priority; late stages of rank 0 come before
+ *	            stages of other ranks that are in time
+ *	age         the longest waiting first
  *
- * and places its tasks on the workers that fit best: those that the queue's
- * policy allows, with room left for as little as possible after it.  A gang is
- * placed whole or not at all.
+ * and places their tasks on the workers that fit best: of those that the
+ * queue's policy allows, the ones that have the least capacity left afterwards.
+ * A gang is placed whole or not at all.
  *
  * A gang that finds no room reserves the workers that could hold it soonest
  * for the rest of the pass, against lower ranks and later work of its own
- * rank: otherwise smaller work that fits would take each place as it falls
- * free, and the gang would wait for ever.  For the same reason work with time to
- * spare asks the advice service about the fullest workers, and a gang that its
- * team's limit keeps waiting holds back lower ranks of the team.
+ * rank.  Otherwise smaller work would take all capacity as it becomes free, and
+ * the gang would starve.  For the same reason, stages without a tight deadline
+ * ask the advice service about the fullest workers first, and a gang that waits
+ * for its team's limit blocks lower ranks of the team.
  */
 
 #include <string.h>
@@ -26,97 +28,101 @@
 #include "schedule.h"
 
 #define RANKS 4
-#define STANDINGS 6   /* three, for teams within and beyond their rate */
-#define TOO_LATE 2    /* the last of the three */
-#define BEYOND_RATE 3 /* the first of those beyond their rate */
-/* Objectives are met by work that keeps to its estimate; an estimate is often
- * off by a fifth, so work that would miss by less still goes first. */
-#define HOPE 0.7
-/* Work done after this many objectives is worth nothing to its caller. */
-#define LATE_MAX 3
-/* Gangs that may hold back others at a time; each idles what it reserves. */
-#define RESERVES_MAX 2
-/* A stage without room asks for further workers after this time. */
-#define ASK_MORE (300 * OGL_MS)
-/* The first question names as many workers as the service is done with in
- * this time; a long one would only delay the start. */
-#define FIRST_ASK_MS 650.0
-#define FIRST_ASK_MIN 16
-/* Workers asked about for each waiting task on a thin link: an answer names a
- * ticket for each that is allowed. */
-#define SPARE_ASK_A_TASK 6
-/* A ticket that has run out is asked for again for this many workers. */
-#define REFRESH_MAX 16
-/* Between two passes: what comes free within 4 ms is given out together, and
- * a long queue does not take all of a small machine. */
-#define PASS_GAP (4 * OGL_MS)
-#define PASS_STAGE ((ogl_time)10)
-/* Part of its limit that a team may fill with work of other ranks than 0: its
- * short urgent work would else wait for its own long tasks to end. */
-#define LIMIT_PART 0.93
-/* Stages in a row without room after which a pass leaves their like. */
-#define MISSES_MAX 40
-/* Of the stages that a team's limit keeps waiting, so many of each rank have
- * their tickets kept fresh; for the rest each question would be in vain, and
- * take a lane of the advice service from work that can be started. */
-#define LIMITED_ASKS 2
-/* A team's work of rank 0 that its limit keeps waiting holds back all else of
- * the team for so long after each try. */
-#define URGENT_FOR (150 * OGL_MS)
-
-/* A gang that waits for its team's limit may leave more than half of it idle for
- * so long. */
-#define IDLE_MAX (1500 * OGL_MS)
-
-/* Thousandths of a core left over on a worker that one unit of pace outweighs. */
-#define PACE_COST 60e3
-/* A worker this much slower than those that are well is out of order. */
-#define PACE_SLOW 1.7
-#define PACE_SLOW_COST 300e3
-/* Work is in a hurry when the time to its objective is less than so many times
- * what it will take. */
-#define HURRY 2.0
-
-/* Room counts as spare when no stage missed it for so long. */
-#define SPARE_FOR (300 * OGL_MS)
-
-/* What passes remember of a team. */
+#define PRECEDENCES 6            /* three within and three beyond the rate */
+#define PRECEDENCE_TOO_LATE 2    /* the last of three */
+#define PRECEDENCE_BEYOND_RATE 3 /* the first beyond the rate */
+/* Part of the estimated remaining run time that counts for the precedence of
+ * a stage.  Estimates are often off by a fifth, so a stage that would miss its
+ * objective by less still counts as in time. */
+#define ESTIMATE_FACTOR 0.7
+/* A result later than this many times the objective is worthless. */
+#define LATE_OBJECTIVES_MAX 3
+/* Gangs that may reserve workers in one pass; reserved capacity stays idle. */
+#define RESERVING_GANGS_MAX 2
+/* A stage without room asks about further workers after this time. */
+#define ASK_MORE_DELAY (300 * OGL_MS)
+/* The first question names as many workers as the service can judge in this
+ * time, because a longer one would delay the start. */
+#define FIRST_ASK_BUDGET_MS 650.0
+#define FIRST_ASK_MIN_WORKERS 16
+/* Workers asked about per waiting task on a slow link: the answer carries a
+ * ticket for each worker that is allowed. */
+#define SLOW_LINK_WORKERS_PER_TASK 6
+/* Expired tickets are renewed for at most this many workers at a time. */
+#define REFRESH_MAX_WORKERS 16
+/* Time between two passes: capacity that becomes free within 4 ms is allocated
+ * in one pass, and a long queue does not use up the processor of a small
+ * machine, because each waiting stage adds to the interval. */
+#define PASS_INTERVAL (4 * OGL_MS)
+#define PASS_INTERVAL_PER_STAGE_US ((ogl_time)10)
+/* Part of its limit that a team may use for ranks other than 0; otherwise its
+ * short urgent work would wait for its own long tasks to end. */
+#define LOWER_RANK_LIMIT_SHARE 0.93
+/* A pass leaves a bucket after this many stages in a row were not placed. */
+#define UNPLACED_IN_ROW_MAX 40
+/* Of the stages that wait for a team's limit, this many of each rank renew
+ * their tickets.  Questions for the others would be wasted and would take lanes
+ * of the advice service from work that can be started. */
+#define LIMITED_STAGES_ASKING_MAX 2
+/* A stage of rank 0 that its team's limit refuses holds back the team's other
+ * ranks for this time after each attempt. */
+#define URGENT_HOLD_TIME (150 * OGL_MS)
+
+/* A gang that waits for its team's limit may leave more than half of the limit
+ * unused for this time. */
+#define UNDERUSE_MAX (1500 * OGL_MS)
+
+/* Cost of one unit of pace, in thousandths of a core left over on a worker. */
+#define PACE_COST_MILLI 60e3
+/* A worker this many times slower than healthy ones is taken for faulty. */
+#define PACE_FAULTY 1.7
+#define PACE_FAULTY_COST_MILLI 300e3
+/* A deadline is tight when the time to the objective is less than this many
+ * times the estimated remaining run time. */
+#define TIGHT_DEADLINE_FACTOR 2.0
+
+/* Room counts as spare when no stage lacked it for this time. */
+#define ROOM_SPARE_AFTER (300 * OGL_MS)
+
+/* State of a team that is kept between passes. */
 struct team_state {
-	ogl_time urgent_at;      /* last try of rank 0 that its limit refused */
-	uint64_t pass;           /* that the numbers below are of */
-	unsigned limited[RANKS]; /* stages that its limit refused */
-	ogl_time limited_at;     /* last of them */
-	/* A gang of this rank waits in this pass for what the team has running
-	 * to end: lower ranks are not started; RANKS none. */
-	uint32_t gang_rank;
-	ogl_time idle_since; /* less than half in use for it, 0 not */
+	ogl_time urgent_limited_at; /* last refusal of rank 0 by its limit */
+	uint64_t pass;              /* pass that the counts below belong to */
+	unsigned nlimited[RANKS];   /* stages refused by its limit, by rank */
+	ogl_time limited_at;        /* last refusal of any rank */
+	/* In this pass a gang of this rank waits for running tasks of the team
+	 * to end, and lower ranks are not started; RANKS: none. */
+	uint32_t waiting_gang_rank;
+	ogl_time underused_since; /* under half of the limit in use; 0 no */
 };
 
-/* What became of one look at a stage. */
+/* Result of an attempt to place a stage. */
 enum outcome {
-	PLACED,  /* something was started, or it waits for nothing but time */
-	LIMITED, /* its team's limit is reached: tells nothing of others */
-	MISSED   /* no room, or no ticket for any */
+	PLACED,  /* a task was started, or only time has to pass */
+	LIMITED, /* its team's limit is reached; other stages may fit */
+	UNPLACED /* no room, or no valid ticket for any worker */
 };
 
 struct cell_sched {
 	struct cell_sched_parts parts;
-	bool spare;
+	bool slow_link;
 	struct cell_config *config;
 	GQueue waiting[RANKS]; /* struct cell_stage */
-	unsigned reserves;
-	GHashTable *limits; /* team -> struct team_state */
-	uint64_t pass;      /* number of the pass under way */
-	ogl_time missed_at; /* last time that a stage found no room */
-	uint64_t room_cpu;  /* free on open workers, when it began */
-	GPtrArray *open;    /* workers that may be given work, roomiest first */
-	GPtrArray *buckets[STANDINGS][RANKS]; /* struct cell_stage, this pass */
-	GPtrArray *candidates;                /* scratch: struct cell_worker */
-	GPtrArray *stale;  /* scratch: allowed, with room, no ticket */
-	GPtrArray *chosen; /* scratch: struct cell_worker, one a task */
-	bool hurry;        /* scratch: the stage looked at is in a hurry */
-	bool apart; /* scratch: some allowed worker has enough of the stage */
-	ogl_time pass_at; /* next pass not before */
+	unsigned reserving_gangs;
+	GHashTable *team_states; /* team -> struct team_state */
+	uint64_t pass;           /* number of the current pass */
+	ogl_time no_room_at;     /* last time that a stage found no room */
+	uint64_t free_cpu_milli; /* free on open workers as the pass began */
+	GPtrArray *open;         /* workers that take work, most free first */
+	GPtrArray *buckets[PRECEDENCES][RANKS]; /* struct cell_stage */
+	GPtrArray *candidates; /* scratch: struct cell_worker */
+	GPtrArray *expired;    /* scratch: allowed, with room, ticket expired */
+	GPtrArray *chosen;     /* scratch: struct cell_worker, one per task */
+	bool tight_deadline;   /* scratch: of the current stage */
+	/* scratch: an allowed worker has room, but no more tasks of the stage
+	 * may be put on it */
+	bool some_at_worker_max;
+	ogl_time next_pass_at; /* earliest time of the next pass */
 };
 
 struct cell_sched *
@@ -126,16 +132,16 @@
 	int i, k;
 
 	s->parts = *parts;
-	s->missed_at = CELL_LONG_AGO;
+	s->no_room_at = CELL_LONG_AGO;
 	s->open = g_ptr_array_new();
-	s->stale = g_ptr_array_new();
-	for (i = 0; i < STANDINGS; i++) {
+	s->expired = g_ptr_array_new();
+	for (i = 0; i < PRECEDENCES; i++) {
 		for (k = 0; k < RANKS; k++)
 			s->buckets[i][k] = g_ptr_array_new();
 	}
 	for (i = 0; i < RANKS; i++)
 		g_queue_init(&s->waiting[i]);
-	s->limits =
+	s->team_states =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	s->candidates = g_ptr_array_new();
 	s->chosen = g_ptr_array_new();
@@ -148,14 +154,14 @@
 	int i, k;
 
 	cell_sched_clear(s);
-	for (i = 0; i < STANDINGS; i++) {
+	for (i = 0; i < PRECEDENCES; i++) {
 		for (k = 0; k < RANKS; k++)
 			g_ptr_array_unref(s->buckets[i][k]);
 	}
 	cell_config_unref(s->config);
-	g_hash_table_unref(s->limits);
+	g_hash_table_unref(s->team_states);
 	g_ptr_array_unref(s->open);
-	g_ptr_array_unref(s->stale);
+	g_ptr_array_unref(s->expired);
 	g_ptr_array_unref(s->candidates);
 	g_ptr_array_unref(s->chosen);
 	g_free(s);
@@ -167,7 +173,7 @@
 	GList *l;
 	int i;
 
-	g_hash_table_remove_all(s->limits);
+	g_hash_table_remove_all(s->team_states);
 	for (i = 0; i < RANKS; i++) {
 		while ((l = g_queue_pop_head_link(&s->waiting[i])) != NULL)
 			((struct cell_stage *)l->data)->queue = NULL;
@@ -182,9 +188,9 @@
 	s->config = c;
 }
 
-/* ---- the lists -------------------------------------------------------- */
+/* ---- waiting lists ---------------------------------------------------- */
 
-/* How the job's queue treats it, looked up once a configuration. */
+/* The configuration of the job's queue, looked up once per version. */
 static const struct cell_queue *
 queue_of(const struct cell_sched *s, struct cell_job *j)
 {
@@ -207,9 +213,9 @@
 }
 
 void
-cell_sched_spare(struct cell_sched *s, bool spare)
+cell_sched_spare(struct cell_sched *s, bool slow_link)
 {
-	s->spare = spare;
+	s->slow_link = slow_link;
 }
 
 void
@@ -222,7 +228,7 @@
 		return;
 	q = &s->waiting[rank_of(s, st)];
 	st->queue = q;
-	/* Nearly always the youngest, so the search begins at the tail. */
+	/* A new stage is nearly always the youngest, so start at the tail. */
 	for (at = q->tail; at != NULL; at = at->prev) {
 		const struct cell_stage *o = at->data;
 
@@ -255,7 +261,7 @@
 	return n;
 }
 
-/* ---- standing --------------------------------------------------------- */
+/* ---- precedence ------------------------------------------------------- */
 
 static double
 objective_for(
@@ -288,32 +294,35 @@
 }
 
 static unsigned
-standing(const struct cell_queue *q, const struct cell_stage *st, ogl_time now)
+precedence_of(
+    const struct cell_queue *q, const struct cell_stage *st, ogl_time now)
 {
 	const struct cell_job *j = st->job;
 	double objective = objective_ms(q, j);
 	double end = (double)(now - j->accepted) / OGL_MS +
-		     HOPE * j->chain_from_ms[st->step];
-	unsigned class = 0;
+		     ESTIMATE_FACTOR * j->chain_from_ms[st->step];
+	unsigned precedence = 0;
 
 	if (st->def->lasting)
 		return 0;
 	if (!CELL_USES_STANDING)
-		class = 0;
-	else if (end > LATE_MAX * objective)
-		class = TOO_LATE;
+		precedence = 0;
+	else if (end > LATE_OBJECTIVES_MAX * objective)
+		precedence = PRECEDENCE_TOO_LATE;
 	else if (end > objective)
-		class = 1;
-	return j->over ? class + BEYOND_RATE : class;
+		precedence = 1;
+	return j->over ? precedence + PRECEDENCE_BEYOND_RATE : precedence;
 }
 
 static bool
-in_hurry(const struct cell_queue *q, const struct cell_stage *st, ogl_time now)
+deadline_is_tight(
+    const struct cell_queue *q, const struct cell_stage *st, ogl_time now)
 {
 	const struct cell_job *j = st->job;
 	double left = objective_ms(q, j) - (double)(now - j->accepted) / OGL_MS;
 
-	return !st->def->lasting && left < HURRY * j->chain_from_ms[st->step];
+	return !st->def->lasting &&
+	       left < TIGHT_DEADLINE_FACTOR * j->chain_from_ms[st->step];
 }
 
 /* ---- candidates ------------------------------------------------------- */
@@ -326,9 +335,9 @@
 		   g_strv_contains((const gchar *const *)w->labels, label));
 }
 
-/* What never changes about whether a worker could run the stage. */
+/* Whether service, label and total capacity of the worker allow the stage. */
 static bool
-suits(const struct cell_stage *st, const struct cell_worker *w)
+could_run(const struct cell_stage *st, const struct cell_worker *w)
 {
 	struct ogl_res need = {st->def->fills ? 0 : st->def->cpu_milli,
 	    st->def->mem_mb, st->def->accel};
@@ -339,12 +348,12 @@
 }
 
 static bool
-kept_from(const struct cell_worker *w, uint32_t rank)
+reserved_against(const struct cell_worker *w, uint32_t rank)
 {
 	return w->reserved != 0 && rank + 1 >= w->reserved;
 }
 
-/* Tasks of the stage on a worker, those chosen in this pass included. */
+/* Tasks of the stage on a worker, including those chosen in this pass. */
 static uint32_t
 tasks_on(const struct cell_sched *s, const struct cell_stage *st,
     const struct cell_worker *w)
@@ -370,9 +379,9 @@
 	return n;
 }
 
-/* Whether no more tasks of the stage may be put on the worker. */
+/* Whether the worker has as many tasks of the stage as the step allows. */
 static bool
-has_enough(const struct cell_sched *s, const struct cell_stage *st,
+at_worker_max(const struct cell_sched *s, const struct cell_stage *st,
     const struct cell_worker *w)
 {
 	return st->def->worker_max > 0 &&
@@ -380,8 +389,8 @@
 }
 
 /*
- * Sorts the workers with room for a task into those that may be given it now
- * and, where the queue has a policy, those whose ticket has run out.
+ * Splits the allowed workers with room for a task into candidates, which have a
+ * valid ticket, and those whose ticket has expired.
  */
 static void
 list_allowed(struct cell_sched *s, const struct cell_stage *st, uint32_t rank,
@@ -397,17 +406,17 @@
 		    cell_fleet_by_serial(s->parts.fleet, g->worker);
 
 		if (w == NULL || w->open_pass != s->pass ||
-		    kept_from(w, rank) || !cell_worker_fits(w, &need))
+		    reserved_against(w, rank) || !cell_worker_fits(w, &need))
 			continue;
-		/* A ticket for it would be of no use to the stage. */
-		if (has_enough(s, st, w)) {
-			s->apart = true;
+		/* The stage could not use a new ticket for this worker. */
+		if (at_worker_max(s, st, w)) {
+			s->some_at_worker_max = true;
 			continue;
 		}
 		if (g->born_ms == w->life && g->until > now)
 			g_ptr_array_add(s->candidates, w);
 		else
-			g_ptr_array_add(s->stale, w);
+			g_ptr_array_add(s->expired, w);
 	}
 }
 
@@ -419,9 +428,9 @@
 	guint i;
 
 	g_ptr_array_set_size(s->candidates, 0);
-	g_ptr_array_set_size(s->stale, 0);
+	g_ptr_array_set_size(s->expired, 0);
 	g_ptr_array_set_size(s->chosen, 0);
-	s->apart = false;
+	s->some_at_worker_max = false;
 	if (policy) {
 		list_allowed(s, st, rank, now);
 		return;
@@ -429,8 +438,8 @@
 	for (i = 0; i < s->open->len; i++) {
 		struct cell_worker *w = s->open->pdata[i];
 
-		if (cell_worker_fits(w, &need) && !kept_from(w, rank) &&
-		    suits(st, w))
+		if (cell_worker_fits(w, &need) && !reserved_against(w, rank) &&
+		    could_run(st, w))
 			g_ptr_array_add(s->candidates, w);
 	}
 }
@@ -445,8 +454,8 @@
 }
 
 /*
- * Work with little time to spare goes to fast workers.  What has time to spare
- * leaves them free, but is not given to workers that are out of order.
+ * Stages with a tight deadline prefer fast workers.  Others leave these free
+ * for them, but avoid faulty workers too.
  */
 static double
 pace_cost(const struct cell_sched *s, const struct cell_worker *w)
@@ -455,18 +464,19 @@
 
 	if (!CELL_USES_PACE)
 		return 0;
-	if (pace > PACE_SLOW)
-		return PACE_SLOW_COST * pace;
-	return s->hurry ? PACE_COST * pace : -PACE_COST * pace;
+	if (pace > PACE_FAULTY)
+		return PACE_FAULTY_COST_MILLI * pace;
+	return s->tight_deadline ? PACE_COST_MILLI * pace
+				 : -PACE_COST_MILLI * pace;
 }
 
 /*
- * Lower is better: the data's rack, then a worker other than the one where the
- * task failed, then the least processor time left over, which keeps large
- * rooms whole for gangs.
+ * Lower is better.  A worker where the task failed before costs most, then one
+ * outside of the data's rack; then the least processor capacity left over is
+ * best, corrected for pace, which keeps large free workers for gangs.
  */
 static double
-cost_of(const struct cell_sched *s, const struct cell_stage *st,
+placement_cost(const struct cell_sched *s, const struct cell_stage *st,
     const struct cell_task *t, const struct cell_worker *w)
 {
 	struct ogl_res room = room_of(w);
@@ -481,7 +491,7 @@
 }
 
 static struct cell_worker *
-pick(struct cell_sched *s, const struct cell_stage *st,
+pick_worker(struct cell_sched *s, const struct cell_stage *st,
     const struct cell_task *t)
 {
 	struct ogl_res need = cell_stage_need(st);
@@ -495,9 +505,9 @@
 
 		if (!cell_worker_fits(w, &need))
 			continue;
-		if (has_enough(s, st, w))
+		if (at_worker_max(s, st, w))
 			continue;
-		cost = cost_of(s, st, t, w);
+		cost = placement_cost(s, st, t, w);
 		if (best == NULL || cost < least) {
 			best = w;
 			least = cost;
@@ -508,11 +518,11 @@
 
 /* ---- limits ----------------------------------------------------------- */
 
-/* A step that alone needs more than the part may have the whole. */
+/* A step that alone needs more than the share may use the whole limit. */
 static bool
-below(uint32_t used, uint64_t need, uint32_t max, double part)
+within_limit(uint32_t used, uint64_t need, uint32_t max, double share)
 {
-	uint64_t limit = (uint64_t)(max * part);
+	uint64_t limit = (uint64_t)(max * share);
 
 	if (need > limit)
 		limit = max;
@@ -520,30 +530,31 @@
 }
 
 static uint32_t
-part_of(uint32_t max, uint32_t part)
+scale_limit(uint32_t max, uint32_t part_ppm)
 {
 	if (max == 0)
 		return 0;
-	return MAX((uint32_t)((uint64_t)max * part / CELL_PART_WHOLE), 1);
+	return MAX((uint32_t)((uint64_t)max * part_ppm / CELL_PART_WHOLE), 1);
 }
 
-/* What this shard may have running of the team; 0: no limit. */
+/* Resources of the team that this shard may have in use; 0: no limit. */
 static struct ogl_res
-limit_of(const struct cell_sched *s, const struct cell_team *t)
+shard_limit(const struct cell_sched *s, const struct cell_team *t)
 {
-	uint32_t part = cell_escrow_part(s->parts.escrow, t->name);
-	struct ogl_res max = {part_of(t->max.cpu_milli, part),
-	    part_of(t->max.mem_mb, part), part_of(t->max.accel, part)};
+	uint32_t part_ppm = cell_escrow_part(s->parts.escrow, t->name);
+	struct ogl_res max = {scale_limit(t->max.cpu_milli, part_ppm),
+	    scale_limit(t->max.mem_mb, part_ppm),
+	    scale_limit(t->max.accel, part_ppm)};
 
 	return max;
 }
 
-/* Millionths of the whole limit that would do; more than all of it where even
- * that would not do. */
+/* Millionths of the whole limit that are needed; more than CELL_PART_WHOLE if
+ * the whole limit is not enough. */
 static double
-part_for(uint32_t used, uint64_t need, uint32_t max, double part)
+ppm_needed(uint32_t used, uint64_t need, uint32_t max, double share)
 {
-	uint64_t limit = (uint64_t)(max * part);
+	uint64_t limit = (uint64_t)(max * share);
 
 	if (max == 0)
 		return 0;
@@ -553,74 +564,76 @@
 }
 
 static double
-part_for_tasks(const struct cell_team *t, const struct ogl_res *used,
-    const struct ogl_res *need, uint64_t tasks, double part)
+ppm_needed_for_tasks(const struct cell_team *t, const struct ogl_res *used,
+    const struct ogl_res *need, uint64_t tasks, double share)
 {
-	double cpu = part_for(
-	    used->cpu_milli, need->cpu_milli * tasks, t->max.cpu_milli, part);
-	double mem =
-	    part_for(used->mem_mb, need->mem_mb * tasks, t->max.mem_mb, part);
+	double cpu = ppm_needed(
+	    used->cpu_milli, need->cpu_milli * tasks, t->max.cpu_milli, share);
+	double mem = ppm_needed(
+	    used->mem_mb, need->mem_mb * tasks, t->max.mem_mb, share);
 	double accel =
-	    part_for(used->accel, need->accel * tasks, t->max.accel, part);
+	    ppm_needed(used->accel, need->accel * tasks, t->max.accel, share);
 
 	return MAX(cpu, MAX(mem, accel));
 }
 
-/* Asks for what all waiting tasks of the stage need, or, where that is beyond
- * the whole limit, for what the next start needs. */
+/* Asks for what all waiting tasks of the stage need or, if that exceeds the
+ * whole limit, for what the next start needs. */
 static void
-want_part(struct cell_sched *s, const struct cell_stage *st,
+request_part(struct cell_sched *s, const struct cell_stage *st,
     const struct cell_team *t, const struct ogl_res *used, uint32_t tasks,
-    double part, ogl_time now)
+    double share, ogl_time now)
 {
 	struct ogl_res need = cell_stage_need(st);
 	double want =
-	    part_for_tasks(t, used, &need, cell_stage_waiting(st), part);
+	    ppm_needed_for_tasks(t, used, &need, cell_stage_waiting(st), share);
 
 	if (want > CELL_PART_WHOLE)
-		want = part_for_tasks(t, used, &need, tasks, part);
+		want = ppm_needed_for_tasks(t, used, &need, tasks, share);
 	if (want <= CELL_PART_WHOLE)
 		cell_escrow_want(
 		    s->parts.escrow, t->name, (uint32_t)want + 1, now);
 }
 
 static struct team_state *
-state_of(struct cell_sched *s, const char *team)
+team_state_of(struct cell_sched *s, const char *team)
 {
-	struct team_state *t = g_hash_table_lookup(s->limits, team);
+	struct team_state *t = g_hash_table_lookup(s->team_states, team);
 
 	if (t == NULL) {
 		t = g_new0(struct team_state, 1);
-		t->urgent_at = CELL_LONG_AGO;
+		t->urgent_limited_at = CELL_LONG_AGO;
 		t->limited_at = CELL_LONG_AGO;
-		g_hash_table_insert(s->limits, g_strdup(team), t);
+		g_hash_table_insert(s->team_states, g_strdup(team), t);
 	}
 	if (t->pass != s->pass) {
 		t->pass = s->pass;
-		memset(t->limited, 0, sizeof t->limited);
-		t->gang_rank = RANKS;
+		memset(t->nlimited, 0, sizeof t->nlimited);
+		t->waiting_gang_rank = RANKS;
 	}
 	return t;
 }
 
 /*
- * A team at its limit gives what falls free to its short urgent work.  Handed
- * out in order of standing alone, its long tasks would take it, and its lookups
- * would wait for seconds although the cell has room.
+ * When a team is at its limit, capacity that becomes free goes to its short
+ * urgent work (rank 0).  By precedence alone its long tasks would take it, and
+ * its lookups would wait for seconds although the cell has room.
  */
 static bool
-held_back(struct cell_sched *s, const struct cell_stage *st, uint32_t rank,
-    ogl_time now)
+held_back_for_urgent(struct cell_sched *s, const struct cell_stage *st,
+    uint32_t rank, ogl_time now)
 {
 	return CELL_USES_URGENT && rank > 0 &&
-	       now - state_of(s, st->job->def->team)->urgent_at < URGENT_FOR;
+	       now - team_state_of(s, st->job->def->team)->urgent_limited_at <
+		   URGENT_HOLD_TIME;
 }
 
 static bool
-team_allows(struct cell_sched *s, const struct cell_stage *st, uint32_t tasks,
-    uint32_t rank, ogl_time now)
+team_limit_allows(struct cell_sched *s, const struct cell_stage *st,
+    uint32_t tasks, uint32_t rank, ogl_time now)
 {
-	double part = rank == 0 || !CELL_USES_LIMIT_PART ? 1.0 : LIMIT_PART;
+	double share =
+	    rank == 0 || !CELL_USES_LIMIT_PART ? 1.0 : LOWER_RANK_LIMIT_SHARE;
 	const struct cell_team *t =
 	    cell_config_team(s->config, st->job->def->team);
 	struct ogl_res used =
@@ -630,24 +643,25 @@
 
 	if (t == NULL)
 		return true;
-	if (held_back(s, st, rank, now) ||
-	    rank > state_of(s, st->job->def->team)->gang_rank)
+	if (held_back_for_urgent(s, st, rank, now) ||
+	    rank > team_state_of(s, st->job->def->team)->waiting_gang_rank)
 		return false;
-	max = limit_of(s, t);
-	if (below(used.cpu_milli, (uint64_t)need.cpu_milli * tasks,
-		max.cpu_milli, part) &&
-	    below(
-		used.mem_mb, (uint64_t)need.mem_mb * tasks, max.mem_mb, part) &&
-	    below(used.accel, (uint64_t)need.accel * tasks, max.accel, part))
+	max = shard_limit(s, t);
+	if (within_limit(used.cpu_milli, (uint64_t)need.cpu_milli * tasks,
+		max.cpu_milli, share) &&
+	    within_limit(used.mem_mb, (uint64_t)need.mem_mb * tasks, max.mem_mb,
+		share) &&
+	    within_limit(
+		used.accel, (uint64_t)need.accel * tasks, max.accel, share))
 		return true;
-	want_part(s, st, t, &used, tasks, part, now);
+	request_part(s, st, t, &used, tasks, share, now);
 	return false;
 }
 
 /* ---- questions to the advice service ---------------------------------- */
 
 static uint32_t
-times_in(const struct ogl_res *room, const struct ogl_res *need)
+tasks_that_fit(const struct ogl_res *room, const struct ogl_res *need)
 {
 	uint32_t n = UINT32_MAX;
 
@@ -671,13 +685,13 @@
 	return rv < rw ? 1 : rv > rw ? -1 : 0;
 }
 
-/* Times the task fits into what the worker has free. */
+/* Number of the tasks that fit into the worker's free capacity. */
 static uint32_t
-free_times(const struct cell_worker *w, const struct ogl_res *need)
+free_slots(const struct cell_worker *w, const struct ogl_res *need)
 {
 	struct ogl_res room = room_of(w);
 
-	return times_in(&room, need);
+	return tasks_that_fit(&room, need);
 }
 
 static guint
@@ -685,31 +699,31 @@
     const struct cell_policy *p)
 {
 	double n = p->worker_ms > 0
-		       ? (FIRST_ASK_MS - p->decide_ms) / p->worker_ms
+		       ? (FIRST_ASK_BUDGET_MS - p->decide_ms) / p->worker_ms
 		       : CELL_ADVICE_WORKERS_MAX;
 
-	if (s->spare)
-		n = MIN(n, SPARE_ASK_A_TASK * cell_stage_waiting(st));
-	return (guint)CLAMP(n, FIRST_ASK_MIN, CELL_ADVICE_WORKERS_MAX);
+	if (s->slow_link)
+		n = MIN(n, SLOW_LINK_WORKERS_PER_TASK * cell_stage_waiting(st));
+	return (guint)CLAMP(n, FIRST_ASK_MIN_WORKERS, CELL_ADVICE_WORKERS_MAX);
 }
 
 static bool
 not_asked_about(const struct cell_stage *st, const struct cell_worker *w)
 {
 	return !g_hash_table_contains(st->asked, GUINT_TO_POINTER(w->serial)) &&
-	       suits(st, w);
+	       could_run(st, w);
 }
 
-/* Whether room that no gang could use will do: the stage has time, and its tasks
- * start one by one. */
+/* Whether the stage can use the small free capacity of full workers: it has no
+ * tight deadline, and its tasks start one by one. */
 static bool
-can_use_leftovers(
+may_use_fullest(
     const struct cell_queue *q, const struct cell_stage *st, ogl_time now)
 {
-	return !st->def->gang && !in_hurry(q, st, now);
+	return !st->def->gang && !deadline_is_tight(q, st, now);
 }
 
-/* Workers with room for a task, the least first. */
+/* Workers with room for a task, those with the least room first. */
 static void
 list_fullest(const struct cell_sched *s, const struct cell_stage *st, guint max,
     GPtrArray *a)
@@ -725,7 +739,8 @@
 	}
 }
 
-/* Asks for workers not asked for yet, those with the most room first. */
+/* Asks about workers not yet asked about, those with the most room first, after
+ * the fullest ones where the stage may use these. */
 static bool
 ask_new(struct cell_sched *s, struct cell_stage *st, const struct cell_queue *q,
     ogl_time now)
@@ -736,7 +751,7 @@
 	bool asked;
 	guint i;
 
-	if (can_use_leftovers(q, st, now))
+	if (may_use_fullest(q, st, now))
 		list_fullest(s, st, max, a);
 	for (i = 0; i < s->open->len && a->len < max; i++) {
 		struct cell_worker *w = s->open->pdata[i];
@@ -749,7 +764,7 @@
 	return asked;
 }
 
-/* Whether a gang could be placed if all allowed workers had tickets. */
+/* Whether the gang could be placed if all allowed workers had valid tickets. */
 static bool
 gang_would_fit(struct cell_sched *s, const struct cell_stage *st)
 {
@@ -758,34 +773,34 @@
 	guint i;
 
 	for (i = 0; i < s->candidates->len; i++)
-		n += free_times(s->candidates->pdata[i], &need);
-	for (i = 0; i < s->stale->len; i++)
-		n += free_times(s->stale->pdata[i], &need);
+		n += free_slots(s->candidates->pdata[i], &need);
+	for (i = 0; i < s->expired->len; i++)
+		n += free_slots(s->expired->pdata[i], &need);
 	return n >= st->ntasks;
 }
 
 /*
- * Asks again for allowed workers that have room now.  A gang that would not
- * fit all the same does not ask: the answer would run out unused, and the
- * service answers one question at a time.
+ * Renews the expired tickets of allowed workers that have room.  A gang that
+ * would not fit even then does not ask: its tickets would expire unused, and
+ * the service answers one question at a time.
  */
 static bool
-ask_again(struct cell_sched *s, struct cell_stage *st,
+refresh_tickets(struct cell_sched *s, struct cell_stage *st,
     const struct cell_policy *p, ogl_time now)
 {
-	if (s->stale->len == 0)
+	if (s->expired->len == 0)
 		return false;
 	if (st->def->gang && !gang_would_fit(s, st))
 		return false;
-	g_ptr_array_sort(s->stale, by_room);
-	if (s->stale->len > REFRESH_MAX)
-		g_ptr_array_set_size(s->stale, REFRESH_MAX);
+	g_ptr_array_sort(s->expired, by_room);
+	if (s->expired->len > REFRESH_MAX_WORKERS)
+		g_ptr_array_set_size(s->expired, REFRESH_MAX_WORKERS);
 	return cell_advice_ask(
-	    s->parts.advice, st, p, s->stale, rank_of(s, st), now);
+	    s->parts.advice, st, p, s->expired, rank_of(s, st), now);
 }
 
 static void
-seek_advice(struct cell_sched *s, struct cell_stage *st,
+request_advice(struct cell_sched *s, struct cell_stage *st,
     const struct cell_queue *q, ogl_time now)
 {
 	const struct cell_policy *p = &q->policy;
@@ -797,9 +812,9 @@
 		ask_new(s, st, q, now);
 		return;
 	}
-	if (ask_again(s, st, p, now))
+	if (refresh_tickets(s, st, p, now))
 		return;
-	if (st->blocked_since != 0 && now - st->blocked_since > ASK_MORE)
+	if (st->blocked_since != 0 && now - st->blocked_since > ASK_MORE_DELAY)
 		ask_new(s, st, q, now);
 }
 
@@ -815,12 +830,11 @@
 }
 
 /*
- * One line each time that the reason changes.  A job that ended late is
- * explained by them: the time between two lines is lost for the first one's
- * reason.
+ * Logs one line each time the reason changes.  The lines explain why a job was
+ * late: the time between two lines was lost for the reason in the first.
  */
 static void
-note_wait(struct cell_sched *s, struct cell_stage *st, enum cell_wait why,
+log_wait(struct cell_sched *s, struct cell_stage *st, enum cell_wait why,
     ogl_time now)
 {
 	const struct cell_team *t;
@@ -838,13 +852,14 @@
 	    cell_stage_waiting(st),
 	    st->wait_reason != CELL_WAIT_NONE ? (now - st->wait_since) / OGL_MS
 					      : 0,
-	    s->room_cpu, used.cpu_milli, t != NULL ? t->max.cpu_milli : 0);
+	    s->free_cpu_milli, used.cpu_milli,
+	    t != NULL ? t->max.cpu_milli : 0);
 	s->parts.ops->log(s->parts.ops->ctx, "owner", "stage_waits", text);
 	st->wait_reason = why;
 	st->wait_since = now;
 }
 
-/* Of a stage that was looked at and not placed whole. */
+/* Why a stage that a pass tried to place still has waiting tasks. */
 static enum cell_wait
 find_wait_reason(const struct cell_sched *s, const struct cell_stage *st,
     const struct cell_policy *p)
@@ -859,15 +874,15 @@
 			return st->def->worker_max > 0 ? CELL_WAIT_WORKER_MAX
 						       : CELL_WAIT_ROOM;
 	}
-	if (s->stale->len > 0)
+	if (s->expired->len > 0)
 		return CELL_WAIT_TICKET;
-	return s->apart ? CELL_WAIT_WORKER_MAX : CELL_WAIT_ROOM;
+	return s->some_at_worker_max ? CELL_WAIT_WORKER_MAX : CELL_WAIT_ROOM;
 }
 
 /* ---- placing ---------------------------------------------------------- */
 
 static bool
-task_waits(const struct cell_task *t, ogl_time now)
+task_startable(const struct cell_task *t, ogl_time now)
 {
 	return !t->done && t->active == NULL && now >= t->due;
 }
@@ -886,7 +901,7 @@
 	s->parts.started(s->parts.arg, st, index, now);
 }
 
-/* Places task by task; whether none is left waiting. */
+/* Places tasks one by one; true if none is left waiting. */
 static bool
 place_tasks(
     struct cell_sched *s, struct cell_stage *st, uint32_t rank, ogl_time now)
@@ -905,8 +920,9 @@
 			all = false;
 			continue;
 		}
-		w = task_waits(t, now) && team_allows(s, st, 1, rank, now)
-			? pick(s, st, t)
+		w = task_startable(t, now) &&
+			    team_limit_allows(s, st, 1, rank, now)
+			? pick_worker(s, st, t)
 			: NULL;
 		if (w == NULL) {
 			all = false;
@@ -919,7 +935,7 @@
 }
 
 static void
-unchoose(struct cell_sched *s, const struct ogl_res *need)
+release_chosen(struct cell_sched *s, const struct ogl_res *need)
 {
 	guint i;
 
@@ -928,7 +944,7 @@
 		    &((struct cell_worker *)s->chosen->pdata[i])->used, need);
 }
 
-/* All of a gang at once, under one run number. */
+/* Starts all tasks of a gang at once, under one run number. */
 static bool
 place_gang(
     struct cell_sched *s, struct cell_stage *st, uint32_t rank, ogl_time now)
@@ -938,20 +954,20 @@
 	uint32_t i;
 
 	if (st->nactive > 0)
-		return true; /* the last run is not over yet */
-	if (!task_waits(&st->tasks[0], now) ||
-	    !team_allows(s, st, st->ntasks, rank, now))
+		return true; /* the last run has not ended yet */
+	if (!task_startable(&st->tasks[0], now) ||
+	    !team_limit_allows(s, st, st->ntasks, rank, now))
 		return false;
 	g_ptr_array_set_size(s->chosen, 0);
 	for (i = 0; i < st->ntasks; i++) {
-		struct cell_worker *w = pick(s, st, &st->tasks[0]);
+		struct cell_worker *w = pick_worker(s, st, &st->tasks[0]);
 
 		if (w == NULL)
 			break;
 		ogl_res_add(&w->used, &need);
 		g_ptr_array_add(s->chosen, w);
 	}
-	unchoose(s, &need);
+	release_chosen(s, &need);
 	if (i < st->ntasks)
 		return false;
 	run = s->parts.next_run(s->parts.arg, st);
@@ -961,29 +977,30 @@
 }
 
 static void
-reserve(struct cell_sched *s, struct cell_stage *st, uint32_t rank, bool policy)
+reserve_workers(
+    struct cell_sched *s, struct cell_stage *st, uint32_t rank, bool policy)
 {
 	struct ogl_res need = cell_stage_need(st);
 	uint32_t n = 0;
 	guint i;
 
-	if (!CELL_USES_RESERVE || s->reserves >= RESERVES_MAX)
+	if (!CELL_USES_RESERVE || s->reserving_gangs >= RESERVING_GANGS_MAX)
 		return;
 	for (i = 0; i < s->open->len && n < st->ntasks; i++) {
 		struct cell_worker *w = s->open->pdata[i];
 
-		if (kept_from(w, rank) || !suits(st, w) ||
+		if (reserved_against(w, rank) || !could_run(st, w) ||
 		    (policy && cell_advice_approval(st, w) == NULL))
 			continue;
-		n += times_in(&w->capacity, &need);
+		n += tasks_that_fit(&w->capacity, &need);
 		w->reserved = rank + 1;
 	}
-	s->reserves++;
+	s->reserving_gangs++;
 }
 
-/* Whether the limit keeps the gang waiting although it could run alone. */
+/* Whether the gang waits only because the team has other tasks running. */
 static bool
-waits_for_others(uint32_t used, uint64_t need, uint32_t max)
+limited_by_others(uint32_t used, uint64_t need, uint32_t max)
 {
 	return max > 0 && need <= max && used + need > max;
 }
@@ -994,29 +1011,30 @@
 	return max > 0 && used >= max / 2;
 }
 
-/* A team that has less than half of its limit in use while a gang holds back
- * lower ranks leaves it idle: only for so long. */
+/* A team whose gang blocks lower ranks may have less than half of its limit in
+ * use only for UNDERUSE_MAX. */
 static bool
-may_idle(struct team_state *t, const struct ogl_res *used,
+may_underuse(struct team_state *t, const struct ogl_res *used,
     const struct ogl_res *max, ogl_time now)
 {
 	if (uses_half(used->cpu_milli, max->cpu_milli) ||
 	    uses_half(used->mem_mb, max->mem_mb) ||
 	    uses_half(used->accel, max->accel)) {
-		t->idle_since = 0;
+		t->underused_since = 0;
 		return true;
 	}
-	if (t->idle_since == 0)
-		t->idle_since = now;
-	return now - t->idle_since < IDLE_MAX;
+	if (t->underused_since == 0)
+		t->underused_since = now;
+	return now - t->underused_since < UNDERUSE_MAX;
 }
 
 /*
- * Whether lower ranks of the team wait until the gang has room within the limit.
- * Not where other shards may run work of the team that is not known here.
+ * Whether lower ranks of the team wait until the gang fits into the limit.
+ * They don't if this shard has only a part of the limit: work of the team in
+ * other shards is not known here.
  */
 static bool
-holds_lower_ranks(struct cell_sched *s, const struct cell_stage *st,
+blocks_lower_ranks(struct cell_sched *s, const struct cell_stage *st,
     struct team_state *state, ogl_time now)
 {
 	const char *team = st->job->def->team;
@@ -1028,39 +1046,41 @@
 	if (t == NULL ||
 	    cell_escrow_part(s->parts.escrow, team) != CELL_PART_WHOLE)
 		return false;
-	if (!waits_for_others(
+	if (!limited_by_others(
 		used.cpu_milli, n * need.cpu_milli, t->max.cpu_milli) &&
-	    !waits_for_others(used.mem_mb, n * need.mem_mb, t->max.mem_mb) &&
-	    !waits_for_others(used.accel, n * need.accel, t->max.accel))
+	    !limited_by_others(used.mem_mb, n * need.mem_mb, t->max.mem_mb) &&
+	    !limited_by_others(used.accel, n * need.accel, t->max.accel))
 		return false;
-	return may_idle(state, &used, &t->max, now);
+	return may_underuse(state, &used, &t->max, now);
 }
 
-/* The stage has to wait for its team's limit. */
+/* Records that the limit refused the stage, and keeps some tickets valid. */
 static void
-wait_for_limit(struct cell_sched *s, struct cell_stage *st,
-    const struct cell_queue *q, uint32_t rank, unsigned stand, ogl_time now)
+handle_limited(struct cell_sched *s, struct cell_stage *st,
+    const struct cell_queue *q, uint32_t rank, unsigned precedence,
+    ogl_time now)
 {
-	struct team_state *t = state_of(s, st->job->def->team);
+	struct team_state *t = team_state_of(s, st->job->def->team);
 
-	if (now - t->limited_at > IDLE_MAX)
-		t->idle_since = 0;
+	if (now - t->limited_at > UNDERUSE_MAX)
+		t->underused_since = 0;
 	t->limited_at = now;
-	if (st->def->gang && stand % 3 < TOO_LATE &&
-	    holds_lower_ranks(s, st, t, now))
-		t->gang_rank = MIN(t->gang_rank, rank);
-	if (rank == 0 && stand % 3 < TOO_LATE)
-		t->urgent_at = now;
-	if (t->limited[rank]++ >= LIMITED_ASKS &&
+	if (st->def->gang && precedence % 3 < PRECEDENCE_TOO_LATE &&
+	    blocks_lower_ranks(s, st, t, now))
+		t->waiting_gang_rank = MIN(t->waiting_gang_rank, rank);
+	if (rank == 0 && precedence % 3 < PRECEDENCE_TOO_LATE)
+		t->urgent_limited_at = now;
+	if (t->nlimited[rank]++ >= LIMITED_STAGES_ASKING_MAX &&
 	    g_hash_table_size(st->asked) > 0)
 		return;
 	list_candidates(s, st, q->policy.needed, rank, now);
-	seek_advice(s, st, q, now);
+	request_advice(s, st, q, now);
 }
 
 static enum outcome
 place_stage(struct cell_sched *s, struct cell_stage *st,
-    const struct cell_queue *q, uint32_t rank, unsigned stand, ogl_time now)
+    const struct cell_queue *q, uint32_t rank, unsigned precedence,
+    ogl_time now)
 {
 	bool policy = q->policy.needed;
 	uint32_t tasks = st->def->gang ? st->ntasks : 1;
@@ -1068,59 +1088,60 @@
 	bool placed;
 
 	if (!st->job->settled || !st->job->stored) {
-		/* The answer will be there by the time it may start. */
+		/* Asked now, the answer is there when the stage may start. */
 		if (g_hash_table_size(st->asked) == 0)
-			seek_advice(s, st, q, now);
-		note_wait(s, st,
+			request_advice(s, st, q, now);
+		log_wait(s, st,
 		    st->job->stored ? CELL_WAIT_SETTLE : CELL_WAIT_STORE, now);
 		return PLACED;
 	}
-	if (!team_allows(s, st, tasks, rank, now)) {
-		note_wait(s, st, CELL_WAIT_LIMIT, now);
-		wait_for_limit(s, st, q, rank, stand, now);
+	if (!team_limit_allows(s, st, tasks, rank, now)) {
+		log_wait(s, st, CELL_WAIT_LIMIT, now);
+		handle_limited(s, st, q, rank, precedence, now);
 		return LIMITED;
 	}
 	active = st->nactive;
 	list_candidates(s, st, policy, rank, now);
-	s->hurry = in_hurry(q, st, now);
+	s->tight_deadline = deadline_is_tight(q, st, now);
 	if (st->def->gang)
 		placed = place_gang(s, st, rank, now);
 	else
 		placed = place_tasks(s, st, rank, now);
 	if (placed) {
 		st->blocked_since = 0;
-		note_wait(s, st, CELL_WAIT_NONE, now);
+		log_wait(s, st, CELL_WAIT_NONE, now);
 		cell_sched_remove(st);
 		return PLACED;
 	}
 	if (st->blocked_since == 0)
 		st->blocked_since = now;
-	note_wait(s, st, find_wait_reason(s, st, &q->policy), now);
-	seek_advice(s, st, q, now);
-	if (st->def->gang && stand == 0)
-		reserve(s, st, rank, policy);
-	return st->nactive > active ? PLACED : MISSED;
+	log_wait(s, st, find_wait_reason(s, st, &q->policy), now);
+	request_advice(s, st, q, now);
+	if (st->def->gang && precedence == 0)
+		reserve_workers(s, st, rank, policy);
+	return st->nactive > active ? PLACED : UNPLACED;
 }
 
-/* Placing and asking change the lists, so what is to be looked at is put down
- * first. */
+/* Placing and asking change the waiting lists, so a pass works on a copy of
+ * them. */
 static void
 fill_buckets(struct cell_sched *s, ogl_time now)
 {
 	uint32_t rank;
-	unsigned stand;
+	unsigned precedence;
 	GList *at;
 
-	for (stand = 0; stand < STANDINGS; stand++) {
+	for (precedence = 0; precedence < PRECEDENCES; precedence++) {
 		for (rank = 0; rank < RANKS; rank++)
-			g_ptr_array_set_size(s->buckets[stand][rank], 0);
+			g_ptr_array_set_size(s->buckets[precedence][rank], 0);
 	}
 	for (rank = 0; rank < RANKS; rank++) {
 		for (at = s->waiting[rank].head; at != NULL; at = at->next) {
 			struct cell_stage *st = at->data;
 
-			stand = standing(queue_of(s, st->job), st, now);
-			g_ptr_array_add(s->buckets[stand][rank], st);
+			precedence =
+			    precedence_of(queue_of(s, st->job), st, now);
+			g_ptr_array_add(s->buckets[precedence][rank], st);
 		}
 	}
 }
@@ -1135,9 +1156,9 @@
 }
 
 /*
- * Of what a team sends beyond its rate not all can be in time.  Oldest first,
- * each would wait until it hardly can be any more; the smallest first, the room
- * that is left serves the most callers.
+ * Jobs that a team submits beyond its rate cannot all be in time.  Served
+ * oldest first, each would wait until it is almost late; served smallest first,
+ * the remaining capacity completes the most jobs.
  */
 static void
 order_beyond_rate(struct cell_sched *s)
@@ -1147,19 +1168,21 @@
 	if (!CELL_USES_SMALLEST)
 		return;
 	for (rank = 0; rank < RANKS; rank++) {
-		g_ptr_array_sort(s->buckets[BEYOND_RATE][rank], by_work);
-		g_ptr_array_sort(s->buckets[BEYOND_RATE + 1][rank], by_work);
+		g_ptr_array_sort(
+		    s->buckets[PRECEDENCE_BEYOND_RATE][rank], by_work);
+		g_ptr_array_sort(
+		    s->buckets[PRECEDENCE_BEYOND_RATE + 1][rank], by_work);
 	}
 }
 
 static void
-list_open(struct cell_sched *s, ogl_time now)
+list_open_workers(struct cell_sched *s, ogl_time now)
 {
 	GHashTableIter it;
 	gpointer p;
 
 	s->pass++;
-	s->room_cpu = 0;
+	s->free_cpu_milli = 0;
 	g_ptr_array_set_size(s->open, 0);
 	g_hash_table_iter_init(&it, cell_fleet_workers(s->parts.fleet));
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
@@ -1169,33 +1192,34 @@
 			continue;
 		w->open_pass = s->pass;
 		w->reserved = 0;
-		s->room_cpu += room_of(w).cpu_milli;
+		s->free_cpu_milli += room_of(w).cpu_milli;
 		g_ptr_array_add(s->open, w);
 	}
 	g_ptr_array_sort(s->open, by_room);
 }
 
-/* Once many in a row found no room, those behind them hardly will; they are
- * looked at when the first ones have gone. */
+/* After UNPLACED_IN_ROW_MAX stages in a row without room, the later ones are
+ * unlikely to find any; they are tried once the first ones have left. */
 static void
-pass_bucket(struct cell_sched *s, uint32_t rank, unsigned stand, ogl_time now)
+place_bucket(
+    struct cell_sched *s, uint32_t rank, unsigned precedence, ogl_time now)
 {
-	GPtrArray *a = s->buckets[stand][rank];
-	unsigned misses = 0;
+	GPtrArray *a = s->buckets[precedence][rank];
+	unsigned unplaced = 0;
 	guint i;
 
-	for (i = 0; i < a->len && misses < MISSES_MAX; i++) {
+	for (i = 0; i < a->len && unplaced < UNPLACED_IN_ROW_MAX; i++) {
 		struct cell_stage *st = a->pdata[i];
 
 		switch (place_stage(
-		    s, st, queue_of(s, st->job), rank, stand, now)) {
+		    s, st, queue_of(s, st->job), rank, precedence, now)) {
 		case PLACED:
-			misses = 0;
+			unplaced = 0;
 			break;
-		case MISSED:
+		case UNPLACED:
 			if (st->wait_reason == CELL_WAIT_ROOM)
-				s->missed_at = now;
-			misses++;
+				s->no_room_at = now;
+			unplaced++;
 			break;
 		case LIMITED:
 		default:
@@ -1208,41 +1232,42 @@
 cell_sched_pass(struct cell_sched *s, ogl_time now)
 {
 	size_t waiting = cell_sched_waiting(s);
-	unsigned stand;
+	unsigned precedence;
 	uint32_t rank;
 
 	if (waiting == 0 || cell_fleet_wants_proof(s->parts.fleet))
 		return;
-	/* A new owner may have read the jobs before the configuration; without
-	 * it no team's limit is known. */
+	/* A new owner may read the jobs before the configuration, without which
+	 * no team's limit is known. */
 	if (s->config == NULL)
 		return;
-	s->pass_at = now + PASS_GAP + (ogl_time)waiting * PASS_STAGE;
-	s->reserves = 0;
-	list_open(s, now);
+	s->next_pass_at = now + PASS_INTERVAL +
+			  (ogl_time)waiting * PASS_INTERVAL_PER_STAGE_US;
+	s->reserving_gangs = 0;
+	list_open_workers(s, now);
 	fill_buckets(s, now);
 	order_beyond_rate(s);
-	for (stand = 0; stand < STANDINGS; stand += 3) {
-		pass_bucket(s, 0, stand, now);
-		pass_bucket(s, 0, stand + 1, now);
+	for (precedence = 0; precedence < PRECEDENCES; precedence += 3) {
+		place_bucket(s, 0, precedence, now);
+		place_bucket(s, 0, precedence + 1, now);
 		for (rank = 1; rank < RANKS; rank++)
-			pass_bucket(s, rank, stand, now);
+			place_bucket(s, rank, precedence, now);
 		for (rank = 1; rank < RANKS; rank++)
-			pass_bucket(s, rank, stand + 1, now);
+			place_bucket(s, rank, precedence + 1, now);
 		for (rank = 0; rank < RANKS; rank++)
-			pass_bucket(s, rank, stand + 2, now);
+			place_bucket(s, rank, precedence + 2, now);
 	}
 }
 
 static bool
-is_room(const struct cell_sched *s, const struct cell_stage *st,
+has_room_on(const struct cell_sched *s, const struct cell_stage *st,
     const struct cell_worker *w, ogl_time now)
 {
 	struct ogl_res need = cell_stage_need(st);
 
-	return cell_worker_open(w, now) && suits(st, w) &&
+	return cell_worker_open(w, now) && could_run(st, w) &&
 	       cell_worker_fits(w, &need) &&
-	       cell_fleet_pace(s->parts.fleet, w) < PACE_SLOW;
+	       cell_fleet_pace(s->parts.fleet, w) < PACE_FAULTY;
 }
 
 bool
@@ -1250,17 +1275,18 @@
     const struct cell_worker *other, ogl_time now)
 {
 	bool policy = queue_of(s, st->job)->policy.needed;
-	const struct team_state *t = state_of(s, st->job->def->team);
+	const struct team_state *t = team_state_of(s, st->job->def->team);
 	GHashTableIter it;
 	gpointer p;
 
-	if (now - s->missed_at < SPARE_FOR || now - t->limited_at < SPARE_FOR)
+	if (now - s->no_room_at < ROOM_SPARE_AFTER ||
+	    now - t->limited_at < ROOM_SPARE_AFTER)
 		return false;
 	g_hash_table_iter_init(&it, cell_fleet_workers(s->parts.fleet));
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		const struct cell_worker *w = p;
 
-		if (w == other || !is_room(s, st, w, now))
+		if (w == other || !has_room_on(s, st, w, now))
 			continue;
 		if (!policy || cell_advice_approval(st, w) != NULL)
 			return true;
@@ -1271,5 +1297,5 @@
 bool
 cell_sched_due(const struct cell_sched *s, ogl_time now)
 {
-	return now >= s->pass_at;
+	return now >= s->next_pass_at;
 }
--- a/cell/schedule.h
+++ b/cell/schedule.h
@@ -1,6 +1,6 @@
 /*
- * Who goes next and where to: the owner's order of waiting work and the
- * choice of workers.
+ * The scheduler of a shard's owner: decides the order in which waiting stages
+ * are started, and on which workers.
  */
 
 #ifndef OGL_CELL_SCHED_H
@@ -18,7 +18,7 @@
 	struct cell_advice *advice;
 	struct cell_escrow *escrow;
 	uint64_t (*next_run)(void *arg, const struct cell_stage *s);
-	/* A run number above all that the stage's tasks have had. */
+	/* Returns a run number above all that the stage's tasks have had. */
 	void (*started)(
 	    void *arg, struct cell_stage *s, uint32_t index, ogl_time now);
 	void *arg;
@@ -27,39 +27,39 @@
 struct cell_sched *cell_sched_init(const struct cell_sched_parts *parts);
 void cell_sched_end(struct cell_sched *s);
 void cell_sched_clear(struct cell_sched *s);
-/* Forgets all waiting work. */
+/* Removes all stages and forgets the state of all teams. */
 
 void cell_sched_config(struct cell_sched *s, struct cell_config *c);
-/* The configuration in force from now on. */
+/* Sets the configuration to be used from now on; takes a reference. */
 
-void cell_sched_spare(struct cell_sched *s, bool spare);
-/* The link is thin: fewer workers are asked about at a time. */
+void cell_sched_spare(struct cell_sched *s, bool slow_link);
+/* On a slow link fewer workers are asked about at a time. */
 
 void cell_sched_add(struct cell_sched *s, struct cell_stage *st);
-/* The stage has tasks that wait; adding it twice changes nothing. */
+/* Adds a stage with waiting tasks; adding it twice changes nothing. */
 void cell_sched_remove(struct cell_stage *st);
 
 void cell_sched_pass(struct cell_sched *s, ogl_time now);
-/* Starts what can be started. */
+/* Starts all tasks that can be started. */
 
 bool cell_sched_due(const struct cell_sched *s, ogl_time now);
-/* Whether the last pass is long enough ago. */
+/* Whether the interval since the last pass is over. */
 
 bool cell_sched_has_room(struct cell_sched *s, struct cell_stage *st,
     const struct cell_worker *other, ogl_time now);
-/* Whether a worker other than that one, and no slower than most, could be given
- * a task of the stage now, but for a ticket that may have to be asked anew, and
- * nothing else waits for the room or for its team's limit: what is stopped then
- * would lose its place. */
+/* Whether a healthy worker other than that one has room for a task of the stage
+ * now; its ticket may have expired.  False if any stage recently found no room,
+ * or the team's limit refused one: a task stopped to be moved would then lose
+ * its place to waiting work. */
 
 double cell_sched_objective_ms(const struct cell_sched *s, struct cell_job *j);
-/* How long the job may take from its acceptance on to be in time. */
+/* Time in ms after its acceptance within which the job has to end. */
 
 double cell_sched_took_objective_ms(
     const struct cell_sched *s, struct cell_job *j);
-/* The same by what the job's runs took, as far as that is known. */
+/* The same, computed with the measured run times of its steps where known. */
 
 size_t cell_sched_waiting(const struct cell_sched *s);
-/* Stages that wait. */
+/* Number of waiting stages. */
 
 #endif
