--- a/cell/job.c
+++ b/cell/job.c
@@ -1,15 +1,15 @@
 /*
- * A job's occurrences are made when they fall due and dropped once all their
- * tasks are done, so that a job repeated a thousand times stays small.
+ * A job's occurrences are made when they are due and freed once all their tasks
+ * are done, which limits the memory of a job that is repeated many times.
  */
 
 #include <string.h>
 
 #include "job.h"
 
-#define TASKS_MAX 20000 /* of one step; a body of 256 KiB could ask for more */
+#define STEP_TASKS_MAX 20000 /* a body of 256 KiB could ask for more */
 #define STEPS_MAX 1000
-#define FAILED_RUNS_MAX 64 /* far above any queue's attempts */
+#define FAILED_RUNS_MAX 64 /* far above the attempts_max of any queue */
 
 bool
 cell_id_valid(struct ogl_str id)
@@ -31,7 +31,7 @@
 	const Ogl__CellStep *s = def->steps[number];
 	size_t i;
 
-	if (s->count == 0 || s->count > TASKS_MAX) {
+	if (s->count == 0 || s->count > STEP_TASKS_MAX) {
 		*why = "a step's count is out of range";
 		return false;
 	}
@@ -63,7 +63,7 @@
 /* ---- making and freeing ----------------------------------------------- */
 
 static void
-good_clear(void *p)
+approval_clear(void *p)
 {
 	struct cell_good *g = p;
 
@@ -82,7 +82,7 @@
 	s->tasks = g_new0(struct cell_task, s->ntasks);
 	s->link.data = s;
 	s->approvals = g_array_new(FALSE, TRUE, sizeof(struct cell_good));
-	g_array_set_clear_func(s->approvals, good_clear);
+	g_array_set_clear_func(s->approvals, approval_clear);
 	s->asked = g_hash_table_new(NULL, NULL);
 }
 
@@ -114,9 +114,10 @@
 	g_free(o);
 }
 
-/* Steps come only after earlier ones, so tails are found from the last. */
+/* Steps come only after earlier ones, so the longest chain from each step on is
+ * computed from the last step backwards. */
 static void
-measure_tails(struct cell_job *j)
+measure_chains_from(struct cell_job *j)
 {
 	size_t i, k;
 
@@ -161,9 +162,9 @@
 	return longest;
 }
 
-/* Declared run times along the longest chain, and all declared work. */
+/* Computes the longest chain of declared run times and all declared work. */
 static void
-measure(struct cell_job *j)
+measure_job(struct cell_job *j)
 {
 	size_t i;
 
@@ -175,7 +176,7 @@
 		j->work +=
 		    s->count * (s->estimate_ms / 1e3) * (s->cpu_milli / 1e3);
 	}
-	measure_tails(j);
+	measure_chains_from(j);
 }
 
 void
@@ -208,7 +209,7 @@
 
 	j->def = def;
 	j->accepted = now;
-	measure(j);
+	measure_job(j);
 	return j;
 }
 
@@ -392,9 +393,10 @@
 }
 
 /*
- * Ends of several runs reach a new owner in any order, and again if the last
- * owner had stored but not acknowledged them; so each run is remembered, not
- * their number.  A task that lasts may fail for ever: the oldest is dropped.
+ * A new owner receives the ends of several runs in any order, and again if the
+ * last owner stored but did not acknowledge them, so run numbers are kept
+ * instead of a count.  A lasting task may fail without limit: beyond
+ * FAILED_RUNS_MAX the oldest number is dropped.
  */
 bool
 cell_task_fail(struct cell_task *t, uint64_t run)
@@ -448,10 +450,10 @@
 	return g_bytes_new_take(p, n);
 }
 
-/* A task that is as at its beginning needs no mark, and of one that is done
- * nothing else matters any more. */
+/* A task that was never started needs no mark, and of a done task only that it
+ * is done is stored. */
 static bool
-has_mark(const struct cell_task *t)
+needs_mark(const struct cell_task *t)
 {
 	return !t->done && (t->failed_runs != NULL || t->run > 0);
 }
@@ -482,7 +484,7 @@
 	uint32_t i;
 
 	for (i = 0; i < s->ntasks; i++) {
-		if (has_mark(&s->tasks[i]))
+		if (needs_mark(&s->tasks[i]))
 			g_ptr_array_add(marks, mark_new(s, i));
 	}
 }
@@ -554,20 +556,21 @@
 }
 
 static ogl_time
-due_of(const struct cell_job *j, uint32_t number)
+occurrence_due(const struct cell_job *j, uint32_t number)
 {
 	return (ogl_time)(j->def->first_due_ms + number * j->def->interval_ms) *
 	       OGL_MS;
 }
 
-/* The stage of a task in an occurrence that has begun; NULL: it is over, or
- * there is no such task. */
+/* The stage of a task, whose occurrence is begun if it has not; NULL if the
+ * occurrence is finished or there is no such task. */
 static struct cell_stage *
 begun_stage(struct cell_job *j, const struct cell_task_name *name)
 {
 	if (cell_job_occurrence_finished(j, name->occurrence))
 		return NULL;
-	cell_job_begin(j, name->occurrence, due_of(j, name->occurrence));
+	cell_job_begin(
+	    j, name->occurrence, occurrence_due(j, name->occurrence));
 	return cell_job_stage(j, name);
 }
 
