--- a/cell/advice.c
+++ b/cell/advice.c
@@ -1,7 +1,7 @@
 /*
- * Each node has a lane: the time until which the service is expected to be
- * busy with what that node asked.  A question costs decide_ms and worker_ms a
- * worker named in it.
+ * Each node has a lane, which holds the time until which the service is
+ * expected to be busy with that node's questions.  A question takes decide_ms,
+ * and worker_ms for each worker named in it.
  */
 
 #include <string.h>
@@ -10,26 +10,28 @@
 #include "advice.h"
 #include "fleet.h"
 
-/* A node is asked while it was heard of within this time. */
-#define NODE_FRESH (1200 * OGL_MS)
-/* A lane takes its next question so long before it is free: the question is
- * on its way meanwhile. */
-#define LANE_AHEAD (12 * OGL_MS)
-/* Part of the lanes kept free for rank 0, whose questions are short: it would
- * else wait for the long ones of other ranks. */
-#define URGENT_LANES 0.3
-#define SLACK_MS 700 /* beyond the expected time, for the way and back */
-/* Tickets are not used in their last moments: the start takes a way too. */
-#define TICKET_MARGIN (120 * OGL_MS)
-#define TOKEN_BITS 32 /* questions of one epoch; no owner asks so many */
-/* A node that let a question go unanswered rests. */
-#define LANE_REST (1500 * OGL_MS)
+/* Only nodes that were heard within this time are asked. */
+#define NODE_HEARD_MAX_AGE (1200 * OGL_MS)
+/* The next question of a lane is sent this long before the lane is free, to
+ * hide the time it takes on the network. */
+#define LANE_SEND_AHEAD (12 * OGL_MS)
+/* Part of the lanes that is reserved for the short questions of rank 0, which
+ * would otherwise wait for the long ones of other ranks. */
+#define URGENT_LANES_SHARE 0.3
+/* Time for question and answer on the network, beyond the service's time. */
+#define NETWORK_MARGIN_MS 700
+/* A ticket counts as expired this long before it does, because the start order
+ * takes time to reach the worker. */
+#define TICKET_EXPIRY_MARGIN (120 * OGL_MS)
+#define TOKEN_QUESTION_BITS 32 /* no owner asks 2^32 in one epoch */
+/* A node that left a question unanswered is not asked for this time. */
+#define LANE_PAUSE (1500 * OGL_MS)
 
 struct lane {
 	char *addr;
-	ogl_time heard;
+	ogl_time heard_at;
 	ogl_time busy_until;
-	ogl_time rest_until;
+	ogl_time paused_until;
 };
 
 struct question {
@@ -38,9 +40,9 @@
 	uint32_t occurrence;
 	uint32_t step;
 	GPtrArray *workers; /* ids */
-	char *lane;
-	ogl_time sent;
-	ogl_time give_up;
+	char *lane_addr;
+	ogl_time sent_at;
+	ogl_time deadline;
 };
 
 struct cell_advice {
@@ -66,7 +68,7 @@
 	struct question *q = p;
 
 	g_ptr_array_unref(q->workers);
-	g_free(q->lane);
+	g_free(q->lane_addr);
 	g_free(q);
 }
 
@@ -104,7 +106,7 @@
 cell_advice_open(struct cell_advice *a, uint64_t epoch)
 {
 	cell_advice_clear(a);
-	a->last_token = epoch << TOKEN_BITS;
+	a->last_token = epoch << TOKEN_QUESTION_BITS;
 }
 
 void
@@ -117,7 +119,7 @@
 		l->addr = g_strdup(addr);
 		g_hash_table_insert(a->lanes, l->addr, l);
 	}
-	l->heard = now;
+	l->heard_at = now;
 }
 
 void
@@ -127,10 +129,11 @@
 }
 
 /*
- * The lane that is free first.  A lane takes a question only once it is free
- * or nearly so: whatever waits is then asked in the scheduler's order, not in
- * the order it came.  Work of rank 0 finds a lane that no long question of
- * another rank can be in.
+ * Returns the lane that is free first; NULL if none is free within
+ * LANE_SEND_AHEAD, or the free ones are reserved for rank 0.
+ * Questions are not queued in lanes, so that they are asked in the scheduler's
+ * order rather than in order of arrival.  Other ranks leave URGENT_LANES_SHARE
+ * of the lanes free, so that no long question of theirs delays rank 0.
  */
 static struct lane *
 pick_lane(struct cell_advice *a, uint32_t rank, ogl_time now)
@@ -145,17 +148,18 @@
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct lane *l = p;
 
-		if (now - l->heard > NODE_FRESH || now < l->rest_until)
+		if (now - l->heard_at > NODE_HEARD_MAX_AGE ||
+		    now < l->paused_until)
 			continue;
 		lanes++;
-		if (l->busy_until <= now + LANE_AHEAD)
+		if (l->busy_until <= now + LANE_SEND_AHEAD)
 			idle++;
 		if (best == NULL || l->busy_until < best->busy_until)
 			best = l;
 	}
-	if (best == NULL || best->busy_until > now + LANE_AHEAD)
+	if (best == NULL || best->busy_until > now + LANE_SEND_AHEAD)
 		return NULL;
-	if (CELL_USES_LANES && rank > 0 && idle <= lanes * URGENT_LANES)
+	if (CELL_USES_LANES && rank > 0 && idle <= lanes * URGENT_LANES_SHARE)
 		return NULL;
 	return best;
 }
@@ -178,8 +182,8 @@
 	ask.step = step;
 	ask.workers = (char **)q->workers->pdata;
 	ask.n_workers = q->workers->len;
-	ask.timeout_ms = (uint32_t)((q->give_up - q->sent) / OGL_MS);
-	a->events.send(a->events.arg, q->lane, &ask);
+	ask.timeout_ms = (uint32_t)((q->deadline - q->sent_at) / OGL_MS);
+	a->events.send(a->events.arg, q->lane_addr, &ask);
 	a->ops->count(a->ops->ctx, "advice_questions", 1);
 }
 
@@ -209,9 +213,9 @@
 	cost = (ogl_time)((p->decide_ms + p->worker_ms * q->workers->len) *
 			  OGL_MS);
 	l->busy_until = MAX(l->busy_until, now) + cost;
-	q->lane = g_strdup(l->addr);
-	q->sent = now;
-	q->give_up = l->busy_until + SLACK_MS * OGL_MS;
+	q->lane_addr = g_strdup(l->addr);
+	q->sent_at = now;
+	q->deadline = l->busy_until + NETWORK_MARGIN_MS * OGL_MS;
 	s->asking = true;
 	g_hash_table_insert(a->questions, &q->token, q);
 	send_question(a, q);
@@ -219,7 +223,7 @@
 }
 
 static void
-take_ticket(struct cell_advice *a, struct cell_stage *s, const char *id,
+store_ticket(struct cell_advice *a, struct cell_stage *s, const char *id,
     const char *ticket, ogl_time until)
 {
 	const struct cell_worker *w = a->events.worker(a->events.arg, id);
@@ -241,12 +245,13 @@
 }
 
 /*
- * A worker off the list when the answer came, as happens when entries lapse
- * for a moment, keeps no ticket.  Noted as asked it would never be asked about
- * again, and a stage that only it may run would wait for ever.
+ * No ticket is stored for a worker that is not listed when the answer arrives,
+ * as happens when its entry lapses for a moment.  If it were marked as asked,
+ * it would never be asked about again, and a stage that only this worker may
+ * run would wait for ever.
  */
 static void
-note_asked(struct cell_advice *a, struct cell_stage *s, const char *id)
+mark_asked(struct cell_advice *a, struct cell_stage *s, const char *id)
 {
 	const struct cell_worker *w = a->events.worker(a->events.arg, id);
 
@@ -255,35 +260,35 @@
 }
 
 static void
-take_answer(struct cell_advice *a, struct cell_stage *s,
+store_answer(struct cell_advice *a, struct cell_stage *s,
     const struct question *q, const Ogl__CellAdvice *m, ogl_time now)
 {
 	ogl_time until =
 	    now + ((ogl_time)m->valid_ms - (ogl_time)m->age_ms) * OGL_MS -
-	    TICKET_MARGIN;
+	    TICKET_EXPIRY_MARGIN;
 	size_t i;
 
 	for (i = 0; i < q->workers->len; i++)
-		note_asked(a, s, q->workers->pdata[i]);
+		mark_asked(a, s, q->workers->pdata[i]);
 	for (i = 0; i < m->n_tickets; i++)
-		take_ticket(
+		store_ticket(
 		    a, s, m->tickets[i]->worker, m->tickets[i]->ticket, until);
 }
 
-/* The lane is corrected by what was seen: a slow service or a node that
- * stands still. */
+/* Pauses a lane whose question failed or got no answer, because the service is
+ * slow or the node hangs; an answer ends the pause. */
 static void
-correct_lane(
+update_lane_pause(
     struct cell_advice *a, const struct question *q, bool ok, ogl_time now)
 {
-	struct lane *l = g_hash_table_lookup(a->lanes, q->lane);
+	struct lane *l = g_hash_table_lookup(a->lanes, q->lane_addr);
 
 	if (l == NULL)
 		return;
 	if (ok)
-		l->rest_until = 0;
+		l->paused_until = 0;
 	else
-		l->rest_until = now + LANE_REST;
+		l->paused_until = now + LANE_PAUSE;
 }
 
 void
@@ -295,14 +300,14 @@
 
 	if (q == NULL)
 		return;
-	correct_lane(a, q, m->ok, now);
+	update_lane_pause(a, q, m->ok, now);
 	a->ops->observe(
-	    a->ops->ctx, "advice_ms", (uint64_t)((now - q->sent) / OGL_MS));
+	    a->ops->ctx, "advice_ms", (uint64_t)((now - q->sent_at) / OGL_MS));
 	s = a->events.stage(a->events.arg, q->id, q->occurrence, q->step);
 	if (s != NULL) {
 		s->asking = false;
 		if (m->ok)
-			take_answer(a, s, q, m, now);
+			store_answer(a, s, q, m, now);
 	}
 	g_hash_table_remove(a->questions, &m->token);
 	if (s != NULL)
@@ -320,9 +325,9 @@
 		struct question *q = p;
 		struct cell_stage *s;
 
-		if (now < q->give_up)
+		if (now < q->deadline)
 			continue;
-		correct_lane(a, q, false, now);
+		update_lane_pause(a, q, false, now);
 		s = a->events.stage(
 		    a->events.arg, q->id, q->occurrence, q->step);
 		if (s != NULL)
