--- a/cell/plan.c
+++ b/cell/plan.c
@@ -1,38 +1,39 @@
 /*
- * The list of workers is counted until two counts in a row are equal: when
- * all machines start together, workers come onto it within their first
- * heartbeats, and a number decided too early would hold for good.  Nodes begin
- * at random times and the weak ones last, so that most find it decided and
- * read no list.
+ * The listed workers are counted until two counts in a row are equal.  When
+ * all machines start together, workers appear in the list with their first
+ * heartbeats, and the number of shards cannot be changed once decided.  Nodes
+ * start counting after a random delay, small ones last, so that most nodes find
+ * the number decided and read no list.
  */
 
 #include "plan.h"
 
-#define SPREAD_MS 300
-#define WEAK_LATER_MS 900
-#define WEAK 400 /* thousandths of a processor */
-#define COUNT_AGAIN (300 * OGL_MS)
-/* A list still changing, or empty, after this time decides all the same. */
-#define WAIT_MAX (5 * OGL_SEC)
-#define RETRY (200 * OGL_MS)
+#define START_SPREAD_MS 300
+#define SMALL_MACHINE_DELAY_MS 900
+/* Smaller machines, in thousandths of a processor, are delayed. */
+#define SMALL_MACHINE_MILLI 400
+#define COUNT_INTERVAL (300 * OGL_MS)
+/* After this time the last count decides even if it changed or is zero. */
+#define DECISION_TIMEOUT (5 * OGL_SEC)
+#define RETRY_DELAY (200 * OGL_MS)
 #define LIST_TIMEOUT_MS 2000
 
 struct cell_plan {
 	const struct cell_ops *ops;
 	struct cell_plan_events events;
-	ogl_time delay;
-	ogl_time begun; /* 0 not yet */
-	ogl_time ask_at;
-	bool asking;
+	ogl_time start_delay;
+	ogl_time started_at; /* 0 not started */
+	ogl_time next_request_at;
+	bool request_pending;
 	char *after;
 	GHashTable *services; /* name -> workers counted, as a pointer */
-	size_t counting;
-	size_t counted; /* last time, SIZE_MAX never */
+	size_t count_so_far;
+	size_t last_count; /* SIZE_MAX none */
 };
 
 struct cell_plan *
 cell_plan_init(const struct cell_ops *ops,
-    const struct cell_plan_events *events, uint32_t strength, uint64_t seed)
+    const struct cell_plan_events *events, uint32_t cpu_milli, uint64_t seed)
 {
 	struct cell_plan *p = g_new0(struct cell_plan, 1);
 
@@ -40,10 +41,10 @@
 	p->events = *events;
 	p->services =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	p->counted = SIZE_MAX;
-	p->delay = (ogl_time)(seed % SPREAD_MS) * OGL_MS;
-	if (strength > 0 && strength < WEAK)
-		p->delay += WEAK_LATER_MS * OGL_MS;
+	p->last_count = SIZE_MAX;
+	p->start_delay = (ogl_time)(seed % START_SPREAD_MS) * OGL_MS;
+	if (cpu_milli > 0 && cpu_milli < SMALL_MACHINE_MILLI)
+		p->start_delay += SMALL_MACHINE_DELAY_MS * OGL_MS;
 	return p;
 }
 
@@ -56,19 +57,19 @@
 }
 
 static void
-count(struct cell_plan *p, const char *service)
+count_worker(struct cell_plan *p, const char *service)
 {
 	size_t n = GPOINTER_TO_SIZE(g_hash_table_lookup(p->services, service));
 
 	g_hash_table_replace(
 	    p->services, g_strdup(service), GSIZE_TO_POINTER(n + 1));
-	p->counting++;
+	p->count_so_far++;
 }
 
 static size_t
 smallest_service(const struct cell_plan *p)
 {
-	size_t least = p->counting;
+	size_t least = p->count_so_far;
 	GHashTableIter it;
 	gpointer n;
 
@@ -81,14 +82,15 @@
 static void
 decide(struct cell_plan *p, ogl_time now)
 {
-	bool steady = p->counting > 0 && p->counting == p->counted;
-	bool late = now - p->begun > WAIT_MAX;
+	bool steady = p->count_so_far > 0 && p->count_so_far == p->last_count;
+	bool timed_out = now - p->started_at > DECISION_TIMEOUT;
 
-	p->ask_at = now + COUNT_AGAIN;
-	p->counted = p->counting;
-	if (steady || late)
+	p->next_request_at = now + COUNT_INTERVAL;
+	p->last_count = p->count_so_far;
+	if (steady || timed_out)
 		p->events.decided(p->events.arg,
-		    cell_shards_wanted(p->counted, smallest_service(p)), now);
+		    cell_shards_wanted(p->last_count, smallest_service(p)),
+		    now);
 }
 
 static void
@@ -97,14 +99,14 @@
 	struct cell_plan *p = arg;
 	size_t i;
 
-	p->asking = false;
+	p->request_pending = false;
 	if (a->io != OGL_IO_OK) {
-		p->ask_at = now + RETRY;
+		p->next_request_at = now + RETRY_DELAY;
 		return;
 	}
 	for (i = 0; i < a->n; i++) {
 		if (a->records[i].worker != NULL)
-			count(p, a->records[i].worker->service);
+			count_worker(p, a->records[i].worker->service);
 	}
 	g_free(p->after);
 	p->after =
@@ -120,16 +122,16 @@
 	    .after = p->after,
 	    .timeout_ms = LIST_TIMEOUT_MS};
 
-	if (p->begun == 0) {
-		p->begun = now;
-		p->ask_at = now + p->delay;
+	if (p->started_at == 0) {
+		p->started_at = now;
+		p->next_request_at = now + p->start_delay;
 	}
-	if (p->asking || now < p->ask_at)
+	if (p->request_pending || now < p->next_request_at)
 		return;
-	p->asking = true;
+	p->request_pending = true;
 	if (p->after == NULL) {
 		g_hash_table_remove_all(p->services);
-		p->counting = 0;
+		p->count_so_far = 0;
 	}
 	p->ops->newest(p->ops->outside, &q, on_page, p);
 }
--- a/cell/plan.h
+++ b/cell/plan.h
@@ -1,5 +1,5 @@
 /*
- * How many shards a new cell gets: by the workers that the platform lists.
+ * Decides the number of shards of a new cell from the list of workers.
  */
 
 #ifndef OGL_CELL_PLAN_H
@@ -11,16 +11,18 @@
 
 struct cell_plan_events {
 	void (*decided)(void *arg, uint32_t shards, ogl_time now);
-	/* Told again until cell_plan_step is no longer called. */
+	/* Called repeatedly until cell_plan_step is no longer called. */
 	void *arg;
 };
 
 struct cell_plan *cell_plan_init(const struct cell_ops *ops,
-    const struct cell_plan_events *events, uint32_t strength, uint64_t seed);
-/* strength: thousandths of a processor; weak machines leave it to others. */
+    const struct cell_plan_events *events, uint32_t cpu_milli, uint64_t seed);
+/* cpu_milli: this machine's processor in thousandths, 0 not known; a small
+ * machine waits longer, so that others decide first.  seed: random number
+ * for the delay. */
 void cell_plan_end(struct cell_plan *p);
 
 void cell_plan_step(struct cell_plan *p, ogl_time now);
-/* To be called while no number of shards is known. */
+/* To be called periodically while the number of shards is not known. */
 
 #endif
