--- a/cell/loader.c
+++ b/cell/loader.c
@@ -1,19 +1,20 @@
 /*
- * Goes in steps:
+ * Phases of a takeover:
  *
- *	PREPARING  jobs are read, page by page, while another still owns the
- *		   shard and changes them; only when that one has asked for it
- *	FENCING    the store learns the epoch: no earlier owner writes any more.
- *		   Nobody is served before, and an answer may be lost, so the
- *		   fence is sent again beside the first; once taken, it changes
- *		   nothing a second time
- *	LOADING    jobs are read; nobody else can change them now.  After
- *		   PREPARING only what was written since its first page
+ *	PREPARING  jobs are read, page by page, while another node still owns
+ *		   the shard and changes them; only at that owner's request
+ *	FENCING    the store is told the epoch, after which no earlier owner
+ *		   can write.  No request is served before, and an answer may
+ *		   be lost, so an overdue fence is sent again while the first
+ *		   is pending; a repeated fence changes nothing
+ *	LOADING    jobs are read; no other node can change them now.  After
+ *		   PREPARING only records written since its first page
  *
- * The store lists keys in order, and a job's key holds its id, which is random.
- * So the part of the keys that the first page covers tells how many pages are
- * left, and these are asked for at once, each for a range of keys of its own.  If
- * a page is out of order, the reading begins anew, one page after the other.
+ * The store lists keys in order, and a job's key contains its id, which is
+ * random.  So the part of the key space that the first page covers tells how
+ * many pages are left; these are requested in parallel, each for a range of
+ * keys of its own.  If a page is not sorted, reading starts again, one page
+ * after the other.
  */
 
 #include <string.h>
@@ -21,32 +22,34 @@
 #include "job.h"
 #include "loader.h"
 
-/* A page without an answer for so long, or several times what the store took, is
- * asked for once more beside the first: the answer may be lost, or the store may
- * be slow, up to 60 times as slow as on other days.  Each such page doubles it. */
-#define ASK_OVERDUE_MS 250
-#define ASK_TIMES 4
-#define ASK_OVERDUE_MAX_MS 4000
-#define ASK_TIMEOUT_MS 4000
-#define ASKS_MAX 3 /* for one page */
-/* A page has up to 1 MB; most have half of that or less. */
-#define PAGE_KBITS 4000
-/* Pages asked for at a time, on a link of WIDE_KBPS or more. */
-#define PAGES_MAX 8
-#define WIDE_KBPS 50000
-/* Ids are spread unevenly: a range is made smaller than a page would cover. */
+/* A page without an answer for this time, or for OVERDUE_FACTOR times the
+ * store's last response time, is requested again while the first request is
+ * pending: the answer may be lost, or the store may be slow, up to 60 times as
+ * slow as usual.  Each repetition doubles the time. */
+#define PAGE_OVERDUE_MIN_MS 250
+#define OVERDUE_FACTOR 4
+#define PAGE_OVERDUE_MAX_MS 4000
+#define PAGE_TIMEOUT_MS 4000
+#define PAGE_REQUESTS_MAX 3 /* pending for one page */
+/* A page has up to 1 MB, but most have half of that or less. */
+#define PAGE_TYPICAL_KBITS 4000
+/* Pages requested at a time, on a link of FAST_LINK_KBPS or more. */
+#define PARALLEL_PAGES_MAX 8
+#define FAST_LINK_KBPS 50000
+/* Ids are not spread evenly, so a range is made smaller than what a page covers
+ * on average. */
 #define PAGE_FILL 0.85
-#define KEY_DIGITS 8 /* of an id, enough to tell its place among all */
-/* A fence without an answer for so long, or several times what the store took,
- * is sent again. */
-#define FENCE_OVERDUE_MS 150
+#define ID_PREFIX_DIGITS 8 /* leading digits that give an id's position */
+/* A fence without an answer for this time, or for OVERDUE_FACTOR times the
+ * store's last response time, is sent again. */
+#define FENCE_OVERDUE_MIN_MS 150
 #define FENCE_OVERDUE_MAX_MS 2400
 #define FENCE_TIMEOUT_MS 2400
-#define FENCES_MAX 8
-#define RETRY (120 * OGL_MS)
-/* What was read beforehand is of use for so long; later too much of it has
- * changed, and it is dropped. */
-#define PREPARED_MAX (4 * OGL_SEC)
+#define PENDING_FENCES_MAX 8
+#define RETRY_DELAY (120 * OGL_MS)
+/* Jobs read in PREPARING are dropped after this time, because too many have
+ * changed since. */
+#define PREPARED_MAX_AGE (4 * OGL_SEC)
 
 enum phase {
 	PHASE_IDLE,
@@ -62,37 +65,37 @@
 	enum phase phase;
 	uint64_t epoch;
 	uint64_t generation;
-	bool asking; /* the tail is under way */
-	ogl_time ask_at;
-	GPtrArray *ranges; /* struct range, those not read to their end */
-	uint32_t pages_max;
-	uint32_t last_range;
-	bool one_by_one; /* the store's keys were found out of order */
-	bool end_known;  /* tail_next is set */
-	uint32_t fences; /* under way */
+	bool tail_pending;
+	ogl_time next_request_at;
+	GPtrArray *ranges; /* struct range, not completely read */
+	uint32_t parallel_pages_max;
+	uint32_t last_range_number;
+	bool sequential; /* a page was not sorted */
+	bool tail_offset_known;
+	uint32_t fences_pending;
 	uint32_t fence_overdue_ms;
-	uint32_t ask_overdue_min_ms; /* while a page may be on the link */
-	uint32_t ask_overdue_ms;
-	bool tail; /* read on from tail_next, not the newest pages */
-	uint64_t tail_next;
+	uint32_t page_overdue_min_ms; /* includes the transfer time of a page */
+	uint32_t page_overdue_ms;
+	bool reading_tail; /* all pages are read; tail_offset is next */
+	uint64_t tail_offset;
 	ogl_time prepared_at; /* 0 not prepared */
 	struct cell_loaded read;
 };
 
-/* Keys still to be read: those after one, below another. */
+/* A range of keys still to be read. */
 struct range {
 	uint32_t number;
-	char *after;   /* NULL: from the first key on */
-	char *until;   /* NULL: to the last */
-	uint32_t asks; /* under way */
-	ogl_time ask_at;
+	char *after; /* exclusive; NULL: from the first key */
+	char *until; /* inclusive; NULL: to the last key */
+	uint32_t requests_pending;
+	ogl_time next_request_at;
 };
 
-/* Belongs to an exchange with the store. */
+/* Context of a request to the store. */
 struct exchange {
 	struct cell_loader *loader;
 	uint64_t generation;
-	uint32_t range; /* number of a page's range, which may be read by now */
+	uint32_t range; /* number of the page's range, which may be gone */
 };
 
 static void
@@ -111,10 +114,10 @@
 {
 	struct range *r = g_new0(struct range, 1);
 
-	r->number = ++l->last_range;
+	r->number = ++l->last_range_number;
 	r->after = g_strdup(after);
 	r->until = g_strdup(until);
-	r->ask_at = now;
+	r->next_request_at = now;
 	g_ptr_array_add(l->ranges, r);
 }
 
@@ -128,7 +131,7 @@
 	return x;
 }
 
-/* Frees it; NULL when it belongs to an earlier takeover. */
+/* Frees x; returns NULL when the request is from an earlier generation. */
 static struct cell_loader *
 exchange_end(struct exchange *x)
 {
@@ -159,46 +162,49 @@
 
 	l->ops = ops;
 	l->shard = shard;
-	l->ask_overdue_min_ms = ASK_OVERDUE_MS;
+	l->page_overdue_min_ms = PAGE_OVERDUE_MIN_MS;
 	if (link_kbps > 0)
-		l->ask_overdue_min_ms += PAGE_KBITS * 1000 / link_kbps;
-	l->ask_overdue_min_ms = MIN(l->ask_overdue_min_ms, ASK_OVERDUE_MAX_MS);
-	l->pages_max = link_kbps == 0 || link_kbps >= WIDE_KBPS ? PAGES_MAX : 1;
+		l->page_overdue_min_ms += PAGE_TYPICAL_KBITS * 1000 / link_kbps;
+	l->page_overdue_min_ms =
+	    MIN(l->page_overdue_min_ms, PAGE_OVERDUE_MAX_MS);
+	l->parallel_pages_max = link_kbps == 0 || link_kbps >= FAST_LINK_KBPS
+				    ? PARALLEL_PAGES_MAX
+				    : 1;
 	l->ranges = g_ptr_array_new_with_free_func(range_free);
 	l->events = *events;
 	return l;
 }
 
 static void
-forget_read(struct cell_loader *l)
+drop_read(struct cell_loader *l)
 {
 	g_clear_pointer(&l->read.workers, g_bytes_unref);
 	g_clear_pointer(&l->read.progress, g_hash_table_unref);
 	g_clear_pointer(&l->read.defs, g_hash_table_unref);
 	g_ptr_array_set_size(l->ranges, 0);
-	l->tail = false;
-	l->end_known = false;
+	l->reading_tail = false;
+	l->tail_offset_known = false;
 	l->prepared_at = 0;
 }
 
 void
 cell_loader_end(struct cell_loader *l)
 {
-	forget_read(l);
+	drop_read(l);
 	g_ptr_array_unref(l->ranges);
 	g_free(l);
 }
 
-/* Begins to read the jobs from the first page on.  Pages still under way are of
- * no interest any more. */
+/* Starts to read the jobs from the first page on.  Answers to pending requests
+ * will be ignored. */
 static void
 begin_reading(struct cell_loader *l, ogl_time now)
 {
-	forget_read(l);
+	drop_read(l);
 	l->generation++;
 	add_range(l, NULL, NULL, now);
-	l->asking = false;
-	l->ask_at = now;
+	l->tail_pending = false;
+	l->next_request_at = now;
 	l->read.progress = g_hash_table_new_full(
 	    g_str_hash, g_str_equal, g_free, progress_free);
 	l->read.defs =
@@ -206,11 +212,11 @@
 }
 
 static uint32_t
-ask_overdue(const struct cell_loader *l, ogl_time store_took)
+page_overdue(const struct cell_loader *l, ogl_time store_took)
 {
-	ogl_time ms = store_took / OGL_MS * ASK_TIMES;
+	ogl_time ms = store_took / OGL_MS * OVERDUE_FACTOR;
 
-	return (uint32_t)CLAMP(ms, l->ask_overdue_min_ms, ASK_OVERDUE_MAX_MS);
+	return (uint32_t)CLAMP(ms, l->page_overdue_min_ms, PAGE_OVERDUE_MAX_MS);
 }
 
 void
@@ -220,7 +226,7 @@
 		return;
 	l->phase = PHASE_PREPARING;
 	l->generation++;
-	l->ask_overdue_ms = ask_overdue(l, store_took);
+	l->page_overdue_ms = page_overdue(l, store_took);
 	begin_reading(l, now);
 }
 
@@ -228,25 +234,25 @@
 cell_loader_prepared(const struct cell_loader *l, ogl_time now)
 {
 	return l->phase == PHASE_PREPARING && l->prepared_at != 0 &&
-	       now - l->prepared_at < PREPARED_MAX;
+	       now - l->prepared_at < PREPARED_MAX_AGE;
 }
 
 void
 cell_loader_open(
     struct cell_loader *l, uint64_t epoch, ogl_time store_took, ogl_time now)
 {
-	ogl_time ask_ms = store_took / OGL_MS * ASK_TIMES;
+	ogl_time fence_ms = store_took / OGL_MS * OVERDUE_FACTOR;
 	bool prepared = cell_loader_prepared(l, now);
 
 	l->generation++;
 	l->phase = PHASE_FENCING;
 	l->epoch = epoch;
-	l->asking = false;
-	l->ask_at = now;
-	l->ask_overdue_ms = ask_overdue(l, store_took);
-	l->fences = 0;
-	l->fence_overdue_ms =
-	    (uint32_t)CLAMP(ask_ms, FENCE_OVERDUE_MS, FENCE_OVERDUE_MAX_MS);
+	l->tail_pending = false;
+	l->next_request_at = now;
+	l->page_overdue_ms = page_overdue(l, store_took);
+	l->fences_pending = 0;
+	l->fence_overdue_ms = (uint32_t)CLAMP(
+	    fence_ms, FENCE_OVERDUE_MIN_MS, FENCE_OVERDUE_MAX_MS);
 	if (!prepared)
 		begin_reading(l, now);
 	l->prepared_at = 0;
@@ -265,11 +271,11 @@
 {
 	l->phase = PHASE_IDLE;
 	l->generation++;
-	forget_read(l);
+	drop_read(l);
 }
 
 static void
-log_missed(struct cell_loader *l, enum ogl_io io)
+log_request_failed(struct cell_loader *l, enum ogl_io io)
 {
 	char text[128];
 
@@ -277,21 +283,21 @@
 	    "shard=%u epoch=%" G_GUINT64_FORMAT
 	    " step=%s lost=%d overdue_ms=%u",
 	    l->shard, l->epoch, phase_name(l->phase), io == OGL_IO_LOST,
-	    l->ask_overdue_ms);
+	    l->page_overdue_ms);
 	l->ops->log(l->ops->ctx, "owner", "load_missed", text);
 }
 
 static void
 back_off(struct cell_loader *l)
 {
-	l->ask_overdue_ms = MIN(l->ask_overdue_ms * 2, ASK_OVERDUE_MAX_MS);
+	l->page_overdue_ms = MIN(l->page_overdue_ms * 2, PAGE_OVERDUE_MAX_MS);
 }
 
 static void
-tail_missed(struct cell_loader *l, enum ogl_io io, ogl_time now)
+tail_request_failed(struct cell_loader *l, enum ogl_io io, ogl_time now)
 {
-	log_missed(l, io);
-	l->ask_at = now + RETRY;
+	log_request_failed(l, io);
+	l->next_request_at = now + RETRY_DELAY;
 	if (io == OGL_IO_LOST)
 		back_off(l);
 }
@@ -305,15 +311,15 @@
 
 	if (l == NULL)
 		return;
-	l->fences--;
+	l->fences_pending--;
 	if (a->outranked) {
-		l->ask_at = now + RETRY;
+		l->next_request_at = now + RETRY_DELAY;
 		l->events.outranked(l->events.arg, now);
 	} else if (a->io != OGL_IO_OK) {
-		log_missed(l, a->io);
+		log_request_failed(l, a->io);
 	} else {
-		l->generation++; /* the other fences are of no interest now */
-		l->ask_at = now;
+		l->generation++; /* ignore the other pending fences */
+		l->next_request_at = now;
 		l->phase = PHASE_LOADING;
 	}
 }
@@ -328,17 +334,17 @@
 	    .at = -1,
 	    .timeout_ms = FENCE_TIMEOUT_MS};
 
-	if (l->fences >= FENCES_MAX)
+	if (l->fences_pending >= PENDING_FENCES_MAX)
 		return;
-	l->fences++;
-	l->ask_at = now + l->fence_overdue_ms * OGL_MS;
+	l->fences_pending++;
+	l->next_request_at = now + l->fence_overdue_ms * OGL_MS;
 	l->ops->append(l->ops->outside, &a, on_fenced, exchange_new(l));
 }
 
 /* ---- records ---------------------------------------------------------- */
 
 static void
-take_def(struct cell_loader *l, const char *id, struct ogl_str value)
+store_def(struct cell_loader *l, const char *id, struct ogl_str value)
 {
 	Ogl__CellJob *def =
 	    ogl__cell_job__unpack(NULL, value.n, (const uint8_t *)value.p);
@@ -355,7 +361,7 @@
 }
 
 static void
-take_progress(struct cell_loader *l, const char *id, struct ogl_str value)
+store_progress(struct cell_loader *l, const char *id, struct ogl_str value)
 {
 	Ogl__CellProgress *p =
 	    ogl__cell_progress__unpack(NULL, value.n, (const uint8_t *)value.p);
@@ -367,7 +373,7 @@
 }
 
 static void
-take_record(struct cell_loader *l, const struct cell_record *r)
+store_record(struct cell_loader *l, const struct cell_record *r)
 {
 	const char *id = r->key + 1;
 	bool def = r->key[0] == 's';
@@ -379,48 +385,48 @@
 	}
 	if (strlen(r->key) != CELL_ID_LEN + 1)
 		return;
-	/* Dropped since it was read: the job has ended, or is forgotten. */
+	/* Dropped since the first read: the job has ended or is forgotten. */
 	if (r->dropped)
 		g_hash_table_remove(def ? l->read.defs : l->read.progress, id);
 	else if (def)
-		take_def(l, id, r->value);
+		store_def(l, id, r->value);
 	else
-		take_progress(l, id, r->value);
+		store_progress(l, id, r->value);
 }
 
 /* ---- pages ------------------------------------------------------------ */
 
 static void
-done(struct cell_loader *l, ogl_time now)
+finish_loading(struct cell_loader *l, ogl_time now)
 {
 	l->phase = PHASE_IDLE;
 	l->events.loaded(l->events.arg, &l->read, now);
-	forget_read(l);
+	drop_read(l);
 }
 
 static void
 all_pages_read(struct cell_loader *l, ogl_time now)
 {
 	if (l->phase != PHASE_PREPARING) {
-		done(l, now);
+		finish_loading(l, now);
 		return;
 	}
 	l->prepared_at = now;
-	l->tail = true;
+	l->reading_tail = true;
 }
 
-/* Part of all possible ids that lies below this one, 0 to 1. */
+/* Part of the id space that lies below this id, 0 to 1. */
 static double
 fraction_of_id(const char *id)
 {
-	char digits[KEY_DIGITS + 1];
+	char digits[ID_PREFIX_DIGITS + 1];
 
 	g_strlcpy(digits, id, sizeof digits);
 	return (double)g_ascii_strtoull(digits, NULL, 16) / 4294967296.0;
 }
 
-/* The same of a bound of the keys with a prefix; otherwise where the bound lies
- * outside of these. */
+/* The same for a key with the given prefix; otherwise for any other key or
+ * NULL. */
 static double
 fraction_of_key(const char *key, char prefix, double otherwise)
 {
@@ -429,8 +435,9 @@
 	return fraction_of_id(key + 1);
 }
 
-/* Splits the keys with one prefix that are left into ranges of a page each;
- * covered is the part of all ids that the last page held. */
+/* Splits the keys between after and until, which have one prefix, into ranges
+ * of about a page each.  covered: part of the id space that the last page held.
+ */
 static void
 split_prefix(struct cell_loader *l, const char *after, const char *until,
     double covered, ogl_time now)
@@ -439,7 +446,7 @@
 	double from = fraction_of_key(after, prefix, 0);
 	double to = fraction_of_key(until, prefix, 1);
 	double left = (to - from) / (covered * PAGE_FILL);
-	unsigned n = (unsigned)CLAMP(left, 0, PAGES_MAX - 1) + 1;
+	unsigned n = (unsigned)CLAMP(left, 0, PARALLEL_PAGES_MAX - 1) + 1;
 	char *key = g_strdup(after);
 	unsigned i;
 
@@ -457,8 +464,8 @@
 }
 
 /*
- * Splits what is left of a range after a page that ended at a key.  Keys with
- * prefix 'p' (progress) come before those with 's' (what was submitted).
+ * Splits the rest of a range after a page that ended at the key `last`.  Keys
+ * with prefix 'p' (progress) come before those with 's' (submission).
  */
 static void
 split_range(struct cell_loader *l, const struct range *r, const char *last,
@@ -470,7 +477,7 @@
 	bool into_defs =
 	    prefix == 'p' && (r->until == NULL || r->until[0] != 'p');
 
-	if (l->pages_max == 1 || l->one_by_one || covered <= 0 ||
+	if (l->parallel_pages_max == 1 || l->sequential || covered <= 0 ||
 	    (prefix != 'p' && prefix != 's')) {
 		add_range(l, last, r->until, now);
 		return;
@@ -480,7 +487,7 @@
 		add_range(l, "s", r->until, now);
 }
 
-/* Whether the keys of a page rise from the one asked for on. */
+/* Whether the keys of a page are sorted and above the range's lower bound. */
 static bool
 in_order(const struct range *r, const struct cell_newest_answer *a)
 {
@@ -497,10 +504,10 @@
 	return true;
 }
 
-/* The records of a page that lie in its range; whether that is read to its
- * end. */
+/* Stores the records of a page that lie in its range; true if the range is now
+ * completely read. */
 static bool
-take_page(struct cell_loader *l, const struct range *r,
+store_page(struct cell_loader *l, const struct range *r,
     const struct cell_newest_answer *a)
 {
 	size_t i;
@@ -510,21 +517,21 @@
 
 		if (r->until != NULL && strcmp(record->key, r->until) > 0)
 			return true;
-		take_record(l, record);
+		store_record(l, record);
 	}
 	return !a->more || a->n == 0;
 }
 
-/* What changes while the pages are read is read once more after them. */
+/* Records written while the pages are read are read again after them. */
 static void
-note_end(struct cell_loader *l, uint64_t end)
+lower_tail_offset(struct cell_loader *l, uint64_t end)
 {
-	l->tail_next = l->end_known ? MIN(l->tail_next, end) : end;
-	l->end_known = true;
+	l->tail_offset = l->tail_offset_known ? MIN(l->tail_offset, end) : end;
+	l->tail_offset_known = true;
 }
 
 static struct range *
-range_of(const struct cell_loader *l, uint32_t number)
+find_range(const struct cell_loader *l, uint32_t number)
 {
 	guint i;
 
@@ -538,12 +545,12 @@
 }
 
 static void
-page_missed(
+page_request_failed(
     struct cell_loader *l, struct range *r, enum ogl_io io, ogl_time now)
 {
-	log_missed(l, io);
-	if (r->asks == 0)
-		r->ask_at = now + RETRY;
+	log_request_failed(l, io);
+	if (r->requests_pending == 0)
+		r->next_request_at = now + RETRY_DELAY;
 }
 
 static void
@@ -551,32 +558,32 @@
 {
 	uint32_t number = ((struct exchange *)arg)->range;
 	struct cell_loader *l = exchange_end(arg);
-	struct range *r = l != NULL ? range_of(l, number) : NULL;
+	struct range *r = l != NULL ? find_range(l, number) : NULL;
 
 	if (r == NULL)
 		return;
-	r->asks--;
+	r->requests_pending--;
 	if (a->io != OGL_IO_OK) {
-		page_missed(l, r, a->io, now);
+		page_request_failed(l, r, a->io, now);
 		return;
 	}
-	if (!l->one_by_one && !in_order(r, a)) {
+	if (!l->sequential && !in_order(r, a)) {
 		l->ops->log(l->ops->ctx, "owner", "load_out_of_order",
 		    r->after != NULL ? r->after : "");
-		l->one_by_one = true;
+		l->sequential = true;
 		begin_reading(l, now);
 		return;
 	}
-	l->ask_at = now;
-	note_end(l, a->end);
-	if (!take_page(l, r, a))
+	l->next_request_at = now;
+	lower_tail_offset(l, a->end);
+	if (!store_page(l, r, a))
 		split_range(l, r, a->records[a->n - 1].key, now);
 	g_ptr_array_remove(l->ranges, r);
 	if (l->ranges->len == 0)
 		all_pages_read(l, now);
 }
 
-/* What was written after the first page of PREPARING. */
+/* Records that were written after the first page of PREPARING. */
 static void
 on_tail(void *arg, const struct cell_read_answer *a, ogl_time now)
 {
@@ -585,24 +592,24 @@
 
 	if (l == NULL)
 		return;
-	l->asking = false;
+	l->tail_pending = false;
 	if (a->io != OGL_IO_OK) {
-		tail_missed(l, a->io, now);
+		tail_request_failed(l, a->io, now);
 		return;
 	}
-	l->ask_at = now;
+	l->next_request_at = now;
 	if (a->trimmed) {
 		begin_reading(l, now);
 		return;
 	}
 	for (i = 0; i < a->n; i++) {
-		take_record(l, &a->records[i]);
-		l->tail_next = a->records[i].offset + 1;
+		store_record(l, &a->records[i]);
+		l->tail_offset = a->records[i].offset + 1;
 	}
-	if (l->tail_next >= a->end)
-		done(l, now);
+	if (l->tail_offset >= a->end)
+		finish_loading(l, now);
 	else if (a->n == 0)
-		l->tail_next = a->end; /* unreadable to its end */
+		l->tail_offset = a->end; /* the rest is unreadable */
 }
 
 static void
@@ -610,10 +617,10 @@
 {
 	struct cell_read r = {.stream = CELL_JOBS,
 	    .shard = l->shard,
-	    .from = l->tail_next,
-	    .timeout_ms = l->ask_overdue_ms};
+	    .from = l->tail_offset,
+	    .timeout_ms = l->page_overdue_ms};
 
-	l->asking = true;
+	l->tail_pending = true;
 	l->ops->read(l->ops->outside, &r, on_tail, exchange_new(l));
 }
 
@@ -623,14 +630,14 @@
 	struct cell_newest q = {.stream = CELL_JOBS,
 	    .shard = l->shard,
 	    .after = r->after,
-	    .timeout_ms = ASK_TIMEOUT_MS};
+	    .timeout_ms = PAGE_TIMEOUT_MS};
 	struct exchange *x = exchange_new(l);
 
-	if (r->asks > 0)
+	if (r->requests_pending > 0)
 		back_off(l);
 	x->range = r->number;
-	r->asks++;
-	r->ask_at = now + l->ask_overdue_ms * OGL_MS;
+	r->requests_pending++;
+	r->next_request_at = now + l->page_overdue_ms * OGL_MS;
 	l->ops->newest(l->ops->outside, &q, on_page, x);
 }
 
@@ -639,10 +646,11 @@
 {
 	guint i;
 
-	for (i = 0; i < l->ranges->len && i < l->pages_max; i++) {
+	for (i = 0; i < l->ranges->len && i < l->parallel_pages_max; i++) {
 		struct range *r = l->ranges->pdata[i];
 
-		if (r->asks < ASKS_MAX && now >= r->ask_at)
+		if (r->requests_pending < PAGE_REQUESTS_MAX &&
+		    now >= r->next_request_at)
 			read_page(l, r, now);
 	}
 }
@@ -652,15 +660,15 @@
 {
 	bool waits = l->phase == PHASE_PREPARING && l->prepared_at != 0;
 
-	if (waits && now - l->prepared_at > PREPARED_MAX)
+	if (waits && now - l->prepared_at > PREPARED_MAX_AGE)
 		cell_loader_close(l);
 	if (l->phase == PHASE_IDLE || waits)
 		return;
-	if (l->phase != PHASE_FENCING && !l->tail) {
+	if (l->phase != PHASE_FENCING && !l->reading_tail) {
 		read_pages(l, now);
 		return;
 	}
-	if (l->asking || now < l->ask_at)
+	if (l->tail_pending || now < l->next_request_at)
 		return;
 	if (l->phase == PHASE_FENCING)
 		send_fence(l, now);
--- a/cell/loader.h
+++ b/cell/loader.h
@@ -1,6 +1,6 @@
 /*
- * Reading a shard's jobs from the store when it is taken over, and shutting the
- * earlier owner out.
+ * Reads a shard's jobs from the store during a takeover, and fences off the
+ * earlier owner.
  */
 
 #ifndef OGL_CELL_LOADER_H
@@ -8,21 +8,21 @@
 
 #include "ops.h"
 
-/* Key of the record that names the workers a successor has to call. */
+/* Key of the record that lists the workers a new owner has to call. */
 #define CELL_WORKERS_KEY "workers"
 
 struct cell_loader;
 
-/* What was read; borrowed for the call, jobs may be taken out of defs. */
+/* The records read; borrowed for the call, jobs may be taken out of defs. */
 struct cell_loaded {
 	GHashTable *progress; /* id -> Ogl__CellProgress */
 	GHashTable *defs;     /* id -> Ogl__CellJob */
-	GBytes *workers;      /* the record of that key, NULL none */
+	GBytes *workers;      /* record of CELL_WORKERS_KEY; NULL none */
 };
 
 struct cell_loader_events {
 	void (*outranked)(void *arg, ogl_time now);
-	/* The store has seen a higher epoch. */
+	/* The store refused the fence, as it has seen a higher epoch. */
 	void (*loaded)(void *arg, const struct cell_loaded *l, ogl_time now);
 	void *arg;
 };
@@ -33,18 +33,19 @@
 
 void cell_loader_prepare(
     struct cell_loader *l, ogl_time store_took, ogl_time now);
-/* Reads the jobs although another owns the shard, so that an opening within the
- * next seconds has to read only what has changed since.  store_took: what the
- * store last took for an answer, 0 not known. */
+/* Reads the jobs while another node still owns the shard, so that an opening
+ * within the next seconds has to read only later changes.  store_took: the
+ * store's last response time, 0 not known. */
 bool cell_loader_prepared(const struct cell_loader *l, ogl_time now);
+/* Whether the jobs were read recently enough to be used by an opening. */
 
 void cell_loader_open(
     struct cell_loader *l, uint64_t epoch, ogl_time store_took, ogl_time now);
 /* Fences the stream with the epoch and reads it; loaded is called at the end.
- * store_took: what the store last took for an answer, 0 not known. */
+ * store_took: the store's last response time, 0 not known. */
 void cell_loader_close(struct cell_loader *l);
 
 void cell_loader_step(struct cell_loader *l, ogl_time now);
-/* Asks and asks again: whatever is due. */
+/* Sends the requests that are due, and repeats overdue ones. */
 
 #endif
