--- a/test/test_cell_schedule.cc
+++ b/test/test_cell_schedule.cc
@@ -1,4 +1,5 @@
-/* Choice of workers by the real scheduler, fleet and advice, without a cell. */
+/* Worker selection by the scheduler with real fleet and advice modules, without
+ * a cell. */
 
 #include <gtest/gtest.h>
 
@@ -90,7 +91,7 @@
 		configure();
 	}
 
-	/* Every call gets its one answer, also after the end of ownership. */
+	/* Every call has to be answered once, even after the fleet's close. */
 	void TearDown() override
 	{
 		struct cell_order_answer none = {};
@@ -153,7 +154,7 @@
 		cell_config_unref(c);
 	}
 
-	/* A lasting job, each of whose tasks needs a worker of its own. */
+	/* Adds a lasting job with at most one task per worker. */
 	void submit(uint32_t tasks)
 	{
 		auto *d = static_cast<Ogl__CellJob *>(
@@ -180,7 +181,7 @@
 		cell_sched_add(sched_, stage_);
 	}
 
-	/* A pass; the workers that it asks about are in asked_. */
+	/* Runs a pass ms later; asked_ then lists the workers asked about. */
 	void pass(int ms)
 	{
 		now_ += ms * OGL_MS;
@@ -191,7 +192,7 @@
 		cell_sched_pass(sched_, now_);
 	}
 
-	/* All workers asked about are allowed. */
+	/* Answers the last question with a ticket for each worker. */
 	void allow()
 	{
 		Ogl__CellAdvice m = OGL__CELL_ADVICE__INIT;
@@ -241,9 +242,9 @@
 	ogl_time now_ = 100 * OGL_SEC;
 };
 
-/* Guards against a task that never runs: tickets are asked anew only for the
- * roomiest workers, and those run its step already. */
-TEST_F(Schedule, NoTicketsForWorkersThatHaveEnoughOfAStep)
+/* Guards against a task that never runs because tickets are renewed only for
+ * the workers with the most room, which already run worker_max of its step. */
+TEST_F(Schedule, TicketsAreNotRenewedForWorkersAtWorkerMax)
 {
 	worker(18)->used.cpu_milli = 16000;
 	worker(19)->used.cpu_milli = 16000;
