--- a/test/test_cell_loader.cc
+++ b/test/test_cell_loader.cc
@@ -1,4 +1,4 @@
-/* A takeover's reading, driven answer by answer. */
+/* Tests of the loader, which gets each answer of the store from the test. */
 
 #include <gtest/gtest.h>
 
@@ -15,12 +15,12 @@
 namespace
 {
 
-struct Exchange {
+struct Request {
 	cell_append_fn *fence;
 	cell_newest_fn *page;
 	void *arg;
 	bool answered;
-	std::string after; /* of a page; "" the first */
+	std::string after; /* of a page request; "": first page */
 	uint32_t timeout_ms;
 };
 
@@ -60,7 +60,7 @@
 		loader_ = cell_loader_init(&ops_, 0, 0, &events);
 	}
 
-	/* Every exchange ends in one answer. */
+	/* Every request has to be answered once. */
 	void TearDown() override
 	{
 		for (size_t i = 0; i < sent_.size(); i++)
@@ -76,29 +76,29 @@
 		}
 	}
 
-	/* The answer to the n-th exchange, from 0. */
+	/* Answers request n, counted from 0. */
 	void answer(size_t n, enum ogl_io io, bool outranked = false)
 	{
-		Exchange x = sent_[n];
+		Request q = sent_[n];
 
-		if (x.answered)
+		if (q.answered)
 			return;
 		sent_[n].answered = true;
-		if (x.fence != nullptr) {
+		if (q.fence != nullptr) {
 			struct cell_append_answer a = {};
 
 			a.io = io;
 			a.outranked = outranked;
-			x.fence(x.arg, &a, now_);
+			q.fence(q.arg, &a, now_);
 		} else {
 			struct cell_newest_answer a = {};
 
 			a.io = io;
-			x.page(x.arg, &a, now_);
+			q.page(q.arg, &a, now_);
 		}
 	}
 
-	/* The store has so many jobs, with ids spread evenly. */
+	/* Adds jobs to the store, with evenly spread ids. */
 	void fill(unsigned jobs)
 	{
 		for (unsigned i = 0; i < jobs; i++) {
@@ -110,7 +110,8 @@
 		}
 	}
 
-	/* Answers each page under way from the store; how many there were. */
+	/* Answers all pending page requests from the store, with up to `page`
+	 * records each; returns the number of requests. */
 	size_t answer_pages(size_t page, bool sorted = true)
 	{
 		size_t n = 0;
@@ -129,8 +130,8 @@
 	{
 		std::vector<struct cell_record> records;
 		struct cell_newest_answer a = {};
-		Exchange x = sent_[n];
-		auto at = keys_.upper_bound(x.after);
+		Request q = sent_[n];
+		auto at = keys_.upper_bound(q.after);
 
 		for (; at != keys_.end() && records.size() < page; ++at) {
 			struct cell_record r = {};
@@ -146,21 +147,21 @@
 		a.more = at != keys_.end();
 		a.end = 1000;
 		sent_[n].answered = true;
-		x.page(x.arg, &a, now_);
+		q.page(q.arg, &a, now_);
 	}
 
 	size_t fences() const
 	{
 		size_t n = 0;
 
-		for (const Exchange &x : sent_)
-			n += x.fence != nullptr;
+		for (const Request &q : sent_)
+			n += q.fence != nullptr;
 		return n;
 	}
 
 	struct cell_ops ops_ = {};
 	struct cell_loader *loader_ = nullptr;
-	std::vector<Exchange> sent_;
+	std::vector<Request> sent_;
 	std::set<std::string> keys_;
 	ogl_time now_ = 100 * OGL_SEC;
 	unsigned jobs_ = 0;
@@ -169,7 +170,7 @@
 };
 
 /* Guards against a takeover that waits for a fence whose answer is lost. */
-TEST_F(Loader, AFenceIsRepeatedBesideAnUnansweredOne)
+TEST_F(Loader, UnansweredFenceIsSentAgain)
 {
 	cell_loader_open(loader_, 2, 0, now_);
 	run(500);
@@ -181,8 +182,9 @@
 	EXPECT_EQ(1, loaded_);
 }
 
-/* Guards against answers to earlier fences being taken for the page's. */
-TEST_F(Loader, AnswersToFurtherFencesChangeNothing)
+/* Guards against late answers to fences being taken for the answer to a page
+ * request. */
+TEST_F(Loader, LateFenceAnswersAreIgnored)
 {
 	cell_loader_open(loader_, 2, 0, now_);
 	run(400);
@@ -197,8 +199,8 @@
 	EXPECT_EQ(1, loaded_);
 }
 
-/* Guards against many fences to a store that is slow or away. */
-TEST_F(Loader, FencesUnderWayAreBounded)
+/* Guards against too many fences to a store that is slow or unreachable. */
+TEST_F(Loader, PendingFencesAreLimited)
 {
 	cell_loader_open(loader_, 2, 0, now_);
 	run(2000);
@@ -210,9 +212,9 @@
 	EXPECT_EQ(before + 1, fences());
 }
 
-/* Guards against a takeover on a slow store that asks for one page after the
- * other. */
-TEST_F(Loader, PagesAfterTheFirstAreReadSideBySide)
+/* Guards against a slow takeover: with a slow store, pages requested one after
+ * the other take too long. */
+TEST_F(Loader, PagesAfterTheFirstAreReadInParallel)
 {
 	fill(3000);
 	cell_loader_open(loader_, 2, 0, now_);
@@ -228,8 +230,8 @@
 	EXPECT_EQ(3000u, jobs_);
 }
 
-/* Ids need not be spread evenly: a range may need several pages, or none. */
-TEST_F(Loader, RangesOfUnevenKeysAreReadWhole)
+/* With unevenly spread ids a range may need several pages, or none. */
+TEST_F(Loader, UnevenlySpreadKeysAreReadCompletely)
 {
 	fill(700);
 	for (unsigned i = 0; i < 2000; i++) {
@@ -249,8 +251,8 @@
 	EXPECT_EQ(2700u, jobs_);
 }
 
-/* Guards against jobs lost where the store lists keys in another order. */
-TEST_F(Loader, PagesOutOfOrderAreReadOneByOne)
+/* Guards against lost jobs if the store does not list keys in order. */
+TEST_F(Loader, UnsortedPagesAreReadSequentially)
 {
 	fill(900);
 	cell_loader_open(loader_, 2, 0, now_);
@@ -266,9 +268,9 @@
 	EXPECT_EQ(900u, jobs_);
 }
 
-/* Guards against a handover whose heir gives up each page that a slow store
- * would answer. */
-TEST_F(Loader, APageIsAskedForAgainBesideAnUnansweredOne)
+/* Guards against a handover whose successor gives up each page request before a
+ * slow store answers it. */
+TEST_F(Loader, UnansweredPageIsRequestedAgainWhilePending)
 {
 	fill(100);
 	cell_loader_prepare(loader_, 0, now_);
@@ -284,8 +286,9 @@
 	EXPECT_TRUE(cell_loader_prepared(loader_, now_));
 }
 
-/* Asked again too soon, a slow store would have the more to do. */
-TEST_F(Loader, PagesAreAskedForAgainByWhatTheStoreTakes)
+/* Guards against requests that are repeated too early and add load to a slow
+ * store. */
+TEST_F(Loader, PageRepeatDelayFollowsStoreResponseTime)
 {
 	cell_loader_prepare(loader_, 600 * OGL_MS, now_);
 	run(2350);
