--- a/cell/schedule.c
+++ b/cell/schedule.c
@@ -112,8 +112,8 @@
 	GHashTable *team_states; /* team -> struct team_state */
 	uint64_t pass;           /* number of the current pass */
 	ogl_time no_room_at;     /* last time that a stage found no room */
-	uint64_t free_cpu_milli; /* free on open workers as the pass began */
-	GPtrArray *open;         /* workers that take work, most free first */
+	uint64_t free_cpu_milli; /* of schedulable workers as the pass began */
+	GPtrArray *schedulable;  /* workers that take work, most free first */
 	GPtrArray *buckets[PRECEDENCES][RANKS]; /* struct cell_stage */
 	GPtrArray *candidates; /* scratch: struct cell_worker */
 	GPtrArray *expired;    /* scratch: allowed, with room, ticket expired */
@@ -133,7 +133,7 @@
 
 	s->parts = *parts;
 	s->no_room_at = CELL_LONG_AGO;
-	s->open = g_ptr_array_new();
+	s->schedulable = g_ptr_array_new();
 	s->expired = g_ptr_array_new();
 	for (i = 0; i < PRECEDENCES; i++) {
 		for (k = 0; k < RANKS; k++)
@@ -160,7 +160,7 @@
 	}
 	cell_config_unref(s->config);
 	g_hash_table_unref(s->team_states);
-	g_ptr_array_unref(s->open);
+	g_ptr_array_unref(s->schedulable);
 	g_ptr_array_unref(s->expired);
 	g_ptr_array_unref(s->candidates);
 	g_ptr_array_unref(s->chosen);
@@ -435,8 +435,8 @@
 		list_allowed(s, st, rank, now);
 		return;
 	}
-	for (i = 0; i < s->open->len; i++) {
-		struct cell_worker *w = s->open->pdata[i];
+	for (i = 0; i < s->schedulable->len; i++) {
+		struct cell_worker *w = s->schedulable->pdata[i];
 
 		if (cell_worker_fits(w, &need) && !reserved_against(w, rank) &&
 		    could_run(st, w))
@@ -731,8 +731,8 @@
 	struct ogl_res need = cell_stage_need(st);
 	guint i;
 
-	for (i = s->open->len; i-- > 0 && a->len < max;) {
-		struct cell_worker *w = s->open->pdata[i];
+	for (i = s->schedulable->len; i-- > 0 && a->len < max;) {
+		struct cell_worker *w = s->schedulable->pdata[i];
 
 		if (cell_worker_fits(w, &need) && not_asked_about(st, w))
 			g_ptr_array_add(a, w);
@@ -753,8 +753,8 @@
 
 	if (may_use_fullest(q, st, now))
 		list_fullest(s, st, max, a);
-	for (i = 0; i < s->open->len && a->len < max; i++) {
-		struct cell_worker *w = s->open->pdata[i];
+	for (i = 0; i < s->schedulable->len && a->len < max; i++) {
+		struct cell_worker *w = s->schedulable->pdata[i];
 
 		if (not_asked_about(st, w) && !g_ptr_array_find(a, w, NULL))
 			g_ptr_array_add(a, w);
@@ -986,8 +986,8 @@
 
 	if (!CELL_USES_RESERVE || s->reserving_gangs >= RESERVING_GANGS_MAX)
 		return;
-	for (i = 0; i < s->open->len && n < st->ntasks; i++) {
-		struct cell_worker *w = s->open->pdata[i];
+	for (i = 0; i < s->schedulable->len && n < st->ntasks; i++) {
+		struct cell_worker *w = s->schedulable->pdata[i];
 
 		if (reserved_against(w, rank) || !could_run(st, w) ||
 		    (policy && cell_advice_approval(st, w) == NULL))
@@ -1176,14 +1176,14 @@
 }
 
 static void
-list_open_workers(struct cell_sched *s, ogl_time now)
+list_schedulable_workers(struct cell_sched *s, ogl_time now)
 {
 	GHashTableIter it;
 	gpointer p;
 
 	s->pass++;
 	s->free_cpu_milli = 0;
-	g_ptr_array_set_size(s->open, 0);
+	g_ptr_array_set_size(s->schedulable, 0);
 	g_hash_table_iter_init(&it, cell_fleet_workers(s->parts.fleet));
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct cell_worker *w = p;
@@ -1193,9 +1193,9 @@
 		w->open_pass = s->pass;
 		w->reserved = 0;
 		s->free_cpu_milli += room_of(w).cpu_milli;
-		g_ptr_array_add(s->open, w);
+		g_ptr_array_add(s->schedulable, w);
 	}
-	g_ptr_array_sort(s->open, by_room);
+	g_ptr_array_sort(s->schedulable, by_room);
 }
 
 /* After UNPLACED_IN_ROW_MAX stages in a row without room, the later ones are
@@ -1244,7 +1244,7 @@
 	s->next_pass_at = now + PASS_INTERVAL +
 			  (ogl_time)waiting * PASS_INTERVAL_PER_STAGE_US;
 	s->reserving_gangs = 0;
-	list_open_workers(s, now);
+	list_schedulable_workers(s, now);
 	fill_buckets(s, now);
 	order_beyond_rate(s);
 	for (precedence = 0; precedence < PRECEDENCES; precedence += 3) {
