--- a/cell/loader.c
+++ b/cell/loader.c
@@ -658,11 +658,11 @@
 void
 cell_loader_step(struct cell_loader *l, ogl_time now)
 {
-	bool waits = l->phase == PHASE_PREPARING && l->prepared_at != 0;
+	bool prepared = l->phase == PHASE_PREPARING && l->prepared_at != 0;
 
-	if (waits && now - l->prepared_at > PREPARED_MAX_AGE)
+	if (prepared && now - l->prepared_at > PREPARED_MAX_AGE)
 		cell_loader_close(l);
-	if (l->phase == PHASE_IDLE || waits)
+	if (l->phase == PHASE_IDLE || prepared)
 		return;
 	if (l->phase != PHASE_FENCING && !l->reading_tail) {
 		read_pages(l, now);
