--- a/cell/advice.h
+++ b/cell/advice.h
@@ -59,7 +59,7 @@
 
 const struct cell_good *cell_advice_approval(
     const struct cell_stage *s, const struct cell_worker *w);
-/* The service's approval of a worker in its present life; NULL: not allowed, or
- * not asked.  Its ticket may have expired. */
+/* The service's approval of a worker in its present incarnation; NULL: not
+ * allowed, or not asked.  Its ticket may have expired. */
 
 #endif
--- a/cell/job.h
+++ b/cell/job.h
@@ -37,7 +37,7 @@
 	uint32_t worker; /* serial number */
 	char *ticket;
 	ogl_time until;   /* the ticket counts as expired from then on */
-	uint64_t born_ms; /* life of the worker that it is valid for */
+	uint64_t born_ms; /* incarnation of the worker it is valid for */
 };
 
 /* Why tasks of a stage that is ready are not running. */
