--- a/cell/lead.h
+++ b/cell/lead.h
@@ -1,6 +1,7 @@
 /*
- * Who owns the shards of the cell: claims on the claims stream of each shard,
- * heartbeats and resignations of all owners on one ownership stream.
+ * Leader election for the shards of the cell.  Claims go to the claims stream
+ * of each shard; heartbeats and resignations of all owners go to one ownership
+ * stream.
  */
 
 #ifndef OGL_CELL_LEAD_H
@@ -11,11 +12,11 @@
 struct cell_lead;
 
 struct cell_lead_events {
-	/* The cell's number of shards is known; told once, before all else. */
+	/* The number of shards is known.  Called once, before all others. */
 	void (*planned)(void *arg, uint32_t shards, ogl_time now);
 	void (*won)(void *arg, uint32_t shard, uint64_t epoch, ogl_time now);
 	void (*lost)(void *arg, uint32_t shard, ogl_time now);
-	/* Another node owns the shard now, or nobody (addr NULL). */
+	/* The shard has a new owner, or none (addr NULL). */
 	void (*changed)(
 	    void *arg, uint32_t shard, const char *addr, ogl_time now);
 	void *arg;
@@ -23,11 +24,11 @@
 
 struct cell_lead_self {
 	const char *node;
-	const char *addr; /* where peers reach it */
+	const char *addr; /* address for peers */
 	uint64_t boot;    /* differs at each start */
 	uint32_t
-	    strength; /* thousandths of a processor; weak nodes claim late */
-	uint32_t link_kbps; /* that its link carries, 0 not known */
+	    strength; /* thousandths of a processor; weak nodes claim later */
+	uint32_t link_kbps; /* capacity of its link, 0 if unknown */
 };
 
 struct cell_lead *cell_lead_init(const struct cell_ops *ops,
@@ -36,78 +37,85 @@
 void cell_lead_end(struct cell_lead *l);
 
 void cell_lead_step(struct cell_lead *l, ogl_time now);
-/* Reads on, beats, claims: whatever is due; to be called some twenty times a
- * second. */
+/* Starts the reads, heartbeats and claims that are due.  The caller runs it
+ * about 20 times a second. */
 
 bool cell_lead_unplanned(const struct cell_lead *l);
-/* The stream was read and nobody has decided the number of shards yet. */
+/* Whether the stream was read and holds no number of shards yet. */
 void cell_lead_plan(struct cell_lead *l, uint32_t shards);
-/* Proposes a number; the first that reaches the store holds for good. */
+/* Proposes a number of shards.  The first proposal that reaches the store is
+ * final. */
 
 uint32_t cell_lead_shards(const struct cell_lead *l);
-/* 0 until planned is told.  All calls with a shard need one below it. */
+/* Number of shards, 0 until the planned event.  The shard passed to any other
+ * function must be below it. */
 uint32_t cell_lead_owned(const struct cell_lead *l);
-/* Shards that this node owns. */
+/* Number of shards that this node owns. */
 
 void cell_lead_resign(struct cell_lead *l, uint32_t shard, ogl_time now);
-/* Gives ownership up at once and claims the shard no more for a while. */
+/* Gives up ownership at once and does not claim the shard again for several
+ * seconds. */
 
 void cell_lead_retire(struct cell_lead *l);
-/* Never claims again: the process is about to end.  What it owns it keeps until
- * it resigns or another claims it. */
+/* Stops all further claims because the process is about to end.  The node
+ * keeps the shards it owns until it resigns or another node claims them. */
 
 void cell_lead_claim(struct cell_lead *l, uint32_t shard, ogl_time now);
-/* Claims at once what another owns, because that owner has asked to. */
+/* Claims the shard at once, at the request of its present owner. */
 
 void cell_lead_outranked(struct cell_lead *l, uint32_t shard, ogl_time now);
-/* The store or a worker has refused this node's epoch. */
+/* The store or a worker has refused this node's epoch; gives up ownership. */
 
 void cell_lead_doubt(
     struct cell_lead *l, uint32_t shard, uint64_t epoch, ogl_time now);
-/* The owner of that epoch has said that it is no longer, or that the store
- * does not take its writes: whoever reaches the store may claim at once. */
+/* The owner of that epoch has reported that it lost ownership or that the store
+ * does not take its writes.  Any node that reaches the store may claim at
+ * once. */
 
 void cell_lead_hear(struct cell_lead *l, uint32_t shard, uint64_t epoch,
     const char *addr, ogl_time now);
-/* A peer knows who owns the shard in that epoch. */
+/* A peer has reported the owner of the shard in that epoch. */
 
 void cell_lead_heard(
     struct cell_lead *l, uint32_t shard, uint64_t epoch, ogl_time now);
-/* The owner of that epoch has told this node that it reaches the store. */
+/* The owner of that epoch has reported that it reaches the store. */
 
 void cell_lead_hint_dead(struct cell_lead *l, uint32_t shard, ogl_time now);
-/* Nothing listens at the owner's address, or it answers no pings: a shorter
- * silence is enough. */
+/* The owner's address refuses connections or the owner does not answer pings,
+ * so a shorter heartbeat timeout applies. */
 
 bool cell_lead_able(const struct cell_lead *l, uint32_t shard, ogl_time now);
 /* Whether this node owns the shard and reaches the store: its heartbeats are
- * taken, or unanswered while its reads are answered. */
+ * stored, or they get no answer while its reads are answered. */
 
 bool cell_lead_is_owner(const struct cell_lead *l, uint32_t shard);
 uint64_t cell_lead_epoch(const struct cell_lead *l, uint32_t shard);
-/* Highest epoch known, 0 none. */
+/* Highest epoch known, 0 if none. */
 const char *cell_lead_addr(const struct cell_lead *l, uint32_t shard);
-/* Peer address of the owner; NULL when nobody is known to own the shard. */
+/* Peer address of the owner; NULL if the shard has no known owner. */
 
 void cell_lead_probe(struct cell_lead *l, ogl_time now);
-/* Reads the ownership stream's end at once, beside the read that waits. */
+/* Reads the end of the ownership stream at once, in addition to the pending
+ * long-poll read. */
 ogl_time cell_lead_confirmed(const struct cell_lead *l);
-/* As of when the stream last showed all that it held: no owner it does not name
- * had announced itself by then. */
+/* Time at which the last complete read of the stream was sent.  Every owner
+ * that had announced itself by then is known. */
 bool cell_lead_announced(const struct cell_lead *l, uint32_t shard);
 /* Whether this node owns the shard and its first heartbeat is on the stream.
- * Before that it must not call a worker, or cell_lead_confirmed would tell an
- * earlier owner too much. */
+ * Before that it must not call a worker: an earlier owner relies on
+ * cell_lead_confirmed to learn of any owner that calls workers. */
 
 bool cell_lead_may_act(const struct cell_lead *l, uint32_t shard, ogl_time now);
-/* Whether this node owns the shard as far as it can still know. */
+/* Whether this node owns the shard and has read the ownership stream recently
+ * enough to act as the owner. */
 
 bool cell_lead_reads(const struct cell_lead *l, ogl_time now);
-/* Whether the store answers this node. */
+/* Whether the store has answered a read of this node recently. */
 
 ogl_time cell_lead_store_took(const struct cell_lead *l);
-/* How long the store took over the last claim of this node, 0 none yet. */
+/* How long the store took for this node's last successful claim, 0 if none. */
 ogl_time cell_lead_beat_took(const struct cell_lead *l, uint32_t shard);
-/* By the last heartbeat that this node wrote as the shard's owner, 0 none. */
+/* How long the store took for the last heartbeat that this node wrote as owner
+ * of the shard, 0 if none. */
 
 #endif
