--- a/cell/lead.c
+++ b/cell/lead.c
@@ -1,125 +1,133 @@
 /*
- * A claim is appended to the shard's claims on the condition that they still
- * end where the claimant knows them to; so of several claims after the same
- * one only one lands.  Its offset + 1 is the epoch, which no other claim of
- * the shard can have, and which the owner's records on the store and its
- * orders to workers bear.  It is also the offset that the next claim has to
- * name, so nothing needs to be read before claiming.
+ * A claim is appended to the claims stream of the shard on the condition that
+ * the stream still ends at the offset the claimant knows, so of several claims
+ * after the same record only one succeeds.  Its offset + 1 is the epoch.  The
+ * epoch is unique among the claims of the shard, and the owner puts it into
+ * its records on the store and its orders to workers.  It is also the offset
+ * that the next claim has to name, so a claimant does not have to read before
+ * it claims.
  *
- * An owner appends a heartbeat each BEAT to the ownership stream of the whole
- * cell, the first as soon as it has won.  Everybody reads that stream with a
- * wait.  A node that hears nothing of an owner for SILENCE, although its reads
- * are answered, knows that the owner does not reach the store, and claims.
- * Where the store itself is away nobody's reads are answered, no silence is
- * counted and the owners stay: none can have been replaced.  A node cut off
- * alone counts no silence either.
+ * An owner appends a heartbeat to the ownership stream of the whole cell every
+ * HEARTBEAT_INTERVAL, the first as soon as it has won.  All nodes read that
+ * stream with long polls.  A node that sees no heartbeat of an owner for
+ * HEARTBEAT_TIMEOUT while its own reads are answered concludes that the owner
+ * does not reach the store, and claims.  While the store is down for all, no
+ * reads are answered, no timeout runs, and the owners stay, since none can have
+ * been replaced.  A node that is cut off alone does not run the timeout either.
  *
- * One ownership stream for all shards keeps the reads of a node as many as
- * they are with one shard; claims have streams of their own, as a condition on
- * the common one would fail whenever any owner's heartbeat came in between.
+ * A single ownership stream for all shards keeps the number of reads per node
+ * independent of the number of shards.  Claims need streams of their own: on
+ * the common stream their condition would fail whenever a heartbeat of any
+ * owner came in between.
  *
- * Answers to heartbeats get lost: one that is overdue is repeated soon, and an
- * owner without any answer to them still counts as able while its reads are
- * answered.  Where the store loses the answers of all, another owner would fare
- * no better, and each move costs the time of a takeover.
+ * Answers to heartbeats can get lost.  A heartbeat whose answer is overdue is
+ * repeated soon, and an owner without any such answer still counts as able
+ * while its reads are answered.  If the store loses the answers of all nodes,
+ * another owner would do no better, and each change of owner costs the time of
+ * a takeover.
  *
- * An owner reads along: a later epoch than its own ends its ownership.  Until
- * it reads that, its orders are refused by every worker that the new owner has
- * called, and the new owner starts nothing that may run elsewhere before all
- * have answered it (owner.c).  A worker that restarts forgets who has called it,
- * so before an owner starts anything in a worker's new life it reads the stream
- * once more; that tells, as a new owner calls no worker before its first
- * heartbeat is on the stream.
+ * An owner also reads the stream, and a later epoch than its own ends its
+ * ownership.  Until it has read that epoch, every worker that the new owner has
+ * called refuses its orders, and the new owner starts nothing that may be
+ * running elsewhere before all workers have answered it (owner.c).  A worker
+ * that restarts forgets which owner has called it, so an owner reads the stream
+ * once more before it starts anything on a restarted worker.  That read shows
+ * any new owner, because a new owner calls no worker before its first heartbeat
+ * is on the stream.
  */
 
 #include <string.h>
 
 #include "lead.h"
 
-/* Three beats fit into the silence that ends an ownership, so that one lost
- * or slow append does not. */
-#define BEAT (400 * OGL_MS)
-#define SILENCE (1300 * OGL_MS)
-/* If besides nothing listens at the owner's address, or it answers no pings, its
- * process has ended or its machine gone (or a cut looks like it): one missed
- * beat is enough then. */
-#define SILENCE_DEAD (650 * OGL_MS)
-/* A beat without an answer for so long, or several times what the last one took,
- * is repeated. */
-#define BEAT_OVERDUE (150 * OGL_MS)
-#define BEAT_OVERDUE_TIMES 4
-/* An owner that has had no answer of the store for so long says so to its
+/* The timeout spans three heartbeats, so that one lost or slow append does not
+ * end an ownership. */
+#define HEARTBEAT_INTERVAL (400 * OGL_MS)
+#define HEARTBEAT_TIMEOUT (1300 * OGL_MS)
+/* Timeout when the owner's address also refuses connections or the owner does
+ * not answer pings: its process or machine is probably gone, or a network cut
+ * looks like that, so one missed heartbeat is enough. */
+#define HEARTBEAT_TIMEOUT_DEAD (650 * OGL_MS)
+/* A heartbeat is repeated when its answer takes longer than this multiple of
+ * the time that the last one took; at least HEARTBEAT_OVERDUE_MIN and at most
+ * HEARTBEAT_INTERVAL. */
+#define HEARTBEAT_OVERDUE_FACTOR 4
+#define HEARTBEAT_OVERDUE_MIN (150 * OGL_MS)
+/* An owner without an answer from the store for this long reports that to its
  * peers. */
-#define ABLE_MAX (750 * OGL_MS)
-/* More where the jobs that it reads when it takes over keep its link busy for
- * longer: answers to its heartbeats wait behind them. */
-#define ABLE_MORE_KBITS 4000
-#define ABLE_MORE_MAX (2 * OGL_SEC)
-/* When its last answered read is older, an owner reads beside its beats. */
-#define READ_PROOF_AFTER (350 * OGL_MS)
-/* So long after an outage of its own a node gives no owner up for want of
- * answers: when the store is back for all, an owner needs a moment to say so. */
-#define DOUBT_AFTER (500 * OGL_MS)
-/* An outage is so long without an answered read, and with reads that failed. */
+#define ABLE_TIMEOUT (750 * OGL_MS)
+/* Extra time on a slow link: answers to heartbeats wait behind the jobs that a
+ * new owner reads.  It is the time the link needs for this many kilobits. */
+#define ABLE_EXTRA_KBITS 4000
+#define ABLE_EXTRA_MAX (2 * OGL_SEC)
+/* An owner whose last answered heartbeat and read are both older than this
+ * probes the store. */
+#define PROBE_AFTER (350 * OGL_MS)
+/* For this long after an outage of its own, a node does not give up an owner
+ * that reported trouble: when the store returns for all, an owner needs a
+ * moment to report that it reaches it again. */
+#define OUTAGE_GRACE (500 * OGL_MS)
+/* An outage is a period of this length with failed and no answered reads. */
 #define OUTAGE_MIN (500 * OGL_MS)
-/* Claimants spread over this time: most read of the first claim before they
- * would append theirs. */
-#define SPREAD_MS 150
-/* A machine of half a core or more claims without delay, one of half of that
- * LATE_MS later, and so on. */
-#define STRONG 400
-#define LATE_MS 100
-#define LATE_MAX_MS 600
-/* A node leaves shards that are not first its own to others for so long, and
- * as much again for each shard that it owns: one each is best. */
-#define OTHERS_MS 200
+/* Random delay of claims: most claimants read the first claim before they would
+ * append their own. */
+#define CLAIM_JITTER_MS 150
+/* A machine of at least this strength (half a core has it) claims without
+ * delay, one of half this strength WEAK_DELAY_MS later, and so on. */
+#define NO_DELAY_CPU_MILLI 400
+#define WEAK_DELAY_MS 100
+#define WEAK_DELAY_MAX_MS 600
+/* A node delays its claim by this much for a shard that is not its preferred
+ * one, and again for each shard that it owns: one shard per node is best. */
+#define OTHER_SHARD_DELAY_MS 200
 #define READ_WAIT_MS 1000
 #define READ_TIMEOUT_MS 2200
-/* Between two reads when there are several owners, each of whose beats would
- * end a read: 300 nodes with 8 owners would read 6,000 times a second.  Not
- * while a shard is vacant. */
-#define READ_GAP (250 * OGL_MS)
+/* Least time from one read to the next if there are several shards, since each
+ * owner's heartbeat ends a read: 300 nodes with 8 owners would read 6,000 times
+ * a second.  Does not apply while a shard has no owner. */
+#define READ_INTERVAL_MIN (250 * OGL_MS)
 #define APPEND_TIMEOUT_MS 900
-#define BEATS_MAX 6
-#define RETRY (150 * OGL_MS)
-/* An owner that has not reached the store for so long can't rule out that it
- * was replaced; outages of the store are shorter. */
-#define ACT_MAX (12 * OGL_SEC)
-/* After resigning because it is in trouble, a node lets the others claim. */
-#define RESIGN_REST (8 * OGL_SEC)
-/* Reads are "answered" while the last good one is no older than this. */
-#define READS_FRESH (1800 * OGL_MS)
+#define HEARTBEATS_IN_FLIGHT_MAX 6
+#define READ_RETRY_DELAY (150 * OGL_MS)
+/* An owner that has not reached the store for longer than this can't rule out
+ * that it was replaced; outages of the store are shorter. */
+#define CONFIRMED_MAX_AGE (12 * OGL_SEC)
+/* A node that resigned because it is in trouble leaves claims to others for
+ * this long. */
+#define RESIGN_BACKOFF (8 * OGL_SEC)
+/* Reads count as answered while the last good one is no older than this. */
+#define READ_OK_MAX_AGE (1800 * OGL_MS)
 #define PROBE_TIMEOUT_MS 600
-#define PROBE_GAP (20 * OGL_MS)
+#define PROBE_INTERVAL_MIN (20 * OGL_MS)
 #define LEAD_KEY "lead"
 #define PLAN_KEY "shards"
 #define CLAIM_KEY "claim"
 #define KEY_BYTES 24
 
 /* The ownership of one shard. */
-struct seat {
+struct lead_shard {
 	struct cell_lead *lead;
 	uint32_t shard;
-	uint64_t epoch;      /* highest known; where the claims end */
-	uint64_t vacated;    /* epoch whose owner has resigned */
-	uint64_t told_epoch; /* that the last change was told with */
-	char *owner;         /* address; NULL: vacant or never claimed */
+	uint64_t epoch;          /* highest known; end of the claims stream */
+	uint64_t resigned_epoch; /* last epoch whose owner has resigned */
+	uint64_t reported_epoch; /* epoch of the last changed event */
+	char *owner;             /* address; NULL: vacant or never claimed */
 	bool own;
-	ogl_time last_news; /* of the owner, or of a failed read */
+	ogl_time last_heard; /* last sign of the owner, or failed read */
 
-	uint64_t doubted; /* epoch whose owner may be unable, 0 none */
-	bool reading;     /* its claims */
+	uint64_t suspect_epoch; /* epoch whose owner may be unable, 0 if none */
+	bool reading_claims;
 	bool claiming;
-	ogl_time claim_sent;
-	ogl_time claim_at; /* OGL_NEVER unless planned */
-	ogl_time rest_until;
-	unsigned beats; /* appends under way */
-	bool announced; /* a heartbeat of this ownership was taken */
-	ogl_time beat_at;
-	ogl_time beat_took; /* by the last one that was answered */
-	ogl_time beat_ok;   /* last beat taken, or the winning of ownership */
-	bool beat_refused;  /* the last answer was a refusal */
-	ogl_time dead_hint; /* last sign that the owner's process has ended */
+	ogl_time claim_sent_at;
+	ogl_time claim_at; /* OGL_NEVER unless scheduled */
+	ogl_time no_claim_until;
+	unsigned heartbeats_in_flight;
+	bool announced;           /* a heartbeat of this ownership was stored */
+	ogl_time heartbeat_at;    /* next heartbeat is due */
+	ogl_time heartbeat_took;  /* of the last answered heartbeat */
+	ogl_time heartbeat_ok_at; /* last heartbeat stored, or ownership won */
+	bool heartbeat_refused;   /* the last answer was a refusal */
+	ogl_time dead_hint_at;    /* last sign that the owner's process ended */
 };
 
 struct cell_lead {
@@ -128,54 +136,55 @@
 	char *node;
 	char *addr;
 	uint64_t boot;
-	int32_t late_ms; /* of its claims, for a weak machine */
-	ogl_time able_max;
+	int32_t weak_delay_ms; /* added to claims of a weak machine */
+	ogl_time able_timeout;
 	GRand *rand;
 
 	bool loaded; /* the newest records were read */
 	bool reading;
-	bool newest_next; /* read the newest records instead of the tail */
-	ogl_time read_sent;
-	ogl_time read_at; /* next read not before */
-	uint64_t next;    /* offset to read from */
+	bool newest_next; /* read the newest record of each key next */
+	ogl_time read_sent_at;
+	ogl_time read_at;     /* earliest time of the next read */
+	uint64_t next_offset; /* offset to read from */
 	ogl_time last_read_ok;
-	bool read_missed;        /* one has failed since */
-	ogl_time outage_over_at; /* first answer after the last outage */
-	ogl_time confirmed_at;   /* sending of the last good read */
+	bool read_failing;        /* a read has failed since last_read_ok */
+	ogl_time outage_ended_at; /* first answer after the last outage */
+	ogl_time confirmed_at;    /* when the last good read was sent */
 	bool probing;
-	ogl_time probe_sent;
+	ogl_time probe_sent_at;
 
-	bool planning; /* the plan's append is under way */
+	bool planning; /* an append of the number of shards is in flight */
 	uint32_t shards;
-	struct seat *seats;
-	ogl_time took; /* by the last claim at the store */
+	struct lead_shard *by_shard;
+	ogl_time claim_took; /* duration of the last successful claim */
 	bool retired;
 };
 
 /*
- * An owner decides for a whole shard, so the strongest machines should win:
- * the weaker one is, the later it claims.  On a mixed cell, owners of an
- * eighth of a core took 1 to 10 s to read the jobs, and served a tenth.
+ * Delay of claims on a weak machine, in ms.  An owner decides for a whole
+ * shard, so the strongest machines should win.  On a mixed cell, owners with an
+ * eighth of a core took 1 to 10 s to read the jobs and served a tenth of the
+ * calls.
  */
 static int32_t
-lateness(uint32_t strength)
+weak_delay_for(uint32_t strength)
 {
 	double ms;
 
-	if (strength == 0 || strength >= STRONG)
+	if (strength == 0 || strength >= NO_DELAY_CPU_MILLI)
 		return 0;
-	ms = ((double)STRONG / strength - 1) * LATE_MS;
-	return (int32_t)MIN(ms, LATE_MAX_MS);
+	ms = ((double)NO_DELAY_CPU_MILLI / strength - 1) * WEAK_DELAY_MS;
+	return (int32_t)MIN(ms, WEAK_DELAY_MAX_MS);
 }
 
 static ogl_time
-able_for(uint32_t link_kbps)
+able_timeout_for(uint32_t link_kbps)
 {
 	ogl_time more = 0;
 
 	if (link_kbps > 0)
-		more = (ogl_time)ABLE_MORE_KBITS * OGL_SEC / link_kbps;
-	return ABLE_MAX + MIN(more, ABLE_MORE_MAX);
+		more = (ogl_time)ABLE_EXTRA_KBITS * OGL_SEC / link_kbps;
+	return ABLE_TIMEOUT + MIN(more, ABLE_EXTRA_MAX);
 }
 
 struct cell_lead *
@@ -190,8 +199,8 @@
 	l->node = g_strdup(self->node);
 	l->addr = g_strdup(self->addr);
 	l->boot = self->boot;
-	l->late_ms = lateness(self->strength);
-	l->able_max = able_for(self->link_kbps);
+	l->weak_delay_ms = weak_delay_for(self->strength);
+	l->able_timeout = able_timeout_for(self->link_kbps);
 	l->rand = g_rand_new_with_seed((guint32)(seed ^ seed >> 32));
 	l->newest_next = true;
 	l->last_read_ok = CELL_LONG_AGO;
@@ -205,37 +214,37 @@
 	uint32_t i;
 
 	for (i = 0; i < l->shards; i++)
-		g_free(l->seats[i].owner);
-	g_free(l->seats);
+		g_free(l->by_shard[i].owner);
+	g_free(l->by_shard);
 	g_rand_free(l->rand);
 	g_free(l->node);
 	g_free(l->addr);
 	g_free(l);
 }
 
-/* ---- the plan --------------------------------------------------------- */
+/* ---- the number of shards --------------------------------------------- */
 
 static void
-make_seats(struct cell_lead *l, uint32_t shards, ogl_time now)
+init_shards(struct cell_lead *l, uint32_t shards, ogl_time now)
 {
 	uint32_t i;
 
 	l->shards = shards;
-	l->seats = g_new0(struct seat, shards);
+	l->by_shard = g_new0(struct lead_shard, shards);
 	for (i = 0; i < shards; i++) {
-		struct seat *s = &l->seats[i];
+		struct lead_shard *s = &l->by_shard[i];
 
 		s->lead = l;
 		s->shard = i;
 		s->claim_at = OGL_NEVER;
-		s->dead_hint = CELL_LONG_AGO;
-		s->last_news = now;
+		s->dead_hint_at = CELL_LONG_AGO;
+		s->last_heard = now;
 	}
 	l->events.planned(l->events.arg, shards, now);
 }
 
 static void
-take_plan(struct cell_lead *l, const struct cell_record *r, ogl_time now)
+apply_plan(struct cell_lead *l, const struct cell_record *r, ogl_time now)
 {
 	Ogl__CellPlan *m = ogl__cell_plan__unpack(
 	    NULL, r->value.n, (const uint8_t *)r->value.p);
@@ -246,16 +255,16 @@
 	} else if (l->shards == 0) {
 		g_snprintf(text, sizeof text, "shards=%u", m->shards);
 		l->ops->log(l->ops->ctx, "lead", "planned", text);
-		make_seats(l, m->shards, now);
+		init_shards(l, m->shards, now);
 	}
 	if (m != NULL)
 		ogl__cell_plan__free_unpacked(m, NULL);
 }
 
-/* ---- what the records say --------------------------------------------- */
+/* ---- records of the streams ------------------------------------------- */
 
 static void
-log_owner(struct seat *s, const char *event, const char *addr)
+log_owner(struct lead_shard *s, const char *event, const char *addr)
 {
 	const struct cell_ops *ops = s->lead->ops;
 	char text[160];
@@ -267,7 +276,7 @@
 }
 
 static void
-step_down(struct seat *s, ogl_time now)
+step_down(struct lead_shard *s, ogl_time now)
 {
 	if (!s->own)
 		return;
@@ -277,39 +286,43 @@
 }
 
 static void
-set_owner(struct seat *s, const char *addr, ogl_time now)
+set_owner(struct lead_shard *s, const char *addr, ogl_time now)
 {
-	/* The same node may own the shard again, in another epoch. */
-	if (g_strcmp0(s->owner, addr) == 0 && s->told_epoch == s->epoch)
+	/* The same node may own the shard again in another epoch. */
+	if (g_strcmp0(s->owner, addr) == 0 && s->reported_epoch == s->epoch)
 		return;
-	s->told_epoch = s->epoch;
+	s->reported_epoch = s->epoch;
 	g_free(s->owner);
 	s->owner = g_strdup(addr);
 	log_owner(s, "owner_changed", addr);
 	s->lead->events.changed(s->lead->events.arg, s->shard, s->owner, now);
 }
 
-/* The owner was this node before it started anew: nobody owns the shard. */
+/* Whether the record is from this node before its restart.  An owner of that
+ * kind no longer exists, so the shard is vacant. */
 static bool
-earlier_life(const struct cell_lead *l, const Ogl__CellLead *m)
+from_earlier_boot(const struct cell_lead *l, const Ogl__CellLead *m)
 {
 	return strcmp(m->addr, l->addr) == 0 && m->boot != l->boot;
 }
 
-/* One shard a node is best: what it has planned to claim besides waits. */
+/* Delays the other scheduled claims of this node, as one shard per node is
+ * best. */
 static void
-claim_others_later(struct cell_lead *l)
+delay_other_claims(struct cell_lead *l)
 {
 	uint32_t i;
 
 	for (i = 0; i < l->shards; i++) {
-		if (l->seats[i].claim_at != OGL_NEVER)
-			l->seats[i].claim_at += OTHERS_MS * OGL_MS;
+		if (l->by_shard[i].claim_at != OGL_NEVER)
+			l->by_shard[i].claim_at +=
+			    OTHER_SHARD_DELAY_MS * OGL_MS;
 	}
 }
 
 static void
-take_claim(struct seat *s, const Ogl__CellLead *m, uint64_t epoch, ogl_time now)
+apply_claim(
+    struct lead_shard *s, const Ogl__CellLead *m, uint64_t epoch, ogl_time now)
 {
 	struct cell_lead *l = s->lead;
 	bool mine = strcmp(m->node, l->node) == 0 && m->boot == l->boot;
@@ -318,46 +331,48 @@
 		return;
 	step_down(s, now);
 	s->epoch = epoch;
-	s->last_news = now;
+	s->last_heard = now;
 	s->claim_at = OGL_NEVER;
 	if (!mine) {
-		set_owner(s, earlier_life(l, m) ? NULL : m->addr, now);
+		set_owner(s, from_earlier_boot(l, m) ? NULL : m->addr, now);
 		return;
 	}
 	if (l->retired)
-		return; /* the silence that follows lets others claim */
+		return; /* others claim once the heartbeat timeout is over */
 	s->own = true;
 	s->announced = false;
-	s->beat_at = now;
-	s->beat_ok = now;
-	s->beat_refused = false;
-	claim_others_later(l);
+	s->heartbeat_at = now;
+	s->heartbeat_ok_at = now;
+	s->heartbeat_refused = false;
+	delay_other_claims(l);
 	set_owner(s, l->addr, now);
 	log_owner(s, "ownership_won", l->addr);
 	l->events.won(l->events.arg, s->shard, epoch, now);
 }
 
-/* A heartbeat or resignation counts only for the epoch it was made in. */
+/* Applies a heartbeat or resignation.  One of an earlier epoch than the last
+ * known is ignored; one of a later epoch ends the known ownership. */
 static void
-take_beat(struct seat *s, const Ogl__CellLead *m, ogl_time now)
+apply_heartbeat(struct lead_shard *s, const Ogl__CellLead *m, ogl_time now)
 {
-	/* A beat may have been on its way when its sender resigned. */
-	if (m->epoch < s->epoch || m->epoch == s->vacated)
+	/* A heartbeat may arrive after its sender's resignation. */
+	if (m->epoch < s->epoch || m->epoch == s->resigned_epoch)
 		return;
 	if (m->epoch > s->epoch) {
 		step_down(s, now);
 		s->epoch = m->epoch;
 	}
-	s->last_news = now;
-	s->doubted = 0;
+	s->last_heard = now;
+	s->suspect_epoch = 0;
 	if (!m->vacant) {
 		s->claim_at = OGL_NEVER;
 		if (!s->own)
-			set_owner(
-			    s, earlier_life(s->lead, m) ? NULL : m->addr, now);
+			set_owner(s,
+			    from_earlier_boot(s->lead, m) ? NULL : m->addr,
+			    now);
 		return;
 	}
-	s->vacated = m->epoch;
+	s->resigned_epoch = m->epoch;
 	step_down(s, now);
 	set_owner(s, NULL, now);
 }
@@ -374,21 +389,21 @@
 }
 
 static void
-take_record(struct cell_lead *l, const struct cell_record *r, ogl_time now)
+apply_record(struct cell_lead *l, const struct cell_record *r, ogl_time now)
 {
 	Ogl__CellLead *m;
 
 	if (r->dropped)
 		return;
 	if (strcmp(r->key, PLAN_KEY) == 0) {
-		take_plan(l, r, now);
+		apply_plan(l, r, now);
 		return;
 	}
 	m = unpack(l, r);
 	if (m == NULL)
 		return;
 	if (!m->claim && m->shard < l->shards)
-		take_beat(&l->seats[m->shard], m, now);
+		apply_heartbeat(&l->by_shard[m->shard], m, now);
 	ogl__cell_lead__free_unpacked(m, NULL);
 }
 
@@ -399,11 +414,11 @@
 {
 	uint32_t i;
 
-	l->read_at = now + RETRY;
-	l->read_missed = true;
+	l->read_at = now + READ_RETRY_DELAY;
+	l->read_failing = true;
 	for (i = 0; i < l->shards; i++) {
-		l->seats[i].last_news = now;
-		l->seats[i].claim_at = OGL_NEVER;
+		l->by_shard[i].last_heard = now;
+		l->by_shard[i].claim_at = OGL_NEVER;
 	}
 }
 
@@ -413,7 +428,7 @@
 	uint32_t i;
 
 	for (i = 0; i < l->shards; i++) {
-		if (l->seats[i].owner == NULL)
+		if (l->by_shard[i].owner == NULL)
 			return true;
 	}
 	return false;
@@ -422,51 +437,54 @@
 static void
 read_answered(struct cell_lead *l, ogl_time now)
 {
-	if (l->read_missed && now - l->last_read_ok > OUTAGE_MIN)
-		l->outage_over_at = now;
-	l->read_missed = false;
+	if (l->read_failing && now - l->last_read_ok > OUTAGE_MIN)
+		l->outage_ended_at = now;
+	l->read_failing = false;
 	l->last_read_ok = now;
 }
 
 static void
 read_succeeded(struct cell_lead *l, ogl_time now)
 {
-	l->confirmed_at = MAX(l->confirmed_at, l->read_sent);
+	l->confirmed_at = MAX(l->confirmed_at, l->read_sent_at);
 	read_answered(l, now);
 	l->read_at = now;
 	if (l->shards > 1 && !any_vacant(l))
-		l->read_at = l->read_sent + READ_GAP;
+		l->read_at = l->read_sent_at + READ_INTERVAL_MIN;
 }
 
 static void
-take_tail(struct cell_lead *l, const struct cell_read_answer *a, ogl_time now)
+apply_records(
+    struct cell_lead *l, const struct cell_read_answer *a, ogl_time now)
 {
 	size_t i;
 
 	for (i = 0; i < a->n; i++) {
-		if (a->records[i].offset < l->next)
-			continue; /* another read was faster */
-		take_record(l, &a->records[i], now);
-		l->next = a->records[i].offset + 1;
+		if (a->records[i].offset < l->next_offset)
+			continue; /* already seen by another read */
+		apply_record(l, &a->records[i], now);
+		l->next_offset = a->records[i].offset + 1;
 	}
 }
 
-/* The store answers this node, and an owner in doubt has said nothing more. */
+/* Called after an answered probe.  A suspect owner that has given no sign since
+ * counts as unable, unless this node's own outage ended a moment ago. */
 static void
-settle_doubts(struct cell_lead *l, ogl_time now)
+resolve_suspects(struct cell_lead *l, ogl_time now)
 {
-	bool alone = now - l->outage_over_at >= DOUBT_AFTER;
+	bool past_outage = now - l->outage_ended_at >= OUTAGE_GRACE;
 	uint32_t i;
 
 	for (i = 0; i < l->shards; i++) {
-		struct seat *s = &l->seats[i];
+		struct lead_shard *s = &l->by_shard[i];
 
-		if (alone && s->doubted != 0 && s->doubted == s->epoch &&
-		    !s->own && s->owner != NULL) {
+		if (past_outage && s->suspect_epoch != 0 &&
+		    s->suspect_epoch == s->epoch && !s->own &&
+		    s->owner != NULL) {
 			log_owner(s, "owner_unable", s->owner);
 			set_owner(s, NULL, now);
 		}
-		s->doubted = 0;
+		s->suspect_epoch = 0;
 	}
 }
 
@@ -485,11 +503,12 @@
 		l->read_at = now;
 		return;
 	}
-	take_tail(l, a, now);
+	apply_records(l, a, now);
 	read_succeeded(l, now);
 }
 
-/* A read that does not wait, to know for certain who owns what now. */
+/* A probe is a read without waiting, which shows the present owners for
+ * certain. */
 static void
 on_probe(void *arg, const struct cell_read_answer *a, ogl_time now)
 {
@@ -497,30 +516,32 @@
 
 	l->probing = false;
 	if (a->io != OGL_IO_OK)
-		l->read_missed = true;
+		l->read_failing = true;
 	if (a->io != OGL_IO_OK || a->trimmed)
 		return;
 	read_answered(l, now);
-	take_tail(l, a, now);
-	l->confirmed_at = MAX(l->confirmed_at, l->probe_sent);
-	settle_doubts(l, now);
+	apply_records(l, a, now);
+	l->confirmed_at = MAX(l->confirmed_at, l->probe_sent_at);
+	resolve_suspects(l, now);
 }
 
 void
 cell_lead_probe(struct cell_lead *l, ogl_time now)
 {
 	struct cell_read r = {.stream = CELL_LEAD,
-	    .from = l->next,
+	    .from = l->next_offset,
 	    .timeout_ms = PROBE_TIMEOUT_MS};
 
-	if (l->probing || !l->loaded || now < l->probe_sent + PROBE_GAP)
+	if (l->probing || !l->loaded ||
+	    now < l->probe_sent_at + PROBE_INTERVAL_MIN)
 		return;
 	l->probing = true;
-	l->probe_sent = now;
+	l->probe_sent_at = now;
 	l->ops->read(l->ops->outside, &r, on_probe, l);
 }
 
-/* The plan is written first and may stand behind others in the page. */
+/* The number of shards is the first record of the stream, but the page may list
+ * others before it.  They need the number, so it is applied first. */
 static void
 on_newest(void *arg, const struct cell_newest_answer *a, ogl_time now)
 {
@@ -536,19 +557,19 @@
 	l->newest_next = false;
 	for (i = 0; i < a->n; i++) {
 		if (strcmp(a->records[i].key, PLAN_KEY) == 0)
-			take_record(l, &a->records[i], now);
+			apply_record(l, &a->records[i], now);
 	}
 	for (i = 0; i < a->n; i++)
-		take_record(l, &a->records[i], now);
-	l->next = a->end;
+		apply_record(l, &a->records[i], now);
+	l->next_offset = a->end;
 	read_succeeded(l, now);
 }
 
 static void
-read_on(struct cell_lead *l, ogl_time now)
+start_read(struct cell_lead *l, ogl_time now)
 {
 	struct cell_read r = {.stream = CELL_LEAD,
-	    .from = l->next,
+	    .from = l->next_offset,
 	    .wait_ms = READ_WAIT_MS,
 	    .timeout_ms = READ_TIMEOUT_MS};
 	struct cell_newest q = {
@@ -557,7 +578,7 @@
 	if (l->reading || now < l->read_at)
 		return;
 	l->reading = true;
-	l->read_sent = now;
+	l->read_sent_at = now;
 	if (l->newest_next)
 		l->ops->newest(l->ops->outside, &q, on_newest, l);
 	else
@@ -567,8 +588,8 @@
 /* ---- the claims of a shard -------------------------------------------- */
 
 static void
-take_claims(
-    struct seat *s, const struct cell_record *records, size_t n, ogl_time now)
+apply_claims(struct lead_shard *s, const struct cell_record *records, size_t n,
+    ogl_time now)
 {
 	size_t i;
 
@@ -578,7 +599,7 @@
 
 		if (m == NULL)
 			continue;
-		take_claim(s, m, r->offset + 1, now);
+		apply_claim(s, m, r->offset + 1, now);
 		ogl__cell_lead__free_unpacked(m, NULL);
 	}
 }
@@ -586,42 +607,42 @@
 static void
 on_newest_claim(void *arg, const struct cell_newest_answer *a, ogl_time now)
 {
-	struct seat *s = arg;
+	struct lead_shard *s = arg;
 
-	s->reading = false;
+	s->reading_claims = false;
 	if (a->io == OGL_IO_OK)
-		take_claims(s, a->records, a->n, now);
+		apply_claims(s, a->records, a->n, now);
 }
 
-/* What came after the last claim known is not retained any more. */
+/* Used when the claims after the last known one are no longer retained. */
 static void
-read_newest_claim(struct seat *s)
+read_newest_claim(struct lead_shard *s)
 {
 	struct cell_newest q = {.stream = CELL_CLAIMS,
 	    .shard = s->shard,
 	    .timeout_ms = PROBE_TIMEOUT_MS};
 
-	s->reading = true;
+	s->reading_claims = true;
 	s->lead->ops->newest(s->lead->ops->outside, &q, on_newest_claim, s);
 }
 
 static void
 on_claims(void *arg, const struct cell_read_answer *a, ogl_time now)
 {
-	struct seat *s = arg;
+	struct lead_shard *s = arg;
 
-	s->reading = false;
+	s->reading_claims = false;
 	if (a->io != OGL_IO_OK)
 		return;
 	if (a->trimmed)
 		read_newest_claim(s);
 	else
-		take_claims(s, a->records, a->n, now);
+		apply_claims(s, a->records, a->n, now);
 }
 
-/* Reads whoever claimed after the last claim known. */
+/* Reads the claims after the last known one. */
 static void
-read_claims(struct seat *s)
+read_claims(struct lead_shard *s)
 {
 	struct cell_lead *l = s->lead;
 	struct cell_read r = {.stream = CELL_CLAIMS,
@@ -629,16 +650,16 @@
 	    .from = s->epoch,
 	    .timeout_ms = PROBE_TIMEOUT_MS};
 
-	if (s->reading)
+	if (s->reading_claims)
 		return;
-	s->reading = true;
+	s->reading_claims = true;
 	l->ops->read(l->ops->outside, &r, on_claims, s);
 }
 
 /* ---- writing ---------------------------------------------------------- */
 
 static void
-append(struct seat *s, Ogl__CellLead *m, cell_append_fn *done, void *arg)
+append(struct lead_shard *s, Ogl__CellLead *m, cell_append_fn *done, void *arg)
 {
 	struct cell_lead *l = s->lead;
 	char key[KEY_BYTES];
@@ -668,63 +689,65 @@
 	g_bytes_unref(put.value);
 }
 
-/* A heartbeat under way. */
-struct beat {
-	struct seat *seat;
+/* A heartbeat in flight. */
+struct heartbeat {
+	struct lead_shard *shard;
 	uint64_t epoch;
 	ogl_time sent;
 };
 
-/* However often a beat was repeated, the next is due after the usual time. */
+/* The next heartbeat is due HEARTBEAT_INTERVAL after the answered one was sent,
+ * however often that was repeated. */
 static void
-take_answer(struct seat *s, const struct beat *b, enum ogl_io io, ogl_time now)
+apply_heartbeat_answer(struct lead_shard *s, const struct heartbeat *h,
+    enum ogl_io io, ogl_time now)
 {
-	s->beat_refused = io == OGL_IO_REFUSED;
+	s->heartbeat_refused = io == OGL_IO_REFUSED;
 	if (io == OGL_IO_LOST)
 		return;
-	s->beat_at = MAX(s->beat_at, b->sent + BEAT);
-	s->beat_took = now - b->sent;
+	s->heartbeat_at = MAX(s->heartbeat_at, h->sent + HEARTBEAT_INTERVAL);
+	s->heartbeat_took = now - h->sent;
 	if (io != OGL_IO_OK)
 		return;
-	s->beat_ok = now;
+	s->heartbeat_ok_at = now;
 	s->announced = true;
 }
 
 static void
-on_beat(void *arg, const struct cell_append_answer *a, ogl_time now)
+on_heartbeat(void *arg, const struct cell_append_answer *a, ogl_time now)
 {
-	struct beat *b = arg;
-	struct seat *s = b->seat;
+	struct heartbeat *h = arg;
+	struct lead_shard *s = h->shard;
 
-	s->beats--;
+	s->heartbeats_in_flight--;
 	if (a->io != OGL_IO_OK)
 		s->lead->ops->count(s->lead->ops->ctx, "beats_failed", 1);
-	if (b->epoch == s->epoch)
-		take_answer(s, b, a->io, now);
-	g_free(b);
+	if (h->epoch == s->epoch)
+		apply_heartbeat_answer(s, h, a->io, now);
+	g_free(h);
 }
 
 static void
-send_beat(struct seat *s, bool vacant, ogl_time now)
+send_heartbeat(struct lead_shard *s, bool vacant, ogl_time now)
 {
 	Ogl__CellLead m = OGL__CELL_LEAD__INIT;
-	struct beat *b = g_new(struct beat, 1);
+	struct heartbeat *h = g_new(struct heartbeat, 1);
 
 	m.epoch = s->epoch;
 	m.vacant = vacant;
-	b->seat = s;
-	b->epoch = s->epoch;
-	b->sent = now;
-	s->beats++;
-	append(s, &m, on_beat, b);
+	h->shard = s;
+	h->epoch = s->epoch;
+	h->sent = now;
+	s->heartbeats_in_flight++;
+	append(s, &m, on_heartbeat, h);
 }
 
-/* A claim that was refused, or whose answer is lost, is settled by reading the
- * claims: whoever stands there owns the shard, be it this node. */
+/* If a claim is refused or its answer lost, the claims are read: the last one
+ * names the owner, which may be this node. */
 static void
 on_claim(void *arg, const struct cell_append_answer *a, ogl_time now)
 {
-	struct seat *s = arg;
+	struct lead_shard *s = arg;
 	struct cell_lead *l = s->lead;
 	Ogl__CellLead m = OGL__CELL_LEAD__INIT;
 
@@ -735,64 +758,67 @@
 			read_claims(s);
 		return;
 	}
-	l->took = now - s->claim_sent;
+	l->claim_took = now - s->claim_sent_at;
 	m.node = l->node;
 	m.addr = l->addr;
 	m.boot = l->boot;
-	take_claim(s, &m, a->offset + 1, now);
+	apply_claim(s, &m, a->offset + 1, now);
 }
 
 static void
-claim(struct seat *s, ogl_time now)
+send_claim(struct lead_shard *s, ogl_time now)
 {
 	Ogl__CellLead m = OGL__CELL_LEAD__INIT;
 
 	m.claim = true;
 	s->claiming = true;
-	s->claim_sent = now;
+	s->claim_sent_at = now;
 	s->claim_at = OGL_NEVER;
 	append(s, &m, on_claim, s);
 }
 
-/* Several beats may be under way: answers get lost. */
+/* Several heartbeats may be in flight, as answers can get lost. */
 static void
-beat(struct seat *s, ogl_time now)
+heartbeat_if_due(struct lead_shard *s, ogl_time now)
 {
-	ogl_time overdue =
-	    CLAMP(s->beat_took * BEAT_OVERDUE_TIMES, BEAT_OVERDUE, BEAT);
+	ogl_time overdue = CLAMP(s->heartbeat_took * HEARTBEAT_OVERDUE_FACTOR,
+	    HEARTBEAT_OVERDUE_MIN, HEARTBEAT_INTERVAL);
 
 	if (!s->own)
 		return;
-	if (now - s->beat_ok > READ_PROOF_AFTER &&
-	    now - s->lead->last_read_ok > READ_PROOF_AFTER)
+	if (now - s->heartbeat_ok_at > PROBE_AFTER &&
+	    now - s->lead->last_read_ok > PROBE_AFTER)
 		cell_lead_probe(s->lead, now);
-	if (now < s->beat_at || s->beats >= BEATS_MAX)
+	if (now < s->heartbeat_at ||
+	    s->heartbeats_in_flight >= HEARTBEATS_IN_FLIGHT_MAX)
 		return;
-	s->beat_at = now + overdue;
-	send_beat(s, false, now);
+	s->heartbeat_at = now + overdue;
+	send_heartbeat(s, false, now);
 }
 
-/* How much later than others this node claims the shard. */
+/* Delay before this node claims the shard, in ms. */
 static int32_t
-claim_delay(const struct seat *s)
+claim_delay_ms(const struct lead_shard *s)
 {
 	struct cell_lead *l = s->lead;
-	int32_t ms = l->late_ms + g_rand_int_range(l->rand, 0, SPREAD_MS) +
-		     (int32_t)cell_lead_owned(l) * OTHERS_MS;
+	int32_t ms = l->weak_delay_ms +
+		     g_rand_int_range(l->rand, 0, CLAIM_JITTER_MS) +
+		     (int32_t)cell_lead_owned(l) * OTHER_SHARD_DELAY_MS;
 
 	if (cell_shard_of_node(l->addr, l->shards) != s->shard)
-		ms += OTHERS_MS;
+		ms += OTHER_SHARD_DELAY_MS;
 	return ms;
 }
 
-/* Whether the stream was read after the owner should have been heard of again.
- * A read that just is not answered yet tells nothing. */
+/* Whether a read sent after the timeout had passed showed no sign of the owner.
+ * A read that is still unanswered shows nothing. */
 static bool
-silent(struct seat *s, ogl_time now)
+heartbeat_timed_out(struct lead_shard *s, ogl_time now)
 {
 	struct cell_lead *l = s->lead;
-	bool dead = now - s->dead_hint < SILENCE_DEAD;
-	ogl_time due = s->last_news + (dead ? SILENCE_DEAD : SILENCE);
+	bool dead = now - s->dead_hint_at < HEARTBEAT_TIMEOUT_DEAD;
+	ogl_time due =
+	    s->last_heard + (dead ? HEARTBEAT_TIMEOUT_DEAD : HEARTBEAT_TIMEOUT);
 
 	if (now <= due)
 		return false;
@@ -802,33 +828,33 @@
 	return false;
 }
 
-/* Plans a claim when nobody owns the shard, or its owner is silent. */
+/* Schedules a claim if the shard is vacant or its owner has timed out. */
 static void
-watch(struct seat *s, ogl_time now)
+schedule_claim(struct lead_shard *s, ogl_time now)
 {
 	bool vacant = s->owner == NULL || s->epoch == 0;
 
-	if (s->own || s->claiming || s->reading || now < s->rest_until ||
-	    s->claim_at != OGL_NEVER)
+	if (s->own || s->claiming || s->reading_claims ||
+	    now < s->no_claim_until || s->claim_at != OGL_NEVER)
 		return;
 	if (!cell_lead_reads(s->lead, now))
 		return;
-	if (!vacant && !silent(s, now))
+	if (!vacant && !heartbeat_timed_out(s, now))
 		return;
 	if (!vacant)
 		log_owner(s, "owner_silent", s->owner);
-	s->claim_at = now + claim_delay(s) * OGL_MS;
+	s->claim_at = now + claim_delay_ms(s) * OGL_MS;
 }
 
 static void
-step_seat(struct seat *s, ogl_time now)
+step_shard(struct lead_shard *s, ogl_time now)
 {
-	beat(s, now);
+	heartbeat_if_due(s, now);
 	if (s->lead->retired)
 		return;
-	watch(s, now);
+	schedule_claim(s, now);
 	if (s->claim_at <= now && !s->claiming)
-		claim(s, now);
+		send_claim(s, now);
 }
 
 void
@@ -836,9 +862,9 @@
 {
 	uint32_t i;
 
-	read_on(l, now);
+	start_read(l, now);
 	for (i = 0; i < l->shards; i++)
-		step_seat(&l->seats[i], now);
+		step_shard(&l->by_shard[i], now);
 }
 
 bool
@@ -854,7 +880,7 @@
 
 	(void)a;
 	(void)now;
-	l->planning = false; /* what stands is read like everything else */
+	l->planning = false; /* the stored number arrives with the reads */
 }
 
 void
@@ -864,7 +890,7 @@
 	char key[] = PLAN_KEY;
 	struct cell_put put = {key, NULL};
 	struct cell_append a = {.stream = CELL_LEAD,
-	    .at = (int64_t)l->next,
+	    .at = (int64_t)l->next_offset,
 	    .puts = &put,
 	    .nputs = 1,
 	    .timeout_ms = APPEND_TIMEOUT_MS};
@@ -881,18 +907,18 @@
 	g_bytes_unref(put.value);
 }
 
-/* ---- giving up -------------------------------------------------------- */
+/* ---- requests and reports --------------------------------------------- */
 
 void
 cell_lead_resign(struct cell_lead *l, uint32_t shard, ogl_time now)
 {
-	struct seat *s = &l->seats[shard];
+	struct lead_shard *s = &l->by_shard[shard];
 
-	s->rest_until = now + RESIGN_REST;
+	s->no_claim_until = now + RESIGN_BACKOFF;
 	s->claim_at = OGL_NEVER;
 	if (!s->own)
 		return;
-	send_beat(s, true, now);
+	send_heartbeat(s, true, now);
 	step_down(s, now);
 	set_owner(s, NULL, now);
 }
@@ -906,23 +932,23 @@
 void
 cell_lead_claim(struct cell_lead *l, uint32_t shard, ogl_time now)
 {
-	struct seat *s = &l->seats[shard];
+	struct lead_shard *s = &l->by_shard[shard];
 
 	if (!l->retired && !s->own && !s->claiming)
-		claim(s, now);
+		send_claim(s, now);
 }
 
 void
 cell_lead_outranked(struct cell_lead *l, uint32_t shard, ogl_time now)
 {
-	struct seat *s = &l->seats[shard];
+	struct lead_shard *s = &l->by_shard[shard];
 
 	if (!s->own)
 		return;
 	step_down(s, now);
 	set_owner(s, NULL, now);
-	s->last_news = now;
-	s->rest_until = now + SILENCE;
+	s->last_heard = now;
+	s->no_claim_until = now + HEARTBEAT_TIMEOUT;
 	read_claims(s);
 }
 
@@ -930,72 +956,73 @@
 cell_lead_doubt(
     struct cell_lead *l, uint32_t shard, uint64_t epoch, ogl_time now)
 {
-	struct seat *s = &l->seats[shard];
+	struct lead_shard *s = &l->by_shard[shard];
 
 	if (s->own || epoch < s->epoch || s->owner == NULL)
 		return;
 	/*
-	 * Whether the store is away for the owner alone only a read that is
-	 * answered now can tell.  By an older one all nodes gave up an owner
-	 * that went on working while the store was away for everybody, and
-	 * refused its callers.
+	 * Only a read answered from now on shows that the store is unreachable
+	 * for the owner alone.  With an older read, all nodes would give up an
+	 * owner that goes on working while the store is down for everybody, and
+	 * would refuse its callers.
 	 */
-	s->doubted = s->epoch;
+	s->suspect_epoch = s->epoch;
 	cell_lead_probe(l, now);
 }
 
 /*
- * A node that the store turns away does not read of a new owner, nor does an
- * owner in the same case.  Their peers tell them; else they passed calls to the
- * old owner, which could take none, for as long as it lasted.
+ * A node that the store refuses can't read who the new owner is, and neither
+ * can an owner in that state.  Without the reports of peers, such nodes would
+ * forward calls to the old owner, which can't accept them, until the store
+ * answers again.
  */
 void
 cell_lead_hear(struct cell_lead *l, uint32_t shard, uint64_t epoch,
     const char *addr, ogl_time now)
 {
-	struct seat *s = &l->seats[shard];
+	struct lead_shard *s = &l->by_shard[shard];
 
 	if (epoch <= s->epoch)
 		return;
-	/* Its claim was taken and the answer lost, or it is a claim of an
-	 * earlier life: the claims tell. */
+	/* Either this node's claim was stored and the answer lost, or the claim
+	 * is from before its restart.  Reading the claims decides. */
 	if (strcmp(addr, l->addr) == 0) {
 		read_claims(s);
 		return;
 	}
 	step_down(s, now);
 	s->epoch = epoch;
-	s->last_news = now;
-	s->doubted = 0;
+	s->last_heard = now;
+	s->suspect_epoch = 0;
 	s->claim_at = OGL_NEVER;
 	set_owner(s, addr, now);
 }
 
 /*
- * The owner's heartbeats may all be late, as their answers are.  A node that it
- * tells of itself need not wait for them: whether it is still the owner the store
- * decides, whenever somebody claims.
+ * The owner's heartbeats may all be late, as their answers are.  Its report to
+ * this node replaces them.  This is safe because the store decides who owns the
+ * shard whenever a node claims.
  */
 void
 cell_lead_heard(
     struct cell_lead *l, uint32_t shard, uint64_t epoch, ogl_time now)
 {
-	struct seat *s = &l->seats[shard];
+	struct lead_shard *s = &l->by_shard[shard];
 
 	if (s->own || epoch != s->epoch || s->owner == NULL)
 		return;
-	s->last_news = now;
-	s->doubted = 0;
+	s->last_heard = now;
+	s->suspect_epoch = 0;
 	s->claim_at = OGL_NEVER;
 }
 
 void
 cell_lead_hint_dead(struct cell_lead *l, uint32_t shard, ogl_time now)
 {
-	l->seats[shard].dead_hint = now;
+	l->by_shard[shard].dead_hint_at = now;
 }
 
-/* ---- what is known ---------------------------------------------------- */
+/* ---- state ------------------------------------------------------------ */
 
 uint32_t
 cell_lead_shards(const struct cell_lead *l)
@@ -1010,43 +1037,44 @@
 	uint32_t i;
 
 	for (i = 0; i < l->shards; i++)
-		n += l->seats[i].own;
+		n += l->by_shard[i].own;
 	return n;
 }
 
 bool
 cell_lead_able(const struct cell_lead *l, uint32_t shard, ogl_time now)
 {
-	const struct seat *s = &l->seats[shard];
-	ogl_time ok = s->beat_ok;
+	const struct lead_shard *s = &l->by_shard[shard];
+	ogl_time ok = s->heartbeat_ok_at;
 
-	if (!s->beat_refused)
+	if (!s->heartbeat_refused)
 		ok = MAX(ok, l->last_read_ok);
-	return s->own && now - ok < l->able_max;
+	return s->own && now - ok < l->able_timeout;
 }
 
 bool
 cell_lead_is_owner(const struct cell_lead *l, uint32_t shard)
 {
-	return l->seats[shard].own;
+	return l->by_shard[shard].own;
 }
 
 uint64_t
 cell_lead_epoch(const struct cell_lead *l, uint32_t shard)
 {
-	return l->seats[shard].epoch;
+	return l->by_shard[shard].epoch;
 }
 
 const char *
 cell_lead_addr(const struct cell_lead *l, uint32_t shard)
 {
-	return l->seats[shard].owner;
+	return l->by_shard[shard].owner;
 }
 
 bool
 cell_lead_may_act(const struct cell_lead *l, uint32_t shard, ogl_time now)
 {
-	return l->seats[shard].own && now - l->confirmed_at < ACT_MAX;
+	return l->by_shard[shard].own &&
+	       now - l->confirmed_at < CONFIRMED_MAX_AGE;
 }
 
 ogl_time
@@ -1058,23 +1086,23 @@
 bool
 cell_lead_announced(const struct cell_lead *l, uint32_t shard)
 {
-	return l->seats[shard].own && l->seats[shard].announced;
+	return l->by_shard[shard].own && l->by_shard[shard].announced;
 }
 
 bool
 cell_lead_reads(const struct cell_lead *l, ogl_time now)
 {
-	return now - l->last_read_ok < READS_FRESH;
+	return now - l->last_read_ok < READ_OK_MAX_AGE;
 }
 
 ogl_time
 cell_lead_store_took(const struct cell_lead *l)
 {
-	return l->took;
+	return l->claim_took;
 }
 
 ogl_time
 cell_lead_beat_took(const struct cell_lead *l, uint32_t shard)
 {
-	return l->seats[shard].beat_took;
+	return l->by_shard[shard].heartbeat_took;
 }
