--- a/cell/journal.c
+++ b/cell/journal.c
@@ -1,22 +1,23 @@
 /*
- * What is marked while an append is under way goes with the next.  Within an
- * epoch appends are numbered, and the store takes them only in that order.  An append whose answer is lost
- * may have taken effect or may still do so: it is sent again as it was, under
- * its number, until the store answers, which takes effect once.  Only an
- * append that the store has refused each time it was sent is known not to have
- * happened; then the submissions in it can be refused truthfully.
+ * Everything marked while an append is in flight goes into the next one.  The
+ * appends of an epoch are numbered, and the store accepts them only in that
+ * order.  An append whose answer is lost may have been stored or may still be.
+ * It is sent again unchanged, under its number, until the store answers; the
+ * number makes it take effect only once.  Only an append that the store refused
+ * each time it was sent is known not to be stored, and only then can the
+ * submissions in it be refused.
  *
- * An answer that is overdue may be lost or only slow, as when the store takes
- * sixty times as long from one moment to the next.  So the append is sent again
- * while its first answer is still waited for, and whichever comes first counts.
- * How long the store takes is measured from the sending that was answered: from
- * the first one on, each lost answer would pass for a slow store and put off the
- * next repeat.
+ * An overdue answer may be lost or only slow: the store's latency can rise
+ * sixtyfold from one moment to the next.  So the append is sent again while the
+ * first answer is still awaited, and the first one to arrive counts.  The
+ * store's latency is measured from the attempt that was answered.  If it were
+ * measured from the first attempt, each lost answer would look like a slow
+ * store and delay the next retry.
  *
- * While the store is well one append is under way at a time.  Where it is slow,
- * the next is sent before the last one is answered: else a call waits for the
- * rest of one append and the whole of its own.  The answer to a later one tells
- * that the earlier ones were taken, too.
+ * While the store is fast, one append is in flight at a time.  While it is
+ * slow, the next append is sent before the last one is answered; otherwise a
+ * call would wait for the rest of one append and all of its own.  The answer to
+ * a later append shows that the earlier ones were stored, too.
  */
 
 #include <string.h>
@@ -24,58 +25,62 @@
 #include "ablate.h"
 #include "journal.h"
 
-/* Between two appends: each is priced and takes the partition 2 ms, and a
- * caller notices nothing of 15 ms against an objective of 250. */
-#define GAP (15 * OGL_MS)
-#define GAP_SPARE (45 * OGL_MS)
-/* Changes that nobody waits for are written within this time. */
-#define LAZY (250 * OGL_MS)
-/* An answer missing for so long is overdue, at least and at most. */
+/* Least time between two appends.  Each append is priced and occupies the
+ * partition for 2 ms, and 15 ms are not noticeable to a caller against an
+ * objective of 250 ms. */
+#define APPEND_INTERVAL (15 * OGL_MS)
+#define APPEND_INTERVAL_THIN_LINK (45 * OGL_MS)
+/* Changes that no caller waits for are written within this time. */
+#define LAZY_WRITE_DELAY (250 * OGL_MS)
+/* Bounds of the time after which a missing answer is overdue. */
 #define OVERDUE_MIN_MS 50
 #define OVERDUE_MAX_MS 2400
-/* On a thin link an answer waits behind other bytes, and each repeat makes the
+/* On a thin link an answer queues behind other bytes, and each retry makes the
  * queue longer. */
-#define OVERDUE_MIN_SPARE_MS 300
-/* An answer is waited for so long. */
-#define TIMEOUT_MS 2400
-/* Sendings of one append whose answers are awaited. */
-#define SENDINGS_MAX 8
-/* So many of them come at an even pace; after that each wait is twice the last,
- * or a store that is away would get them all at once and, when it is back, none
- * until the first has timed out. */
-#define SENDINGS_EVEN 3
-#define REPEAT_MAX_MS 600
-/* Appends under way at a time to a slow store, and what counts as slow. */
-#define BATCHES_MAX 3
-#define SLOW (60 * OGL_MS)
-#define RETRY (100 * OGL_MS)
-/* From here on new submissions are refused instead of waiting. */
-#define FAILING (400 * OGL_MS)
-/* A store that is slow but takes all is not failing: an append may take so many
- * times what the last one took. */
-#define FAILING_TIMES 2
-#define BATCH_BYTES ((size_t)512 * 1024) /* a quarter of the store's bound */
+#define OVERDUE_MIN_THIN_LINK_MS 300
+/* Limit for the answer to an attempt. */
+#define ATTEMPT_TIMEOUT_MS 2400
+/* Attempts of one append whose answers are awaited. */
+#define ATTEMPTS_IN_FLIGHT_MAX 8
+/* This many attempts come at an even pace, then each wait is twice the last.
+ * Without the backoff, a store that is down would get all attempts at once and,
+ * when it is back, none until the first has timed out. */
+#define ATTEMPTS_BEFORE_BACKOFF 3
+#define BACKOFF_MAX_MS 600
+/* Appends in flight at a time to a slow store, and the latency from which a
+ * store counts as slow. */
+#define BATCHES_IN_FLIGHT_MAX 3
+#define SLOW_STORE (60 * OGL_MS)
+#define REFUSED_RETRY_DELAY (100 * OGL_MS)
+/* After failing for this long, new submissions are refused instead of
+ * waiting. */
+#define FAILING_TIMEOUT (400 * OGL_MS)
+/* A store that is slow but accepts everything is not failing: an append may
+ * take this multiple of the time that the last one took. */
+#define FAILING_FACTOR 2
+/* No job is added to a batch of this size; a quarter of the store's limit. */
+#define BATCH_FULL_BYTES ((size_t)512 * 1024)
 
 struct waiter {
 	cell_stored_fn *fn;
 	void *arg;
 	uint64_t tag;
-	struct cell_job *submit; /* NULL: not a submission */
+	struct cell_job *submitted; /* NULL: not a submission */
 };
 
 /* One append. */
 struct batch {
-	uint64_t number; /* of the batch; a seq may be used by several */
+	uint64_t number; /* unique in the journal; a seq may be used again */
 	uint64_t seq;
 	GArray *puts;      /* struct cell_put */
 	GPtrArray *jobs;   /* struct cell_job */
 	GArray *waiters;   /* struct waiter */
 	GHashTable *extra; /* key -> GBytes */
-	uint32_t sendings; /* so far */
-	uint32_t awaited;  /* of them, answers that are missing */
-	bool uncertain;    /* a sending without answer may take effect */
-	ogl_time retry_at; /* sent again then */
-	ogl_time sent_at;  /* first; 0 not yet */
+	uint32_t attempts;
+	uint32_t in_flight; /* attempts without an answer yet */
+	bool may_be_stored; /* an attempt whose answer was lost may be stored */
+	ogl_time retry_at;  /* time of the next attempt */
+	ogl_time sent_at;   /* first attempt; 0 not yet */
 };
 
 struct cell_journal {
@@ -85,35 +90,36 @@
 	void *arg;
 	bool open;
 	uint64_t epoch;
-	uint64_t generation; /* tells late answers of an earlier epoch */
+	uint64_t generation; /* identifies late answers of an earlier epoch */
 	uint64_t seq;        /* of the last batch */
-	uint64_t number;     /* the same */
-	bool begun; /* an append of the epoch was taken: the store knows where
-		     * its numbers begin, and takes none before its turn */
+	uint64_t number;     /* of the last batch */
+	bool epoch_accepted; /* an append of the epoch was stored: the store
+			      * knows the first number and accepts the appends
+			      * only in order */
 	uint32_t overdue_ms;
-	bool spare;    /* the link is thin */
-	ogl_time took; /* by the last sending that was answered */
+	bool thin_link;
+	ogl_time last_took; /* latency of the last answered attempt */
 	ogl_time last_sent_at;
-	ogl_time failing_since; /* 0: the last append was taken */
-	ogl_time retry_at;      /* no new batch before, while that is set */
-	GPtrArray *marked;  /* struct cell_job, to go with the next append */
-	GHashTable *extra;  /* key -> GBytes, the same */
+	ogl_time failing_since; /* 0: the last append was stored */
+	ogl_time retry_at;  /* while failing, no new batch before this time */
+	GPtrArray *marked;  /* struct cell_job, for the next append */
+	GHashTable *extra;  /* key -> GBytes, for the next append */
 	GArray *waiters;    /* struct waiter, for the next append */
-	ogl_time urgent_at; /* OGL_NEVER: nobody waits */
+	ogl_time urgent_at; /* OGL_NEVER: no caller waits */
 	ogl_time lazy_at;
 	GQueue batches; /* struct batch, not known to be stored, oldest first */
 };
 
-/* Says which append of which epoch an answer belongs to. */
-struct sending {
+/* One attempt to send a batch; its answer is matched by it. */
+struct attempt {
 	struct cell_journal *journal;
 	uint64_t generation;
 	uint64_t number;
-	ogl_time at;
+	ogl_time sent_at;
 };
 
 static void
-put_clear(void *p)
+clear_put(void *p)
 {
 	struct cell_put *u = p;
 
@@ -135,7 +141,7 @@
 	struct batch *b = g_new0(struct batch, 1);
 
 	b->puts = g_array_new(FALSE, FALSE, sizeof(struct cell_put));
-	g_array_set_clear_func(b->puts, put_clear);
+	g_array_set_clear_func(b->puts, clear_put);
 	b->jobs = g_ptr_array_new();
 	b->waiters = g_array_new(FALSE, FALSE, sizeof(struct waiter));
 	b->extra = extra_new();
@@ -173,23 +179,25 @@
 	return g;
 }
 
-/* Several times what the store takes, so that a slow answer is not lost. */
+/* Several times the store's latency, so that a slow answer does not count as
+ * lost. */
 static uint32_t
-overdue_for(const struct cell_journal *g, ogl_time took)
+overdue_ms_for(const struct cell_journal *g, ogl_time took)
 {
 	ogl_time ms = took / OGL_MS * 4;
 
 	return (uint32_t)CLAMP(ms,
-	    g->spare ? OVERDUE_MIN_SPARE_MS : OVERDUE_MIN_MS, OVERDUE_MAX_MS);
+	    g->thin_link ? OVERDUE_MIN_THIN_LINK_MS : OVERDUE_MIN_MS,
+	    OVERDUE_MAX_MS);
 }
 
 void
-cell_journal_spare(struct cell_journal *g, bool spare)
+cell_journal_spare(struct cell_journal *g, bool thin_link)
 {
-	if (spare == g->spare)
+	if (thin_link == g->thin_link)
 		return;
-	g->spare = spare;
-	g->overdue_ms = overdue_for(g, g->took);
+	g->thin_link = thin_link;
+	g->overdue_ms = overdue_ms_for(g, g->last_took);
 }
 
 void
@@ -219,22 +227,22 @@
 {
 	clear_pending(g);
 	g->open = true;
-	g->begun = false;
+	g->epoch_accepted = false;
 	g->epoch = epoch;
 	g->seq = 0;
-	g->overdue_ms = overdue_for(g, store_took);
-	g->took = store_took;
+	g->overdue_ms = overdue_ms_for(g, store_took);
+	g->last_took = store_took;
 	g->generation++;
 }
 
 static void
-tell(GArray *waiters, enum cell_fate fate, ogl_time now)
+notify_waiters(GArray *waiters, enum cell_fate fate, ogl_time now)
 {
 	GArray *copy = g_array_sized_new(
 	    FALSE, FALSE, sizeof(struct waiter), waiters->len);
 	guint i;
 
-	/* A waiter may add another while it is told. */
+	/* A callback may add another waiter. */
 	g_array_append_vals(copy, waiters->data, waiters->len);
 	g_array_set_size(waiters, 0);
 	for (i = 0; i < copy->len; i++) {
@@ -255,9 +263,9 @@
 	g->open = false;
 	g->generation++;
 	for (at = g->batches.head; at != NULL; at = at->next)
-		tell(((struct batch *)at->data)->waiters, CELL_FATE_UNKNOWN,
-		    now);
-	tell(g->waiters, CELL_FATE_UNKNOWN, now);
+		notify_waiters(((struct batch *)at->data)->waiters,
+		    CELL_FATE_UNKNOWN, now);
+	notify_waiters(g->waiters, CELL_FATE_UNKNOWN, now);
 	clear_pending(g);
 }
 
@@ -274,7 +282,7 @@
 	if (urgent)
 		g->urgent_at = MIN(g->urgent_at, now);
 	else if (g->lazy_at == OGL_NEVER)
-		g->lazy_at = now + LAZY;
+		g->lazy_at = now + LAZY_WRITE_DELAY;
 }
 
 void
@@ -289,17 +297,17 @@
 	g->urgent_at = MIN(g->urgent_at, now);
 }
 
-/* A job may have been handed in more than once before it was stored. */
+/* A job may have several submissions before it is stored. */
 static void
-forget_submit(GArray *waiters, const struct cell_job *j)
+clear_submitted(GArray *waiters, const struct cell_job *j)
 {
 	guint i;
 
 	for (i = 0; i < waiters->len; i++) {
 		struct waiter *w = &g_array_index(waiters, struct waiter, i);
 
-		if (w->submit == j)
-			w->submit = NULL;
+		if (w->submitted == j)
+			w->submitted = NULL;
 	}
 }
 
@@ -311,12 +319,12 @@
 	if (j->dirty)
 		g_ptr_array_remove(g->marked, j);
 	j->dirty = false;
-	forget_submit(g->waiters, j);
+	clear_submitted(g->waiters, j);
 	for (at = g->batches.head; at != NULL; at = at->next) {
 		struct batch *b = at->data;
 
 		g_ptr_array_remove(b->jobs, j);
-		forget_submit(b->waiters, j);
+		clear_submitted(b->waiters, j);
 	}
 }
 
@@ -343,7 +351,7 @@
 }
 
 static struct batch *
-oldest(const struct cell_journal *g)
+oldest_batch(const struct cell_journal *g)
 {
 	const GList *head = g->batches.head;
 
@@ -353,12 +361,13 @@
 bool
 cell_journal_failing(const struct cell_journal *g, ogl_time now)
 {
-	const struct batch *b = oldest(g);
+	const struct batch *b = oldest_batch(g);
 
-	if (g->failing_since != 0 && now - g->failing_since > FAILING)
+	if (g->failing_since != 0 && now - g->failing_since > FAILING_TIMEOUT)
 		return true;
-	return b != NULL && b->awaited > 0 &&
-	       now - b->sent_at > MAX(FAILING, FAILING_TIMES * g->took);
+	return b != NULL && b->in_flight > 0 &&
+	       now - b->sent_at >
+		   MAX(FAILING_TIMEOUT, FAILING_FACTOR * g->last_took);
 }
 
 static bool
@@ -374,7 +383,7 @@
 	       g->waiters->len == 0;
 }
 
-/* ---- putting a batch together ----------------------------------------- */
+/* ---- building a batch ------------------------------------------------- */
 
 static void
 add_put(struct batch *b, char prefix, const char *id, GBytes *value)
@@ -385,7 +394,7 @@
 }
 
 static size_t
-put_job(struct batch *b, struct cell_job *j)
+add_job(struct batch *b, struct cell_job *j)
 {
 	GBytes *v;
 	size_t n = 0;
@@ -412,8 +421,9 @@
 }
 
 /*
- * Jobs beyond the bound of a batch wait for the next one, and so do all
- * waiters then: each has to know that everything marked before it is stored.
+ * Jobs that exceed the limit of a batch wait for the next one.  So do all
+ * waiters in that case, as each is told only when everything marked before it
+ * is stored.
  */
 static struct batch *
 make_batch(struct cell_journal *g, ogl_time now)
@@ -432,10 +442,10 @@
 		g_hash_table_replace(b->extra, g_strdup(k), g_bytes_ref(v));
 	}
 	g_hash_table_remove_all(g->extra);
-	for (i = 0; i < g->marked->len && bytes < BATCH_BYTES; i++) {
+	for (i = 0; i < g->marked->len && bytes < BATCH_FULL_BYTES; i++) {
 		struct cell_job *j = g->marked->pdata[i];
 
-		bytes += put_job(b, j);
+		bytes += add_job(b, j);
 		j->dirty = false;
 		g_ptr_array_add(b->jobs, j);
 	}
@@ -463,16 +473,18 @@
     void *arg, const struct cell_append_answer *a, ogl_time now);
 
 static ogl_time
-repeat_after_ms(const struct cell_journal *g, const struct batch *b)
+retry_delay_ms(const struct cell_journal *g, const struct batch *b)
 {
-	ogl_time most = MAX(g->overdue_ms, REPEAT_MAX_MS);
-	uint32_t doublings = b->sendings - MIN(b->sendings, SENDINGS_EVEN);
+	ogl_time max_ms = MAX(g->overdue_ms, BACKOFF_MAX_MS);
+	uint32_t doublings =
+	    b->attempts - MIN(b->attempts, ATTEMPTS_BEFORE_BACKOFF);
 
 	return MIN(
-	    (ogl_time)g->overdue_ms << MIN(doublings, SENDINGS_MAX), most);
+	    (ogl_time)g->overdue_ms << MIN(doublings, ATTEMPTS_IN_FLIGHT_MAX),
+	    max_ms);
 }
 
-/* Keys begin with what they are of: a job, its progress, or the workers. */
+/* The first letter of a key tells its kind: job, progress or workers. */
 static void
 count_bytes(struct cell_journal *g, const struct batch *b)
 {
@@ -494,7 +506,7 @@
 static void
 send_batch(struct cell_journal *g, struct batch *b, ogl_time now)
 {
-	struct sending *s = g_new(struct sending, 1);
+	struct attempt *s = g_new(struct attempt, 1);
 	struct cell_append a = {
 	    .stream = CELL_JOBS,
 	    .shard = g->shard,
@@ -504,29 +516,29 @@
 	    .at = -1,
 	    .puts = (const struct cell_put *)(void *)b->puts->data,
 	    .nputs = b->puts->len,
-	    .timeout_ms = TIMEOUT_MS,
+	    .timeout_ms = ATTEMPT_TIMEOUT_MS,
 	};
 
 	s->journal = g;
 	s->generation = g->generation;
 	s->number = b->number;
-	s->at = now;
+	s->sent_at = now;
 	count_bytes(g, b);
 	g->ops->count(g->ops->ctx, "store_appends", 1);
-	b->sendings++;
-	b->awaited++;
-	b->retry_at = now + repeat_after_ms(g, b) * OGL_MS;
+	b->attempts++;
+	b->in_flight++;
+	b->retry_at = now + retry_delay_ms(g, b) * OGL_MS;
 	g->last_sent_at = now;
 	g->ops->append(g->ops->outside, &a, on_appended, s);
 }
 
-/* By what the last answer took; it comes down slowly. */
+/* Adapts to the latency of the last answer.  The value decreases slowly. */
 static void
-adapt_overdue(struct cell_journal *g)
+adapt_overdue_ms(struct cell_journal *g)
 {
-	uint32_t slowly = g->overdue_ms - g->overdue_ms / 4;
+	uint32_t lowered = g->overdue_ms - g->overdue_ms / 4;
 
-	g->overdue_ms = MAX(overdue_for(g, g->took), slowly);
+	g->overdue_ms = MAX(overdue_ms_for(g, g->last_took), lowered);
 }
 
 static void
@@ -537,43 +549,44 @@
 	g_snprintf(text, sizeof text,
 	    "shard=%u epoch=%" G_GUINT64_FORMAT " seq=%" G_GUINT64_FORMAT
 	    " sendings=%u took_ms=%" G_GINT64_FORMAT " overdue_ms=%u",
-	    g->shard, g->epoch, b->seq, b->sendings,
+	    g->shard, g->epoch, b->seq, b->attempts,
 	    (now - b->sent_at) / OGL_MS, g->overdue_ms);
 	g->ops->log(g->ops->ctx, "journal", "append_repeated", text);
 }
 
-/* The batch and all before it, by the answer to what was sent at `sent`. */
+/* The batch and all before it are stored, by the answer to the attempt that was
+ * sent at sent_at. */
 static void
-stored_up_to(struct cell_journal *g, const struct batch *last, ogl_time sent,
-    ogl_time now)
+complete_up_to(struct cell_journal *g, const struct batch *last,
+    ogl_time sent_at, ogl_time now)
 {
 	uint64_t number = last->number;
 	struct batch *b;
 
-	if (last->sendings > 1)
+	if (last->attempts > 1)
 		log_repeated(g, last, now);
-	g->begun = true;
+	g->epoch_accepted = true;
 	g->failing_since = 0;
-	g->took = now - sent;
-	adapt_overdue(g);
-	while ((b = oldest(g)) != NULL && b->number <= number) {
+	g->last_took = now - sent_at;
+	adapt_overdue_ms(g);
+	while ((b = oldest_batch(g)) != NULL && b->number <= number) {
 		g_queue_pop_head(&g->batches);
-		tell(b->waiters, CELL_STORED, now);
+		notify_waiters(b->waiters, CELL_STORED, now);
 		batch_free(b);
 	}
 }
 
-/* Moves the submissions of the jobs from one list of waiters to another. */
+/* Moves the submissions of these jobs from one list of waiters to another. */
 static void
-take_submits(GArray *from, GHashTable *jobs, GArray *to)
+move_submissions(GArray *from, GHashTable *jobs, GArray *to)
 {
 	guint i = 0;
 
 	while (i < from->len) {
 		struct waiter *w = &g_array_index(from, struct waiter, i);
 
-		if (w->submit == NULL ||
-		    !g_hash_table_contains(jobs, w->submit)) {
+		if (w->submitted == NULL ||
+		    !g_hash_table_contains(jobs, w->submitted)) {
 			i++;
 			continue;
 		}
@@ -582,16 +595,17 @@
 	}
 }
 
-/* Not what an earlier append has stored, when all did not go into one. */
+/* If the jobs do not fit into one batch, a submission waits with a later batch
+ * than its job, which may then already be stored. */
 static bool
 in_batch(const struct batch *b, const struct cell_job *j)
 {
 	return g_ptr_array_find(b->jobs, j, NULL);
 }
 
-/* Marks what was in the batch anew. */
+/* Marks the contents of the batch again. */
 static void
-unmake(struct cell_journal *g, struct batch *b)
+requeue_batch(struct cell_journal *g, struct batch *b)
 {
 	GHashTableIter it;
 	gpointer k, v;
@@ -615,9 +629,9 @@
 	}
 }
 
-/* Adds the jobs that the batch was to store for the first time. */
+/* Adds the jobs that the batch would have stored for the first time. */
 static void
-list_submitted(const struct batch *b, GHashTable *jobs)
+add_submitted_jobs(const struct batch *b, GHashTable *jobs)
 {
 	guint i;
 
@@ -625,13 +639,13 @@
 		const struct waiter *w =
 		    &g_array_index(b->waiters, struct waiter, i);
 
-		if (w->submit != NULL && in_batch(b, w->submit))
-			g_hash_table_add(jobs, w->submit);
+		if (w->submitted != NULL && in_batch(b, w->submitted))
+			g_hash_table_add(jobs, w->submitted);
 	}
 }
 
-/* Takes the submissions of the jobs out of all lists, and puts all other
- * waiters, in their order, before those for the next append. */
+/* Moves the submissions of these jobs from all lists to refused.  All other
+ * waiters go, in their order, to the list for the next append. */
 static void
 gather_waiters(struct cell_journal *g, GHashTable *jobs, GArray *refused)
 {
@@ -641,24 +655,25 @@
 	for (at = g->batches.head; at != NULL; at = at->next) {
 		struct batch *b = at->data;
 
-		take_submits(b->waiters, jobs, refused);
+		move_submissions(b->waiters, jobs, refused);
 		g_array_append_vals(rest, b->waiters->data, b->waiters->len);
 	}
-	take_submits(g->waiters, jobs, refused);
+	move_submissions(g->waiters, jobs, refused);
 	g_array_append_vals(rest, g->waiters->data, g->waiters->len);
 	g_array_unref(g->waiters);
 	g->waiters = rest;
 }
 
 /*
- * The store did nothing, each time.  Submissions are taken back and refused;
- * all else is put together anew later, under the same number.  A submission may
- * wait more than once, as entries repeat calls, in a batch and for the next:
- * all are told.  One left over would be told "stored" with a later batch, and
- * a job handed in anew under the same id would count as stored that is not.
+ * The store has refused every attempt.  Submissions are unmarked and refused;
+ * everything else goes into new batches under the same seq.  Since the nodes
+ * that take calls repeat them, one job may have several submissions, both in a
+ * batch and for the next one.  All of them are told: a remaining one would get
+ * CELL_STORED with a later batch, and a job submitted again under the same id
+ * would count as stored although it is not.
  */
 static void
-all_refused(struct cell_journal *g, ogl_time now)
+take_back_batches(struct cell_journal *g, ogl_time now)
 {
 	GArray *refused = g_array_new(FALSE, FALSE, sizeof(struct waiter));
 	GHashTable *jobs = g_hash_table_new(NULL, NULL);
@@ -666,10 +681,10 @@
 	gpointer k;
 	GList *at;
 
-	g->seq = oldest(g)->seq - 1;
+	g->seq = oldest_batch(g)->seq - 1;
 	for (at = g->batches.tail; at != NULL; at = at->prev) {
-		unmake(g, at->data);
-		list_submitted(at->data, jobs);
+		requeue_batch(g, at->data);
+		add_submitted_jobs(at->data, jobs);
 	}
 	gather_waiters(g, jobs, refused);
 	g_queue_clear_full(&g->batches, batch_free);
@@ -678,12 +693,12 @@
 		cell_journal_unmark(g, k);
 	g_hash_table_unref(jobs);
 	g->urgent_at = now;
-	g->retry_at = now + RETRY;
-	tell(refused, CELL_NOT_STORED, now);
+	g->retry_at = now + REFUSED_RETRY_DELAY;
+	notify_waiters(refused, CELL_NOT_STORED, now);
 	g_array_unref(refused);
 }
 
-/* None of the batches was taken, nor can be any more. */
+/* Whether all attempts were refused, so that no batch can still be stored. */
 static bool
 none_can_be_stored(const struct cell_journal *g)
 {
@@ -692,7 +707,7 @@
 	for (at = g->batches.head; at != NULL; at = at->next) {
 		const struct batch *b = at->data;
 
-		if (b->awaited > 0 || b->uncertain)
+		if (b->in_flight > 0 || b->may_be_stored)
 			return false;
 	}
 	return true;
@@ -705,16 +720,16 @@
 	if (g->failing_since == 0)
 		g->failing_since = b->sent_at;
 	if (a->io == OGL_IO_LOST)
-		b->uncertain = true;
-	if (b->awaited > 0)
+		b->may_be_stored = true;
+	if (b->in_flight > 0)
 		return;
-	b->retry_at = a->io == OGL_IO_LOST ? now : now + RETRY;
+	b->retry_at = a->io == OGL_IO_LOST ? now : now + REFUSED_RETRY_DELAY;
 	if (none_can_be_stored(g))
-		all_refused(g, now);
+		take_back_batches(g, now);
 }
 
 static struct batch *
-batch_of(struct cell_journal *g, uint64_t number)
+find_batch(struct cell_journal *g, uint64_t number)
 {
 	GList *at;
 
@@ -730,11 +745,11 @@
 static void
 on_appended(void *arg, const struct cell_append_answer *a, ogl_time now)
 {
-	struct sending *s = arg;
+	struct attempt *s = arg;
 	struct cell_journal *g = s->journal;
 	bool current = s->generation == g->generation;
-	struct batch *b = current ? batch_of(g, s->number) : NULL;
-	ogl_time sent = s->at;
+	struct batch *b = current ? find_batch(g, s->number) : NULL;
+	ogl_time sent_at = s->sent_at;
 
 	g_free(s);
 	if (!current)
@@ -744,55 +759,60 @@
 		return;
 	}
 	if (b == NULL)
-		return; /* another sending, or a later one, was answered before */
-	b->awaited--;
+		return; /* already stored, by the answer to another attempt */
+	b->in_flight--;
 	if (a->io == OGL_IO_OK)
-		stored_up_to(g, b, sent, now);
+		complete_up_to(g, b, sent_at, now);
 	else
 		batch_failed(g, b, a, now);
 }
 
-/* When the batch is to be sent, again or for the first time.  One behind others
- * that was refused or lost waits for them: the store takes none before. */
+/* When the batch is sent, for the first time or again.  A refused or lost batch
+ * behind others waits for them, as the store accepts batches only in order. */
 static ogl_time
 batch_wake(const struct cell_journal *g, const struct batch *b)
 {
-	if (b->awaited >= SENDINGS_MAX || (b->awaited == 0 && b != oldest(g)))
+	if (b->in_flight >= ATTEMPTS_IN_FLIGHT_MAX ||
+	    (b->in_flight == 0 && b != oldest_batch(g)))
 		return OGL_NEVER;
 	return b->retry_at;
 }
 
-/* When the next batch may be sent while others are under way. */
+/* When another batch may be sent while others are in flight. */
 static ogl_time
-next_wake(const struct cell_journal *g)
+pipeline_wake(const struct cell_journal *g)
 {
 	const GList *at;
 
-	if (!CELL_USES_PIPELINE || !g->begun || g->took < SLOW ||
-	    g->batches.length >= BATCHES_MAX || g->failing_since != 0)
+	if (!CELL_USES_PIPELINE || !g->epoch_accepted ||
+	    g->last_took < SLOW_STORE ||
+	    g->batches.length >= BATCHES_IN_FLIGHT_MAX || g->failing_since != 0)
 		return OGL_NEVER;
 	for (at = g->batches.head; at != NULL; at = at->next) {
 		const struct batch *b = at->data;
 
-		if (b->awaited != 1 || b->uncertain)
+		if (b->in_flight != 1 || b->may_be_stored)
 			return OGL_NEVER;
 	}
-	return g->last_sent_at + g->took / BATCHES_MAX;
+	return g->last_sent_at + g->last_took / BATCHES_IN_FLIGHT_MAX;
 }
 
-/* When a new batch is to be put together. */
+/* When the next batch is built. */
 static ogl_time
-make_wake(const struct cell_journal *g)
+new_batch_wake(const struct cell_journal *g)
 {
 	ogl_time due = MIN(g->urgent_at, g->lazy_at);
 
 	if (nothing_marked(g) && g->waiters->len == 0)
 		return OGL_NEVER;
 	if (g->batches.length > 0)
-		return nothing_marked(g) ? OGL_NEVER : MAX(due, next_wake(g));
+		return nothing_marked(g) ? OGL_NEVER
+					 : MAX(due, pipeline_wake(g));
 	if (g->failing_since != 0)
 		return MAX(due, g->retry_at);
-	return MAX(due, g->last_sent_at + (g->spare ? GAP_SPARE : GAP));
+	return MAX(due,
+	    g->last_sent_at +
+		(g->thin_link ? APPEND_INTERVAL_THIN_LINK : APPEND_INTERVAL));
 }
 
 ogl_time
@@ -803,7 +823,7 @@
 
 	if (!g->open)
 		return OGL_NEVER;
-	due = make_wake(g);
+	due = new_batch_wake(g);
 	for (at = g->batches.head; at != NULL; at = at->next)
 		due = MIN(due, batch_wake(g, at->data));
 	return due;
@@ -825,13 +845,13 @@
 void
 cell_journal_step(struct cell_journal *g, ogl_time now)
 {
-	/* Waiters without anything to write have nothing to wait for. */
+	/* If nothing is to be written, waiters are told at once. */
 	if (g->open && g->batches.length == 0 && nothing_marked(g) &&
 	    g->waiters->len > 0)
-		tell(g->waiters, CELL_STORED, now);
+		notify_waiters(g->waiters, CELL_STORED, now);
 	if (cell_journal_wake(g) > now)
 		return;
-	if (make_wake(g) <= now && !nothing_marked(g))
+	if (new_batch_wake(g) <= now && !nothing_marked(g))
 		send_batch(g, make_batch(g, now), now);
 	send_due(g, now);
 }
--- a/cell/journal.h
+++ b/cell/journal.h
@@ -1,5 +1,6 @@
 /*
- * Group commit of the owner's jobs to the store, under the owner's epoch.
+ * Group commit of the owner's changed jobs to the store, under the owner's
+ * epoch.
  */
 
 #ifndef OGL_CELL_JOURNAL_H
@@ -9,10 +10,10 @@
 
 struct cell_journal;
 
-/* What became of something that waited for the store. */
+/* Result told to a callback that waited for the store. */
 enum cell_fate {
 	CELL_STORED,
-	CELL_NOT_STORED,  /* certainly not, and it never will be */
+	CELL_NOT_STORED,  /* certainly not stored, and never will be */
 	CELL_FATE_UNKNOWN /* ownership was lost first */
 };
 
@@ -21,53 +22,55 @@
 
 struct cell_journal *cell_journal_init(const struct cell_ops *ops,
     uint32_t shard, void (*lost)(void *arg, ogl_time now), void *arg);
-/* Of the shard's stream of jobs.  lost is called once a higher epoch has taken the stream over. */
+/* Creates the journal for the shard's stream of jobs.  lost is called when the
+ * store has refused an append because it has seen a higher epoch. */
 
-void cell_journal_spare(struct cell_journal *g, bool spare);
-/* The link is thin: fewer and larger appends. */
+void cell_journal_spare(struct cell_journal *g, bool thin_link);
+/* On a thin link the journal makes fewer and larger appends. */
 void cell_journal_end(struct cell_journal *g);
 
 void cell_journal_open(
     struct cell_journal *g, uint64_t epoch, ogl_time store_took);
-/* Begins to write under a new epoch; nothing is pending.  store_took: what the
- * store last took for an append, 0 not known. */
+/* Starts writing under a new epoch, with nothing pending.  store_took: how long
+ * the store took for the last append, 0 if unknown. */
 
 void cell_journal_close(struct cell_journal *g, ogl_time now);
-/* Gives up: whatever waited is told CELL_FATE_UNKNOWN, an answer still under
- * way is not looked at. */
+/* Stops writing.  All waiting callbacks get CELL_FATE_UNKNOWN, and answers that
+ * arrive later are ignored. */
 
 void cell_journal_mark(
     struct cell_journal *g, struct cell_job *j, bool urgent, ogl_time now);
-/* The job is to be written; if not urgent, with the next that is or after a
- * while. */
+/* Marks the job to be written.  If not urgent, it is written with the next
+ * urgent one or after a delay. */
 
 void cell_journal_put(
     struct cell_journal *g, const char *key, GBytes *value, ogl_time now);
-/* Another record, beside the jobs; takes value.  A later one for the same key
- * replaces it. */
+/* Writes a record that is not a job.  Takes ownership of value.  A later record
+ * with the same key replaces it. */
 
 void cell_journal_unmark(struct cell_journal *g, struct cell_job *j);
-/* The job is about to be freed. */
+/* Forgets the job; to be called before it is freed. */
 
 void cell_journal_after(
     struct cell_journal *g, cell_stored_fn *fn, void *arg, uint64_t tag);
-/* Calls fn once all that is marked now is on the store. */
+/* Calls fn once everything marked so far is stored, or with
+ * CELL_FATE_UNKNOWN. */
 
 void cell_journal_submit(struct cell_journal *g, struct cell_job *j,
     cell_stored_fn *fn, void *arg, uint64_t tag, ogl_time now);
-/* Writes a new job.  If the store refuses it for certain, the job is taken
- * back out of what is to be written and fn is told CELL_NOT_STORED. */
+/* Writes a new job.  If the store has certainly refused it, the job is unmarked
+ * and fn gets CELL_NOT_STORED. */
 
 bool cell_journal_failing(const struct cell_journal *g, ogl_time now);
-/* The store has not taken what is to be written for a while. */
+/* Whether the store has accepted no append for a while. */
 
 void cell_journal_step(struct cell_journal *g, ogl_time now);
-/* Sends what is due. */
+/* Sends the appends that are due. */
 
 ogl_time cell_journal_wake(const struct cell_journal *g);
-/* When to step next, OGL_NEVER when nothing is pending. */
+/* When to step next, OGL_NEVER if nothing is pending. */
 
 bool cell_journal_idle(const struct cell_journal *g);
-/* Nothing marked, nothing under way. */
+/* Whether nothing is marked, in flight or waiting. */
 
 #endif
