--- a/cell/shards.c
+++ b/cell/shards.c
@@ -1,39 +1,41 @@
 /*
- * Everything goes by a hash of a name, so that each node comes to the same
- * result without asking.
+ * Shards are assigned by a hash of a name, so that all nodes get the same
+ * result without communication.
  */
 
 #include "shards.h"
 
 /*
- * An owner on half a core carries some 1,500 starts a second, and 350 workers
- * bring 720 at their usual load; twice that comes in bursts.
+ * An owner on half a core handles about 1,500 task starts per second.  350
+ * workers need 720 at their usual load and twice that in bursts.
  */
-#define WORKERS_A_SHARD 400
-/* Racks go to shards by chance: of 12 racks of 8 workers each, a shard of any
- * number gets none once in 160,000 cells. */
-#define SERVICE_A_SHARD 100
+#define WORKERS_PER_SHARD 400
+/* Racks are assigned by hash, so a shard may get none of a service's racks.
+ * With 12 racks of 8 workers per shard, a given shard gets none in one of
+ * 160,000 cells, whatever the number of shards. */
+#define SERVICE_WORKERS_PER_SHARD_MIN 100
 
-/* FNV-1a: the same on every machine, and short names spread well. */
-#define HASH_START 2166136261U
-#define HASH_PRIME 16777619U
+/* FNV-1a gives the same result on every machine and spreads short names
+ * well. */
+#define FNV_OFFSET_BASIS 2166136261U
+#define FNV_PRIME 16777619U
 
 static uint32_t
 hash(const char *s)
 {
-	uint32_t h = HASH_START;
+	uint32_t h = FNV_OFFSET_BASIS;
 
 	for (; *s != '\0'; s++)
-		h = (h ^ (uint8_t)*s) * HASH_PRIME;
+		h = (h ^ (uint8_t)*s) * FNV_PRIME;
 	return h ^ h >> 15;
 }
 
 uint32_t
 cell_shards_wanted(size_t workers, size_t smallest_service)
 {
-	size_t n = (workers + WORKERS_A_SHARD - 1) / WORKERS_A_SHARD;
+	size_t n = (workers + WORKERS_PER_SHARD - 1) / WORKERS_PER_SHARD;
 
-	n = MIN(n, smallest_service / SERVICE_A_SHARD);
+	n = MIN(n, smallest_service / SERVICE_WORKERS_PER_SHARD_MIN);
 	return (uint32_t)CLAMP(n, 1, CELL_SHARDS_MAX);
 }
 
--- a/cell/shards.h
+++ b/cell/shards.h
@@ -1,11 +1,12 @@
 /*
- * The cell cut into shards: each has workers, jobs and an owner of its own.
+ * Division of the cell into shards.  Each shard has its own workers, jobs and
+ * owner.
  *
- * One owner decides for 400 workers with ease and for 700 at the utmost; a
- * larger cell is cut.  The number of shards is decided once, when the cell is
- * first started, and is kept on the store: a worker that passed from one owner
- * to another while both act could run a task that either takes for not
- * running.
+ * One owner handles 400 workers easily and 700 at most, so a larger cell is
+ * divided.  The number of shards is decided once, when the cell is first
+ * started, and is kept on the store.  If it could change, a worker might move
+ * from one owner to another while both are active, and run a task that each of
+ * them believes is not running.
  */
 
 #ifndef OGL_CELL_SHARDS_H
@@ -20,24 +21,25 @@
 #define CELL_SHARDS_MAX 32
 
 uint32_t cell_shards_wanted(size_t workers, size_t smallest_service);
-/* How many shards suit a cell of so many workers, from 1 to CELL_SHARDS_MAX.
- * smallest_service: workers of the service that has the fewest; each shard must
- * have some of them, or jobs handed in there would never run. */
+/* Returns the number of shards for a cell with this many workers, from 1 to
+ * CELL_SHARDS_MAX.  smallest_service: number of workers of the service that has
+ * the fewest.  Each shard needs some of them, or jobs submitted there would
+ * never run. */
 
 uint32_t cell_shard_of_worker(
     const char *rack, const char *id, uint32_t shards);
-/* The workers of a rack are of one shard; one without a rack ("") goes by its
- * id. */
+/* Shard of a worker.  All workers of a rack belong to the same shard; a worker
+ * without a rack ("") is assigned by its id. */
 
 uint32_t cell_shard_of_job(
     const char *id, const Ogl__CellJob *def, uint32_t shards);
-/* Where a job is handed in: the shard that has the rack of its data, else by
- * its id.  def NULL: where a job of which only the id is known is sought
- * first. */
+/* Shard to which a job is submitted: that of the rack that holds its data, or
+ * by its id if it names no rack.  def NULL: the shard to try first for a job of
+ * which only the id is known. */
 
 uint32_t cell_shard_of_node(const char *addr, uint32_t shards);
-/* The shard whose owner asks advice through the node; it also claims that one
- * before others. */
+/* Preferred shard of a node: its owner requests advice through the node, and
+ * the node claims it before others. */
 
 #ifdef __cplusplus
 }
