--- a/cell/zones.c
+++ b/cell/zones.c
@@ -1,6 +1,6 @@
 /*
- * The set is kept with the offset up to which the settings stream is known, so
- * that what a peer tells and what is read may arrive in any order.
+ * The set is kept with the offset up to which the settings stream was applied,
+ * so that lists from peers and records from the stream may arrive in any order.
  */
 
 #include <string.h>
@@ -9,9 +9,9 @@
 
 struct cell_zones {
 	GHashTable *evacuated; /* set of names */
-	uint64_t known_to;
+	uint64_t known_to;     /* offset of the settings stream */
 	uint64_t changes;
-	bool known;
+	bool complete; /* a complete list was applied */
 };
 
 struct cell_zones *
@@ -61,20 +61,20 @@
 {
 	size_t i;
 
-	if (z->known && known_to <= z->known_to)
+	if (z->complete && known_to <= z->known_to)
 		return;
 	g_hash_table_remove_all(z->evacuated);
 	for (i = 0; i < n; i++)
 		g_hash_table_add(z->evacuated, g_strdup(names[i]));
 	z->known_to = known_to;
-	z->known = true;
+	z->complete = true;
 	z->changes++;
 }
 
 bool
 cell_zones_known(const struct cell_zones *z)
 {
-	return z->known;
+	return z->complete;
 }
 
 uint64_t
@@ -96,7 +96,7 @@
 }
 
 static gint
-by_name(gconstpointer a, gconstpointer b)
+compare_names(gconstpointer a, gconstpointer b)
 {
 	return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
@@ -111,6 +111,6 @@
 	g_hash_table_iter_init(&it, z->evacuated);
 	while (g_hash_table_iter_next(&it, &p, NULL))
 		g_ptr_array_add(a, p);
-	g_ptr_array_sort(a, by_name);
+	g_ptr_array_sort(a, compare_names);
 	return a;
 }
