--- a/cell/window.h
+++ b/cell/window.h
@@ -1,5 +1,5 @@
 /*
- * How many calls a node has under way to the owner of a shard.
+ * Limit on the calls that a node has in flight to the owner of a shard.
  */
 
 #ifndef OGL_CELL_WINDOW_H
@@ -12,28 +12,29 @@
 #endif
 
 struct cell_window {
-	unsigned size; /* calls that may be under way; 0 as 1 */
-	unsigned open; /* that are */
-	bool proven;   /* the owner has answered one */
+	unsigned size;      /* limit on calls in flight; 0 counts as 1 */
+	unsigned in_flight; /* calls in flight */
+	bool has_served;    /* the owner has answered a call */
 	ogl_time closed_until;
 	ogl_time shrunk_at;
 };
 
 void cell_window_reset(struct cell_window *w);
-/* Another owner, or none: calls to the last one are of no interest. */
+/* The shard has another owner, or none.  Calls to the former owner no longer
+ * count. */
 
 bool cell_window_allows(const struct cell_window *w, ogl_time now);
+/* Whether another call may be sent. */
 void cell_window_sent(struct cell_window *w);
 void cell_window_ended(struct cell_window *w);
-/* A call that was sent is given up, or answered. */
+/* A call that was sent has been answered or given up. */
 
 void cell_window_served(struct cell_window *w);
 /* The owner has answered a call. */
 void cell_window_turned_away(struct cell_window *w, ogl_time now);
-/* It has said that it does not serve. */
+/* The owner has answered that it does not serve. */
 void cell_window_delay(struct cell_window *w, ogl_time delay, ogl_time now);
-/* A message to it and back takes that long, or has taken it without coming
- * back. */
+/* A round trip to the owner has taken this delay, or has not ended after it. */
 
 #ifdef __cplusplus
 }
