--- a/test/test_cell_lead.cc
+++ b/test/test_cell_lead.cc
@@ -1,4 +1,4 @@
-/* Ownership, driven record by record. */
+/* Leader election, tested by single records and answers of the store. */
 
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
 
 constexpr ogl_time kMs = 1000;
 
-/* An append as the store saw it. */
+/* An append that the store received. */
 struct Append {
 	enum cell_stream stream;
 	uint32_t shard;
@@ -26,7 +26,7 @@
 	std::shared_ptr<bool> answered;
 };
 
-/* A store of which the test hands out one answer at a time. */
+/* A store whose answers the test gives one at a time. */
 struct Store {
 	cell_read_fn *read = nullptr;
 	cell_newest_fn *newest = nullptr;
@@ -99,9 +99,9 @@
 	return std::string(reinterpret_cast<char *>(buf), n);
 }
 
-/* The record of a node that is not the one under test. */
+/* A record of node n2 at 10.0.0.2:1, which is not the node under test. */
 std::string
-lead_record(uint32_t shard, bool claim, bool vacant, uint64_t epoch)
+n2_record(uint32_t shard, bool claim, bool vacant, uint64_t epoch)
 {
 	Ogl__CellLead m = OGL__CELL_LEAD__INIT;
 	char node[] = "n2";
@@ -117,9 +117,9 @@
 	return packed(m);
 }
 
-/* A claim of the node under test, in another life. */
+/* A claim of the node under test, from the given start of its process. */
 std::string
-own_record(uint64_t boot)
+own_claim(uint64_t boot)
 {
 	Ogl__CellLead m = OGL__CELL_LEAD__INIT;
 	char node[] = "n1";
@@ -153,14 +153,14 @@
 				      const char *addr, ogl_time) {
 			auto *t = static_cast<Lead *>(arg);
 
-			t->told_.push_back(
+			t->changes_.push_back(
 			    std::to_string(cell_lead_epoch(t->lead_, shard)) +
 			    " " + (addr != nullptr ? addr : "none"));
 		};
 		events_.arg = this;
 	}
 
-	/* Every exchange ends in one answer. */
+	/* Each exchange must get exactly one answer. */
 	void TearDown() override
 	{
 		struct cell_append_answer lost = {};
@@ -171,8 +171,8 @@
 		cell_lead_end(lead_);
 	}
 
-	/* A node that has just read how many shards there are. */
-	void begin(uint32_t shards)
+	/* Starts a node and lets it read the number of shards. */
+	void start(uint32_t shards)
 	{
 		Ogl__CellPlan m = OGL__CELL_PLAN__INIT;
 		uint8_t buf[16];
@@ -195,10 +195,10 @@
 		cell_lead_step(lead_, now_);
 	}
 
-	/* A heartbeat or resignation of node n2 at 10.0.0.2:1 is read. */
-	void read(bool vacant, uint64_t epoch, uint32_t shard = 0)
+	/* The node reads a heartbeat or resignation of n2. */
+	void read_n2(bool vacant, uint64_t epoch, uint32_t shard = 0)
 	{
-		std::string text = lead_record(shard, false, vacant, epoch);
+		std::string text = n2_record(shard, false, vacant, epoch);
 		char key[] = "lead";
 		struct cell_record r = {};
 		struct cell_read_answer a = {};
@@ -209,22 +209,22 @@
 		a.io = OGL_IO_OK;
 		a.records = &r;
 		a.n = 1;
-		pass(10);
+		advance(10);
 		store_.read(store_.arg, &a, now_);
 		cell_lead_step(lead_, now_);
 	}
 
-	/* The claims of the shard asked for hold one more, of n2. */
-	void show_claim(uint64_t epoch)
+	/* Answers the read of claims with a claim of n2. */
+	void answer_claims_n2(uint64_t epoch)
 	{
 		std::string text =
-		    lead_record(store_.claims_shard, true, false, 0);
+		    n2_record(store_.claims_shard, true, false, 0);
 
-		show(text, epoch);
+		answer_claims(text, epoch);
 	}
 
-	/* The same with a record as some append wrote it. */
-	void show(const std::string &text, uint64_t epoch)
+	/* Answers the read of claims with this record. */
+	void answer_claims(const std::string &text, uint64_t epoch)
 	{
 		char key[] = "claim";
 		struct cell_record r = {};
@@ -241,10 +241,10 @@
 		cell_lead_step(lead_, now_);
 	}
 
-	/* The probe under way shows a heartbeat of n2 in epoch 2, or nothing. */
+	/* Answers the probe with a heartbeat of n2 in epoch 2, or no record. */
 	void answer_probe(bool beat)
 	{
-		std::string text = lead_record(0, false, false, 2);
+		std::string text = n2_record(0, false, false, 2);
 		char key[] = "lead";
 		struct cell_record r = {};
 		struct cell_read_answer a = {};
@@ -266,10 +266,10 @@
 		a.done(a.arg, &with, now_);
 	}
 
-	/* Claims shard 0, which nobody owns, in epoch 1. */
-	void win()
+	/* Claims the vacant shard 0 in epoch 1. */
+	void win_shard()
 	{
-		quiet(400);
+		run_idle(400);
 		ASSERT_EQ(1U, claims().size());
 		Append c = claims()[0];
 		struct cell_append_answer ok = {};
@@ -280,19 +280,19 @@
 		cell_lead_step(lead_, now_);
 	}
 
-	void pass(int ms)
+	void advance(int ms)
 	{
 		now_ += ms * kMs;
 	}
 
-	/* Time goes by while the store answers, with nothing new. */
-	void quiet(int ms)
+	/* Time passes while the store answers reads without new records. */
+	void run_idle(int ms)
 	{
 		for (int i = 0; i < ms; i += 40) {
 			struct cell_read_answer a = {};
 
 			a.io = OGL_IO_OK;
-			pass(40);
+			advance(40);
 			if (store_.read != nullptr) {
 				cell_read_fn *done = store_.read;
 
@@ -329,101 +329,101 @@
 	ogl_time now_ = 1000 * kMs;
 	uint64_t offset_ = 0;
 	uint64_t won_ = 0;
-	std::vector<std::string> told_; /* owners in their epochs */
+	std::vector<std::string> changes_; /* epoch and owner of each event */
 };
 
-TEST_F(Lead, FollowsClaimsAndResignations)
+TEST_F(Lead, HeartbeatAndResignationSetOwner)
 {
-	begin(1);
-	read(false, 1);
+	start(1);
+	read_n2(false, 1);
 	EXPECT_EQ("10.0.0.2:1", owner());
 	EXPECT_EQ(1U, cell_lead_epoch(lead_, 0));
-	read(true, 1);
+	read_n2(true, 1);
 	EXPECT_EQ("none", owner());
 }
 
-/* The owner resigns while one of its heartbeats is still on its way and lands
- * after the resignation.  Taken for news, the cell would count as owned and
- * nobody would claim it until a silence had passed: callers would wait or be
- * refused for more than a second. */
-TEST_F(Lead, AResignationOutlivesALateHeartbeat)
+/* A heartbeat is stored after its sender's resignation.  If it counted, the
+ * shard would seem owned, and no node would claim it before the heartbeat
+ * timeout: callers would wait or be refused for more than a second. */
+TEST_F(Lead, LateHeartbeatAfterResignationIsIgnored)
 {
-	begin(1);
-	read(false, 1);
-	read(true, 1);
-	read(false, 1);
+	start(1);
+	read_n2(false, 1);
+	read_n2(true, 1);
+	read_n2(false, 1);
 	EXPECT_EQ("none", owner());
 }
 
-/* Heartbeats of an owner that was replaced, carried out late, name nobody. */
-TEST_F(Lead, HeartbeatsOfEarlierEpochsAreOld)
+/* A late heartbeat or resignation of a replaced owner has no effect. */
+TEST_F(Lead, RecordsOfEarlierEpochsAreIgnored)
 {
-	begin(1);
-	read(false, 1);
-	read(false, 2);
+	start(1);
+	read_n2(false, 1);
+	read_n2(false, 2);
 	EXPECT_EQ(2U, cell_lead_epoch(lead_, 0));
-	read(true, 1);
+	read_n2(true, 1);
 	EXPECT_EQ("10.0.0.2:1", owner());
 }
 
-/* Guards against calls that bear an old epoch for ever and are never answered. */
-TEST_F(Lead, ANodeThatWinsAgainIsToldInItsNewEpoch)
+/* The same node wins the shard again.  Without an event for the new epoch,
+ * calls would keep the old epoch and never be answered. */
+TEST_F(Lead, SameOwnerInNewEpochIsReported)
 {
-	begin(1);
-	read(false, 1);
-	read(false, 2);
-	read(false, 2);
+	start(1);
+	read_n2(false, 1);
+	read_n2(false, 2);
+	read_n2(false, 2);
 	cell_lead_hear(lead_, 0, 3, "10.0.0.2:1", now_);
 	EXPECT_EQ((std::vector<std::string>{
 		      "1 10.0.0.2:1", "2 10.0.0.2:1", "3 10.0.0.2:1"}),
-	    told_);
+	    changes_);
 }
 
-/* The owner falls silent while reads are answered: it does not reach the
- * store, and the cell is claimed. */
-TEST_F(Lead, SilenceOfTheOwnerAloneBringsAClaim)
+/* The owner sends no heartbeats while reads are answered, so it does not reach
+ * the store, and the node claims the shard. */
+TEST_F(Lead, HeartbeatTimeoutCausesClaim)
 {
-	begin(1);
-	read(false, 1);
+	start(1);
+	read_n2(false, 1);
 	EXPECT_EQ(0U, claims().size());
-	quiet(2000);
+	run_idle(2000);
 	ASSERT_EQ(1U, claims().size());
-	EXPECT_EQ(1, claims()[0].at) << "only if nobody claimed since";
+	EXPECT_EQ(1, claims()[0].at) << "conditional on no other claim since";
 }
 
-/* The part of the store that holds the heartbeats answers nobody any more, while
- * claims are still taken.  The read that waits has not failed yet; taken for an
- * owner's silence, it made another node claim, and a new owner that can't
- * announce itself starts nothing. */
-TEST_F(Lead, AReadWithoutAnAnswerIsNotTheOwnersSilence)
+/* The part of the store that holds the heartbeats stops answering while claims
+ * are still accepted.  The pending read has not failed yet.  If it counted as a
+ * missing heartbeat, another node would claim, and an owner that can't announce
+ * itself starts no tasks. */
+TEST_F(Lead, UnansweredReadIsNotAHeartbeatTimeout)
 {
-	begin(1);
-	read(false, 1);
+	start(1);
+	read_n2(false, 1);
 	for (int i = 0; i < 40; i++) {
-		pass(40);
+		advance(40);
 		cell_lead_step(lead_, now_);
 	}
 	EXPECT_EQ(0U, claims().size());
 	ASSERT_NE(nullptr, store_.probe);
 	answer_probe(false);
 	for (int i = 0; i < 10; i++) {
-		pass(40);
+		advance(40);
 		cell_lead_step(lead_, now_);
 	}
 	EXPECT_EQ(1U, claims().size());
 }
 
-/* The store itself is away: nobody can have claimed, no silence counts, and
- * the owner that was known stays. */
-TEST_F(Lead, AStoreThatIsAwayBringsNoClaim)
+/* While the store is down, no node can have claimed, so no heartbeat timeout
+ * runs and the known owner stays. */
+TEST_F(Lead, StoreOutageCausesNoClaim)
 {
-	begin(1);
-	read(false, 1);
+	start(1);
+	read_n2(false, 1);
 	for (int i = 0; i < 50; i++) {
 		struct cell_read_answer a = {};
 
 		a.io = OGL_IO_LOST;
-		pass(200);
+		advance(200);
 		store_.read(store_.arg, &a, now_);
 		cell_lead_step(lead_, now_);
 	}
@@ -431,14 +431,14 @@
 	EXPECT_EQ("10.0.0.2:1", owner());
 }
 
-/* The store takes a claim and its answer gets lost.  The node owns the shard
- * without knowing; unless it finds out, callers wait until a silence has
- * passed and somebody claims once more. */
-TEST_F(Lead, AClaimWithoutAnAnswerIsFoundByReading)
+/* A claim is stored and its answer lost, so the node owns the shard without
+ * knowing.  Unless it reads the claims, callers wait until the heartbeat
+ * timeout and the next claim. */
+TEST_F(Lead, ClaimWithLostAnswerIsRead)
 {
-	begin(1);
-	read(false, 1);
-	quiet(2000);
+	start(1);
+	read_n2(false, 1);
+	run_idle(2000);
 	ASSERT_EQ(1U, claims().size());
 	Append c = claims()[0];
 	struct cell_append_answer lost = {};
@@ -446,48 +446,48 @@
 	lost.io = OGL_IO_LOST;
 	answer(c, lost);
 	ASSERT_NE(nullptr, store_.claims);
-	show(c.value, 2);
+	answer_claims(c.value, 2);
 	EXPECT_EQ(2U, won_);
 	EXPECT_TRUE(cell_lead_is_owner(lead_, 0));
 }
 
-/* Guards against a second claim by the node that owns the shard already. */
-TEST_F(Lead, ANodeToldThatItOwnsTheShardReadsItsClaim)
+/* A node that is reported as owner must not claim a second time. */
+TEST_F(Lead, NodeReportedAsOwnerReadsItsClaim)
 {
-	begin(1);
-	read(false, 1);
-	quiet(2000);
+	start(1);
+	read_n2(false, 1);
+	run_idle(2000);
 	ASSERT_EQ(1U, claims().size());
 	cell_lead_hear(lead_, 0, 2, "10.0.0.1:1", now_);
 	ASSERT_NE(nullptr, store_.claims);
-	show(claims()[0].value, 2);
+	answer_claims(claims()[0].value, 2);
 	EXPECT_EQ(2U, won_);
-	quiet(400);
+	run_idle(400);
 	EXPECT_EQ(1U, claims().size());
 }
 
-/* Guards against an owner that is taken for the life of its node before. */
-TEST_F(Lead, ANodeToldOfAnEarlierLifeOfItsOwnClaims)
+/* The reported owner is this node before its restart.  It must not count as the
+ * owner. */
+TEST_F(Lead, NodeReportedAsOwnerBeforeRestartClaims)
 {
-	begin(1);
-	read(false, 1);
+	start(1);
+	read_n2(false, 1);
 	cell_lead_hear(lead_, 0, 2, "10.0.0.1:1", now_);
 	ASSERT_NE(nullptr, store_.claims);
-	show(own_record(99), 2);
+	answer_claims(own_claim(99), 2);
 	EXPECT_EQ("none", owner());
-	quiet(400);
+	run_idle(400);
 	ASSERT_EQ(1U, claims().size());
 	EXPECT_EQ(2, claims()[0].at);
 }
 
-/* Two nodes claim at the same moment and the other's lands first.  The loser
- * learns the winner from the claims at once, and calls go there before its
- * first heartbeat is read. */
-TEST_F(Lead, AClaimThatCameSecondTellsWhoWon)
+/* Two nodes claim at once and the other one wins.  The loser reads the winner
+ * from the claims, so it can forward calls before the first heartbeat. */
+TEST_F(Lead, RefusedClaimShowsTheWinner)
 {
-	begin(1);
-	read(false, 1);
-	quiet(2000);
+	start(1);
+	read_n2(false, 1);
+	run_idle(2000);
 	ASSERT_EQ(1U, claims().size());
 	Append c = claims()[0];
 	struct cell_append_answer moved = {};
@@ -496,52 +496,52 @@
 	moved.moved = true;
 	answer(c, moved);
 	ASSERT_NE(nullptr, store_.claims);
-	show_claim(2);
+	answer_claims_n2(2);
 	EXPECT_EQ(0U, won_);
 	EXPECT_EQ("10.0.0.2:1", owner());
-	quiet(400);
+	run_idle(400);
 	EXPECT_EQ(1U, claims().size());
 }
 
-/* An owner that stood still is replaced meanwhile.  Its proof of ownership has
- * to fail: else it would start work on a worker that has restarted and so
- * forgotten the new owner. */
-TEST_F(Lead, AProofShowsANewOwner)
+/* An owner was paused and replaced meanwhile.  The probe must show that, or it
+ * would start tasks on a worker that has restarted and forgotten the new
+ * owner. */
+TEST_F(Lead, ProbeShowsANewOwner)
 {
-	begin(1);
-	win();
-	pass(100);
-	ogl_time asked = now_;
+	start(1);
+	win_shard();
+	advance(100);
+	ogl_time sent_at = now_;
 
 	cell_lead_probe(lead_, now_);
 	answer_probe(true);
-	EXPECT_EQ(asked, cell_lead_confirmed(lead_));
+	EXPECT_EQ(sent_at, cell_lead_confirmed(lead_));
 	EXPECT_FALSE(cell_lead_is_owner(lead_, 0));
 	EXPECT_EQ("10.0.0.2:1", owner());
 }
 
-/* Nobody came after: the ownership stands as of when the proof was asked for,
- * not of when the answer came. */
-TEST_F(Lead, AProofHoldsFromTheTimeItWasAskedFor)
+/* A probe without a new owner confirms ownership as of the time when it was
+ * sent, not when it was answered. */
+TEST_F(Lead, ProbeConfirmsAsOfTheTimeItWasSent)
 {
-	begin(1);
-	win();
-	pass(100);
-	ogl_time asked = now_;
+	start(1);
+	win_shard();
+	advance(100);
+	ogl_time sent_at = now_;
 
 	cell_lead_probe(lead_, now_);
-	pass(100);
+	advance(100);
 	answer_probe(false);
-	EXPECT_EQ(asked, cell_lead_confirmed(lead_));
+	EXPECT_EQ(sent_at, cell_lead_confirmed(lead_));
 	EXPECT_TRUE(cell_lead_is_owner(lead_, 0));
 }
 
-/* Between a claim and its first heartbeat an earlier owner's proofs do not show
- * the new one.  It is announced, and may call workers, only after it. */
-TEST_F(Lead, AnOwnerIsAnnouncedByItsFirstHeartbeat)
+/* Before the first heartbeat of a new owner, the probes of an earlier owner do
+ * not show it.  So it is announced, and may call workers, only after that. */
+TEST_F(Lead, FirstHeartbeatAnnouncesTheOwner)
 {
-	begin(1);
-	win();
+	start(1);
+	win_shard();
 	EXPECT_FALSE(cell_lead_announced(lead_, 0));
 	Append beat = store_.written.back();
 	struct cell_append_answer ok = {};
@@ -552,13 +552,13 @@
 	EXPECT_TRUE(cell_lead_announced(lead_, 0));
 }
 
-/* The owner says that the store does not take its writes.  If the store answers
- * nobody else either, it stays the owner: giving it up would have all nodes
- * refuse their callers although it could answer them. */
-TEST_F(Lead, AnOwnerInDoubtStaysWhileTheStoreAnswersNobody)
+/* The owner reports that the store does not take its writes.  If the store does
+ * not answer this node either, the owner stays: if all nodes gave it up, they
+ * would refuse callers that it could answer. */
+TEST_F(Lead, SuspectOwnerStaysDuringStoreOutage)
 {
-	begin(1);
-	read(false, 1);
+	start(1);
+	read_n2(false, 1);
 	cell_lead_doubt(lead_, 0, 1, now_);
 	EXPECT_EQ("10.0.0.2:1", owner());
 	struct cell_read_answer lost = {};
@@ -566,97 +566,99 @@
 	lost.io = OGL_IO_LOST;
 	store_.probe(store_.arg, &lost, now_);
 	EXPECT_EQ("10.0.0.2:1", owner());
-	pass(100);
+	advance(100);
 	cell_lead_doubt(lead_, 0, 1, now_);
 	answer_probe(false);
 	EXPECT_EQ("none", owner());
 }
 
-/* Guards against an owner given up because answers to its heartbeats are lost. */
-TEST_F(Lead, AnOwnerWhoseReadsAreAnsweredIsAble)
+/* An owner is not given up because answers to its heartbeats are lost. */
+TEST_F(Lead, OwnerWithAnsweredReadsIsAble)
 {
-	begin(1);
-	win();
+	start(1);
+	win_shard();
 	for (int i = 0; i < 10; i++) {
-		quiet(200);
+		run_idle(200);
 		EXPECT_TRUE(cell_lead_able(lead_, 0, now_)) << i;
 	}
 }
 
-/* Guards against an owner kept although the store refuses all it writes. */
-TEST_F(Lead, AnOwnerWhoseHeartbeatsAreRefusedIsNotAble)
+/* An owner is given up if the store refuses everything it writes. */
+TEST_F(Lead, OwnerWithRefusedHeartbeatsIsNotAble)
 {
 	struct cell_append_answer refused = {};
 
 	refused.io = OGL_IO_REFUSED;
-	begin(1);
-	win();
+	start(1);
+	win_shard();
 	for (int i = 0; i < 5; i++) {
 		for (size_t k = 0; k < store_.written.size(); k++)
 			answer(store_.written[k], refused);
-		quiet(200);
+		run_idle(200);
 	}
 	EXPECT_FALSE(cell_lead_able(lead_, 0, now_));
 }
 
-/* Guards against an owner kept although the store answers it nothing. */
-TEST_F(Lead, AnOwnerWithoutAnyAnswerIsNotAble)
+/* An owner is given up if the store answers none of its requests. */
+TEST_F(Lead, OwnerWithoutAnswersIsNotAble)
 {
-	begin(1);
-	win();
+	start(1);
+	win_shard();
 	for (int i = 0; i < 25; i++) {
-		pass(40);
+		advance(40);
 		cell_lead_step(lead_, now_);
 	}
 	EXPECT_FALSE(cell_lead_able(lead_, 0, now_));
 }
 
-/* Guards against a new owner that calls no worker for want of a heartbeat. */
-TEST_F(Lead, AnUnansweredHeartbeatIsRepeatedSoon)
+/* A new owner calls no worker before its first heartbeat is stored, so a lost
+ * one must be repeated soon. */
+TEST_F(Lead, UnansweredHeartbeatIsRepeated)
 {
-	begin(1);
-	win();
+	start(1);
+	win_shard();
 	size_t sent = store_.written.size();
 
-	quiet(320);
+	run_idle(320);
 	EXPECT_EQ(sent + 2, store_.written.size());
 }
 
-/* Guards against a claim while the owner is well and its heartbeats are late. */
-TEST_F(Lead, AnOwnerThatAnswersPeersAndReachesTheStoreIsNotSilent)
+/* No node claims while the owner's heartbeats are late but it reports that it
+ * reaches the store. */
+TEST_F(Lead, OwnerThatReportsToPeersDoesNotTimeOut)
 {
-	begin(1);
-	read(false, 1);
+	start(1);
+	read_n2(false, 1);
 	for (int i = 0; i < 10; i++) {
-		quiet(400);
+		run_idle(400);
 		cell_lead_heard(lead_, 0, 1, now_);
 	}
 	EXPECT_EQ(0U, claims().size());
 	cell_lead_heard(lead_, 0, 0, now_);
-	quiet(2000);
+	run_idle(2000);
 	EXPECT_EQ(1U, claims().size());
 }
 
-/* All owners are lost at once.  A node claims one shard at first and leaves the
- * others to its peers: one machine could not carry them all, and callers would
- * be refused for want of its processor alone. */
-TEST_F(Lead, ANodeClaimsOneShardBeforeOthers)
+/* All owners fail at once.  A node claims one shard first and leaves the others
+ * to its peers for a while: one machine could not serve them all, and callers
+ * would be refused because its processor is overloaded. */
+TEST_F(Lead, NodeClaimsItsPreferredShardFirst)
 {
-	begin(4);
-	quiet(160);
+	start(4);
+	run_idle(160);
 	ASSERT_EQ(1U, claims().size());
 	EXPECT_EQ(cell_shard_of_node("10.0.0.1:1", 4), claims()[0].shard);
-	quiet(800);
+	run_idle(800);
 	EXPECT_EQ(4U, claims().size());
 }
 
-/* What is said of one shard changes nothing about another. */
-TEST_F(Lead, ShardsHaveOwnersOfTheirOwn)
+/* A record about one shard does not change another. */
+TEST_F(Lead, ShardsHaveSeparateOwners)
 {
-	begin(2);
-	read(false, 1, 0);
-	read(false, 3, 1);
-	read(true, 1, 0);
+	start(2);
+	read_n2(false, 1, 0);
+	read_n2(false, 3, 1);
+	read_n2(true, 1, 0);
 	EXPECT_EQ("none", owner(0));
 	EXPECT_EQ("10.0.0.2:1", owner(1));
 	EXPECT_EQ(1U, cell_lead_epoch(lead_, 0));
