--- a/test/test_cell_journal.cc
+++ b/test/test_cell_journal.cc
@@ -1,4 +1,4 @@
-/* Group commit, driven answer by answer. */
+/* Group commit, tested by single answers of the store. */
 
 #include <gtest/gtest.h>
 
@@ -57,7 +57,7 @@
 		cell_journal_open(journal_, 7, 0);
 	}
 
-	/* Every exchange ends in one answer. */
+	/* Each exchange must get exactly one answer. */
 	void TearDown() override
 	{
 		std::set<void *> open = store_.open;
@@ -82,7 +82,7 @@
 		return jobs_.back();
 	}
 
-	void submit(struct cell_job *j, std::vector<cell_fate> *told)
+	void submit(struct cell_job *j, std::vector<cell_fate> *results)
 	{
 		cell_journal_submit(
 		    journal_, j,
@@ -90,7 +90,7 @@
 			    static_cast<std::vector<cell_fate> *>(arg)
 				->push_back(f);
 		    },
-		    told, 0, now_);
+		    results, 0, now_);
 	}
 
 	void step()
@@ -114,18 +114,18 @@
 		store_.done(arg, &a, now_);
 	}
 
-	/* The answer to the n-th sending, from 0. */
+	/* Answers the n-th attempt, counted from 0. */
 	void answer_nth(size_t n, enum ogl_io io)
 	{
 		answer_to(store_.args[n], io);
 	}
 
-	/* An append that takes so long makes the store a slow one. */
-	void slow_store()
+	/* Makes the store count as slow by an append that takes 120 ms. */
+	void make_store_slow()
 	{
-		std::vector<cell_fate> told;
+		std::vector<cell_fate> results;
 
-		submit(job(), &told);
+		submit(job(), &results);
 		step_ms(20);
 		now_ += 120 * OGL_MS;
 		answer(OGL_IO_OK);
@@ -146,13 +146,13 @@
 };
 
 /*
- * A caller's submission comes twice, since its entry repeats a call that has
- * no answer yet; the store then refuses the job.  If only the first copy were
- * told, the second would be told "stored" with whatever is written next, and
- * by its id a job handed in anew would count as stored that is not: its caller
- * sees it accepted, and after the next takeover nobody knows it.
+ * A submission arrives twice, as the node that took the call repeats it until
+ * it is answered, and the store refuses the job.  If only the first copy got the
+ * refusal, the second would get CELL_STORED with the next append, and a job
+ * submitted again under the same id would count as stored: its caller would see
+ * it accepted, and it would be lost at the next takeover.
  */
-TEST_F(Journal, ARefusalIsToldToAllCopiesOfASubmission)
+TEST_F(Journal, RefusalReachesAllCopiesOfASubmission)
 {
 	std::vector<cell_fate> first, copy, later;
 	struct cell_job *j = job();
@@ -172,11 +172,11 @@
 }
 
 /*
- * More comes in than one append takes, so the second half waits for the next;
- * the first half is stored, the second refused.  Told "refused", callers of
- * the first half would see jobs run that were never accepted.
+ * The submissions do not fit into one append, and the second append is refused.
+ * If callers of the first one also got the refusal, they would see jobs run
+ * that were refused.
  */
-TEST_F(Journal, ARefusalOfTheSecondHalfLeavesTheFirst)
+TEST_F(Journal, RefusalOfTheSecondAppendKeepsTheFirst)
 {
 	std::vector<cell_fate> first, second;
 	struct cell_job *big = job(std::string(600 * 1024, 'x'));
@@ -193,21 +193,21 @@
 	EXPECT_EQ(std::vector<cell_fate>{CELL_STORED}, first);
 }
 
-/* The other jobs of a refused batch are not touched by it: what was no new
- * job is written again. */
-TEST_F(Journal, ARefusalKeepsWhatIsNotASubmission)
+/* In a refused batch only the new jobs are refused; all else is written
+ * again. */
+TEST_F(Journal, RefusalKeepsJobsThatAreNotNew)
 {
-	std::vector<cell_fate> told;
+	std::vector<cell_fate> results;
 	struct cell_job *known = job();
 	struct cell_job *j = job();
 
 	known->stored = true;
 	cell_journal_mark(journal_, known, true, now_);
-	submit(j, &told);
+	submit(j, &results);
 	step();
 	answer(OGL_IO_REFUSED);
 
-	EXPECT_EQ(std::vector<cell_fate>{CELL_NOT_STORED}, told);
+	EXPECT_EQ(std::vector<cell_fate>{CELL_NOT_STORED}, results);
 	step();
 	EXPECT_EQ(2, store_.appends);
 	answer(OGL_IO_OK);
@@ -215,36 +215,36 @@
 }
 
 /*
- * The store takes sixty times as long from one moment to the next.  Were the
- * answer under way given up for a new one, callers would wait for both.
+ * The store's latency rises sixtyfold from one moment to the next.  If a retry
+ * gave up the pending answer, callers would wait for both.
  */
-TEST_F(Journal, AnOverdueAppendIsRepeatedAndItsFirstAnswerCounts)
+TEST_F(Journal, OverdueAppendIsRetriedAndFirstAnswerCounts)
 {
-	std::vector<cell_fate> told;
+	std::vector<cell_fate> results;
 
-	submit(job(), &told);
+	submit(job(), &results);
 	step_ms(20);
 	step_ms(160);
 	EXPECT_EQ((std::vector<uint64_t>{1, 1}), store_.seqs);
 	answer_nth(0, OGL_IO_OK);
-	EXPECT_EQ(std::vector<cell_fate>{CELL_STORED}, told);
+	EXPECT_EQ(std::vector<cell_fate>{CELL_STORED}, results);
 	answer_nth(1, OGL_IO_OK);
 	EXPECT_TRUE(cell_journal_idle(journal_));
 }
 
-/* Guards against waits that grow with each lost answer. */
-TEST_F(Journal, ALostAnswerDoesNotDelayTheNextRepeat)
+/* The wait for an answer must not grow with each lost one. */
+TEST_F(Journal, LostAnswerDoesNotDelayTheNextRetry)
 {
-	std::vector<cell_fate> told;
+	std::vector<cell_fate> results;
 
-	submit(job(), &told);
+	submit(job(), &results);
 	step_ms(20);
 	step_ms(160);
 	step_ms(160);
 	EXPECT_EQ((std::vector<uint64_t>{1, 1, 1}), store_.seqs);
 	now_ += 4 * OGL_MS;
 	answer_nth(2, OGL_IO_OK);
-	submit(job(), &told);
+	submit(job(), &results);
 	step_ms(20);
 	step_ms(160);
 	step_ms(160);
@@ -252,30 +252,30 @@
 	answer_nth(5, OGL_IO_OK);
 }
 
-/* Guards against short jobs made late by the wait for a lost answer. */
-TEST_F(Journal, ALostAnswerIsNoticedWithinShortJobsSlack)
+/* The wait for a lost answer must not make short jobs late. */
+TEST_F(Journal, FastStoreIsRetriedSoon)
 {
-	std::vector<cell_fate> told;
+	std::vector<cell_fate> results;
 
-	submit(job(), &told);
+	submit(job(), &results);
 	step_ms(20);
 	now_ += 4 * OGL_MS;
 	answer(OGL_IO_OK);
-	submit(job(), &told);
+	submit(job(), &results);
 	step_ms(20);
 	step_ms(60);
 	EXPECT_EQ((std::vector<uint64_t>{1, 2, 2}), store_.seqs);
 	answer(OGL_IO_OK);
 }
 
-/* Guards against a flood of repeats to a store that is away, and against none in
- * the second after it is back. */
-TEST_F(Journal, RepeatsToAStoreThatIsAwayBecomeRarer)
+/* A store that is down must not get a flood of retries, but must still get one
+ * in the second after it returns. */
+TEST_F(Journal, RetriesBackOffWhileTheStoreIsDown)
 {
-	std::vector<cell_fate> told;
+	std::vector<cell_fate> results;
 	std::vector<size_t> sent;
 
-	submit(job(), &told);
+	submit(job(), &results);
 	for (int half = 0; half < 4; half++) {
 		for (int i = 0; i < 50; i++)
 			step_ms(10);
@@ -285,31 +285,31 @@
 	answer(OGL_IO_OK);
 }
 
-/* One sending is refused while the answer to another is missing: that one may
- * have taken effect, and a caller told "refused" would see its job run. */
-TEST_F(Journal, NoRefusalWhileASendingMayTakeEffect)
+/* One attempt is refused while the answer to another is missing.  The other may
+ * have been stored, and a caller that got a refusal would see its job run. */
+TEST_F(Journal, NoRefusalWhileAnAttemptMayBeStored)
 {
-	std::vector<cell_fate> told;
+	std::vector<cell_fate> results;
 
-	submit(job(), &told);
+	submit(job(), &results);
 	step_ms(20);
 	step_ms(160);
 	answer_nth(1, OGL_IO_REFUSED);
-	EXPECT_TRUE(told.empty());
+	EXPECT_TRUE(results.empty());
 	answer_nth(0, OGL_IO_LOST);
-	EXPECT_TRUE(told.empty());
+	EXPECT_TRUE(results.empty());
 	step_ms(120);
 	answer(OGL_IO_OK);
-	EXPECT_EQ(std::vector<cell_fate>{CELL_STORED}, told);
+	EXPECT_EQ(std::vector<cell_fate>{CELL_STORED}, results);
 }
 
-/* A slow store: a call that comes just after an append was sent would wait for
- * that one and then for its own. */
-TEST_F(Journal, TheNextAppendToASlowStoreDoesNotWaitForTheLast)
+/* Without overlapping appends, a call that comes just after an append was sent
+ * would wait for that append and then for its own. */
+TEST_F(Journal, SlowStoreGetsOverlappingAppends)
 {
 	std::vector<cell_fate> first, second;
 
-	slow_store();
+	make_store_slow();
 	submit(job(), &first);
 	step_ms(20);
 	submit(job(), &second);
@@ -322,12 +322,13 @@
 	EXPECT_EQ(std::vector<cell_fate>{CELL_STORED}, second);
 }
 
-/* Answers cross on their way; the store takes numbers only in order. */
-TEST_F(Journal, ALaterAnswerTellsThatEarlierAppendsWereTaken)
+/* Answers may arrive out of order, but the store accepts appends only in
+ * order. */
+TEST_F(Journal, AnswerConfirmsEarlierAppends)
 {
 	std::vector<cell_fate> first, second;
 
-	slow_store();
+	make_store_slow();
 	submit(job(), &first);
 	step_ms(20);
 	submit(job(), &second);
@@ -339,14 +340,14 @@
 	EXPECT_TRUE(cell_journal_idle(journal_));
 }
 
-/* The store refuses the first of two; the second, out of turn, is refused for
- * its number.  Neither was taken, both callers are told so, and the number is
- * used again. */
-TEST_F(Journal, TwoRefusedAppendsAreBothTakenBack)
+/* The store refuses the first of two appends, and so the second for its number.
+ * Neither was stored: both callers get the refusal, and the number is used
+ * again. */
+TEST_F(Journal, TwoRefusedAppendsRefuseBothCallers)
 {
 	std::vector<cell_fate> first, second, third;
 
-	slow_store();
+	make_store_slow();
 	submit(job(), &first);
 	step_ms(20);
 	submit(job(), &second);
@@ -363,13 +364,14 @@
 	EXPECT_EQ(std::vector<cell_fate>{CELL_STORED}, third);
 }
 
-/* The first is refused and the second lost: the second can still be taken once
- * the first is, so nobody is refused and both are sent again, in order. */
-TEST_F(Journal, ALostAppendBehindARefusedOneIsNotRefused)
+/* The first append is refused and the answer to the second lost.  The second
+ * can still be stored after the first, so no caller gets a refusal and both are
+ * sent again in order. */
+TEST_F(Journal, LostAppendAfterARefusedOneIsNotRefused)
 {
 	std::vector<cell_fate> first, second;
 
-	slow_store();
+	make_store_slow();
 	submit(job(), &first);
 	step_ms(20);
 	submit(job(), &second);
