--- a/test/test_cell_shards.cc
+++ b/test/test_cell_shards.cc
@@ -1,4 +1,4 @@
-/* How a cell is cut into shards. */
+/* Division of a cell into shards. */
 
 #include <gtest/gtest.h>
 
@@ -12,7 +12,7 @@
 namespace
 {
 
-TEST(Shards, ACellOfTodaysSizeHasOne)
+TEST(Shards, NumberOfShardsFollowsWorkers)
 {
 	EXPECT_EQ(1U, cell_shards_wanted(0, 0));
 	EXPECT_EQ(1U, cell_shards_wanted(48, 48));
@@ -22,15 +22,15 @@
 	EXPECT_EQ(CELL_SHARDS_MAX, cell_shards_wanted(1000000, 1000000));
 }
 
-/* A service with few workers would have none in some shards, and jobs for it
- * that are handed in there would wait for ever. */
-TEST(Shards, ASmallServiceKeepsTheCellWhole)
+/* A service with few workers would have none in some shards, and its jobs that
+ * are submitted there would wait forever. */
+TEST(Shards, SmallServiceLimitsNumberOfShards)
 {
 	EXPECT_EQ(1U, cell_shards_wanted(3000, 40));
 	EXPECT_EQ(2U, cell_shards_wanted(3000, 250));
 }
 
-TEST(Shards, AJobIsAtTheRackOfItsData)
+TEST(Shards, JobIsInShardOfItsDataRack)
 {
 	Ogl__CellStep step = OGL__CELL_STEP__INIT;
 	Ogl__CellStep *steps[] = {&step};
@@ -46,9 +46,10 @@
 	    cell_shard_of_worker(rack, "w2", 8));
 }
 
-/* 375 racks in 8 shards: none gets less than half of its share or half as much
- * again, else one owner would refuse work while others idle. */
-TEST(Shards, RacksAndJobsSpreadOverAll)
+/* With 375 racks in 8 shards, none gets less than half or more than one and a
+ * half times its share; otherwise one owner would refuse work while others are
+ * idle. */
+TEST(Shards, RacksAndJobsSpreadEvenly)
 {
 	std::vector<int> racks(8), jobs(8);
 
