--- a/test/test_cell_window.cc
+++ b/test/test_cell_window.cc
@@ -1,4 +1,4 @@
-/* Calls under way to an owner: how many, and what makes them fewer. */
+/* Limit on the calls in flight to an owner. */
 
 #include <gtest/gtest.h>
 
@@ -17,8 +17,8 @@
 		cell_window_reset(&w_);
 	}
 
-	/* How many calls go out before one is held back. */
-	int sent()
+	/* Sends calls until the window is full; returns their number. */
+	int fill()
 	{
 		int n = 0;
 
@@ -41,49 +41,50 @@
 	ogl_time now_ = 10 * OGL_SEC;
 };
 
-/* Guards against all waiting calls going at once to an owner that still reads
- * the jobs it takes over. */
-TEST_F(Window, OneCallFindsOutWhetherANewOwnerServes)
+/* The waiting calls must not all go at once to an owner that still reads the
+ * jobs it takes over. */
+TEST_F(Window, NewOwnerGetsOneCallFirst)
 {
-	EXPECT_EQ(1, sent());
+	EXPECT_EQ(1, fill());
 	answer(1);
-	EXPECT_EQ(4, sent());
+	EXPECT_EQ(4, fill());
 	answer(4);
-	EXPECT_EQ(8, sent());
+	EXPECT_EQ(8, fill());
 }
 
-TEST_F(Window, AnOwnerThatTurnsCallsAwayIsAskedAgainAfterAMoment)
+TEST_F(Window, RefusalClosesTheWindowForAWhile)
 {
-	EXPECT_EQ(1, sent());
+	EXPECT_EQ(1, fill());
 	cell_window_ended(&w_);
 	cell_window_turned_away(&w_, now_);
-	EXPECT_EQ(0, sent());
+	EXPECT_EQ(0, fill());
 	now_ += 149 * OGL_MS;
-	EXPECT_EQ(0, sent());
+	EXPECT_EQ(0, fill());
 	now_ += OGL_MS;
-	EXPECT_EQ(1, sent());
+	EXPECT_EQ(1, fill());
 }
 
-/* Guards against questions that wait because an owner which can't confirm its
- * ownership has turned another one away. */
-TEST_F(Window, OneThatHasServedIsNotHeldForASingleCallTurnedAway)
+/* An owner that can't confirm its ownership refuses single calls, which must
+ * not hold up the others. */
+TEST_F(Window, RefusalAfterServingDoesNotClose)
 {
-	answer(sent());
-	EXPECT_EQ(4, sent());
+	answer(fill());
+	EXPECT_EQ(4, fill());
 	cell_window_ended(&w_);
 	cell_window_turned_away(&w_, now_);
-	EXPECT_EQ(1, sent());
+	EXPECT_EQ(1, fill());
 }
 
-/* Guards against a queue before the owner's link that grows with each call. */
-TEST_F(Window, LongRoundTripsHalveIt)
+/* A window that did not shrink would let the queue before the owner's link grow
+ * with each call. */
+TEST_F(Window, LongRoundTripHalvesTheWindow)
 {
 	for (int i = 0; i < 6; i++)
-		answer(sent());
-	int before = sent();
+		answer(fill());
+	int before = fill();
 	answer(before);
 	cell_window_delay(&w_, 300 * OGL_MS, now_);
-	int once = sent();
+	int once = fill();
 	cell_window_delay(&w_, 300 * OGL_MS, now_ + OGL_MS);
 
 	EXPECT_EQ(before, once);
@@ -91,24 +92,23 @@
 	EXPECT_EQ(static_cast<unsigned>(before), w_.size);
 }
 
-TEST_F(Window, ShortRoundTripsLeaveIt)
+TEST_F(Window, ShortRoundTripKeepsTheWindow)
 {
-	answer(sent());
-	answer(sent());
+	answer(fill());
+	answer(fill());
 	unsigned before = w_.size;
 
 	cell_window_delay(&w_, 20 * OGL_MS, now_);
 	EXPECT_EQ(before, w_.size);
 }
 
-/* Guards against a window that stays closed when its calls were to an owner
- * that is gone. */
-TEST_F(Window, AnotherOwnerBeginsAnew)
+/* Calls to an owner that is gone must not keep the window full. */
+TEST_F(Window, NewOwnerResetsTheWindow)
 {
-	answer(sent());
-	EXPECT_EQ(4, sent());
+	answer(fill());
+	EXPECT_EQ(4, fill());
 	cell_window_reset(&w_);
-	EXPECT_EQ(1, sent());
+	EXPECT_EQ(1, fill());
 }
 
 } // namespace
