--- a/cell/journal.h
+++ b/cell/journal.h
@@ -45,8 +45,8 @@
 
 void cell_journal_put(
     struct cell_journal *g, const char *key, GBytes *value, ogl_time now);
-/* Writes a record that is not a job.  Takes ownership of value.  A later record
- * with the same key replaces it. */
+/* Marks a record that is not a job to be written at once.  Takes ownership of
+ * value.  A later record with the same key replaces it. */
 
 void cell_journal_unmark(struct cell_journal *g, struct cell_job *j);
 /* Forgets the job; to be called before it is freed. */
--- a/cell/lead.c
+++ b/cell/lead.c
@@ -67,10 +67,10 @@
  * that reported trouble: when the store returns for all, an owner needs a
  * moment to report that it reaches it again. */
 #define OUTAGE_GRACE (500 * OGL_MS)
-/* An outage is a period of this length with failed and no answered reads. */
+/* An outage is a longer period in which reads failed and none was answered. */
 #define OUTAGE_MIN (500 * OGL_MS)
-/* Random delay of claims: most claimants read the first claim before they would
- * append their own. */
+/* Claims get a random delay below this, so that most claimants read the first
+ * claim before they would append their own. */
 #define CLAIM_JITTER_MS 150
 /* A machine of at least this strength (half a core has it) claims without
  * delay, one of half this strength WEAK_DELAY_MS later, and so on. */
--- a/test/test_cell_journal.cc
+++ b/test/test_cell_journal.cc
@@ -147,8 +147,8 @@
 
 /*
  * A submission arrives twice, as the node that took the call repeats it until
- * it is answered, and the store refuses the job.  If only the first copy got the
- * refusal, the second would get CELL_STORED with the next append, and a job
+ * it is answered, and the store refuses the job.  If only the first copy got
+ * the refusal, the second would get CELL_STORED with the next append, and a job
  * submitted again under the same id would count as stored: its caller would see
  * it accepted, and it would be lost at the next takeover.
  */
