--- a/cell/journal.h
+++ b/cell/journal.h
@@ -53,8 +53,8 @@
 
 void cell_journal_after(
     struct cell_journal *g, cell_stored_fn *fn, void *arg, uint64_t tag);
-/* Calls fn once everything marked so far is stored, or with
- * CELL_FATE_UNKNOWN. */
+/* Calls fn once everything marked so far is stored, or with CELL_FATE_UNKNOWN
+ * when the journal is closed first.  Does nothing if it is closed already. */
 
 void cell_journal_submit(struct cell_journal *g, struct cell_job *j,
     cell_stored_fn *fn, void *arg, uint64_t tag, ogl_time now);
