--- a/cell/escrow.c
+++ b/cell/escrow.c
@@ -1,23 +1,25 @@
 /*
- * Each team has a bank, the owner of the shard that its name hashes to.  A
- * shard reports what it holds and what it wants; the bank answers with what it
- * may hold from then on, so that all parts together are never more than the
- * whole limit.  What a shard does not use it lowers by itself and reports.
+ * Each team has a coordinator, the owner of the shard that the team's name
+ * hashes to.  A shard reports the part that it holds and the part that it
+ * wants; the coordinator answers with the part that it may hold from then on,
+ * so that all parts together never exceed the whole limit.  A shard reduces its
+ * part by itself when it does not use it, and reports that.
  *
- * Reports are numbered.  The bank goes by the highest number of the latest
- * owner of a shard, and a shard takes a grant only if it answers its last
- * report: a grant that was overtaken by a report in which the shard held less
- * would otherwise raise what the bank has already given to another.
+ * Reports are numbered.  The coordinator uses the highest number of the latest
+ * owner of a shard, and a shard accepts a grant only if it answers its last
+ * report: otherwise a grant that was overtaken by a report in which the shard
+ * held less would restore a part that was already granted to another shard.
  *
- * Nothing of this is stored.  A new bank grants nothing before each shard has
- * told it what it holds, under a number that makes all grants of the earlier
- * bank void.  A new owner of a shard asks what its predecessor held, and until
- * it knows starts nothing for that team; if the bank is new as well, it gets
- * what the others leave.  What may still be running there from before is kept
- * free for it, though it may be more than the shard is given.
+ * None of this is stored.  A new coordinator grants nothing before each shard
+ * has reported what it holds, under a number that invalidates all grants of the
+ * previous coordinator.  A new owner of a shard asks for the part that its
+ * predecessor held, and starts no task of the team until it knows; if the
+ * coordinator is new as well, it gets what the other shards leave.  What the
+ * predecessor's tasks may still use there is reserved for the shard, though it
+ * may be more than the shard is granted.
  *
- * A shard that gets less than it wants is remembered, and the others are asked
- * to give back all that they do not use at the moment.
+ * The coordinator remembers a shard that gets less than it wants, and asks the
+ * others to return all that they do not use at the moment.
  *
  * Parts are fractions of a limit, so a changed limit needs no message.
  */
@@ -26,50 +28,52 @@
 
 #include "escrow.h"
 
-/* Between two reports of a team that wants more; the way to the bank and back
- * takes 2 to 6 ms. */
-#define ASK_GAP (8 * OGL_MS)
-/* After a grant that was less than wanted: others have to give back first. */
-#define DENIED_GAP (60 * OGL_MS)
-/* Without an answer for so long, the message or its bank was lost. */
-#define REPEAT (120 * OGL_MS)
-#define SWEEP (100 * OGL_MS)
-/* Kept above what is used: an eighth, and a fiftieth of the limit, so that
- * ordinary ups and downs cost no message. */
-#define SPARE_PART 8
-#define SPARE (CELL_PART_WHOLE / 50)
-/* More than that is given back after this time. */
-#define IDLE_MAX (500 * OGL_MS)
-/* What is asked for at once beyond the need, for the starts right after. */
-#define AHEAD (CELL_PART_WHOLE / 50)
-
-/* What the bank knows of one shard. */
-struct account {
-	bool heard;
-	uint64_t epoch;  /* of the owner heard last */
+/* Least time between two reports that ask for more for a team; a round trip to
+ * the coordinator takes 2 to 6 ms. */
+#define REPORT_INTERVAL_MIN (8 * OGL_MS)
+/* Delay after a grant that was less than wanted: other shards have to return
+ * something first. */
+#define DENIED_BACKOFF (60 * OGL_MS)
+/* Without an answer for this long, the message or its recipient was lost. */
+#define ANSWER_TIMEOUT (120 * OGL_MS)
+/* How often each team is checked for messages to repeat and parts to return. */
+#define SWEEP_INTERVAL (100 * OGL_MS)
+/* A shard keeps more than it uses, so that ordinary variation needs no message:
+ * an eighth of what it uses, and a fiftieth of the limit. */
+#define SPARE_USED_DIVISOR 8
+#define SPARE_PPM (CELL_PART_WHOLE / 50)
+/* A part that is larger than that is reduced after this time. */
+#define IDLE_TIMEOUT (500 * OGL_MS)
+/* Asked for in addition to the need, for the starts that follow at once. */
+#define REQUEST_AHEAD_PPM (CELL_PART_WHOLE / 50)
+
+/* What the coordinator knows of one shard. */
+struct shard_state {
+	bool reported;
+	uint64_t epoch;  /* of the owner that reported last */
 	uint64_t number; /* of its last report */
 	uint32_t held;
-	uint32_t used; /* as of the last report; mostly less than held */
+	uint32_t used; /* as of the last report; usually less than held */
 	uint32_t wanted;
-	bool waits; /* the last report was not answered yet */
+	bool answer_due; /* the last report was not answered yet */
 };
 
 struct team {
 	char *name;
-	/* as a holder */
-	bool known; /* what this shard holds was told by the bank */
+	/* as a shard that holds a part */
+	bool known; /* the coordinator has said what this shard holds */
 	uint32_t held;
 	uint32_t wanted;
 	uint64_t number; /* of the last report */
 	bool unanswered;
 	ogl_time sent_at;
-	bool asks;           /* wants more and has not said so yet */
-	ogl_time ask_at;     /* next report for more not before */
-	ogl_time idle_since; /* holds more than it needs, 0 it does not */
-	/* as the bank */
-	bool asked_of;
-	ogl_time query_at;
-	struct account accounts[CELL_SHARDS_MAX];
+	bool report_due;         /* wants more and has not reported that yet */
+	ogl_time next_report_at; /* earliest time of the next report for more */
+	ogl_time idle_since;     /* held exceeds the need; 0 if it does not */
+	/* as the coordinator */
+	bool has_reports; /* a shard has reported to this owner */
+	ogl_time next_query_at;
+	struct shard_state states[CELL_SHARDS_MAX];
 };
 
 struct cell_escrow {
@@ -78,8 +82,8 @@
 	uint32_t shards;
 	bool open;
 	uint64_t epoch;
-	GHashTable *teams; /* name -> struct team */
-	unsigned asking;   /* of them, those that want more unsaid */
+	GHashTable *teams;    /* name -> struct team */
+	unsigned reports_due; /* number of teams with report_due */
 	ogl_time sweep_at;
 };
 
@@ -117,7 +121,7 @@
 cell_escrow_open(struct cell_escrow *e, uint64_t epoch)
 {
 	g_hash_table_remove_all(e->teams);
-	e->asking = 0;
+	e->reports_due = 0;
 	e->open = true;
 	e->epoch = epoch;
 }
@@ -144,7 +148,7 @@
 
 /* Teams and jobs are spread by the same hash. */
 static uint32_t
-bank_of(const struct cell_escrow *e, const char *team)
+coordinator_of(const struct cell_escrow *e, const char *team)
 {
 	return cell_shard_of_job(team, NULL, e->shards);
 }
@@ -158,22 +162,22 @@
 	e->events.send(e->events.arg, to, m);
 }
 
-/* ---- the holder ------------------------------------------------------- */
+/* ---- shards ----------------------------------------------------------- */
 
 static void
-set_asks(struct cell_escrow *e, struct team *t, bool asks)
+set_report_due(struct cell_escrow *e, struct team *t, bool due)
 {
-	if (t->asks != asks)
-		e->asking += asks ? 1U : -1U;
-	t->asks = asks;
+	if (t->report_due != due)
+		e->reports_due += due ? 1U : -1U;
+	t->report_due = due;
 }
 
 static void
-report(struct cell_escrow *e, struct team *t, ogl_time now)
+send_report(struct cell_escrow *e, struct team *t, ogl_time now)
 {
 	Ogl__CellPart m = OGL__CELL_PART__INIT;
 
-	set_asks(e, t, false);
+	set_report_due(e, t, false);
 	m.kind = OGL__CELL_PART_KIND__cell_part_report;
 	m.number = ++t->number;
 	m.fresh = !t->known;
@@ -182,8 +186,8 @@
 	m.wanted = t->wanted;
 	t->unanswered = true;
 	t->sent_at = now;
-	t->ask_at = now + ASK_GAP;
-	send_part(e, bank_of(e, t->name), &m, t);
+	t->next_report_at = now + REPORT_INTERVAL_MIN;
+	send_part(e, coordinator_of(e, t->name), &m, t);
 }
 
 uint32_t
@@ -208,16 +212,16 @@
 	t = team_of(e, team);
 	if (t->known && part <= t->held)
 		return;
-	t->wanted = MIN(part + AHEAD, CELL_PART_WHOLE);
-	/* Another report would make the grant on its way void. */
-	if (now >= t->ask_at && !t->unanswered)
-		report(e, t, now);
+	t->wanted = MIN(part + REQUEST_AHEAD_PPM, CELL_PART_WHOLE);
+	/* Another report would invalidate the grant that is on its way. */
+	if (now >= t->next_report_at && !t->unanswered)
+		send_report(e, t, now);
 	else
-		set_asks(e, t, true);
+		set_report_due(e, t, true);
 }
 
 static void
-take_grant(struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now)
+handle_grant(struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now)
 {
 	struct team *t = team_of(e, m->team);
 	uint32_t before = t->held;
@@ -228,13 +232,13 @@
 	t->unanswered = false;
 	t->held = m->held;
 	if (t->held < t->wanted)
-		t->ask_at = now + DENIED_GAP;
+		t->next_report_at = now + DENIED_BACKOFF;
 	if (t->held > before)
 		e->events.granted(e->events.arg, now);
 }
 
 static void
-take_query(struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now)
+handle_query(struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now)
 {
 	struct team *t = team_of(e, m->team);
 	uint32_t used = e->events.used(e->events.arg, t->name);
@@ -243,15 +247,15 @@
 		t->held = MIN(t->held, used);
 		t->wanted = t->held;
 	}
-	report(e, t, now);
+	send_report(e, t, now);
 }
 
-/* Gives back what has not been used for a while. */
+/* Returns what has not been used for a while. */
 static void
-give_back(struct cell_escrow *e, struct team *t, ogl_time now)
+return_unused(struct cell_escrow *e, struct team *t, ogl_time now)
 {
 	uint32_t used = e->events.used(e->events.arg, t->name);
-	uint32_t keep = used + used / SPARE_PART + SPARE;
+	uint32_t keep = used + used / SPARE_USED_DIVISOR + SPARE_PPM;
 
 	if (t->held <= keep) {
 		t->idle_since = 0;
@@ -259,37 +263,37 @@
 	}
 	if (t->idle_since == 0)
 		t->idle_since = now;
-	if (now - t->idle_since < IDLE_MAX)
+	if (now - t->idle_since < IDLE_TIMEOUT)
 		return;
 	t->idle_since = 0;
 	t->held = used > 0 ? keep : 0;
 	t->wanted = t->held;
-	report(e, t, now);
+	send_report(e, t, now);
 }
 
-/* ---- the bank --------------------------------------------------------- */
+/* ---- the coordinator -------------------------------------------------- */
 
 static bool
-all_heard(const struct cell_escrow *e, const struct team *t)
+all_reported(const struct cell_escrow *e, const struct team *t)
 {
 	uint32_t i;
 
 	for (i = 0; i < e->shards; i++) {
-		if (!t->accounts[i].heard)
+		if (!t->states[i].reported)
 			return false;
 	}
 	return true;
 }
 
-/* The most that a shard may hold beside what the others have. */
+/* The largest part that the other shards leave to a shard. */
 static uint32_t
-left_for(const struct cell_escrow *e, const struct team *t, uint32_t shard)
+available_to(const struct cell_escrow *e, const struct team *t, uint32_t shard)
 {
 	uint64_t others = 0;
 	uint32_t i;
 
 	for (i = 0; i < e->shards; i++) {
-		const struct account *a = &t->accounts[i];
+		const struct shard_state *a = &t->states[i];
 
 		if (i != shard)
 			others += MAX(a->held, a->used);
@@ -303,11 +307,11 @@
 {
 	uint32_t i;
 
-	t->query_at = now + REPEAT;
+	t->next_query_at = now + ANSWER_TIMEOUT;
 	for (i = 0; i < e->shards; i++) {
 		Ogl__CellPart m = OGL__CELL_PART__INIT;
 
-		if (t->accounts[i].heard)
+		if (t->states[i].reported)
 			continue;
 		m.kind = OGL__CELL_PART_KIND__cell_part_query;
 		send_part(e, i, &m, t);
@@ -315,18 +319,18 @@
 }
 
 /*
- * Shards that hold what they want are asked to give back what they can; also
- * those that only used something when they last reported, after a takeover, as
- * nothing else would make them say that it has ended.
+ * Asks the shards that hold what they want to return what they can.  This
+ * includes shards that hold nothing but had something in use at their last
+ * report, after a takeover: nothing else would make them report its end.
  */
 static void
-call_in(struct cell_escrow *e, struct team *t, ogl_time now)
+query_holders(struct cell_escrow *e, struct team *t, ogl_time now)
 {
 	uint32_t i;
 
-	t->query_at = now + DENIED_GAP;
+	t->next_query_at = now + DENIED_BACKOFF;
 	for (i = 0; i < e->shards; i++) {
-		const struct account *a = &t->accounts[i];
+		const struct shard_state *a = &t->states[i];
 		Ogl__CellPart m = OGL__CELL_PART__INIT;
 
 		if (MAX(a->held, a->used) == 0 || a->wanted > a->held)
@@ -337,9 +341,9 @@
 	}
 }
 
-/* Whether the report is news; then the account says what its shard holds. */
+/* Notes the report unless it is outdated; false if it is. */
 static bool
-take_account(struct account *a, const Ogl__CellPart *m)
+update_state(struct shard_state *a, const Ogl__CellPart *m)
 {
 	if (m->from_epoch < a->epoch ||
 	    (m->from_epoch == a->epoch && m->number <= a->number))
@@ -350,66 +354,66 @@
 	a->wanted = m->wanted;
 	if (!m->fresh)
 		a->held = m->held;
-	a->heard = true;
-	a->waits = true;
+	a->reported = true;
+	a->answer_due = true;
 	return true;
 }
 
 static void
-answer(struct cell_escrow *e, struct team *t, uint32_t shard)
+send_grant(struct cell_escrow *e, struct team *t, uint32_t shard)
 {
-	struct account *a = &t->accounts[shard];
-	uint32_t left = left_for(e, t, shard);
+	struct shard_state *a = &t->states[shard];
+	uint32_t left = available_to(e, t, shard);
 	Ogl__CellPart g = OGL__CELL_PART__INIT;
 
 	if (a->wanted > a->held && left > a->held)
 		a->held = MIN(a->wanted, left);
-	a->waits = false;
+	a->answer_due = false;
 	g.kind = OGL__CELL_PART_KIND__cell_part_grant;
 	g.number = a->number;
 	g.held = a->held;
 	send_part(e, shard, &g, t);
 }
 
-/* Answers what was reported, and gives shards that got less before what has
- * come free; whether some still want more. */
+/* Answers all reports, and grants what was returned to shards that got less
+ * than they want.  Result: whether a shard still wants more. */
 static bool
-answer_all(struct cell_escrow *e, struct team *t)
+send_grants(struct cell_escrow *e, struct team *t)
 {
 	bool denied = false;
 	uint32_t i;
 
 	for (i = 0; i < e->shards; i++) {
-		struct account *a = &t->accounts[i];
-		bool more = a->wanted > a->held && left_for(e, t, i) > a->held;
+		struct shard_state *a = &t->states[i];
+		bool more =
+		    a->wanted > a->held && available_to(e, t, i) > a->held;
 
-		if (a->waits || more)
-			answer(e, t, i);
+		if (a->answer_due || more)
+			send_grant(e, t, i);
 		denied = denied || a->wanted > a->held;
 	}
 	return denied;
 }
 
-/* Whoever reported before the last shard was heard waits until then: one that
- * does not know what it holds can't be told, and one that does goes on with
- * it. */
+/* No report is answered before each shard has reported: a shard that does not
+ * know what it holds can't be told yet, and one that does continues with it. */
 static void
-take_report(struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now)
+handle_report(struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now)
 {
 	struct team *t = team_of(e, m->team);
 
-	if (bank_of(e, m->team) != e->shard)
+	if (coordinator_of(e, m->team) != e->shard)
 		return;
-	t->asked_of = true;
-	if (!take_account(&t->accounts[m->from_shard], m))
+	t->has_reports = true;
+	if (!update_state(&t->states[m->from_shard], m))
 		return;
-	if (!all_heard(e, t)) {
-		if (now >= t->query_at)
+	if (!all_reported(e, t)) {
+		if (now >= t->next_query_at)
 			query_missing(e, t, now);
 		return;
 	}
-	if (answer_all(e, t) && now >= t->query_at)
-		call_in(e, t, now);
+	if (send_grants(e, t) && now >= t->next_query_at)
+		query_holders(e, t, now);
 }
 
 void
@@ -419,29 +423,29 @@
 		return;
 	switch (m->kind) {
 	case OGL__CELL_PART_KIND__cell_part_report:
-		take_report(e, m, now);
+		handle_report(e, m, now);
 		break;
 	case OGL__CELL_PART_KIND__cell_part_query:
-		take_query(e, m, now);
+		handle_query(e, m, now);
 		break;
 	case OGL__CELL_PART_KIND__cell_part_grant:
-		take_grant(e, m, now);
+		handle_grant(e, m, now);
 		break;
 	default:
 		break;
 	}
 }
 
-/* ---- what falls due --------------------------------------------------- */
+/* ---- timers ----------------------------------------------------------- */
 
 static void
 step_team(struct cell_escrow *e, struct team *t, ogl_time now)
 {
-	if (t->unanswered && now - t->sent_at > REPEAT)
-		report(e, t, now);
+	if (t->unanswered && now - t->sent_at > ANSWER_TIMEOUT)
+		send_report(e, t, now);
 	else if (t->known && !t->unanswered)
-		give_back(e, t, now);
-	if (t->asked_of && !all_heard(e, t) && now >= t->query_at)
+		return_unused(e, t, now);
+	if (t->has_reports && !all_reported(e, t) && now >= t->next_query_at)
 		query_missing(e, t, now);
 }
 
@@ -452,16 +456,16 @@
 	GHashTableIter it;
 	gpointer v;
 
-	if (!e->open || e->shards == 1 || (!sweep && e->asking == 0))
+	if (!e->open || e->shards == 1 || (!sweep && e->reports_due == 0))
 		return;
 	if (sweep)
-		e->sweep_at = now + SWEEP;
+		e->sweep_at = now + SWEEP_INTERVAL;
 	g_hash_table_iter_init(&it, e->teams);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct team *t = v;
 
-		if (t->asks && !t->unanswered && now >= t->ask_at)
-			report(e, t, now);
+		if (t->report_due && !t->unanswered && now >= t->next_report_at)
+			send_report(e, t, now);
 		if (sweep)
 			step_team(e, t, now);
 	}
--- a/cell/escrow.h
+++ b/cell/escrow.h
@@ -1,6 +1,6 @@
 /*
- * Teams' limits in a cell of several shards: which part of each a shard may
- * use.  A start costs no message as long as the part holds it.
+ * Teams' limits in a cell with several shards: which part of each limit a shard
+ * may use.  A start needs no message as long as it fits into the shard's part.
  */
 
 #ifndef OGL_CELL_ESCROW_H
@@ -8,17 +8,18 @@
 
 #include "shards.h"
 
-#define CELL_PART_WHOLE 1000000U /* millionths of a limit */
+#define CELL_PART_WHOLE 1000000U /* a whole limit, in millionths */
 
 struct cell_escrow;
 
 struct cell_escrow_events {
 	void (*send)(void *arg, uint32_t to_shard, const Ogl__CellPart *m);
-	/* To the owner of that shard, which may be this one. */
+	/* Sends m to the owner of the shard, which may be this one. */
 	uint32_t (*used)(void *arg, const char *team);
-	/* Millionths of its limit that may be in use here. */
+	/* Result: millionths of the team's limit that may be in use in this
+	 * shard. */
 	void (*granted)(void *arg, ogl_time now);
-	/* A part has grown. */
+	/* The part of a team has grown. */
 	void *arg;
 };
 
@@ -27,21 +28,24 @@
 void cell_escrow_end(struct cell_escrow *e);
 
 void cell_escrow_open(struct cell_escrow *e, uint64_t epoch);
-/* The shard was taken over: nothing is held, and nothing known of others. */
+/* The shard has a new owner: it holds nothing yet, and knows nothing of the
+ * other shards. */
 void cell_escrow_close(struct cell_escrow *e);
 
 uint32_t cell_escrow_part(struct cell_escrow *e, const char *team);
-/* What this shard may use of the team's limit; all of it in a cell of one. */
+/* Result: millionths of the team's limit that this shard may use; the whole
+ * limit in a cell with one shard. */
 
 void cell_escrow_want(
     struct cell_escrow *e, const char *team, uint32_t part, ogl_time now);
-/* Waiting work could start if the part were so large. */
+/* Asks for a part of that many millionths: waiting work could start with it. */
 
 void cell_escrow_take(
     struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now);
-/* A message from the owner of m->from_shard. */
+/* Handles a message from the owner of m->from_shard. */
 
 void cell_escrow_step(struct cell_escrow *e, ogl_time now);
-/* Repeats what was not answered, gives back what is not used. */
+/* Sends reports that are due, repeats messages that were not answered, and
+ * returns parts that are not used. */
 
 #endif
