--- a/test/test_cell_escrow.cc
+++ b/test/test_cell_escrow.cc
@@ -1,4 +1,4 @@
-/* Parts of a team's limit between three shards, message by message. */
+/* Parts of a team's limit among three shards, message by message. */
 
 #include <gtest/gtest.h>
 
@@ -23,7 +23,7 @@
 	std::string bytes;
 };
 
-/* Owners of three shards and what is on its way between them. */
+/* Owners of three shards and the messages in flight between them. */
 class Escrow : public testing::Test
 {
       protected:
@@ -45,7 +45,7 @@
 
 			ogl__cell_part__pack(
 			    m, reinterpret_cast<uint8_t *>(&b[0]));
-			h->test->wire_.push_back({h->shard, to, b});
+			h->test->in_flight_.push_back({h->shard, to, b});
 		};
 		ev.used = [](void *arg, const char *) {
 			return static_cast<Holder *>(arg)->used;
@@ -59,9 +59,9 @@
 			h.e = cell_escrow_init(i, kShards, &ev);
 			cell_escrow_open(h.e, 1);
 		}
-		bank_ = cell_shard_of_job("team", nullptr, kShards);
-		one_ = (bank_ + 1) % kShards;
-		two_ = (bank_ + 2) % kShards;
+		coordinator_ = cell_shard_of_job("team", nullptr, kShards);
+		shard_a_ = (coordinator_ + 1) % kShards;
+		shard_b_ = (coordinator_ + 2) % kShards;
 	}
 
 	void TearDown() override
@@ -70,8 +70,8 @@
 			cell_escrow_end(h.e);
 	}
 
-	/* The shard has a new owner, which knows nothing. */
-	void replace(uint32_t shard)
+	/* Gives the shard a new owner, without the previous one's state. */
+	void replace_owner(uint32_t shard)
 	{
 		cell_escrow_open(holders_[shard].e, ++holders_[shard].epoch);
 	}
@@ -86,14 +86,15 @@
 		ogl__cell_part__free_unpacked(p, nullptr);
 	}
 
-	/* Everything arrives, but for what comes from or goes to `cut`. */
-	void settle(uint32_t cut = kShards)
+	/* Delivers all messages but those from or to the shard `isolated`,
+	 * which are dropped. */
+	void deliver_all(uint32_t isolated = kShards)
 	{
-		while (!wire_.empty()) {
-			Message m = wire_.front();
+		while (!in_flight_.empty()) {
+			Message m = in_flight_.front();
 
-			wire_.pop_front();
-			if (m.from != cut && m.to != cut)
+			in_flight_.pop_front();
+			if (m.from != isolated && m.to != isolated)
 				deliver(m);
 		}
 	}
@@ -104,13 +105,13 @@
 		cell_escrow_want(holders_[shard].e, "team", part, now_);
 	}
 
-	void pass(int ms, uint32_t cut = kShards)
+	void advance(int ms, uint32_t isolated = kShards)
 	{
 		for (int i = 0; i < ms; i += 100) {
 			now_ += 100 * kMs;
 			for (auto &h : holders_)
 				cell_escrow_step(h.e, now_);
-			settle(cut);
+			deliver_all(isolated);
 		}
 	}
 
@@ -120,154 +121,157 @@
 	}
 
 	Holder holders_[kShards];
-	std::deque<Message> wire_;
+	std::deque<Message> in_flight_;
 	ogl_time now_ = 1000 * kMs;
-	uint32_t bank_ = 0, one_ = 0, two_ = 0;
+	uint32_t coordinator_ = 0, shard_a_ = 0, shard_b_ = 0;
 };
 
-TEST_F(Escrow, AShardMayUseWhatOthersDoNot)
+TEST_F(Escrow, ShardGetsPartThatOthersDoNotUse)
 {
-	want(one_, 900000);
-	settle();
-	EXPECT_GE(part(one_), 900000U);
-	want(two_, 300000);
-	settle();
-	EXPECT_LE(part(one_) + part(two_) + part(bank_), kWhole);
+	want(shard_a_, 900000);
+	deliver_all();
+	EXPECT_GE(part(shard_a_), 900000U);
+	want(shard_b_, 300000);
+	deliver_all();
+	EXPECT_LE(part(shard_a_) + part(shard_b_) + part(coordinator_), kWhole);
 }
 
-/* What a shard no longer uses others get within a second: a team's jobs there
- * would else wait while most of its limit lies idle. */
-TEST_F(Escrow, WhatIsIdleComesBack)
+/* A shard that no longer uses its part returns it within a second: otherwise
+ * the team's jobs in other shards would wait while most of its limit is
+ * unused. */
+TEST_F(Escrow, UnusedPartIsReturned)
 {
-	want(one_, kWhole);
-	settle();
-	EXPECT_EQ(kWhole, part(one_));
-	holders_[one_].used = 100000;
-	pass(1000);
-	want(two_, 500000);
-	settle();
-	EXPECT_GE(part(two_), 500000U);
-	EXPECT_GE(part(one_), 100000U);
+	want(shard_a_, kWhole);
+	deliver_all();
+	EXPECT_EQ(kWhole, part(shard_a_));
+	holders_[shard_a_].used = 100000;
+	advance(1000);
+	want(shard_b_, 500000);
+	deliver_all();
+	EXPECT_GE(part(shard_b_), 500000U);
+	EXPECT_GE(part(shard_a_), 100000U);
 }
 
-/* The owner that kept the accounts is lost.  Its successor does not know what
- * others hold; if it gave out anything before each had told, the team would
- * have more running than its limit. */
-TEST_F(Escrow, ANewBankGrantsNothingBeforeAllHaveTold)
+/* The coordinator is replaced, and the new one does not know what the shards
+ * hold.  If it granted anything before each has reported, the team would have
+ * more running than its limit. */
+TEST_F(Escrow, NewCoordinatorGrantsNothingBeforeAllReports)
 {
-	want(one_, 800000);
-	settle();
-	replace(bank_);
-	want(two_, 600000);
-	settle(one_);
-	pass(500, one_);
-	EXPECT_EQ(0U, part(two_));
-	pass(500);
-	want(two_, 600000);
-	settle();
-	EXPECT_GT(part(two_), 0U);
-	EXPECT_LE(part(one_) + part(two_), kWhole);
+	want(shard_a_, 800000);
+	deliver_all();
+	replace_owner(coordinator_);
+	want(shard_b_, 600000);
+	deliver_all(shard_a_);
+	advance(500, shard_a_);
+	EXPECT_EQ(0U, part(shard_b_));
+	advance(500);
+	want(shard_b_, 600000);
+	deliver_all();
+	EXPECT_GT(part(shard_b_), 0U);
+	EXPECT_LE(part(shard_a_) + part(shard_b_), kWhole);
 }
 
-/* A grant is held up on its way; meanwhile its shard has reported anew, and the
- * bank goes by that.  The grant, taken late, would be used twice. */
-TEST_F(Escrow, AGrantThatWasOvertakenIsVoid)
+/* A grant is delayed, and meanwhile its shard has sent another report, which
+ * the coordinator uses.  If the late grant were accepted, the same part would
+ * be used twice. */
+TEST_F(Escrow, OvertakenGrantIsIgnored)
 {
-	want(one_, 300000);
-	settle();
-	uint32_t before = part(one_);
+	want(shard_a_, 300000);
+	deliver_all();
+	uint32_t before = part(shard_a_);
 
-	want(one_, 700000);
-	deliver(wire_.front());
-	wire_.pop_front();
-	Message grant = wire_.front();
+	want(shard_a_, 700000);
+	deliver(in_flight_.front());
+	in_flight_.pop_front();
+	Message grant = in_flight_.front();
 
-	wire_.pop_front();
-	pass(200, bank_);
+	in_flight_.pop_front();
+	advance(200, coordinator_);
 	deliver(grant);
-	EXPECT_EQ(before, part(one_));
+	EXPECT_EQ(before, part(shard_a_));
 }
 
-/* More work for the team comes in while a report is on its way.  A second report
- * would make the first one's grant void, and on a slow network, with work coming
- * in all the time, none would ever count: the team's jobs would wait with its
- * limit unused. */
-TEST_F(Escrow, MoreWorkDoesNotVoidAGrantOnItsWay)
+/* More work for the team arrives while a report is in flight.  A second report
+ * would invalidate the grant for the first one.  On a slow network with work
+ * arriving all the time no grant would ever be valid, and the team's jobs would
+ * wait with its limit unused. */
+TEST_F(Escrow, MoreWorkDoesNotInvalidateGrantInFlight)
 {
-	want(one_, 100000);
-	settle();
-	want(one_, 300000);
-	ASSERT_EQ(1U, wire_.size());
+	want(shard_a_, 100000);
+	deliver_all();
+	want(shard_a_, 300000);
+	ASSERT_EQ(1U, in_flight_.size());
 	now_ += 50 * kMs;
-	cell_escrow_want(holders_[one_].e, "team", 500000, now_);
-	EXPECT_EQ(1U, wire_.size());
-	settle();
-	EXPECT_GE(part(one_), 300000U);
-	pass(200);
-	EXPECT_GE(part(one_), 500000U);
+	cell_escrow_want(holders_[shard_a_].e, "team", 500000, now_);
+	EXPECT_EQ(1U, in_flight_.size());
+	deliver_all();
+	EXPECT_GE(part(shard_a_), 300000U);
+	advance(200);
+	EXPECT_GE(part(shard_a_), 500000U);
 }
 
-/* The owner of a shard is replaced, and most of a limit may still run there.
- * The new one gets what its predecessor held, no more. */
-TEST_F(Escrow, ANewOwnerGetsWhatItsPredecessorHeld)
+/* The owner of a shard is replaced, and tasks that use most of a limit may
+ * still run there.  The new owner gets the part that its predecessor held, no
+ * more. */
+TEST_F(Escrow, NewOwnerGetsPartOfPredecessor)
 {
-	want(one_, 500000);
-	want(two_, 400000);
-	settle();
-	uint32_t held = part(one_);
-
-	holders_[one_].used = 450000;
-	replace(one_);
-	EXPECT_EQ(0U, part(one_));
-	want(one_, 480000);
-	settle();
-	EXPECT_EQ(held, part(one_));
-	EXPECT_LE(part(one_) + part(two_), kWhole);
+	want(shard_a_, 500000);
+	want(shard_b_, 400000);
+	deliver_all();
+	uint32_t held = part(shard_a_);
+
+	holders_[shard_a_].used = 450000;
+	replace_owner(shard_a_);
+	EXPECT_EQ(0U, part(shard_a_));
+	want(shard_a_, 480000);
+	deliver_all();
+	EXPECT_EQ(held, part(shard_a_));
+	EXPECT_LE(part(shard_a_) + part(shard_b_), kWhole);
 }
 
-/* All owners are lost at once and nobody knows what was held.  What may run in
- * one shard is kept free for it, although that is more than it may use, and no
- * two shards are given the same. */
-TEST_F(Escrow, AfterAllWereLostTheSumStaysWithinTheLimit)
+/* All owners are replaced at once, and none knows what was held.  What may be
+ * running in a shard is reserved for it, even if that is more than it may use,
+ * and no part is granted to two shards. */
+TEST_F(Escrow, PartsStayWithinLimitAfterAllOwnersChange)
 {
-	want(one_, 500000);
-	want(two_, 400000);
-	settle();
-	holders_[one_].used = 700000; /* supposed, not known */
-	holders_[two_].used = 600000;
+	want(shard_a_, 500000);
+	want(shard_b_, 400000);
+	deliver_all();
+	holders_[shard_a_].used = 700000; /* assumed, not known */
+	holders_[shard_b_].used = 600000;
 	for (uint32_t i = 0; i < kShards; i++)
-		replace(i);
-	want(one_, 750000);
-	want(two_, 650000);
-	pass(500);
-	EXPECT_LE(part(one_) + part(two_), kWhole);
-	holders_[one_].used = 0;
-	holders_[two_].used = 0;
-	pass(2000);
-	want(one_, 900000);
-	pass(300);
-	EXPECT_GE(part(one_), 900000U);
+		replace_owner(i);
+	want(shard_a_, 750000);
+	want(shard_b_, 650000);
+	advance(500);
+	EXPECT_LE(part(shard_a_) + part(shard_b_), kWhole);
+	holders_[shard_a_].used = 0;
+	holders_[shard_b_].used = 0;
+	advance(2000);
+	want(shard_a_, 900000);
+	advance(300);
+	EXPECT_GE(part(shard_a_), 900000U);
 }
 
-/* After all owners were lost, one shard says what may still run there, which is
- * the whole limit, and has no more work for the team.  Once that has ended the
- * rest must get room: a job of a small team was seen to wait for 22 s, to the
- * end of the day, with the cell nearly empty. */
-TEST_F(Escrow, WhatRanBeforeAllWereLostIsNotKeptForEver)
+/* After all owners were replaced, one shard reports that the whole limit may
+ * still be in use there, and has no more work for the team.  Once those tasks
+ * have ended the other shards must get the limit: a job of a small team was
+ * seen to wait for 22 s, to the end of the day, with the cell nearly empty. */
+TEST_F(Escrow, ReservedPartIsFreedAfterAllOwnersChange)
 {
-	want(one_, kWhole);
-	settle();
-	holders_[one_].used = kWhole;
+	want(shard_a_, kWhole);
+	deliver_all();
+	holders_[shard_a_].used = kWhole;
 	for (uint32_t i = 0; i < kShards; i++)
-		replace(i);
-	want(two_, 200000);
-	pass(300);
-	EXPECT_EQ(0U, part(two_));
-	holders_[one_].used = 0;
-	pass(1000);
-	want(two_, 200000);
-	pass(300);
-	EXPECT_GE(part(two_), 200000U);
+		replace_owner(i);
+	want(shard_b_, 200000);
+	advance(300);
+	EXPECT_EQ(0U, part(shard_b_));
+	holders_[shard_a_].used = 0;
+	advance(1000);
+	want(shard_b_, 200000);
+	advance(300);
+	EXPECT_GE(part(shard_b_), 200000U);
 }
 
 } // namespace
