--- a/cell/order_msg.c
+++ b/cell/order_msg.c
@@ -1,6 +1,6 @@
 /*
- * libprotobuf-c frees what it finds in a message with the C library's free, so
- * that is what messages are made of here.
+ * libprotobuf-c frees the contents of a message with the C library's free, so
+ * messages are allocated with malloc here instead of with GLib.
  */
 
 #include <string.h>
@@ -8,7 +8,7 @@
 #include "order_msg.h"
 
 char *
-cell_order_text(const char *s)
+cell_order_strdup(const char *s)
 {
 	return strdup(s != NULL ? s : "");
 }
@@ -27,7 +27,7 @@
 }
 
 enum ogl_io
-cell_order_io(Ogl__CellOrderOutcome outcome)
+cell_order_outcome_to_io(Ogl__CellOrderOutcome outcome)
 {
 	switch (outcome) {
 	case OGL__CELL_ORDER_OUTCOME__cell_order_done:
@@ -44,7 +44,7 @@
 }
 
 Ogl__CellOrderOutcome
-cell_order_outcome(enum ogl_io io)
+cell_order_outcome_from_io(enum ogl_io io)
 {
 	switch (io) {
 	case OGL_IO_OK:
@@ -59,7 +59,7 @@
 }
 
 struct cell_row *
-cell_rows_read(Ogl__CellRunRow *const *list, size_t n)
+cell_rows_from_msg(Ogl__CellRunRow *const *list, size_t n)
 {
 	struct cell_row *rows = g_new0(struct cell_row, n);
 	size_t i;
@@ -84,7 +84,7 @@
 }
 
 Ogl__CellRunRow **
-cell_rows_write(const struct cell_row *rows, size_t n)
+cell_rows_to_msg(const struct cell_row *rows, size_t n)
 {
 	Ogl__CellRunRow **list = malloc(n * sizeof(Ogl__CellRunRow *));
 	size_t i;
@@ -93,12 +93,12 @@
 		Ogl__CellRunRow *m = malloc(sizeof *m);
 
 		ogl__cell_run_row__init(m);
-		m->job = cell_order_text(rows[i].task.id);
+		m->job = cell_order_strdup(rows[i].task.id);
 		m->occurrence = rows[i].task.occurrence;
 		m->step = rows[i].task.step;
 		m->index = rows[i].task.index;
 		m->run = rows[i].run;
-		m->checkpoint = cell_order_text(rows[i].checkpoint);
+		m->checkpoint = cell_order_strdup(rows[i].checkpoint);
 		m->percent = rows[i].percent;
 		m->gauge = rows[i].gauge;
 		m->number = rows[i].number;
@@ -109,7 +109,7 @@
 }
 
 void
-cell_entry_read(
+cell_entry_from_msg(
     const Ogl__CellEntry *m, struct cell_record *r, struct cell_worker_entry *e)
 {
 	r->offset = m->offset;
@@ -133,26 +133,26 @@
 }
 
 Ogl__CellEntry *
-cell_entry_write(const struct cell_record *r)
+cell_entry_to_msg(const struct cell_record *r)
 {
 	const struct cell_worker_entry *e = r->worker;
 	Ogl__CellEntry *m = malloc(sizeof *m);
 	guint i;
 
 	ogl__cell_entry__init(m);
-	m->worker = cell_order_text(r->key);
+	m->worker = cell_order_strdup(r->key);
 	m->dropped = r->dropped;
 	m->readable = e != NULL;
 	if (e == NULL)
 		return m;
-	m->service = cell_order_text(e->service);
-	m->addr = cell_order_text(e->addr);
-	m->zone = cell_order_text(e->zone);
-	m->rack = cell_order_text(e->rack);
+	m->service = cell_order_strdup(e->service);
+	m->addr = cell_order_strdup(e->addr);
+	m->zone = cell_order_strdup(e->zone);
+	m->rack = cell_order_strdup(e->rack);
 	m->n_labels = e->labels != NULL ? g_strv_length(e->labels) : 0;
 	m->labels = malloc((m->n_labels + 1) * sizeof(char *));
 	for (i = 0; i < m->n_labels; i++)
-		m->labels[i] = cell_order_text(e->labels[i]);
+		m->labels[i] = cell_order_strdup(e->labels[i]);
 	m->draining = e->draining;
 	m->born_ms = e->born_ms;
 	m->cpu_milli = e->capacity.cpu_milli;
--- a/cell/relay.c
+++ b/cell/relay.c
@@ -297,8 +297,8 @@
 
 	ogl__cell_order__init(m);
 	m->kind = kind;
-	m->addr = cell_order_text(to->addr);
-	m->worker = cell_order_text(to->id);
+	m->addr = cell_order_strdup(to->addr);
+	m->worker = cell_order_strdup(to->id);
 	m->epoch = to->epoch;
 	m->timeout_ms = timeout_ms;
 	return m;
@@ -309,7 +309,7 @@
 {
 	Ogl__CellOrder *m = message_new(kind, &o->to, o->timeout_ms);
 
-	m->job = cell_order_text(o->task.id);
+	m->job = cell_order_strdup(o->task.id);
 	m->occurrence = o->task.occurrence;
 	m->step = o->task.step;
 	m->index = o->task.index;
@@ -317,8 +317,8 @@
 	if (kind != OGL__CELL_ORDER_KIND__cell_order_start)
 		return m;
 	m->until_ms = o->until_ms;
-	m->checkpoint = cell_order_text(o->checkpoint);
-	m->ticket = cell_order_text(o->ticket);
+	m->checkpoint = cell_order_strdup(o->checkpoint);
+	m->ticket = cell_order_strdup(o->ticket);
 	return m;
 }
 
@@ -355,7 +355,7 @@
 static void
 add_spec(Ogl__CellOrder *m, const char *spec)
 {
-	m->spec = cell_order_text(spec); /* a message begins without */
+	m->spec = cell_order_strdup(spec); /* a message begins without */
 	m->with_spec = true;
 }
 
@@ -514,7 +514,7 @@
 		a.end = m->end;
 	}
 	for (i = 0; i < n; i++)
-		cell_entry_read(m->entries[i], &records[i], &entries[i]);
+		cell_entry_from_msg(m->entries[i], &records[i], &entries[i]);
 	o->list(o->arg, &a, now);
 	for (i = 0; i < n; i++)
 		g_free(entries[i].labels);
@@ -538,8 +538,8 @@
 {
 	const Ogl__CellOrderAnswer none = OGL__CELL_ORDER_ANSWER__INIT;
 	const Ogl__CellOrderAnswer *x = m != NULL ? m : &none;
-	struct cell_row *running = cell_rows_read(x->running, x->n_running);
-	struct cell_row *ended = cell_rows_read(x->ended, x->n_ended);
+	struct cell_row *running = cell_rows_from_msg(x->running, x->n_running);
+	struct cell_row *ended = cell_rows_from_msg(x->ended, x->n_ended);
 	struct cell_hold_answer a = {.io = io,
 	    .why = why,
 	    .no_listener = x->no_listener,
@@ -560,7 +560,8 @@
 finish(struct cell_relay *r, struct order *o, const Ogl__CellOrderAnswer *m,
     ogl_time now)
 {
-	enum ogl_io io = m != NULL ? cell_order_io(m->outcome) : OGL_IO_LOST;
+	enum ogl_io io =
+	    m != NULL ? cell_order_outcome_to_io(m->outcome) : OGL_IO_LOST;
 	enum cell_refusal why = m != NULL && m->refusal <= CELL_REFUSED_BAD
 				    ? (enum cell_refusal)m->refusal
 				    : CELL_REFUSED_NOT;
--- a/cell/relay_serve.c
+++ b/cell/relay_serve.c
@@ -341,7 +341,7 @@
 
 	ogl__cell_order_answer__init(m);
 	m->token = c->token;
-	m->outcome = cell_order_outcome(io);
+	m->outcome = cell_order_outcome_from_io(io);
 	g_ptr_array_add(b->answers, m);
 	return m;
 }
@@ -359,9 +359,9 @@
 		m->clock_ms = a->clock_ms;
 		m->born_ms = a->born_ms;
 		m->n_running = a->nrunning;
-		m->running = cell_rows_write(a->running, a->nrunning);
+		m->running = cell_rows_to_msg(a->running, a->nrunning);
 		m->n_ended = a->nended;
-		m->ended = cell_rows_write(a->ended, a->nended);
+		m->ended = cell_rows_to_msg(a->ended, a->nended);
 	}
 	carried_free(c);
 }
@@ -459,7 +459,7 @@
 
 	m->entries = malloc((a->n + 1) * sizeof(Ogl__CellEntry *));
 	for (i = 0; i < a->n; i++) {
-		Ogl__CellEntry *e = cell_entry_write(&a->records[i]);
+		Ogl__CellEntry *e = cell_entry_to_msg(&a->records[i]);
 
 		if (!tell(l, e) && i + 1 < a->n) {
 			ogl__cell_entry__free_unpacked(e, NULL);
