--- a/cell/relay.c
+++ b/cell/relay.c
@@ -1,15 +1,15 @@
 /*
  * A start goes through the node that has the job's spec, as long as that node
- * is there; else through one chosen by the job's id, which is sent the spec
+ * is up; otherwise through one chosen by the job's id, which is sent the spec
  * once.  Stops and holds go through a node chosen by the worker's id, so that a
  * worker has few connections.
  *
- * To the fleet a relayed call is a call like any other: it ends once, as done,
- * refused, lost or not sent.  One whose answer does not come is lost, since it
- * may be carried out still.  A relay that leaves calls unanswered is passed over
- * for a while.
+ * To the fleet a relayed call is a call like any other: it ends exactly once,
+ * as done, refused, lost or not sent.  A call that gets no answer is lost,
+ * since the relay may still carry it out.  A relay that leaves calls unanswered
+ * is not used for a while.
  *
- * Orders to the same relay gather for a moment and go in one message.
+ * Orders to the same relay are batched for a short time.
  */
 
 #include <string.h>
@@ -17,66 +17,73 @@
 #include "order_msg.h"
 #include "relay.h"
 
-/* What a worker costs its owner's link when it is called directly. */
-#define WORKER_BYTES_A_SECOND 5000
-/* Part of the link that calls to workers may take before they are relayed:
+/* Traffic on the owner's link for each worker that is called directly. */
+#define WORKER_BYTES_PER_SEC 5000
+/* Fraction of the link that calls to workers may use before they are relayed:
  * jobs, the store and the other nodes need the rest. */
-#define LINK_PART 0.25
-/* A connection from each relay to each worker; a worker takes 64. */
+#define LINK_FRACTION_MAX 0.25
+/* Each relay may have a connection to each worker, and a worker accepts 64. */
 #define RELAYS_MAX 24
-/* Of them, those that ask workers for their ends: with few the messages are
- * few and large. */
-#define HOLD_RELAYS 6
-/* Orders to one node gather for so long. */
-#define GATHER (2 * OGL_MS)
-/* Orders that gathered for longer did so while this process stood still: its
- * right to give them may be over. */
-#define GATHER_MAX (200 * OGL_MS)
-/* A node pings four times a second. */
-#define FRESH OGL_SEC
-/* One not heard of for so long has gone; another came at its place. */
-#define FORGOTTEN (60 * OGL_SEC)
-/* A relay gives a call up by itself; its answer needs so long at most. */
+/* The relays among them that are used for all calls but starts: with few relays
+ * the messages are few and large. */
+#define HOLD_RELAYS_MAX 6
+/* How long orders to one node are batched. */
+#define BATCH_DELAY (2 * OGL_MS)
+/* An older batch was held up while this process was suspended: the ownership
+ * under which its orders were given may have ended. */
+#define BATCH_AGE_MAX (200 * OGL_MS)
+/* A node not heard from for this long is not used; nodes ping four times per
+ * second. */
+#define NODE_TIMEOUT OGL_SEC
+/* A node not heard from for this long has been replaced by another one, and its
+ * entry is removed. */
+#define NODE_EXPIRY (60 * OGL_SEC)
+/* A relay gives a call up after the call's timeout; its answer takes at most
+ * this much longer. */
 #define ANSWER_MARGIN (400 * OGL_MS)
-#define PASSED_OVER (2 * OGL_SEC)
-/* A worker that so many starts in a row through relays may not have reached is
- * called directly for so long: it may be cut off from a relay alone. */
-#define LOST_STARTS 4
-#define DIRECT (5 * OGL_SEC)
-/* Answers are compared over so long. */
-#define WINDOW (200 * OGL_MS)
-#define TOKENS_AN_EPOCH_BITS 32
-#define LIST_KEY "workers" /* by which the node is chosen that reads them */
-
-/* A node that may make calls. */
+/* How long a relay that left calls unanswered is not used. */
+#define RELAY_BACKOFF (2 * OGL_SEC)
+/* After this many consecutive starts through relays were lost, their worker is
+ * called directly for a time: it may be unreachable from a relay only. */
+#define LOST_STARTS_MAX 4
+#define DIRECT_CALL_TIME (5 * OGL_SEC)
+/* Period over which the shortest time to an answer is taken. */
+#define DELAY_WINDOW (200 * OGL_MS)
+/* A token is the epoch in its upper bits and a counter below them. */
+#define TOKEN_EPOCH_SHIFT 32
+#define WORKER_LIST_KEY "workers" /* chooses the relay that reads it */
+
+/* A node that may be used as a relay. */
 struct node {
 	char *addr;
-	ogl_time heard;
-	ogl_time passed_over_until;
-	uint64_t unanswered; /* calls in a row */
+	ogl_time last_heard;
+	ogl_time backoff_until;
+	uint64_t unanswered; /* consecutive calls */
 	Ogl__CellOrders batch;
-	size_t batch_size;
-	ogl_time batch_at; /* the first of the batch was given */
+	size_t batch_capacity; /* in orders */
+	ogl_time batch_since;  /* its first order was added */
 };
 
-/* How starts through relays reach a worker. */
-struct reach {
-	unsigned lost; /* in a row */
+/* Lost starts through relays to one worker. */
+struct relay_losses {
+	unsigned consecutive;
 	ogl_time direct_until;
 };
 
-/* A call whose answer is awaited. */
-struct order {
+/* A relayed call that waits for its answer. */
+struct pending_call {
 	uint64_t token;
-	char *to;     /* the relay */
-	char *worker; /* of a start, its id */
-	ogl_time sent;
+	char *relay;  /* its address */
+	char *worker; /* its id, only for a start */
+	ogl_time sent_at;
 	ogl_time deadline;
-	Ogl__CellOrder *message; /* of a start without spec, to send it again */
+	/* Only for a start without spec, to send it again with the spec. */
+	Ogl__CellOrder *message;
 	char *spec;
-	cell_hold_fn *hold;
-	cell_order_fn *order;
-	cell_read_fn *list;
+	/* Exactly one of these is set. */
+	cell_hold_fn *hold_done;
+	cell_order_fn *order_done;
+	cell_read_fn *list_done;
 	void *arg;
 };
 
@@ -84,24 +91,24 @@
 	const struct cell_ops *ops;
 	struct cell_relay_events events;
 	uint32_t link_kbps;
-	bool thin;    /* the link can't carry the calls: they are relayed */
+	bool active;  /* the link can't carry the calls: they are relayed */
 	ogl_time now; /* of the last step or event */
 	uint64_t token;
-	GHashTable *nodes;  /* addr -> struct node */
-	GPtrArray *ranked;  /* struct node, in the order of their addresses */
-	GHashTable *orders; /* token -> struct order */
-	GHashTable *told;   /* job -> address of the node that has its spec */
-	GHashTable *reach;  /* worker -> struct reach */
-	/* Quickest answers of this window and of the last one, 0 none. */
-	ogl_time window_at;
-	ogl_time quickest;
-	ogl_time quickest_before;
+	GHashTable *nodes;      /* addr -> struct node */
+	GPtrArray *sorted;      /* struct node, by address */
+	GHashTable *calls;      /* token -> struct pending_call */
+	GHashTable *spec_nodes; /* job -> address of a node with its spec */
+	GHashTable *losses;     /* worker -> struct relay_losses */
+	/* Shortest delays of this window and of the previous one, 0 if none. */
+	ogl_time window_start;
+	ogl_time min_delay;
+	ogl_time prev_min_delay;
 };
 
 /* ---- nodes ------------------------------------------------------------ */
 
 static void
-drop_batch(struct node *n)
+batch_clear(struct node *n)
 {
 	size_t i;
 
@@ -115,22 +122,22 @@
 {
 	struct node *n = p;
 
-	drop_batch(n);
+	batch_clear(n);
 	g_free(n->batch.orders);
 	g_free(n->addr);
 	g_free(n);
 }
 
 static void
-order_free(void *p)
+call_free(void *p)
 {
-	struct order *o = p;
+	struct pending_call *o = p;
 
 	if (o->message != NULL)
 		ogl__cell_order__free_unpacked(o->message, NULL);
 	g_free(o->spec);
 	g_free(o->worker);
-	g_free(o->to);
+	g_free(o->relay);
 	g_free(o);
 }
 
@@ -145,12 +152,12 @@
 	r->link_kbps = link_kbps;
 	r->nodes =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, node_free);
-	r->ranked = g_ptr_array_new();
-	r->orders = g_hash_table_new_full(
-	    g_int64_hash, g_int64_equal, NULL, order_free);
-	r->reach =
+	r->sorted = g_ptr_array_new();
+	r->calls =
+	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, call_free);
+	r->losses =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	r->told =
+	r->spec_nodes =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return r;
 }
@@ -165,26 +172,26 @@
 }
 
 static gboolean
-is_forgotten(gpointer key, gpointer value, gpointer ctx)
+is_expired(gpointer key, gpointer value, gpointer ctx)
 {
 	const struct node *n = value;
 	const struct cell_relay *r = ctx;
 
 	(void)key;
-	return r->now - n->heard > FORGOTTEN && n->batch.n_orders == 0;
+	return r->now - n->last_heard > NODE_EXPIRY && n->batch.n_orders == 0;
 }
 
 static void
-rank(struct cell_relay *r)
+sort_nodes(struct cell_relay *r)
 {
 	GHashTableIter it;
 	gpointer p;
 
-	g_ptr_array_set_size(r->ranked, 0);
+	g_ptr_array_set_size(r->sorted, 0);
 	g_hash_table_iter_init(&it, r->nodes);
 	while (g_hash_table_iter_next(&it, NULL, &p))
-		g_ptr_array_add(r->ranked, p);
-	g_ptr_array_sort(r->ranked, by_addr);
+		g_ptr_array_add(r->sorted, p);
+	g_ptr_array_sort(r->sorted, by_addr);
 }
 
 void
@@ -196,25 +203,26 @@
 	r->now = now;
 	if (leaving) {
 		if (n != NULL)
-			n->heard = CELL_LONG_AGO;
+			n->last_heard = CELL_LONG_AGO;
 		return;
 	}
 	if (n == NULL) {
 		n = g_new0(struct node, 1);
 		n->addr = g_strdup(addr);
 		ogl__cell_orders__init(&n->batch);
-		n->heard = now;
-		g_hash_table_foreach_remove(r->nodes, is_forgotten, r);
+		n->last_heard = now;
+		g_hash_table_foreach_remove(r->nodes, is_expired, r);
 		g_hash_table_insert(r->nodes, n->addr, n);
-		rank(r);
+		sort_nodes(r);
 	}
-	n->heard = now;
+	n->last_heard = now;
 }
 
 static bool
 usable(const struct cell_relay *r, const struct node *n)
 {
-	return r->now - n->heard < FRESH && r->now >= n->passed_over_until;
+	return r->now - n->last_heard < NODE_TIMEOUT &&
+	       r->now >= n->backoff_until;
 }
 
 static uint32_t
@@ -223,25 +231,25 @@
 	return g_str_hash(key) * 2654435761U ^ g_str_hash(addr) * 40503U;
 }
 
-/* The same node for the same key, of the first so many that are there; NULL: none
- * can be used. */
+/* Chooses one of the first max_nodes nodes that are up by rendezvous hashing:
+ * the same key gives the same node.  NULL if none can be used. */
 static struct node *
-choose(const struct cell_relay *r, const char *key, guint most_nodes)
+choose_node(const struct cell_relay *r, const char *key, guint max_nodes)
 {
 	struct node *best = NULL;
-	uint32_t most = 0;
-	guint there = 0;
+	uint32_t best_weight = 0;
+	guint up = 0;
 	guint i;
 
-	for (i = 0; i < r->ranked->len && there < most_nodes; i++) {
-		struct node *x = r->ranked->pdata[i];
+	for (i = 0; i < r->sorted->len && up < max_nodes; i++) {
+		struct node *x = r->sorted->pdata[i];
 		uint32_t w = weight(key, x->addr);
 
-		there += r->now - x->heard < FRESH;
-		if (!usable(r, x) || (best != NULL && w <= most))
+		up += r->now - x->last_heard < NODE_TIMEOUT;
+		if (!usable(r, x) || (best != NULL && w <= best_weight))
 			continue;
 		best = x;
-		most = w;
+		best_weight = w;
 	}
 	return best;
 }
@@ -249,29 +257,30 @@
 void
 cell_relay_told(struct cell_relay *r, const char *job, const char *addr)
 {
-	if (r->thin)
-		g_hash_table_replace(r->told, g_strdup(job), g_strdup(addr));
+	if (r->active)
+		g_hash_table_replace(
+		    r->spec_nodes, g_strdup(job), g_strdup(addr));
 }
 
 void
 cell_relay_forget(struct cell_relay *r, const char *job)
 {
-	g_hash_table_remove(r->told, job);
+	g_hash_table_remove(r->spec_nodes, job);
 }
 
 /* Whether the node is among those that may have connections to workers. */
 static bool
 is_relay(const struct cell_relay *r, const struct node *n)
 {
-	guint there = 0;
+	guint up = 0;
 	guint i;
 
-	for (i = 0; i < r->ranked->len && there < RELAYS_MAX; i++) {
-		const struct node *x = r->ranked->pdata[i];
+	for (i = 0; i < r->sorted->len && up < RELAYS_MAX; i++) {
+		const struct node *x = r->sorted->pdata[i];
 
 		if (x == n)
 			return true;
-		there += r->now - x->heard < FRESH;
+		up += r->now - x->last_heard < NODE_TIMEOUT;
 	}
 	return false;
 }
@@ -279,12 +288,12 @@
 static struct node *
 choose_for_job(struct cell_relay *r, const char *job, bool *has_spec)
 {
-	const char *addr = g_hash_table_lookup(r->told, job);
+	const char *addr = g_hash_table_lookup(r->spec_nodes, job);
 	struct node *n =
 	    addr != NULL ? g_hash_table_lookup(r->nodes, addr) : NULL;
 
 	*has_spec = n != NULL && usable(r, n) && is_relay(r, n);
-	return *has_spec ? n : choose(r, job, RELAYS_MAX);
+	return *has_spec ? n : choose_node(r, job, RELAYS_MAX);
 }
 
 /* ---- giving orders ---------------------------------------------------- */
@@ -322,66 +331,66 @@
 	return m;
 }
 
-/* Takes m. */
+/* Takes ownership of m. */
 static void
-put_in_batch(struct cell_relay *r, struct node *n, Ogl__CellOrder *m)
+batch_add(struct cell_relay *r, struct node *n, Ogl__CellOrder *m)
 {
 	if (n->batch.n_orders == 0)
-		n->batch_at = r->now;
-	if (n->batch.n_orders == n->batch_size) {
-		n->batch_size = MAX(n->batch_size * 2, 8);
-		n->batch.orders =
-		    g_renew(Ogl__CellOrder *, n->batch.orders, n->batch_size);
+		n->batch_since = r->now;
+	if (n->batch.n_orders == n->batch_capacity) {
+		n->batch_capacity = MAX(n->batch_capacity * 2, 8);
+		n->batch.orders = g_renew(
+		    Ogl__CellOrder *, n->batch.orders, n->batch_capacity);
 	}
 	n->batch.orders[n->batch.n_orders++] = m;
 }
 
-static struct order *
-order_new(
+static struct pending_call *
+call_new(
     struct cell_relay *r, const struct node *n, Ogl__CellOrder *m, void *arg)
 {
-	struct order *o = g_new0(struct order, 1);
+	struct pending_call *o = g_new0(struct pending_call, 1);
 
 	o->token = ++r->token;
-	o->to = g_strdup(n->addr);
-	o->sent = r->now;
+	o->relay = g_strdup(n->addr);
+	o->sent_at = r->now;
 	o->deadline = r->now + m->timeout_ms * OGL_MS + ANSWER_MARGIN;
 	o->arg = arg;
 	m->token = o->token;
-	g_hash_table_insert(r->orders, &o->token, o);
+	g_hash_table_insert(r->calls, &o->token, o);
 	return o;
 }
 
 static void
 add_spec(Ogl__CellOrder *m, const char *spec)
 {
-	m->spec = cell_order_strdup(spec); /* a message begins without */
+	m->spec = cell_order_strdup(spec); /* it had none to free */
 	m->with_spec = true;
 }
 
 static void
-note_reach(struct cell_relay *r, const char *worker, bool lost, ogl_time now)
+update_losses(struct cell_relay *r, const char *worker, bool lost, ogl_time now)
 {
-	struct reach *x = g_hash_table_lookup(r->reach, worker);
+	struct relay_losses *x = g_hash_table_lookup(r->losses, worker);
 
 	if (!lost) {
-		g_hash_table_remove(r->reach, worker);
+		g_hash_table_remove(r->losses, worker);
 		return;
 	}
 	if (x == NULL) {
-		x = g_new0(struct reach, 1);
-		g_hash_table_insert(r->reach, g_strdup(worker), x);
+		x = g_new0(struct relay_losses, 1);
+		g_hash_table_insert(r->losses, g_strdup(worker), x);
 	}
-	if (++x->lost < LOST_STARTS)
+	if (++x->consecutive < LOST_STARTS_MAX)
 		return;
-	x->lost = 0;
-	x->direct_until = now + DIRECT;
+	x->consecutive = 0;
+	x->direct_until = now + DIRECT_CALL_TIME;
 }
 
 static bool
-is_direct(const struct cell_relay *r, const char *worker)
+must_call_directly(const struct cell_relay *r, const char *worker)
 {
-	const struct reach *x = g_hash_table_lookup(r->reach, worker);
+	const struct relay_losses *x = g_hash_table_lookup(r->losses, worker);
 
 	return x != NULL && r->now < x->direct_until;
 }
@@ -394,17 +403,17 @@
 	bool has_spec = false;
 	struct node *n = NULL;
 	Ogl__CellOrder *m;
-	struct order *x;
+	struct pending_call *x;
 
-	if (r->thin && !is_direct(r, o->to.id))
+	if (r->active && !must_call_directly(r, o->to.id))
 		n = choose_for_job(r, o->task.id, &has_spec);
 	if (n == NULL) {
 		r->ops->start(r->ops->outside, o, done, arg);
 		return;
 	}
 	m = order_message(OGL__CELL_ORDER_KIND__cell_order_start, o);
-	x = order_new(r, n, m, arg);
-	x->order = done;
+	x = call_new(r, n, m, arg);
+	x->order_done = done;
 	x->worker = g_strdup(o->to.id);
 	if (has_spec) {
 		x->message = cell_order_copy(m);
@@ -413,7 +422,7 @@
 		add_spec(m, o->spec);
 		cell_relay_told(r, o->task.id, n->addr);
 	}
-	put_in_batch(r, n, m);
+	batch_add(r, n, m);
 }
 
 static void
@@ -421,7 +430,8 @@
     void *ctx, const struct cell_order *o, cell_order_fn *done, void *arg)
 {
 	struct cell_relay *r = ctx;
-	struct node *n = r->thin ? choose(r, o->to.id, HOLD_RELAYS) : NULL;
+	struct node *n =
+	    r->active ? choose_node(r, o->to.id, HOLD_RELAYS_MAX) : NULL;
 	Ogl__CellOrder *m;
 
 	if (n == NULL) {
@@ -429,15 +439,16 @@
 		return;
 	}
 	m = order_message(OGL__CELL_ORDER_KIND__cell_order_stop, o);
-	order_new(r, n, m, arg)->order = done;
-	put_in_batch(r, n, m);
+	call_new(r, n, m, arg)->order_done = done;
+	batch_add(r, n, m);
 }
 
 static void
 relay_hold(void *ctx, const struct cell_hold *h, cell_hold_fn *done, void *arg)
 {
 	struct cell_relay *r = ctx;
-	struct node *n = r->thin ? choose(r, h->to.id, HOLD_RELAYS) : NULL;
+	struct node *n =
+	    r->active ? choose_node(r, h->to.id, HOLD_RELAYS_MAX) : NULL;
 	Ogl__CellOrder *m;
 
 	if (n == NULL) {
@@ -449,12 +460,12 @@
 	m->until_ms = h->until_ms;
 	m->last_seen = h->last_seen;
 	m->wait_ms = h->wait_ms;
-	order_new(r, n, m, arg)->hold = done;
-	put_in_batch(r, n, m);
+	call_new(r, n, m, arg)->hold_done = done;
+	batch_add(r, n, m);
 }
 
-/* The workers' entries: each is written anew with each of its heartbeats, and
- * hardly ever says anything new. */
+/* Relays only reads of the workers' entries: each entry is written again with
+ * each of the worker's heartbeats, and is nearly always unchanged. */
 static void
 relay_read(void *ctx, const struct cell_read *q, cell_read_fn *done, void *arg)
 {
@@ -463,8 +474,8 @@
 	struct node *n = NULL;
 	Ogl__CellOrder *m;
 
-	if (r->thin && q->stream == CELL_WORKERS)
-		n = choose(r, LIST_KEY, HOLD_RELAYS);
+	if (r->active && q->stream == CELL_WORKERS)
+		n = choose_node(r, WORKER_LIST_KEY, HOLD_RELAYS_MAX);
 	if (n == NULL) {
 		r->ops->read(r->ops->outside, q, done, arg);
 		return;
@@ -472,8 +483,8 @@
 	m = message_new(
 	    OGL__CELL_ORDER_KIND__cell_order_list, &nobody, q->timeout_ms);
 	m->from = q->from;
-	order_new(r, n, m, arg)->list = done;
-	put_in_batch(r, n, m);
+	call_new(r, n, m, arg)->list_done = done;
+	batch_add(r, n, m);
 }
 
 static void
@@ -499,8 +510,8 @@
 /* ---- answers ---------------------------------------------------------- */
 
 static void
-finish_list(struct order *o, const Ogl__CellOrderAnswer *m, enum ogl_io io,
-    ogl_time now)
+finish_list(struct pending_call *o, const Ogl__CellOrderAnswer *m,
+    enum ogl_io io, ogl_time now)
 {
 	size_t n = m != NULL ? m->n_entries : 0;
 	struct cell_record *records = g_new0(struct cell_record, n);
@@ -515,7 +526,7 @@
 	}
 	for (i = 0; i < n; i++)
 		cell_entry_from_msg(m->entries[i], &records[i], &entries[i]);
-	o->list(o->arg, &a, now);
+	o->list_done(o->arg, &a, now);
 	for (i = 0; i < n; i++)
 		g_free(entries[i].labels);
 	g_free(entries);
@@ -523,18 +534,18 @@
 }
 
 static void
-finish_order(struct order *o, const Ogl__CellOrderAnswer *m, enum ogl_io io,
-    enum cell_refusal why, ogl_time now)
+finish_order(struct pending_call *o, const Ogl__CellOrderAnswer *m,
+    enum ogl_io io, enum cell_refusal why, ogl_time now)
 {
 	struct cell_order_answer a = {
 	    .io = io, .why = why, .clock_ms = m != NULL ? m->clock_ms : 0};
 
-	o->order(o->arg, &a, now);
+	o->order_done(o->arg, &a, now);
 }
 
 static void
-finish_hold(struct order *o, const Ogl__CellOrderAnswer *m, enum ogl_io io,
-    enum cell_refusal why, ogl_time now)
+finish_hold(struct pending_call *o, const Ogl__CellOrderAnswer *m,
+    enum ogl_io io, enum cell_refusal why, ogl_time now)
 {
 	const Ogl__CellOrderAnswer none = OGL__CELL_ORDER_ANSWER__INIT;
 	const Ogl__CellOrderAnswer *x = m != NULL ? m : &none;
@@ -550,15 +561,15 @@
 	    .ended = ended,
 	    .nended = x->n_ended};
 
-	o->hold(o->arg, &a, now);
+	o->hold_done(o->arg, &a, now);
 	g_free(running);
 	g_free(ended);
 }
 
-/* m NULL: no answer came. */
+/* m: NULL if no answer came. */
 static void
-finish(struct cell_relay *r, struct order *o, const Ogl__CellOrderAnswer *m,
-    ogl_time now)
+finish(struct cell_relay *r, struct pending_call *o,
+    const Ogl__CellOrderAnswer *m, ogl_time now)
 {
 	enum ogl_io io =
 	    m != NULL ? cell_order_outcome_to_io(m->outcome) : OGL_IO_LOST;
@@ -567,138 +578,143 @@
 				    : CELL_REFUSED_NOT;
 
 	if (o->worker != NULL)
-		note_reach(r, o->worker, io == OGL_IO_LOST, now);
-	if (o->list != NULL)
+		update_losses(r, o->worker, io == OGL_IO_LOST, now);
+	if (o->list_done != NULL)
 		finish_list(o, m, io, now);
-	else if (o->order != NULL)
+	else if (o->order_done != NULL)
 		finish_order(o, m, io, why, now);
 	else
 		finish_hold(o, m, io, why, now);
-	order_free(o);
+	call_free(o);
 }
 
-/* Takes the order out: whoever finishes it frees it. */
-static struct order *
-take(struct cell_relay *r, uint64_t token)
+/* Removes the call from the table; the caller has to pass it to finish. */
+static struct pending_call *
+remove_call(struct cell_relay *r, uint64_t token)
 {
-	struct order *o = g_hash_table_lookup(r->orders, &token);
+	struct pending_call *o = g_hash_table_lookup(r->calls, &token);
 
 	if (o != NULL)
-		g_hash_table_steal(r->orders, &token);
+		g_hash_table_steal(r->calls, &token);
 	return o;
 }
 
-/* The node has dropped the spec meanwhile. */
+/* Sends a start again, now with the spec, since the relay has dropped the spec.
+ * False if the call can't be repeated. */
 static bool
-repeat_with_spec(struct cell_relay *r, struct order *o)
+resend_with_spec(struct cell_relay *r, struct pending_call *o)
 {
-	struct node *n = g_hash_table_lookup(r->nodes, o->to);
+	struct node *n = g_hash_table_lookup(r->nodes, o->relay);
 
 	if (o->message == NULL || n == NULL)
 		return false;
 	add_spec(o->message, o->spec);
-	put_in_batch(r, n, o->message);
+	batch_add(r, n, o->message);
 	o->message = NULL;
-	g_hash_table_insert(r->orders, &o->token, o);
+	g_hash_table_insert(r->calls, &o->token, o);
 	return true;
 }
 
-/* A call without an answer took at least as long as it was waited for. */
+/* A call without an answer counts with the time since it was sent: its answer
+ * would need at least as long. */
 static void
-note_delay(struct cell_relay *r, const struct order *o, ogl_time now)
+record_delay(struct cell_relay *r, const struct pending_call *o, ogl_time now)
 {
-	ogl_time took = MAX(now - o->sent, 1);
+	ogl_time took = MAX(now - o->sent_at, 1);
 
-	if (o->order == NULL)
+	if (o->order_done == NULL)
 		return;
-	if (now - r->window_at > WINDOW) {
-		r->quickest_before =
-		    now - r->window_at > 2 * WINDOW ? 0 : r->quickest;
-		r->quickest = 0;
-		r->window_at = now;
+	if (now - r->window_start > DELAY_WINDOW) {
+		r->prev_min_delay =
+		    now - r->window_start > 2 * DELAY_WINDOW ? 0 : r->min_delay;
+		r->min_delay = 0;
+		r->window_start = now;
 	}
-	if (r->quickest == 0 || took < r->quickest)
-		r->quickest = took;
+	if (r->min_delay == 0 || took < r->min_delay)
+		r->min_delay = took;
 }
 
 ogl_time
 cell_relay_delay(const struct cell_relay *r, ogl_time now)
 {
-	if (now - r->window_at > 2 * WINDOW)
+	if (now - r->window_start > 2 * DELAY_WINDOW)
 		return 0;
-	if (r->quickest_before == 0)
-		return r->quickest;
-	return r->quickest == 0 ? r->quickest_before
-				: MIN(r->quickest, r->quickest_before);
+	if (r->prev_min_delay == 0)
+		return r->min_delay;
+	return r->min_delay == 0 ? r->prev_min_delay
+				 : MIN(r->min_delay, r->prev_min_delay);
 }
 
 void
 cell_relay_answer(
     struct cell_relay *r, const Ogl__CellOrderAnswer *m, ogl_time now)
 {
-	struct order *o = take(r, m->token);
+	struct pending_call *o = remove_call(r, m->token);
 	struct node *n;
 
 	r->now = now;
 	if (o == NULL)
 		return;
-	n = g_hash_table_lookup(r->nodes, o->to);
-	note_delay(r, o, now);
+	n = g_hash_table_lookup(r->nodes, o->relay);
+	record_delay(r, o, now);
 	if (n != NULL)
 		n->unanswered = 0;
 	if (m->outcome == OGL__CELL_ORDER_OUTCOME__cell_order_lacks_spec &&
-	    repeat_with_spec(r, o))
+	    resend_with_spec(r, o))
 		return;
 	finish(r, o, m, now);
 }
 
-/* ---- what falls due --------------------------------------------------- */
+/* ---- timers ----------------------------------------------------------- */
 
-/* A single answer may be lost with its connection. */
+/* One unanswered call is no reason to avoid the relay: a single answer may be
+ * lost with its connection. */
 static void
-count_unanswered(struct cell_relay *r, const struct order *o, ogl_time now)
+count_unanswered(
+    struct cell_relay *r, const struct pending_call *o, ogl_time now)
 {
-	struct node *n = g_hash_table_lookup(r->nodes, o->to);
+	struct node *n = g_hash_table_lookup(r->nodes, o->relay);
 	char line[160];
 
-	if (n == NULL || ++n->unanswered < 2 || now < n->passed_over_until)
+	if (n == NULL || ++n->unanswered < 2 || now < n->backoff_until)
 		return;
-	n->passed_over_until = now + PASSED_OVER;
+	n->backoff_until = now + RELAY_BACKOFF;
 	g_snprintf(line, sizeof line,
 	    "relay=%s unanswered=%" G_GUINT64_FORMAT
 	    " heard_ms=%" G_GINT64_FORMAT,
-	    n->addr, n->unanswered, (now - n->heard) / OGL_MS);
+	    n->addr, n->unanswered, (now - n->last_heard) / OGL_MS);
 	r->ops->log(r->ops->ctx, "relay", "passed_over", line);
 }
 
 static void
-give_up(struct cell_relay *r, ogl_time now)
+expire_calls(struct cell_relay *r, ogl_time now)
 {
-	GArray *late = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	GArray *expired = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	GHashTableIter it;
 	gpointer p;
 	guint i;
 
-	g_hash_table_iter_init(&it, r->orders);
+	g_hash_table_iter_init(&it, r->calls);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		const struct order *o = p;
+		const struct pending_call *o = p;
 
 		if (now >= o->deadline)
-			g_array_append_val(late, o->token);
+			g_array_append_val(expired, o->token);
 	}
-	for (i = 0; i < late->len; i++) {
-		struct order *o = take(r, g_array_index(late, uint64_t, i));
+	for (i = 0; i < expired->len; i++) {
+		struct pending_call *o =
+		    remove_call(r, g_array_index(expired, uint64_t, i));
 
-		note_delay(r, o, now);
+		record_delay(r, o, now);
 		count_unanswered(r, o, now);
 		finish(r, o, NULL, now);
 	}
-	g_array_unref(late);
+	g_array_unref(expired);
 }
 
-/* The orders of the batch were not sent. */
+/* Drops the batch and ends its orders as not sent. */
 static void
-withdraw(struct cell_relay *r, struct node *n, ogl_time now)
+withdraw_batch(struct cell_relay *r, struct node *n, ogl_time now)
 {
 	Ogl__CellOrderAnswer none = OGL__CELL_ORDER_ANSWER__INIT;
 	GArray *tokens = g_array_new(FALSE, FALSE, sizeof(uint64_t));
@@ -706,10 +722,11 @@
 
 	for (i = 0; i < n->batch.n_orders; i++)
 		g_array_append_val(tokens, n->batch.orders[i]->token);
-	drop_batch(n);
+	batch_clear(n);
 	none.outcome = OGL__CELL_ORDER_OUTCOME__cell_order_not_sent;
 	for (i = 0; i < tokens->len; i++) {
-		struct order *o = take(r, g_array_index(tokens, uint64_t, i));
+		struct pending_call *o =
+		    remove_call(r, g_array_index(tokens, uint64_t, i));
 
 		if (o != NULL)
 			finish(r, o, &none, now);
@@ -722,17 +739,18 @@
 {
 	guint i;
 
-	for (i = 0; i < r->ranked->len; i++) {
-		struct node *n = r->ranked->pdata[i];
+	for (i = 0; i < r->sorted->len; i++) {
+		struct node *n = r->sorted->pdata[i];
 
-		if (n->batch.n_orders == 0 || now - n->batch_at < GATHER)
+		if (n->batch.n_orders == 0 ||
+		    now - n->batch_since < BATCH_DELAY)
 			continue;
-		if (now - n->batch_at > GATHER_MAX) {
-			withdraw(r, n, now);
+		if (now - n->batch_since > BATCH_AGE_MAX) {
+			withdraw_batch(r, n, now);
 			continue;
 		}
 		r->events.send(r->events.arg, n->addr, &n->batch);
-		drop_batch(n);
+		batch_clear(n);
 	}
 }
 
@@ -741,8 +759,8 @@
 {
 	guint i;
 
-	for (i = 0; i < r->ranked->len; i++)
-		withdraw(r, r->ranked->pdata[i], now);
+	for (i = 0; i < r->sorted->len; i++)
+		withdraw_batch(r, r->sorted->pdata[i], now);
 }
 
 ogl_time
@@ -751,69 +769,69 @@
 	ogl_time at = OGL_NEVER;
 	guint i;
 
-	for (i = 0; i < r->ranked->len; i++) {
-		const struct node *n = r->ranked->pdata[i];
+	for (i = 0; i < r->sorted->len; i++) {
+		const struct node *n = r->sorted->pdata[i];
 
 		if (n->batch.n_orders > 0)
-			at = MIN(at, n->batch_at + GATHER);
+			at = MIN(at, n->batch_since + BATCH_DELAY);
 	}
 	return at;
 }
 
 static bool
-too_thin(const struct cell_relay *r, size_t workers)
+link_too_slow(const struct cell_relay *r, size_t workers)
 {
-	double part = r->link_kbps * 1000.0 / 8 * LINK_PART;
+	double part = r->link_kbps * 1000.0 / 8 * LINK_FRACTION_MAX;
 
 	return r->link_kbps > 0 &&
-	       (double)workers * WORKER_BYTES_A_SECOND > part;
+	       (double)workers * WORKER_BYTES_PER_SEC > part;
 }
 
 void
 cell_relay_step(struct cell_relay *r, size_t workers, ogl_time now)
 {
-	bool thin = too_thin(r, workers);
+	bool active = link_too_slow(r, workers);
 	char line[96];
 
 	r->now = now;
-	if (thin != r->thin) {
-		r->thin = thin;
+	if (active != r->active) {
+		r->active = active;
 		g_snprintf(line, sizeof line,
-		    "active=%d workers=%zu link_kbps=%u", thin, workers,
+		    "active=%d workers=%zu link_kbps=%u", active, workers,
 		    r->link_kbps);
 		r->ops->log(r->ops->ctx, "relay", "switched", line);
 	}
-	give_up(r, now);
+	expire_calls(r, now);
 }
 
 bool
 cell_relay_thin(const struct cell_relay *r)
 {
-	return r->thin;
+	return r->active;
 }
 
 void
 cell_relay_open(struct cell_relay *r, uint64_t epoch)
 {
-	r->token = MAX(r->token, epoch << TOKENS_AN_EPOCH_BITS);
-	g_hash_table_remove_all(r->told);
-	g_hash_table_remove_all(r->reach);
+	r->token = MAX(r->token, epoch << TOKEN_EPOCH_SHIFT);
+	g_hash_table_remove_all(r->spec_nodes);
+	g_hash_table_remove_all(r->losses);
 }
 
 void
 cell_relay_end(struct cell_relay *r)
 {
-	GList *all = g_hash_table_get_values(r->orders);
+	GList *all = g_hash_table_get_values(r->calls);
 	GList *at;
 
-	g_hash_table_steal_all(r->orders);
+	g_hash_table_steal_all(r->calls);
 	for (at = all; at != NULL; at = at->next)
 		finish(r, at->data, NULL, r->now);
 	g_list_free(all);
-	g_hash_table_unref(r->orders);
-	g_hash_table_unref(r->told);
-	g_hash_table_unref(r->reach);
-	g_ptr_array_unref(r->ranked);
+	g_hash_table_unref(r->calls);
+	g_hash_table_unref(r->spec_nodes);
+	g_hash_table_unref(r->losses);
+	g_ptr_array_unref(r->sorted);
 	g_hash_table_unref(r->nodes);
 	g_free(r);
 }
