--- a/cell/relay_serve.c
+++ b/cell/relay_serve.c
@@ -1,10 +1,12 @@
 /*
- * The specs of the latest jobs are kept up to a bound of bytes; the oldest goes
- * first.  An owner that counts on one which is gone is told so, and sends it.
+ * The specs of the latest jobs are cached up to a number of bytes; the oldest
+ * is evicted first.  An owner that relies on an evicted spec is told so, and
+ * sends the start again with the spec.
  *
- * Answers to one owner gather for a moment and go in one message.
+ * Answers to one owner are batched for a short time.
  *
- * Orders to a worker wait for each other, as long as their owner waits for them.
+ * Starts and stops to the same worker are queued, each up to its owner's
+ * timeout.
  */
 
 #include <string.h>
@@ -12,53 +14,54 @@
 #include "order_msg.h"
 #include "relay_serve.h"
 
-#define SPECS_BYTES_MAX ((size_t)2 * 1024 * 1024)
-#define GATHER (2 * OGL_MS)
-/* Starts and stops under way to one worker.  It takes 64 connections from all
- * nodes together, and any node may have work for any worker. */
-#define CALLS_A_WORKER 1
+#define SPEC_CACHE_BYTES_MAX ((size_t)2 * 1024 * 1024)
+/* How long answers to one owner are batched. */
+#define BATCH_DELAY (2 * OGL_MS)
+/* Concurrent starts and stops to one worker.  A worker accepts 64 connections
+ * from all nodes together, and any node may have orders for any worker. */
+#define CALLS_PER_WORKER_MAX 1
 
 /* ---- specs ------------------------------------------------------------ */
 
-/* Specs of jobs that passed through this node, the latest ones. */
-struct specs {
+/* Specs of the latest jobs that this node forwarded or started tasks of. */
+struct spec_cache {
 	GHashTable *specs; /* job -> spec */
-	GQueue order;      /* jobs, oldest first; keys of the table */
+	GQueue fifo;       /* jobs, oldest first; the keys of the table */
 	size_t bytes;
 };
 
 static void
-specs_init(struct specs *s)
+spec_cache_init(struct spec_cache *s)
 {
 	s->specs =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	g_queue_init(&s->order);
+	g_queue_init(&s->fifo);
 }
 
 static void
-specs_end(struct specs *s)
+spec_cache_end(struct spec_cache *s)
 {
-	g_queue_clear(&s->order);
+	g_queue_clear(&s->fifo);
 	g_hash_table_unref(s->specs);
 }
 
 static size_t
-size_of(const char *job, const char *spec)
+entry_size(const char *job, const char *spec)
 {
 	return strlen(job) + strlen(spec);
 }
 
 static void
-drop_oldest(struct specs *s)
+evict_oldest(struct spec_cache *s)
 {
-	const char *job = g_queue_pop_head(&s->order);
+	const char *job = g_queue_pop_head(&s->fifo);
 
-	s->bytes -= size_of(job, g_hash_table_lookup(s->specs, job));
+	s->bytes -= entry_size(job, g_hash_table_lookup(s->specs, job));
 	g_hash_table_remove(s->specs, job);
 }
 
 static void
-specs_add(struct specs *s, const char *job, const char *spec)
+spec_cache_add(struct spec_cache *s, const char *job, const char *spec)
 {
 	char *key;
 
@@ -66,10 +69,10 @@
 		return;
 	key = g_strdup(job);
 	g_hash_table_insert(s->specs, key, g_strdup(spec));
-	g_queue_push_tail(&s->order, key);
-	s->bytes += size_of(job, spec);
-	while (s->bytes > SPECS_BYTES_MAX)
-		drop_oldest(s);
+	g_queue_push_tail(&s->fifo, key);
+	s->bytes += entry_size(job, spec);
+	while (s->bytes > SPEC_CACHE_BYTES_MAX)
+		evict_oldest(s);
 }
 
 /* ---- answers ---------------------------------------------------------- */
@@ -77,7 +80,7 @@
 /* Answers to the owner of a shard. */
 struct batch {
 	uint32_t shard;
-	char *to;
+	char *owner; /* its address */
 	ogl_time since;
 	GPtrArray *answers; /* Ogl__CellOrderAnswer */
 };
@@ -86,11 +89,11 @@
 	const struct cell_ops *ops;
 	cell_relay_send_fn *send;
 	void *arg;
-	struct specs specs;
+	struct spec_cache specs;
 	GPtrArray *batches; /* struct batch, none empty */
-	GHashTable *calls;  /* set of struct carried */
-	GHashTable *lines;  /* address of a worker -> struct line */
-	GHashTable *lists;  /* shard -> struct list */
+	GHashTable *calls;  /* set of struct call */
+	GHashTable *queues; /* address of a worker -> struct worker_queue */
+	GHashTable *lists;  /* shard -> struct list_reader */
 };
 
 static void
@@ -105,25 +108,25 @@
 	struct batch *b = p;
 
 	g_ptr_array_unref(b->answers);
-	g_free(b->to);
+	g_free(b->owner);
 	g_free(b);
 }
 
 static struct batch *
 batch_of(
-    struct cell_relay_serve *v, uint32_t shard, const char *to, ogl_time now)
+    struct cell_relay_serve *v, uint32_t shard, const char *owner, ogl_time now)
 {
 	struct batch *b;
 	guint i;
 
 	for (i = 0; i < v->batches->len; i++) {
 		b = v->batches->pdata[i];
-		if (b->shard == shard && strcmp(b->to, to) == 0)
+		if (b->shard == shard && strcmp(b->owner, owner) == 0)
 			return b;
 	}
 	b = g_new0(struct batch, 1);
 	b->shard = shard;
-	b->to = g_strdup(to);
+	b->owner = g_strdup(owner);
 	b->since = now;
 	b->answers = g_ptr_array_new_with_free_func(answer_free);
 	g_ptr_array_add(v->batches, b);
@@ -137,7 +140,7 @@
 
 	m.answers = (Ogl__CellOrderAnswer **)b->answers->pdata;
 	m.n_answers = b->answers->len;
-	v->send(v->arg, b->shard, b->to, &m);
+	v->send(v->arg, b->shard, b->owner, &m);
 }
 
 void
@@ -148,7 +151,7 @@
 	while (i < v->batches->len) {
 		const struct batch *b = v->batches->pdata[i];
 
-		if (now - b->since < GATHER) {
+		if (now - b->since < BATCH_DELAY) {
 			i++;
 			continue;
 		}
@@ -166,7 +169,7 @@
 	for (i = 0; i < v->batches->len; i++) {
 		const struct batch *b = v->batches->pdata[i];
 
-		at = MIN(at, b->since + GATHER);
+		at = MIN(at, b->since + BATCH_DELAY);
 	}
 	return at;
 }
@@ -174,101 +177,102 @@
 /* ---- calls ------------------------------------------------------------ */
 
 /* Starts and stops to one worker. */
-struct line {
+struct worker_queue {
 	char *addr;
-	unsigned open;  /* under way */
-	GQueue waiting; /* struct waiting */
+	unsigned running; /* calls in progress */
+	GQueue waiting;   /* struct queued_order */
 };
 
-/* What the owner of a shard was told of the workers' entries. */
-struct list {
+/* The workers' entries that were sent to the owner of a shard. */
+struct list_reader {
 	char *owner;
-	uint64_t next;    /* that it reads from if it got the last answer */
-	GHashTable *told; /* worker -> GBytes of its entry, but the offset */
+	uint64_t next; /* offset it reads from next if it got the last answer */
+	GHashTable *sent; /* worker -> GBytes of its entry without the offset */
 };
 
-struct carried {
-	struct cell_relay_serve *serve; /* NULL: it has ended */
-	struct line *line;              /* NULL: a hold */
+/* A call to be made for an owner, and where to send its answer. */
+struct call {
+	struct cell_relay_serve *serve; /* NULL after cell_relay_serve_end */
+	struct worker_queue *queue;     /* only for a start or a stop */
 	uint32_t shard;
-	char *to;
+	char *owner; /* its address */
 	uint64_t token;
-	uint64_t from; /* of a list */
+	uint64_t from; /* only for a list: offset to read from */
 };
 
-static struct carried *
-carried_new(
-    struct cell_relay_serve *v, uint32_t shard, const char *to, uint64_t token)
+static struct call *
+call_new(struct cell_relay_serve *v, uint32_t shard, const char *owner,
+    uint64_t token)
 {
-	struct carried *c = g_new(struct carried, 1);
+	struct call *c = g_new(struct call, 1);
 
 	c->serve = v;
-	c->line = NULL;
+	c->queue = NULL;
 	c->from = 0;
 	c->shard = shard;
-	c->to = g_strdup(to);
+	c->owner = g_strdup(owner);
 	c->token = token;
 	g_hash_table_add(v->calls, c);
 	return c;
 }
 
 static void
-carried_free(struct carried *c)
+call_free(struct call *c)
 {
 	if (c->serve != NULL)
 		g_hash_table_remove(c->serve->calls, c);
-	g_free(c->to);
+	g_free(c->owner);
 	g_free(c);
 }
 
-/* An order that waits for others to its worker. */
-struct waiting {
+/* An order that waits until earlier ones to its worker have ended. */
+struct queued_order {
 	Ogl__CellOrder *order;
-	struct carried *call;
-	ogl_time give_up;
+	struct call *call;
+	ogl_time deadline;
 };
 
 static void
-waiting_free(void *p)
+queued_order_free(void *p)
 {
-	struct waiting *x = p;
+	struct queued_order *x = p;
 
 	ogl__cell_order__free_unpacked(x->order, NULL);
 	g_free(x);
 }
 
 static void
-line_free(void *p)
+queue_free(void *p)
 {
-	struct line *l = p;
+	struct worker_queue *q = p;
 
-	g_queue_clear_full(&l->waiting, waiting_free);
-	g_free(l->addr);
-	g_free(l);
+	g_queue_clear_full(&q->waiting, queued_order_free);
+	g_free(q->addr);
+	g_free(q);
 }
 
 static void
-list_free(void *p)
+list_reader_free(void *p)
 {
-	struct list *l = p;
+	struct list_reader *l = p;
 
-	g_hash_table_unref(l->told);
+	g_hash_table_unref(l->sent);
 	g_free(l->owner);
 	g_free(l);
 }
 
-static struct line *
-line_of(struct cell_relay_serve *v, const char *addr)
+static struct worker_queue *
+queue_of(struct cell_relay_serve *v, const char *addr)
 {
-	struct line *l = g_hash_table_lookup(v->lines, addr);
+	struct worker_queue *q = g_hash_table_lookup(v->queues, addr);
 
-	if (l != NULL)
-		return l;
-	l = g_new0(struct line, 1);
-	l->addr = g_strdup(addr);
-	g_queue_init(&l->waiting);
-	g_hash_table_insert(v->lines, l->addr, l);
-	return l;
+	if (q != NULL)
+		return q;
+	q = g_new0(struct worker_queue, 1);
+	q->addr = g_strdup(addr);
+	g_queue_init(&q->waiting);
+	g_hash_table_insert(v->queues, q->addr, q);
+	return q;
 }
 
 struct cell_relay_serve *
@@ -280,32 +284,32 @@
 	v->ops = ops;
 	v->send = send;
 	v->arg = arg;
-	specs_init(&v->specs);
+	spec_cache_init(&v->specs);
 	v->batches = g_ptr_array_new_with_free_func(batch_free);
 	v->calls = g_hash_table_new(NULL, NULL);
-	v->lists = g_hash_table_new_full(NULL, NULL, NULL, list_free);
-	v->lines =
-	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, line_free);
+	v->lists = g_hash_table_new_full(NULL, NULL, NULL, list_reader_free);
+	v->queues =
+	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, queue_free);
 	return v;
 }
 
 static void
-drop_waiting(struct cell_relay_serve *v)
+free_queues(struct cell_relay_serve *v)
 {
 	GHashTableIter it;
 	gpointer p;
 
-	g_hash_table_iter_init(&it, v->lines);
+	g_hash_table_iter_init(&it, v->queues);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		struct line *l = p;
-		struct waiting *x;
+		struct worker_queue *q = p;
+		struct queued_order *x;
 
-		while ((x = g_queue_pop_head(&l->waiting)) != NULL) {
-			carried_free(x->call);
-			waiting_free(x);
+		while ((x = g_queue_pop_head(&q->waiting)) != NULL) {
+			call_free(x->call);
+			queued_order_free(x);
 		}
 	}
-	g_hash_table_unref(v->lines);
+	g_hash_table_unref(v->queues);
 }
 
 void
@@ -314,14 +318,14 @@
 	GHashTableIter it;
 	gpointer p;
 
-	drop_waiting(v);
+	free_queues(v);
 	g_hash_table_unref(v->lists);
 	g_hash_table_iter_init(&it, v->calls);
 	while (g_hash_table_iter_next(&it, &p, NULL))
-		((struct carried *)p)->serve = NULL;
+		((struct call *)p)->serve = NULL;
 	g_hash_table_unref(v->calls);
 	g_ptr_array_unref(v->batches);
-	specs_end(&v->specs);
+	spec_cache_end(&v->specs);
 	g_free(v);
 }
 
@@ -329,14 +333,14 @@
 cell_relay_serve_spec(
     struct cell_relay_serve *v, const char *job, const char *spec)
 {
-	specs_add(&v->specs, job, spec);
+	spec_cache_add(&v->specs, job, spec);
 }
 
-/* An answer in the batch to the owner, to be filled in. */
+/* Adds an answer to the batch for the owner; the caller fills in the rest. */
 static Ogl__CellOrderAnswer *
-answer_new(const struct carried *c, enum ogl_io io, ogl_time now)
+answer_new(const struct call *c, enum ogl_io io, ogl_time now)
 {
-	struct batch *b = batch_of(c->serve, c->shard, c->to, now);
+	struct batch *b = batch_of(c->serve, c->shard, c->owner, now);
 	Ogl__CellOrderAnswer *m = malloc(sizeof *m);
 
 	ogl__cell_order_answer__init(m);
@@ -349,7 +353,7 @@
 static void
 on_hold(void *arg, const struct cell_hold_answer *a, ogl_time now)
 {
-	struct carried *c = arg;
+	struct call *c = arg;
 	Ogl__CellOrderAnswer *m;
 
 	if (c->serve != NULL) {
@@ -363,17 +367,18 @@
 		m->n_ended = a->nended;
 		m->ended = cell_rows_to_msg(a->ended, a->nended);
 	}
-	carried_free(c);
+	call_free(c);
 }
 
-static void next_in(struct cell_relay_serve *v, struct line *l, ogl_time now);
+static void start_waiting(
+    struct cell_relay_serve *v, struct worker_queue *q, ogl_time now);
 
 static void
 on_order(void *arg, const struct cell_order_answer *a, ogl_time now)
 {
-	struct carried *c = arg;
+	struct call *c = arg;
 	struct cell_relay_serve *v = c->serve;
-	struct line *l = c->line;
+	struct worker_queue *q = c->queue;
 	Ogl__CellOrderAnswer *m;
 
 	if (v != NULL) {
@@ -381,23 +386,23 @@
 		m->refusal = a->why;
 		m->clock_ms = a->clock_ms;
 	}
-	carried_free(c);
+	call_free(c);
 	if (v != NULL) {
-		l->open--;
-		next_in(v, l, now);
+		q->running--;
+		start_waiting(v, q, now);
 	}
 }
 
-/* The order is not carried out. */
+/* Answers an order that is not carried out. */
 static void
-turn_down(struct carried *c, Ogl__CellOrderOutcome outcome, ogl_time now)
+reject(struct call *c, Ogl__CellOrderOutcome outcome, ogl_time now)
 {
 	answer_new(c, OGL_IO_NOT_SENT, now)->outcome = outcome;
-	carried_free(c);
+	call_free(c);
 }
 
 static void
-hold(const struct cell_ops *ops, const Ogl__CellOrder *m, struct carried *c)
+make_hold(const struct cell_ops *ops, const Ogl__CellOrder *m, struct call *c)
 {
 	struct cell_hold h = {.to = {m->addr, m->worker, m->epoch},
 	    .last_seen = m->last_seen,
@@ -408,37 +413,38 @@
 	ops->hold(ops->outside, &h, on_hold, c);
 }
 
-/* ---- the workers' list ------------------------------------------------ */
+/* ---- list of workers -------------------------------------------------- */
 
-static struct list *
-list_for(struct cell_relay_serve *v, const struct carried *c)
+static struct list_reader *
+list_reader_of(struct cell_relay_serve *v, const struct call *c)
 {
-	struct list *l =
+	struct list_reader *l =
 	    g_hash_table_lookup(v->lists, GUINT_TO_POINTER(c->shard));
 
 	if (l == NULL) {
-		l = g_new0(struct list, 1);
-		l->told = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+		l = g_new0(struct list_reader, 1);
+		l->sent = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 		    (GDestroyNotify)g_bytes_unref);
 		g_hash_table_insert(v->lists, GUINT_TO_POINTER(c->shard), l);
 	}
-	/* Another owner, or one that has not got the last answer or has read
-	 * elsewhere meanwhile. */
-	if (l->next != c->from || g_strcmp0(l->owner, c->to) != 0)
-		g_hash_table_remove_all(l->told);
+	/* The owner is another one, did not get the last answer, or has read
+	 * through another node since: it needs all entries again. */
+	if (l->next != c->from || g_strcmp0(l->owner, c->owner) != 0)
+		g_hash_table_remove_all(l->sent);
 	g_free(l->owner);
-	l->owner = g_strdup(c->to);
+	l->owner = g_strdup(c->owner);
 	return l;
 }
 
-/* Whether it says something that the owner was not told; it counts as told. */
+/* Whether the entry differs from the one sent to the owner before; from then on
+ * it counts as sent. */
 static bool
-tell(struct list *l, const Ogl__CellEntry *m)
+note_changed(struct list_reader *l, const Ogl__CellEntry *m)
 {
 	size_t n = ogl__cell_entry__get_packed_size(m);
 	uint8_t *p = g_malloc(n);
 	GBytes *b;
-	GBytes *before = g_hash_table_lookup(l->told, m->worker);
+	GBytes *before = g_hash_table_lookup(l->sent, m->worker);
 
 	ogl__cell_entry__pack(m, p);
 	b = g_bytes_new_take(p, n);
@@ -446,14 +452,15 @@
 		g_bytes_unref(b);
 		return false;
 	}
-	g_hash_table_replace(l->told, g_strdup(m->worker), b);
+	g_hash_table_replace(l->sent, g_strdup(m->worker), b);
 	return true;
 }
 
-/* The last one goes along in any case: the owner reads on from there. */
+/* Adds the changed entries, and in any case the last one: the owner reads on
+ * after its offset. */
 static void
-add_entries(
-    struct list *l, Ogl__CellOrderAnswer *m, const struct cell_read_answer *a)
+add_entries(struct list_reader *l, Ogl__CellOrderAnswer *m,
+    const struct cell_read_answer *a)
 {
 	size_t i;
 
@@ -461,7 +468,7 @@
 	for (i = 0; i < a->n; i++) {
 		Ogl__CellEntry *e = cell_entry_to_msg(&a->records[i]);
 
-		if (!tell(l, e) && i + 1 < a->n) {
+		if (!note_changed(l, e) && i + 1 < a->n) {
 			ogl__cell_entry__free_unpacked(e, NULL);
 			continue;
 		}
@@ -474,25 +481,24 @@
 static void
 on_list(void *arg, const struct cell_read_answer *a, ogl_time now)
 {
-	struct carried *c = arg;
+	struct call *c = arg;
 	Ogl__CellOrderAnswer *m;
-	struct list *l;
+	struct list_reader *l;
 
 	if (c->serve != NULL) {
 		m = answer_new(c, a->io, now);
 		m->trimmed = a->trimmed;
 		m->first = a->first;
 		m->end = a->end;
-		l = list_for(c->serve, c);
+		l = list_reader_of(c->serve, c);
 		l->next = c->from;
 		add_entries(l, m, a);
 	}
-	carried_free(c);
+	call_free(c);
 }
 
 static void
-read_list(
-    const struct cell_ops *ops, const Ogl__CellOrder *m, struct carried *c)
+read_list(const struct cell_ops *ops, const Ogl__CellOrder *m, struct call *c)
 {
 	struct cell_read q = {.stream = CELL_WORKERS,
 	    .from = m->from,
@@ -505,7 +511,7 @@
 /* ---- orders ----------------------------------------------------------- */
 
 static struct cell_order
-order_of(const Ogl__CellOrder *m)
+order_from_msg(const Ogl__CellOrder *m)
 {
 	struct cell_order o = {.to = {m->addr, m->worker, m->epoch},
 	    .task = {.occurrence = m->occurrence,
@@ -521,95 +527,94 @@
 	return o;
 }
 
-/* Whether the start was sent; else it was turned down. */
+/* Whether the start was sent; otherwise it was answered here. */
 static bool
-start(struct cell_relay_serve *v, const Ogl__CellOrder *m, struct carried *c,
+make_start(struct cell_relay_serve *v, const Ogl__CellOrder *m, struct call *c,
     ogl_time now)
 {
-	struct cell_order o = order_of(m);
+	struct cell_order o = order_from_msg(m);
 
 	if (m->with_spec)
-		specs_add(&v->specs, m->job, m->spec);
+		spec_cache_add(&v->specs, m->job, m->spec);
 	o.spec = m->with_spec ? m->spec
 			      : g_hash_table_lookup(v->specs.specs, m->job);
 	if (o.spec == NULL) {
-		turn_down(
-		    c, OGL__CELL_ORDER_OUTCOME__cell_order_lacks_spec, now);
+		reject(c, OGL__CELL_ORDER_OUTCOME__cell_order_lacks_spec, now);
 		return false;
 	}
 	v->ops->start(v->ops->outside, &o, on_order, c);
 	return true;
 }
 
-/* A start or a stop, when nothing else is under way to its worker. */
+/* Makes a start or a stop, when no other call to its worker is in progress. */
 static void
-call_worker(struct cell_relay_serve *v, struct line *l, const Ogl__CellOrder *m,
-    struct carried *c, ogl_time now)
+call_worker(struct cell_relay_serve *v, struct worker_queue *q,
+    const Ogl__CellOrder *m, struct call *c, ogl_time now)
 {
 	struct cell_order o;
 
-	c->line = l;
+	c->queue = q;
 	if (m->kind == OGL__CELL_ORDER_KIND__cell_order_start) {
-		if (start(v, m, c, now))
-			l->open++;
+		if (make_start(v, m, c, now))
+			q->running++;
 		return;
 	}
-	o = order_of(m);
-	l->open++;
+	o = order_from_msg(m);
+	q->running++;
 	v->ops->stop(v->ops->outside, &o, on_order, c);
 }
 
-/* What has waited too long is given up by its owner, who takes it for perhaps
- * sent; it was not. */
+/* Carries out waiting orders.  The owner counts an order that has waited past
+ * its timeout as lost; the answer says that it was not sent. */
 static void
-next_in(struct cell_relay_serve *v, struct line *l, ogl_time now)
+start_waiting(struct cell_relay_serve *v, struct worker_queue *q, ogl_time now)
 {
-	struct waiting *x;
+	struct queued_order *x;
 
-	while (l->open < CALLS_A_WORKER &&
-	       (x = g_queue_pop_head(&l->waiting)) != NULL) {
-		if (now >= x->give_up)
-			turn_down(x->call,
+	while (q->running < CALLS_PER_WORKER_MAX &&
+	       (x = g_queue_pop_head(&q->waiting)) != NULL) {
+		if (now >= x->deadline)
+			reject(x->call,
 			    OGL__CELL_ORDER_OUTCOME__cell_order_not_sent, now);
 		else
-			call_worker(v, l, x->order, x->call, now);
-		waiting_free(x);
+			call_worker(v, q, x->order, x->call, now);
+		queued_order_free(x);
 	}
-	if (l->open == 0)
-		g_hash_table_remove(v->lines, l->addr);
+	if (q->running == 0)
+		g_hash_table_remove(v->queues, q->addr);
 }
 
 static void
-line_up(struct cell_relay_serve *v, const Ogl__CellOrder *m, struct carried *c,
+enqueue(struct cell_relay_serve *v, const Ogl__CellOrder *m, struct call *c,
     ogl_time now)
 {
-	struct line *l = line_of(v, m->addr);
-	struct waiting *x = g_new(struct waiting, 1);
+	struct worker_queue *q = queue_of(v, m->addr);
+	struct queued_order *x = g_new(struct queued_order, 1);
 
 	x->order = cell_order_copy(m);
 	x->call = c;
-	x->give_up = now + m->timeout_ms * OGL_MS;
-	g_queue_push_tail(&l->waiting, x);
-	next_in(v, l, now);
+	x->deadline = now + m->timeout_ms * OGL_MS;
+	g_queue_push_tail(&q->waiting, x);
+	start_waiting(v, q, now);
 }
 
 static void
-carry_out(struct cell_relay_serve *v, const Ogl__CellOrder *m,
-    struct carried *c, ogl_time now)
+execute(struct cell_relay_serve *v, const Ogl__CellOrder *m, struct call *c,
+    ogl_time now)
 {
 	switch (m->kind) {
 	case OGL__CELL_ORDER_KIND__cell_order_hold:
-		hold(v->ops, m, c);
+		make_hold(v->ops, m, c);
 		break;
 	case OGL__CELL_ORDER_KIND__cell_order_list:
 		read_list(v->ops, m, c);
 		break;
 	case OGL__CELL_ORDER_KIND__cell_order_stop:
 	case OGL__CELL_ORDER_KIND__cell_order_start:
-		line_up(v, m, c, now);
+		enqueue(v, m, c, now);
 		break;
-	default: /* of a later version */
-		turn_down(c, OGL__CELL_ORDER_OUTCOME__cell_order_not_sent, now);
+	default: /* a kind of a later version */
+		reject(c, OGL__CELL_ORDER_OUTCOME__cell_order_not_sent, now);
 		break;
 	}
 }
@@ -622,12 +627,12 @@
 
 	for (i = 0; i < orders->n_orders; i++) {
 		const Ogl__CellOrder *m = orders->orders[i];
-		struct carried *c = carried_new(v, shard, from, m->token);
+		struct call *c = call_new(v, shard, from, m->token);
 
 		if (refuse)
-			turn_down(c,
-			    OGL__CELL_ORDER_OUTCOME__cell_order_not_sent, now);
+			reject(c, OGL__CELL_ORDER_OUTCOME__cell_order_not_sent,
+			    now);
 		else
-			carry_out(v, m, c, now);
+			execute(v, m, c, now);
 	}
 }
--- a/cell/relay_serve.h
+++ b/cell/relay_serve.h
@@ -1,5 +1,5 @@
 /*
- * The node that makes calls to workers for owners elsewhere.
+ * Makes calls to workers for the owners of shards on other nodes.
  */
 
 #ifndef OGL_CELL_RELAY_SERVE_H
@@ -15,19 +15,20 @@
 struct cell_relay_serve *cell_relay_serve_init(
     const struct cell_ops *ops, cell_relay_send_fn *send, void *arg);
 void cell_relay_serve_end(struct cell_relay_serve *v);
-/* Calls under way may still end after it; nobody is told of them. */
+/* Calls in progress may still end afterwards; their answers are discarded. */
 
 void cell_relay_serve_spec(
     struct cell_relay_serve *v, const char *job, const char *spec);
-/* Keeps the spec of a job that was passed on to its owner. */
+/* Keeps the spec of a job that this node forwarded to its owner. */
 
 void cell_relay_serve(struct cell_relay_serve *v, uint32_t shard,
     const char *from, const Ogl__CellOrders *orders, bool refuse, ogl_time now);
-/* Carries the orders out; or answers that it has not, if refuse is set. */
+/* Carries out the orders from the owner of the shard, the node at address from;
+ * if refuse is set, only answers each one as not sent. */
 
 void cell_relay_serve_step(struct cell_relay_serve *v, ogl_time now);
-/* Sends the answers that have gathered long enough. */
+/* Sends the batches of answers that are due. */
 ogl_time cell_relay_serve_wake(const struct cell_relay_serve *v);
-/* When the next are to be sent, OGL_NEVER: none wait. */
+/* When the next batch is due; OGL_NEVER if there is none. */
 
 #endif
