--- a/test/test_cell_relay.cc
+++ b/test/test_cell_relay.cc
@@ -29,7 +29,7 @@
 		ops_.start = on_start;
 		ops_.hold = [](void *ctx, const struct cell_hold *,
 				cell_hold_fn *, void *) {
-			static_cast<Relay *>(ctx)->direct_++;
+			static_cast<Relay *>(ctx)->direct_calls_++;
 		};
 		ops_.log = [](void *, const char *, const char *,
 			       const char *) {};
@@ -49,11 +49,11 @@
 		relay_ = cell_relay_init(&ops_, link_kbps, &events);
 		cell_relay_fill(relay_, &relayed_);
 		cell_relay_open(relay_, 3);
-		nodes();
+		announce_nodes();
 		step(0);
 	}
 
-	void nodes()
+	void announce_nodes()
 	{
 		for (const char *addr : {"n1", "n2", "n3"})
 			cell_relay_node(relay_, addr, false, now_);
@@ -90,7 +90,7 @@
 	static void on_start(
 	    void *ctx, const struct cell_order *, cell_order_fn *, void *)
 	{
-		static_cast<Relay *>(ctx)->direct_++;
+		static_cast<Relay *>(ctx)->direct_calls_++;
 	}
 
 	static void on_send(void *arg, const char *to, const Ogl__CellOrders *m)
@@ -108,30 +108,30 @@
 	static void on_order(
 	    void *arg, const struct cell_order_answer *a, ogl_time)
 	{
-		static_cast<Relay *>(arg)->ends_.push_back(a->io);
+		static_cast<Relay *>(arg)->outcomes_.push_back(a->io);
 	}
 
 	struct cell_ops ops_ = {};
 	struct cell_ops relayed_ = {};
 	struct cell_relay *relay_ = nullptr;
 	std::vector<Sent> sent_;
-	std::vector<enum ogl_io> ends_;
-	int direct_ = 0;
+	std::vector<enum ogl_io> outcomes_;
+	int direct_calls_ = 0;
 	ogl_time now_ = 100 * OGL_SEC;
 };
 
 const char job1[] = "0000000000000001";
 
-TEST_F(Relay, AWideLinkCallsItsWorkersItself)
+TEST_F(Relay, FastLinkCallsWorkersDirectly)
 {
 	begin(200000);
 	start(job1);
 	step(10);
-	EXPECT_EQ(1, direct_);
+	EXPECT_EQ(1, direct_calls_);
 	EXPECT_TRUE(sent_.empty());
 }
 
-TEST_F(Relay, TheNodeThatPassedAJobOnNeedsNoSpec)
+TEST_F(Relay, StartThroughForwardingNodeOmitsSpec)
 {
 	begin(2000);
 	cell_relay_told(relay_, job1, "n2");
@@ -141,11 +141,11 @@
 	EXPECT_EQ("n2", sent_[0].to);
 	EXPECT_FALSE(sent_[0].with_spec);
 	answer(sent_[0], OGL__CELL_ORDER_OUTCOME__cell_order_done);
-	ASSERT_EQ(1u, ends_.size());
-	EXPECT_EQ(OGL_IO_OK, ends_[0]);
+	ASSERT_EQ(1u, outcomes_.size());
+	EXPECT_EQ(OGL_IO_OK, outcomes_[0]);
 }
 
-TEST_F(Relay, AnotherNodeIsSentTheSpecOnce)
+TEST_F(Relay, OtherNodeIsSentSpecOnce)
 {
 	begin(2000);
 	start(job1);
@@ -157,66 +157,66 @@
 	EXPECT_FALSE(sent_[1].with_spec);
 }
 
-/* Guards against a task that is never started because its relay was started
- * anew, or had too many specs to keep. */
-TEST_F(Relay, ANodeThatLacksTheSpecIsSentIt)
+/* Guards against a task that is never started because its relay has restarted,
+ * or has evicted the spec. */
+TEST_F(Relay, StartIsSentAgainWithMissingSpec)
 {
 	begin(2000);
 	cell_relay_told(relay_, job1, "n2");
 	start(job1);
 	step(10);
 	answer(sent_[0], OGL__CELL_ORDER_OUTCOME__cell_order_lacks_spec);
-	EXPECT_TRUE(ends_.empty());
+	EXPECT_TRUE(outcomes_.empty());
 	step(10);
 	ASSERT_EQ(2u, sent_.size());
 	EXPECT_EQ("n2", sent_[1].to);
 	EXPECT_EQ("the spec", sent_[1].spec);
 	answer(sent_[1], OGL__CELL_ORDER_OUTCOME__cell_order_done);
-	ASSERT_EQ(1u, ends_.size());
+	ASSERT_EQ(1u, outcomes_.size());
 }
 
-/* Guards against "not sent" of a start that its relay may have sent. */
-TEST_F(Relay, ACallWithoutAnAnswerMayHaveBeenMade)
+/* Guards against reporting a start as not sent that its relay may have sent. */
+TEST_F(Relay, CallWithoutAnswerIsLost)
 {
 	begin(2000);
 	cell_relay_told(relay_, job1, "n2");
 	start(job1);
 	step(10);
 	step(600);
-	EXPECT_TRUE(ends_.empty());
+	EXPECT_TRUE(outcomes_.empty());
 	step(500);
-	ASSERT_EQ(1u, ends_.size());
-	EXPECT_EQ(OGL_IO_LOST, ends_[0]);
+	ASSERT_EQ(1u, outcomes_.size());
+	EXPECT_EQ(OGL_IO_LOST, outcomes_[0]);
 	answer(sent_[0], OGL__CELL_ORDER_OUTCOME__cell_order_done);
-	EXPECT_EQ(1u, ends_.size());
+	EXPECT_EQ(1u, outcomes_.size());
 }
 
-/* Guards against a start given before the owner stood still and was replaced,
- * and sent to a worker that has started anew since. */
-TEST_F(Relay, OrdersThatGatheredWhileTheOwnerStoodStillAreNotSent)
+/* Guards against a start that was ordered before the owner was suspended and
+ * replaced, and is sent afterwards to a worker that has restarted since. */
+TEST_F(Relay, OrdersBatchedDuringSuspensionAreNotSent)
 {
 	begin(2000);
 	start(job1);
 	now_ += 2 * OGL_SEC;
 	cell_relay_flush(relay_, now_);
 	EXPECT_TRUE(sent_.empty());
-	ASSERT_EQ(1u, ends_.size());
-	EXPECT_EQ(OGL_IO_NOT_SENT, ends_[0]);
+	ASSERT_EQ(1u, outcomes_.size());
+	EXPECT_EQ(OGL_IO_NOT_SENT, outcomes_[0]);
 }
 
-TEST_F(Relay, OrdersNotYetSentAreWithdrawnWhenTheOwnershipEnds)
+TEST_F(Relay, UnsentOrdersAreWithdrawnWhenOwnershipEnds)
 {
 	begin(2000);
 	start(job1);
 	cell_relay_close(relay_, now_);
 	step(10);
 	EXPECT_TRUE(sent_.empty());
-	ASSERT_EQ(1u, ends_.size());
-	EXPECT_EQ(OGL_IO_NOT_SENT, ends_[0]);
+	ASSERT_EQ(1u, outcomes_.size());
+	EXPECT_EQ(OGL_IO_NOT_SENT, outcomes_[0]);
 }
 
-/* Guards against work that waits for a node which no longer answers. */
-TEST_F(Relay, ANodeThatLeavesCallsUnansweredIsPassedOver)
+/* Guards against work that waits for a relay which no longer answers. */
+TEST_F(Relay, RelayWithUnansweredCallsIsNotUsed)
 {
 	begin(2000);
 	cell_relay_told(relay_, job1, "n2");
@@ -224,7 +224,7 @@
 	start(job1);
 	step(10);
 	step(1100);
-	nodes();
+	announce_nodes();
 	start(job1, "w2");
 	step(10);
 	ASSERT_EQ(3u, sent_.size());
@@ -232,31 +232,31 @@
 	EXPECT_TRUE(sent_[2].with_spec);
 }
 
-/* Guards against a task that is started and given up over and over, because the
- * relay of its job can't reach the worker. */
-TEST_F(Relay, AWorkerThatStartsMayNotHaveReachedIsCalledDirectly)
+/* Guards against a task whose start is lost again and again, because the relay
+ * of its job can't reach the worker. */
+TEST_F(Relay, WorkerIsCalledDirectlyAfterLostStarts)
 {
 	begin(2000);
 	for (size_t i = 0; i < 4; i++) {
 		start(job1);
-		EXPECT_EQ(0, direct_);
+		EXPECT_EQ(0, direct_calls_);
 		step(10);
 		answer(sent_[i], OGL__CELL_ORDER_OUTCOME__cell_order_lost);
 	}
 	start(job1);
-	EXPECT_EQ(1, direct_);
+	EXPECT_EQ(1, direct_calls_);
 	start(job1, "w2");
-	EXPECT_EQ(1, direct_);
+	EXPECT_EQ(1, direct_calls_);
 	now_ += 6 * OGL_SEC;
-	nodes();
+	announce_nodes();
 	step(0);
 	start(job1);
-	EXPECT_EQ(1, direct_);
+	EXPECT_EQ(1, direct_calls_);
 }
 
-/* Guards against an owner's link filled by direct calls because some workers
- * leave some starts unanswered. */
-TEST_F(Relay, SingleLostStartsChangeNothing)
+/* Guards against saturating an owner's link with direct calls because some
+ * workers leave some starts unanswered. */
+TEST_F(Relay, NonConsecutiveLostStartsAreIgnored)
 {
 	begin(2000);
 	for (size_t i = 0; i < 10; i++) {
@@ -266,12 +266,12 @@
 		    i % 2 == 0 ? OGL__CELL_ORDER_OUTCOME__cell_order_lost
 			       : OGL__CELL_ORDER_OUTCOME__cell_order_done);
 	}
-	EXPECT_EQ(0, direct_);
+	EXPECT_EQ(0, direct_calls_);
 }
 
-/* Guards against a cell whose hosts were all replaced and that finds no relay
- * among the first addresses. */
-TEST_F(Relay, NodesThatHaveGoneLeaveTheirPlaceToOthers)
+/* Guards against finding no relay after all hosts were replaced, because nodes
+ * that are down count among the first addresses. */
+TEST_F(Relay, NodesThatAreDownDoNotLimitRelays)
 {
 	begin(2000);
 	for (int i = 0; i < 40; i++)
@@ -286,17 +286,17 @@
 	EXPECT_EQ("z", sent_[0].to);
 }
 
-TEST_F(Relay, WithoutOtherNodesWorkersAreCalledDirectly)
+TEST_F(Relay, WorkersAreCalledDirectlyWithoutRelay)
 {
 	begin(2000);
 	now_ += 2 * OGL_SEC;
 	step(0);
 	start(job1);
 	step(10);
-	EXPECT_EQ(1, direct_);
+	EXPECT_EQ(1, direct_calls_);
 }
 
-TEST_F(Relay, TheQuickestAnswerTellsTheDelayOfTheLink)
+TEST_F(Relay, DelayIsShortestAnswerTime)
 {
 	begin(2000);
 	EXPECT_EQ(0, cell_relay_delay(relay_, now_));
@@ -343,7 +343,7 @@
 			cell_relay_serve_end(serve_);
 	}
 
-	void give(bool refuse)
+	void serve_start(bool refuse)
 	{
 		Ogl__CellOrder o = OGL__CELL_ORDER__INIT;
 		Ogl__CellOrder *list[] = {&o};
@@ -386,9 +386,9 @@
 		}
 	}
 
-	/* Asks for the entries from an offset on, which are those of the named
-	 * workers; the entries of the answer. */
-	std::vector<std::string> list(
+	/* Reads the list from the offset; the store returns entries of the
+	 * named workers.  Result: the workers whose entries the answer has. */
+	std::vector<std::string> read_list(
 	    uint64_t from, const std::vector<std::string> &workers)
 	{
 		Ogl__CellOrder o = OGL__CELL_ORDER__INIT;
@@ -435,10 +435,10 @@
 	ogl_time now_ = 100 * OGL_SEC;
 };
 
-TEST_F(RelayServe, StartsWithTheSpecOfAJobThatPassedThrough)
+TEST_F(RelayServe, StartUsesSpecOfForwardedJob)
 {
 	cell_relay_serve_spec(serve_, job1, "kept");
-	give(false);
+	serve_start(false);
 	ASSERT_EQ(1u, specs_.size());
 	EXPECT_EQ("kept", specs_[0]);
 	end_call();
@@ -448,21 +448,21 @@
 	EXPECT_EQ(OGL__CELL_ORDER_OUTCOME__cell_order_done, answers_[0]);
 }
 
-TEST_F(RelayServe, SaysThatItLacksTheSpec)
+TEST_F(RelayServe, StartWithoutSpecIsAnsweredLacksSpec)
 {
-	give(false);
+	serve_start(false);
 	step();
 	EXPECT_TRUE(specs_.empty());
 	ASSERT_EQ(1u, answers_.size());
 	EXPECT_EQ(OGL__CELL_ORDER_OUTCOME__cell_order_lacks_spec, answers_[0]);
 }
 
-/* Guards against more connections to a worker than it takes from all nodes. */
-TEST_F(RelayServe, OrdersToOneWorkerWaitForEachOther)
+/* Guards against more connections to a worker than it accepts. */
+TEST_F(RelayServe, OrdersToOneWorkerAreQueued)
 {
 	cell_relay_serve_spec(serve_, job1, "kept");
-	give(false);
-	give(false);
+	serve_start(false);
+	serve_start(false);
 	EXPECT_EQ(1u, specs_.size());
 	end_call();
 	EXPECT_EQ(2u, specs_.size());
@@ -471,12 +471,12 @@
 	EXPECT_EQ(2u, answers_.size());
 }
 
-/* Guards against a start that is sent after its owner has given it up. */
-TEST_F(RelayServe, AnOrderThatWaitedTooLongIsNotSent)
+/* Guards against sending a start after the timeout of its owner. */
+TEST_F(RelayServe, QueuedOrderIsNotSentAfterTimeout)
 {
 	cell_relay_serve_spec(serve_, job1, "kept");
-	give(false);
-	give(false);
+	serve_start(false);
+	serve_start(false);
 	now_ += OGL_SEC;
 	end_call();
 	EXPECT_EQ(1u, specs_.size());
@@ -485,11 +485,11 @@
 	EXPECT_EQ(OGL__CELL_ORDER_OUTCOME__cell_order_not_sent, answers_[1]);
 }
 
-/* Guards against an order carried out long after its owner gave it up. */
+/* Guards against carrying out an order long after the timeout of its owner. */
 TEST_F(RelayServe, RefusedOrdersAreNotCarriedOut)
 {
 	cell_relay_serve_spec(serve_, job1, "kept");
-	give(true);
+	serve_start(true);
 	step();
 	EXPECT_TRUE(specs_.empty());
 	ASSERT_EQ(1u, answers_.size());
@@ -498,26 +498,27 @@
 
 using Names = std::vector<std::string>;
 
-TEST_F(RelayServe, EntriesThatSayNothingNewAreLeftOut)
+TEST_F(RelayServe, UnchangedEntriesAreOmitted)
 {
-	EXPECT_EQ(Names({"w1", "w2"}), list(10, {"w1", "w2"}));
-	/* The last one tells from where to read on. */
-	EXPECT_EQ(Names({"w3", "w2"}), list(12, {"w1", "w3", "w2"}));
+	EXPECT_EQ(Names({"w1", "w2"}), read_list(10, {"w1", "w2"}));
+	/* The last entry is always sent: its offset says where to read on. */
+	EXPECT_EQ(Names({"w3", "w2"}), read_list(12, {"w1", "w3", "w2"}));
 }
 
-/* Guards against an entry that its owner never hears of, because the answer
- * that told it was lost. */
-TEST_F(RelayServe, EntriesOfALostAnswerAreToldAgain)
+/* Guards against an entry that the owner never gets, because the answer with it
+ * was lost. */
+TEST_F(RelayServe, EntriesOfLostAnswerAreSentAgain)
 {
-	EXPECT_EQ(Names({"w1", "w2"}), list(10, {"w1", "w2"}));
-	EXPECT_EQ(Names({"w1", "w2"}), list(10, {"w1", "w2"}));
+	EXPECT_EQ(Names({"w1", "w2"}), read_list(10, {"w1", "w2"}));
+	EXPECT_EQ(Names({"w1", "w2"}), read_list(10, {"w1", "w2"}));
 }
 
-/* Guards against an answer that reaches a part of the node that has ended. */
-TEST_F(RelayServe, ACallMayEndAfterIt)
+/* Guards against use of freed memory by a call that ends after
+ * cell_relay_serve_end. */
+TEST_F(RelayServe, CallMayEndAfterServeEnd)
 {
 	cell_relay_serve_spec(serve_, job1, "kept");
-	give(false);
+	serve_start(false);
 	cell_relay_serve_end(serve_);
 	serve_ = nullptr;
 	end_call();
