--- a/cell/relay.c
+++ b/cell/relay.c
@@ -75,7 +75,7 @@
 	uint64_t token;
 	char *relay;  /* its address */
 	char *worker; /* its id, only for a start */
-	ogl_time sent_at;
+	ogl_time created_at;
 	ogl_time deadline;
 	/* Only for a start without spec, to send it again with the spec. */
 	Ogl__CellOrder *message;
@@ -353,7 +353,7 @@
 
 	o->token = ++r->token;
 	o->relay = g_strdup(n->addr);
-	o->sent_at = r->now;
+	o->created_at = r->now;
 	o->deadline = r->now + m->timeout_ms * OGL_MS + ANSWER_MARGIN;
 	o->arg = arg;
 	m->token = o->token;
@@ -615,12 +615,12 @@
 	return true;
 }
 
-/* A call without an answer counts with the time since it was sent: its answer
- * would need at least as long. */
+/* Notes how long the answer took.  A call without an answer counts with the
+ * time that it waited: its answer would need at least as long. */
 static void
 record_delay(struct cell_relay *r, const struct pending_call *o, ogl_time now)
 {
-	ogl_time took = MAX(now - o->sent_at, 1);
+	ogl_time took = MAX(now - o->created_at, 1);
 
 	if (o->order_done == NULL)
 		return;
