--- a/test/fake_cell.c
+++ b/test/fake_cell.c
@@ -14,37 +14,39 @@
 #include "fake_cell.h"
 #include "job.h"
 
-#define HOP_US 1500 /* one way, up to twice that */
-#define APPEND_US 3000
-#define VALID_MS 2500
-#define ADVICE_US 8000
-#define BEAT_US (1500 * OGL_MS)
+#define HOP_DELAY_MIN_US 1500 /* one way, up to twice that */
+#define APPEND_DELAY_US 3000
+#define TICKET_VALID_MS 2500
+#define ADVICE_DELAY_US 8000
+#define HEARTBEAT_INTERVAL (1500 * OGL_MS)
 #define MAX_NODES 16
 #define MAX_WORKERS 64
-#define KEY "key-one"
-#define HOST "cell.example"
-#define PREFIX "/q/" /* of the queue of rank 0; of others /q1/ and /q2/ */
-#define QUEUES 3
-#define QUEUE "q"
-#define SERVICE "svc"
-#define TEAM "team"
-#define REPEATS_KEPT 5
-#define METHODS 4 /* a caller's token tells its method: remainder by this */
-#define WORKER_CPU 16000
-#define STOP_US (200 * OGL_MS)
-#define GANG_WAIT_US (3 * OGL_SEC)
+#define API_KEY "key-one"
+#define QUEUE_HOST "cell.example"
+#define QUEUE_PATH "/q/" /* of the queue of rank 0; of others /q1/ and /q2/ */
+#define QUEUE_COUNT 3
+#define QUEUE_NAME "q"
+#define SERVICE_NAME "svc"
+#define TEAM_NAME "team"
+#define APPENDS_REMEMBERED 5
+#define METHOD_COUNT                                                           \
+	4 /* a caller's token tells its method: remainder by this */
+#define WORKER_CPU_MILLI 16000
+#define STOP_DELAY (200 * OGL_MS)
+#define GANG_TIMEOUT (3 * OGL_SEC)
 #define LEASE_MAX_MS 10000
-#define SAVE_MS 500
-#define SLOW_TIMES 6
-#define RATE_ANY 1000u
+#define CHECKPOINT_INTERVAL_MS 500
+#define SLOW_FACTOR 6
+#define RATE_UNLIMITED 1000u
 /* A limit may go unseen for as long as faults keep nodes from the store. */
-#define LIMIT_SLACK_US (12 * OGL_SEC)
+#define LIMIT_SETTLE_TIME (12 * OGL_SEC)
 /* No node that has reached the store for CONTACT_US orders a start in a zone so
  * long after the zone was evacuated. */
-#define EVACUATE_US (5 * OGL_SEC)
-#define CONTACT_US (4 * OGL_SEC)
+#define EVACUATION_DELAY_MAX (5 * OGL_SEC)
+#define STORE_CONTACT_TIME (4 * OGL_SEC)
 #define MAX_ZONES 8
-#define EVACUATE "evacuate " /* begins a key of the settings stream */
+#define EVACUATE_KEY_PREFIX                                                    \
+	"evacuate " /* begins a key of the settings stream */
 
 typedef void event_fn(struct fake_cell *f, void *arg);
 
@@ -52,7 +54,7 @@
 	ogl_time at;
 	uint64_t order;
 	int node; /* -1: nobody's */
-	uint64_t life;
+	uint64_t incarnation;
 	event_fn *fn;
 	event_fn *drop; /* frees arg when the event is dropped */
 	void *arg;
@@ -65,29 +67,29 @@
 	unsigned index;
 	struct cell_node *node;
 	struct cell_ops ops;
-	uint64_t life;
+	uint64_t incarnation;
 	bool up;
 	bool frozen;
-	uint32_t lag_ms;     /* one step takes so long */
-	ogl_time busy_until; /* with the last one */
-	bool refused;        /* nobody listened at the last try of a peer */
-	enum fake_store_fault store;
-	ogl_time well_since;     /* it runs, and the store serves it */
-	ogl_time sends_until;    /* the link is busy with what it was given */
-	ogl_time receives_until; /* the same, of what is sent to the node */
+	uint32_t step_ms;       /* one step takes so long */
+	ogl_time busy_until;    /* with the last one */
+	bool last_peer_refused; /* nobody listened at the last try of a peer */
+	enum fake_store_fault store_fault;
+	ogl_time healthy_since;   /* it runs, and the store serves it */
+	ogl_time send_busy_until; /* the link is busy with what it was given */
+	ogl_time receive_busy_until; /* the same, of what is sent to the node */
 	char addr[32];
 	char name[32];
-	ogl_time wake;
-	GHashTable *open; /* set of struct call */
+	ogl_time wake_at;
+	GHashTable *open_calls; /* set of struct call */
 };
 
 /* Bytes of a message of each kind besides what differs from one to another:
  * headers, names, numbers. */
 #define CALL_BYTES 300
 #define ANSWER_BYTES 200
-#define PARCEL_BYTES 60
-#define ROW_BYTES 60
-#define ID_BYTES 15
+#define PEER_MSG_BYTES 60
+#define RUN_ROW_BYTES 60
+#define WORKER_ID_BYTES 15
 #define SPEC_BYTES 1000
 
 /* ---- records of the store --------------------------------------------- */
@@ -103,8 +105,8 @@
 	uint64_t epoch;
 	uint64_t seq;
 	bool seq_set;
-	GQueue repeats; /* uint64_t pairs seq, offset */
-	GQueue readers; /* struct call with a long poll */
+	GQueue recent_appends; /* uint64_t pairs seq, offset */
+	GQueue readers;        /* struct call with a long poll */
 };
 
 /* ---- workers ---------------------------------------------------------- */
@@ -113,18 +115,18 @@
 	struct cell_task_name task;
 	uint64_t number;
 	uint64_t id; /* of this run, for its end's event */
-	uint32_t cpu;
+	uint32_t cpu_milli;
 	bool gang;
 	bool working;
 	uint32_t run_ms;
-	uint32_t done_ms; /* work saved before this run */
-	uint32_t slow;    /* times as long as on a worker that is well */
+	uint32_t saved_ms;    /* work saved before this run */
+	uint32_t slow_factor; /* times as long as on a worker that is well */
 	bool hangs;
-	ogl_time began;
+	ogl_time began_at;
 	bool fails;
 	bool checkpoints;
 	bool lasting;
-	unsigned members;
+	unsigned gang_size;
 };
 
 struct ended {
@@ -142,27 +144,28 @@
 	char addr[32];
 	char rack[8];
 	char zone[8];
-	uint64_t born;
-	ogl_time born_at;
+	uint64_t born_ms;
+	ogl_time started_at;
 	uint64_t epoch;
-	uint64_t until_ms;
-	uint64_t lapsed_ms; /* clock at which the lease was over last */
+	uint64_t lease_until_ms;
+	uint64_t lease_lapsed_ms; /* clock at which the lease was over last */
 	bool up;
 	bool draining;
 	enum fake_worker_fault fault;
-	GPtrArray *runs;     /* struct run */
-	GPtrArray *ended;    /* struct ended */
-	GHashTable *highest; /* task text -> highest run stopped or ended */
-	uint64_t last_end;
+	GPtrArray *runs;  /* struct run */
+	GPtrArray *ended; /* struct ended */
+	GHashTable
+	    *highest_runs; /* task text -> highest run stopped or ended */
+	uint64_t last_end_number;
 	GQueue holds; /* struct call waiting for an end */
 };
 
 /* A task over the whole cell, for the checks. */
 struct task {
 	unsigned running;
-	bool ended; /* some run ended as done */
-	bool done;  /* and that was taken note of */
-	unsigned failed;
+	bool completed;        /* some run ended as done */
+	bool completion_acked; /* and that was taken note of */
+	unsigned failed_runs;
 	unsigned starts;
 };
 
@@ -173,9 +176,9 @@
 	size_t nsteps;
 	int status;
 	bool accepted;
-	unsigned handed_in; /* submissions sent */
-	unsigned rejected;  /* of them, answered as not accepted */
-	bool cancelled;     /* acknowledged */
+	unsigned submissions; /* submissions sent */
+	unsigned rejections;  /* of them, answered as not accepted */
+	bool cancelled;       /* acknowledged */
 	ogl_time cancelled_at;
 	bool has_state;
 	Ogl__CellJobState state;
@@ -187,41 +190,43 @@
 struct fake_cell {
 	struct fake_cell_shape shape;
 	ogl_time now;
-	uint64_t order;
+	uint64_t last_order;
 	GSequence *events; /* struct event */
 	GRand *rand;
-	uint32_t budget_ms; /* how long callers wait */
-	unsigned rank;      /* of the queue that jobs go to */
+	uint32_t caller_timeout_ms; /* how long callers wait */
+	unsigned queue_rank;        /* of the queue that jobs go to */
 	struct node nodes[MAX_NODES];
 	struct worker workers[MAX_WORKERS];
 	struct stream streams[CELL_NSTREAMS][CELL_SHARDS_MAX];
-	GHashTable *jobs;    /* id -> struct job */
-	GHashTable *calls;   /* token -> struct job, callers' */
-	GHashTable *revoked; /* set of keys */
-	GHashTable *tickets; /* "step worker born" -> ogl_time until */
-	uint64_t token;
-	uint64_t run_id;
+	GHashTable *jobs;            /* id -> struct job */
+	GHashTable *caller_requests; /* token -> struct job, callers' */
+	GHashTable *revoked_keys;    /* set of keys */
+	GHashTable *tickets;         /* "step worker born" -> ogl_time until */
+	uint64_t last_token;
+	uint64_t last_run_id;
 	uint64_t config_version;
-	uint32_t team_cpu;
-	ogl_time limit_at;     /* when the present limit was set */
-	uint32_t limit_before; /* the highest that may still be in force */
+	uint32_t team_cpu_milli;
+	ogl_time limit_set_at; /* when the present limit was set */
+	uint32_t
+	    earlier_limit_milli; /* the highest that may still be in force */
 	unsigned writes;
 	ogl_time evacuated_at[MAX_ZONES + 1]; /* zone 1 and so on, 0 not */
-	GString *breaches;
+	GString *violations;
 };
 
-#define EPOCH_WALL ((ogl_time)1780000000 * OGL_SEC)
+#define WALL_CLOCK_OFFSET ((ogl_time)1780000000 * OGL_SEC)
 
 static void
-breach(struct fake_cell *f, const char *what, const char *about)
+report_violation(struct fake_cell *f, const char *rule, const char *subject)
 {
-	g_string_append_printf(f->breaches, "%" G_GINT64_FORMAT " ms: %s: %s\n",
-	    f->now / OGL_MS, what, about);
+	g_string_append_printf(f->violations,
+	    "%" G_GINT64_FORMAT " ms: %s: %s\n", f->now / OGL_MS, rule,
+	    subject);
 }
 
 /* What the fakes do, beside what the nodes log: FAKE_CELL_LOG=1. */
 static void
-tell(const struct fake_cell *f, const char *who, const char *what,
+trace(const struct fake_cell *f, const char *who, const char *what,
     const struct cell_task_name *t, uint64_t number)
 {
 	if (getenv("FAKE_CELL_LOG") == NULL)
@@ -237,7 +242,7 @@
 /* ---- events ----------------------------------------------------------- */
 
 static gint
-by_time(gconstpointer a, gconstpointer b, gpointer ctx)
+compare_events(gconstpointer a, gconstpointer b, gpointer ctx)
 {
 	const struct event *x = a;
 	const struct event *y = b;
@@ -255,19 +260,20 @@
 	struct event *e = g_new0(struct event, 1);
 
 	e->at = f->now + after;
-	e->order = ++f->order;
+	e->order = ++f->last_order;
 	e->node = node;
-	e->life = node >= 0 ? f->nodes[node].life : 0;
+	e->incarnation = node >= 0 ? f->nodes[node].incarnation : 0;
 	e->fn = fn;
 	e->drop = drop;
 	e->arg = arg;
-	g_sequence_insert_sorted(f->events, e, by_time, NULL);
+	g_sequence_insert_sorted(f->events, e, compare_events, NULL);
 }
 
 static ogl_time
-hop(struct fake_cell *f)
+hop_delay(struct fake_cell *f)
 {
-	return HOP_US + g_rand_int_range(f->rand, 0, HOP_US);
+	return HOP_DELAY_MIN_US +
+	       g_rand_int_range(f->rand, 0, HOP_DELAY_MIN_US);
 }
 
 static bool
@@ -293,8 +299,8 @@
 	struct fake_cell *cell;
 	struct node *node;
 	enum call_kind kind;
-	bool over; /* answered or lost */
-	ogl_time sent;
+	bool finished; /* answered or lost */
+	ogl_time sent_at;
 	unsigned refs;
 	void *done;
 	void *arg;
@@ -303,25 +309,25 @@
 	bool fenced;
 	uint64_t epoch;
 	uint64_t seq;
-	int64_t at;
+	int64_t expected_end;
 	GPtrArray *puts; /* struct record */
-	uint64_t from;
-	char *after;
+	uint64_t offset;
+	char *after_key;
 	uint32_t wait_ms;
 	struct worker *worker;
 	char *worker_id;
-	uint64_t born; /* life of the worker when the call reached it */
+	uint64_t born_ms; /* life of the worker when the call reached it */
 	uint64_t last_seen;
-	uint64_t until_ms;
+	uint64_t lease_until_ms;
 	struct cell_task_name task;
 	uint64_t run;
 	char *checkpoint;
 	char *ticket;
 	char *step;
-	GPtrArray *ids;
+	GPtrArray *worker_ids;
 	char *spec;
 	size_t answer_bytes; /* besides ANSWER_BYTES */
-	struct cell_order_answer order;
+	struct cell_order_answer order_answer;
 };
 
 static void
@@ -345,9 +351,9 @@
 		return;
 	if (c->puts != NULL)
 		g_ptr_array_unref(c->puts);
-	if (c->ids != NULL)
-		g_ptr_array_unref(c->ids);
-	g_free(c->after);
+	if (c->worker_ids != NULL)
+		g_ptr_array_unref(c->worker_ids);
+	g_free(c->after_key);
 	g_free(c->worker_id);
 	g_free(c->checkpoint);
 	g_free(c->ticket);
@@ -407,9 +413,9 @@
 {
 	struct call *c = arg;
 
-	if (!c->over) {
-		c->over = true;
-		g_hash_table_remove(c->node->open, c);
+	if (!c->finished) {
+		c->finished = true;
+		g_hash_table_remove(c->node->open_calls, c);
 		answer_lost(c, f->now);
 		step_node(f, c->node);
 	}
@@ -428,8 +434,8 @@
 	c->done = done;
 	c->arg = arg;
 	c->refs = 1;
-	c->sent = n->cell->now;
-	g_hash_table_add(n->open, c);
+	c->sent_at = n->cell->now;
+	g_hash_table_add(n->open_calls, c);
 	post(n->cell, timeout_ms * OGL_MS, (int)n->index, on_timeout,
 	    call_unref, c);
 	return c;
@@ -439,10 +445,10 @@
 static bool
 call_finish(struct call *c)
 {
-	if (c->over)
+	if (c->finished)
 		return false;
-	c->over = true;
-	g_hash_table_remove(c->node->open, c);
+	c->finished = true;
+	g_hash_table_remove(c->node->open_calls, c);
 	return true;
 }
 
@@ -468,8 +474,8 @@
 
 		n += u->value != NULL ? g_bytes_get_size(u->value) : 0;
 	}
-	if (c->ids != NULL)
-		n += c->ids->len * ID_BYTES;
+	if (c->worker_ids != NULL)
+		n += c->worker_ids->len * WORKER_ID_BYTES;
 	if (c->spec != NULL)
 		n += strlen(c->spec);
 	return n;
@@ -477,16 +483,17 @@
 
 /* node: where it goes, or -1 to whatever is no node. */
 static void
-travel(struct call *c, ogl_time extra, int node, event_fn *fn)
+transmit(struct call *c, ogl_time extra_delay, int node, event_fn *fn)
 {
 	struct fake_cell *f = c->cell;
-	ogl_time busy =
-	    node < 0 ? link_delay(f, &c->node->sends_until, call_bytes(c))
-		     : link_delay(f, &c->node->receives_until,
+	ogl_time link_wait =
+	    node < 0 ? link_delay(f, &c->node->send_busy_until, call_bytes(c))
+		     : link_delay(f, &c->node->receive_busy_until,
 			   ANSWER_BYTES + c->answer_bytes);
 
 	c->refs++;
-	post(f, hop(f) + busy + extra, node, fn, call_unref, c);
+	post(
+	    f, hop_delay(f) + link_wait + extra_delay, node, fn, call_unref, c);
 }
 
 /* ---- the store -------------------------------------------------------- */
@@ -507,25 +514,25 @@
 	struct cell_team *t = cell_config_add_team(c);
 	guint i;
 
-	for (i = 0; i < QUEUES; i++) {
+	for (i = 0; i < QUEUE_COUNT; i++) {
 		struct cell_queue *q = cell_config_add_queue(c);
 
-		q->name =
-		    i == 0 ? g_strdup(QUEUE) : g_strdup_printf(QUEUE "%u", i);
-		q->host = g_strdup(HOST);
+		q->name = i == 0 ? g_strdup(QUEUE_NAME)
+				 : g_strdup_printf(QUEUE_NAME "%u", i);
+		q->host = g_strdup(QUEUE_HOST);
 		q->prefix =
-		    i == 0 ? g_strdup(PREFIX) : g_strdup_printf("/q%u/", i);
-		q->service = g_strdup(SERVICE);
+		    i == 0 ? g_strdup(QUEUE_PATH) : g_strdup_printf("/q%u/", i);
+		q->service = g_strdup(SERVICE_NAME);
 		q->rank = i;
 		q->attempts_max = (uint32_t)atoi(w[2]);
 		q->objective_ms = 1000;
 		q->slack = i < 2 ? 2 : 8;
 		q->policy.needed = atoi(w[1]) > 0;
-		q->policy.decide_ms = ADVICE_US / 1000.0;
+		q->policy.decide_ms = ADVICE_DELAY_US / 1000.0;
 		q->policy.worker_ms = atoi(w[1]) - 1;
-		q->policy.valid_ms = VALID_MS;
+		q->policy.valid_ms = TICKET_VALID_MS;
 	}
-	t->name = g_strdup(TEAM);
+	t->name = g_strdup(TEAM_NAME);
 	t->rate = atoi(w[4]);
 	t->max.cpu_milli = (uint32_t)atoi(w[3]);
 	for (i = 5; w[i] != NULL; i++)
@@ -549,14 +556,14 @@
 	char **w = g_strsplit(text, " ", -1);
 	struct cell_worker_entry *e = g_new0(struct cell_worker_entry, 1);
 
-	e->service = g_strdup(SERVICE);
+	e->service = g_strdup(SERVICE_NAME);
 	e->addr = g_strdup(w[0]);
 	e->zone = g_strdup(w[4]);
 	e->rack = g_strdup(w[1]);
 	e->labels = g_strsplit(w[1], ",", -1);
 	e->born_ms = g_ascii_strtoull(w[2], NULL, 10);
 	e->draining = atoi(w[3]) != 0;
-	e->capacity.cpu_milli = WORKER_CPU;
+	e->capacity.cpu_milli = WORKER_CPU_MILLI;
 	e->capacity.mem_mb = 65536;
 	g_strfreev(w);
 	g_free(text);
@@ -573,8 +580,8 @@
 		    &g_array_index(records, struct cell_record, i);
 
 		if (stream == CELL_SETTINGS &&
-		    g_str_has_prefix(r->key, EVACUATE))
-			r->zone = r->key + strlen(EVACUATE);
+		    g_str_has_prefix(r->key, EVACUATE_KEY_PREFIX))
+			r->zone = r->key + strlen(EVACUATE_KEY_PREFIX);
 		if (r->dropped)
 			continue;
 		if (stream == CELL_SETTINGS && strcmp(r->key, "config") == 0)
@@ -585,7 +592,7 @@
 }
 
 static void
-undecode(GArray *records)
+free_decoded(GArray *records)
 {
 	guint i;
 
@@ -618,8 +625,9 @@
 answer_append_ok(struct fake_cell *f, void *arg)
 {
 	struct call *c = arg;
-	struct cell_append_answer a = {
-	    .io = OGL_IO_OK, .offset = c->from, .end = c->from + c->puts->len};
+	struct cell_append_answer a = {.io = OGL_IO_OK,
+	    .offset = c->offset,
+	    .end = c->offset + c->puts->len};
 
 	answer_append(c, &a);
 	call_unref(f, c);
@@ -671,7 +679,7 @@
 	struct call *c;
 
 	while ((c = g_queue_pop_head(&s->readers)) != NULL) {
-		travel(c, 0, (int)c->node->index, answer_read);
+		transmit(c, 0, (int)c->node->index, answer_read);
 		call_unref(f, c);
 	}
 }
@@ -697,12 +705,12 @@
 
 /* The first answer of a repeat, or -1. */
 static int64_t
-repeated(const struct stream *s, uint64_t seq)
+offset_of_seq(const struct stream *s, uint64_t seq)
 {
-	GList *at;
+	GList *link;
 
-	for (at = s->repeats.head; at != NULL; at = at->next) {
-		const uint64_t *pair = at->data;
+	for (link = s->recent_appends.head; link != NULL; link = link->next) {
+		const uint64_t *pair = link->data;
 
 		if (pair[0] == seq)
 			return (int64_t)pair[1];
@@ -722,19 +730,20 @@
 		*answer = answer_append_outranked;
 		return false;
 	}
-	if (c->at >= 0 && (uint64_t)c->at != s->records->len) {
+	if (c->expected_end >= 0 &&
+	    (uint64_t)c->expected_end != s->records->len) {
 		*answer = answer_append_moved;
 		return false;
 	}
 	if (c->fenced && c->epoch > s->epoch) {
 		s->epoch = c->epoch;
 		s->seq_set = false;
-		g_queue_clear_full(&s->repeats, g_free);
+		g_queue_clear_full(&s->recent_appends, g_free);
 	}
 	if (c->fenced && c->puts->len > 0) {
-		first = repeated(s, c->seq);
+		first = offset_of_seq(s, c->seq);
 		if (first >= 0) {
-			c->from = (uint64_t)first;
+			c->offset = (uint64_t)first;
 			return false;
 		}
 		if (s->seq_set && c->seq != s->seq + 1) {
@@ -744,15 +753,15 @@
 		s->seq = c->seq;
 		s->seq_set = true;
 	}
-	c->from = put_records(f, s, c->puts);
+	c->offset = put_records(f, s, c->puts);
 	f->writes++;
 	if (c->fenced && c->puts->len > 0) {
 		pair = g_new(uint64_t, 2);
 		pair[0] = c->seq;
-		pair[1] = c->from;
-		g_queue_push_tail(&s->repeats, pair);
-		if (s->repeats.length > REPEATS_KEPT)
-			g_free(g_queue_pop_head(&s->repeats));
+		pair[1] = c->offset;
+		g_queue_push_tail(&s->recent_appends, pair);
+		if (s->recent_appends.length > APPENDS_REMEMBERED)
+			g_free(g_queue_pop_head(&s->recent_appends));
 	}
 	return true;
 }
@@ -765,12 +774,12 @@
 
 	apply_append(f, c, &answer);
 	if (answer != NULL)
-		travel(c, APPEND_US, (int)c->node->index, answer);
+		transmit(c, APPEND_DELAY_US, (int)c->node->index, answer);
 	call_unref(f, c);
 }
 
 static void
-at_store_append_mute(struct fake_cell *f, void *arg)
+at_store_append_unanswered(struct fake_cell *f, void *arg)
 {
 	event_fn *answer;
 
@@ -784,13 +793,13 @@
 	struct call *c = arg;
 	struct stream *s = &f->streams[c->stream][c->shard];
 	struct cell_read_answer a = {.io = OGL_IO_OK,
-	    .trimmed = c->from < s->first,
+	    .trimmed = c->offset < s->first,
 	    .first = s->first,
 	    .end = s->records->len};
 	GArray *out = g_array_new(FALSE, TRUE, sizeof(struct cell_record));
 	guint i;
 
-	for (i = (guint)c->from; !a.trimmed && i < s->records->len; i++) {
+	for (i = (guint)c->offset; !a.trimmed && i < s->records->len; i++) {
 		const struct record *u = s->records->pdata[i];
 		struct cell_record r = {.offset = i, .key = u->key};
 		gsize n = 0;
@@ -806,7 +815,7 @@
 		a.records = (const struct cell_record *)(void *)out->data;
 		a.n = out->len;
 		((cell_read_fn *)c->done)(c->arg, &a, f->now);
-		undecode(out);
+		free_decoded(out);
 		step_node(f, c->node);
 	}
 	g_array_unref(out);
@@ -814,13 +823,13 @@
 }
 
 static void
-end_wait(struct fake_cell *f, void *arg)
+end_long_poll(struct fake_cell *f, void *arg)
 {
 	struct call *c = arg;
 	struct stream *s = &f->streams[c->stream][c->shard];
 
 	if (g_queue_remove(&s->readers, c)) {
-		travel(c, 0, (int)c->node->index, answer_read);
+		transmit(c, 0, (int)c->node->index, answer_read);
 		call_unref(f, c);
 	}
 	call_unref(f, c);
@@ -832,19 +841,19 @@
 	struct call *c = arg;
 	struct stream *s = &f->streams[c->stream][c->shard];
 
-	if (c->from < s->records->len || c->wait_ms == 0) {
-		travel(c, 0, (int)c->node->index, answer_read);
+	if (c->offset < s->records->len || c->wait_ms == 0) {
+		transmit(c, 0, (int)c->node->index, answer_read);
 	} else {
 		c->refs += 2;
 		g_queue_push_tail(&s->readers, c);
-		post(f, c->wait_ms * OGL_MS, -1, end_wait, call_unref, c);
+		post(f, c->wait_ms * OGL_MS, -1, end_long_poll, call_unref, c);
 	}
 	call_unref(f, c);
 }
 
 struct newest_page {
 	const struct stream *stream;
-	const char *after; /* NULL: from the first key on */
+	const char *after_key; /* NULL: from the first key on */
 	guint max;
 	bool more;
 	GArray *out;
@@ -860,7 +869,7 @@
 	gsize n;
 
 	if (u->value == NULL ||
-	    (p->after != NULL && strcmp(key, p->after) <= 0))
+	    (p->after_key != NULL && strcmp(key, p->after_key) <= 0))
 		return FALSE;
 	p->more = p->out->len == p->max;
 	if (p->more)
@@ -887,7 +896,7 @@
 	GArray *out = g_array_new(FALSE, TRUE, sizeof(struct cell_record));
 	GTree *newest = g_tree_new((GCompareFunc)strcmp); /* by key */
 	struct newest_page page = {
-	    s, c->after, page_size(f, c->stream), false, out};
+	    s, c->after_key, page_size(f, c->stream), false, out};
 	guint i;
 
 	for (i = 0; i < s->records->len; i++) {
@@ -902,7 +911,7 @@
 		a.records = (const struct cell_record *)(void *)out->data;
 		a.n = out->len;
 		((cell_newest_fn *)c->done)(c->arg, &a, f->now);
-		undecode(out);
+		free_decoded(out);
 		step_node(f, c->node);
 	}
 	g_tree_unref(newest);
@@ -929,13 +938,13 @@
 }
 
 static enum fake_store_fault
-fault_of(struct fake_cell *f, const struct node *n, bool write)
+pick_store_fault(struct fake_cell *f, const struct node *n, bool write)
 {
-	enum fake_store_fault x = n->store;
+	enum fake_store_fault fault = n->store_fault;
 
-	if (x == FAKE_STORE_LOSING || x == FAKE_STORE_LATE)
-		return write && chance(f, 0.5) ? x : FAKE_STORE_WELL;
-	return x;
+	if (fault == FAKE_STORE_LOSING || fault == FAKE_STORE_LATE)
+		return write && chance(f, 0.5) ? fault : FAKE_STORE_WELL;
+	return fault;
 }
 
 static void
@@ -943,21 +952,21 @@
 {
 	struct fake_cell *f = c->cell;
 
-	switch (fault_of(f, c->node, true)) {
+	switch (pick_store_fault(f, c->node, true)) {
 	case FAKE_STORE_SILENT:
 		break;
 	case FAKE_STORE_BUSY:
-		travel(c, hop(f), (int)c->node->index, answer_busy);
+		transmit(c, hop_delay(f), (int)c->node->index, answer_busy);
 		break;
 	case FAKE_STORE_LOSING:
-		travel(c, 0, -1, at_store_append_mute);
+		transmit(c, 0, -1, at_store_append_unanswered);
 		break;
 	case FAKE_STORE_LATE:
-		travel(c, g_rand_int_range(f->rand, 1000, 6000) * OGL_MS, -1,
-		    at_store_append_mute);
+		transmit(c, g_rand_int_range(f->rand, 1000, 6000) * OGL_MS, -1,
+		    at_store_append_unanswered);
 		break;
 	default:
-		travel(c, 0, -1, at_store_append);
+		transmit(c, 0, -1, at_store_append);
 		break;
 	}
 }
@@ -975,7 +984,7 @@
 	c->fenced = a->fenced;
 	c->epoch = a->epoch;
 	c->seq = a->seq;
-	c->at = a->at;
+	c->expected_end = a->at;
 	c->puts = g_ptr_array_new_with_free_func(record_free);
 	for (i = 0; i < a->nputs; i++) {
 		struct record *r = g_new0(struct record, 1);
@@ -992,12 +1001,12 @@
 send_read(struct call *c, event_fn *fn)
 {
 	struct fake_cell *f = c->cell;
-	enum fake_store_fault x = fault_of(f, c->node, false);
+	enum fake_store_fault fault = pick_store_fault(f, c->node, false);
 
-	if (x == FAKE_STORE_BUSY)
-		travel(c, hop(f), (int)c->node->index, answer_busy);
-	else if (x != FAKE_STORE_SILENT)
-		travel(c, 0, -1, fn);
+	if (fault == FAKE_STORE_BUSY)
+		transmit(c, hop_delay(f), (int)c->node->index, answer_busy);
+	else if (fault != FAKE_STORE_SILENT)
+		transmit(c, 0, -1, fn);
 }
 
 static void
@@ -1008,7 +1017,7 @@
 
 	c->stream = r->stream;
 	c->shard = r->shard;
-	c->from = r->from;
+	c->offset = r->from;
 	c->wait_ms = r->wait_ms;
 	send_read(c, at_store_read);
 }
@@ -1019,7 +1028,7 @@
 	struct call *c = arg;
 
 	c->answer_bytes = newest_bytes(&f->streams[c->stream][c->shard]);
-	travel(c, 0, (int)c->node->index, answer_newest);
+	transmit(c, 0, (int)c->node->index, answer_newest);
 	call_unref(f, c);
 }
 
@@ -1032,16 +1041,16 @@
 
 	c->stream = q->stream;
 	c->shard = q->shard;
-	c->after = g_strdup(q->after);
+	c->after_key = g_strdup(q->after);
 	send_read(c, at_store_newest);
 }
 
 /* ---- workers ---------------------------------------------------------- */
 
 static uint64_t
-clock_of(const struct fake_cell *f, const struct worker *w)
+worker_clock_ms(const struct fake_cell *f, const struct worker *w)
 {
-	return 1000 + (uint64_t)((f->now - w->born_at) / OGL_MS);
+	return 1000 + (uint64_t)((f->now - w->started_at) / OGL_MS);
 }
 
 static char *
@@ -1100,17 +1109,19 @@
 worked_ms(const struct fake_cell *f, const struct run *r)
 {
 	if (!r->working)
-		return r->done_ms;
+		return r->saved_ms;
 	if (r->hangs)
-		return r->done_ms;
-	return r->done_ms + (uint32_t)((f->now - r->began) / OGL_MS) / r->slow;
+		return r->saved_ms;
+	return r->saved_ms +
+	       (uint32_t)((f->now - r->began_at) / OGL_MS) / r->slow_factor;
 }
 
 static void
-put_checkpoint(
+format_checkpoint(
     const struct fake_cell *f, const struct run *r, char *to, size_t n)
 {
-	uint32_t ms = worked_ms(f, r) / SAVE_MS * SAVE_MS;
+	uint32_t ms =
+	    worked_ms(f, r) / CHECKPOINT_INTERVAL_MS * CHECKPOINT_INTERVAL_MS;
 
 	to[0] = '\0';
 	if (r->checkpoints && ms > 0)
@@ -1120,11 +1131,11 @@
 static void answer_hold(struct fake_cell *f, void *arg);
 
 static void
-travel_hold(struct call *c)
+transmit_hold_answer(struct call *c)
 {
 	c->answer_bytes =
-	    (c->worker->runs->len + c->worker->ended->len) * ROW_BYTES;
-	travel(c, 0, (int)c->node->index, answer_hold);
+	    (c->worker->runs->len + c->worker->ended->len) * RUN_ROW_BYTES;
+	transmit(c, 0, (int)c->node->index, answer_hold);
 }
 
 static void
@@ -1133,13 +1144,13 @@
 	struct call *c;
 
 	while ((c = g_queue_pop_head(&w->holds)) != NULL) {
-		travel_hold(c);
+		transmit_hold_answer(c);
 		call_unref(f, c);
 	}
 }
 
 static void
-forget_run(struct fake_cell *f, struct worker *w, struct run *r)
+remove_run(struct fake_cell *f, struct worker *w, struct run *r)
 {
 	struct task *t = task_of(f, &r->task);
 	struct job *j = job_of(f, r->task.id);
@@ -1152,27 +1163,28 @@
 }
 
 static void
-raise_highest(struct worker *w, const struct cell_task_name *t, uint64_t run)
+raise_highest_run(
+    struct worker *w, const struct cell_task_name *t, uint64_t run)
 {
 	char *key = task_text(t);
-	uint64_t *had = g_hash_table_lookup(w->highest, key);
+	uint64_t *known = g_hash_table_lookup(w->highest_runs, key);
 	uint64_t *v = g_new(uint64_t, 1);
 
-	*v = had != NULL ? MAX(*had, run) : run;
-	g_hash_table_replace(w->highest, key, v);
+	*v = known != NULL ? MAX(*known, run) : run;
+	g_hash_table_replace(w->highest_runs, key, v);
 }
 
 /* One member's end stands for its gang. */
 static void
-mark_ended(struct fake_cell *f, const struct run *r)
+mark_completed(struct fake_cell *f, const struct run *r)
 {
 	struct cell_task_name m = r->task;
 	struct task *t = task_of(f, &m);
 
 	if (t != NULL)
-		t->ended = true;
-	for (m.index = 0; r->gang && m.index < r->members; m.index++)
-		task_of(f, &m)->ended = true;
+		t->completed = true;
+	for (m.index = 0; r->gang && m.index < r->gang_size; m.index++)
+		task_of(f, &m)->completed = true;
 }
 
 static void
@@ -1180,33 +1192,33 @@
 {
 	struct ended *e = g_new0(struct ended, 1);
 
-	tell(f, w->id, how == CELL_END_DONE ? "done" : "ended", &r->task,
+	trace(f, w->id, how == CELL_END_DONE ? "done" : "ended", &r->task,
 	    r->number);
 	if (how == CELL_END_DONE)
-		mark_ended(f, r);
+		mark_completed(f, r);
 
-	e->number = ++w->last_end;
+	e->number = ++w->last_end_number;
 	e->task = r->task;
 	e->run = r->number;
 	e->how = how;
-	e->clock_ms = clock_of(f, w);
-	put_checkpoint(f, r, e->checkpoint, sizeof e->checkpoint);
+	e->clock_ms = worker_clock_ms(f, w);
+	format_checkpoint(f, r, e->checkpoint, sizeof e->checkpoint);
 	g_ptr_array_add(w->ended, e);
-	raise_highest(w, &r->task, r->number);
-	forget_run(f, w, r);
+	raise_highest_run(w, &r->task, r->number);
+	remove_run(f, w, r);
 	if (w->fault != FAKE_WORKER_DARK)
 		wake_holds(f, w);
 }
 
-struct moment {
+struct planned_end {
 	struct worker *worker;
 	uint64_t id;
-	uint64_t born;
+	uint64_t born_ms;
 	enum cell_end how;
 };
 
 static void
-moment_free(struct fake_cell *f, void *arg)
+planned_end_free(struct fake_cell *f, void *arg)
 {
 	(void)f;
 	g_free(arg);
@@ -1215,14 +1227,14 @@
 static void break_gang(struct fake_cell *f, const struct run *r);
 
 static void
-at_moment(struct fake_cell *f, void *arg)
+on_planned_end(struct fake_cell *f, void *arg)
 {
-	struct moment *m = arg;
+	struct planned_end *m = arg;
 	struct worker *w = m->worker;
 	struct run copy;
 	guint i;
 
-	for (i = 0; w->born == m->born && i < w->runs->len; i++) {
+	for (i = 0; w->born_ms == m->born_ms && i < w->runs->len; i++) {
 		struct run *r = w->runs->pdata[i];
 
 		if (r->id != m->id)
@@ -1242,35 +1254,36 @@
 plan_end(struct fake_cell *f, struct worker *w, const struct run *r,
     ogl_time after, enum cell_end how)
 {
-	struct moment *m = g_new(struct moment, 1);
+	struct planned_end *m = g_new(struct planned_end, 1);
 
 	m->worker = w;
 	m->id = r->id;
-	m->born = w->born;
+	m->born_ms = w->born_ms;
 	m->how = how;
-	post(f, after, -1, at_moment, moment_free, m);
+	post(f, after, -1, on_planned_end, planned_end_free, m);
 }
 
 static void
 begin_work(struct fake_cell *f, struct worker *w, struct run *r)
 {
-	uint32_t left = r->run_ms > r->done_ms ? r->run_ms - r->done_ms : 1;
+	uint32_t left_ms =
+	    r->run_ms > r->saved_ms ? r->run_ms - r->saved_ms : 1;
 	bool fails = r->fails || w->fault == FAKE_WORKER_FAILING;
 
 	r->working = true;
-	r->began = f->now;
-	r->slow = w->fault == FAKE_WORKER_SLOW ? SLOW_TIMES : 1;
+	r->began_at = f->now;
+	r->slow_factor = w->fault == FAKE_WORKER_SLOW ? SLOW_FACTOR : 1;
 	r->hangs = w->fault == FAKE_WORKER_HANGING;
 	if ((r->lasting && !fails) || r->hangs)
 		return;
-	left *= r->slow;
-	plan_end(f, w, r, (fails ? left / 2 + 1 : left) * OGL_MS,
+	left_ms *= r->slow_factor;
+	plan_end(f, w, r, (fails ? left_ms / 2 + 1 : left_ms) * OGL_MS,
 	    fails ? CELL_END_FAILED : CELL_END_DONE);
 }
 
 /* Calls fn for each member of r's run of its gang, on workers that are up. */
 static void
-each_member(struct fake_cell *f, const struct run *r,
+for_other_members(struct fake_cell *f, const struct run *r,
     void (*fn)(struct fake_cell *, struct worker *, struct run *))
 {
 	unsigned i;
@@ -1299,10 +1312,10 @@
 static void
 break_gang(struct fake_cell *f, const struct run *r)
 {
-	each_member(f, r, break_member);
+	for_other_members(f, r, break_member);
 }
 
-static unsigned members_seen; /* of the gang being looked at */
+static unsigned gang_members_seen; /* of the gang being looked at */
 
 static void
 count_member(struct fake_cell *f, struct worker *w, struct run *r)
@@ -1310,24 +1323,25 @@
 	(void)f;
 	(void)w;
 	(void)r;
-	members_seen++;
+	gang_members_seen++;
 }
 
 static void
-gather_gang(struct fake_cell *f, struct worker *w, struct run *r)
+start_gang_when_complete(struct fake_cell *f, struct worker *w, struct run *r)
 {
-	members_seen = 1;
-	each_member(f, r, count_member);
-	if (members_seen < r->members) {
-		plan_end(f, w, r, GANG_WAIT_US, CELL_END_ALONE);
+	gang_members_seen = 1;
+	for_other_members(f, r, count_member);
+	if (gang_members_seen < r->gang_size) {
+		plan_end(f, w, r, GANG_TIMEOUT, CELL_END_ALONE);
 		return;
 	}
 	begin_work(f, w, r);
-	each_member(f, r, begin_work);
+	for_other_members(f, r, begin_work);
 }
 
 static bool
-order_ready(const struct fake_cell *f, const struct job *j, uint32_t step)
+predecessor_completed(
+    const struct fake_cell *f, const struct job *j, uint32_t step)
 {
 	int32_t after = j->steps[step].after;
 	struct cell_task_name name = {.step = (uint32_t)after};
@@ -1338,7 +1352,7 @@
 	memcpy(name.id, j->id, sizeof name.id);
 	for (i = 0; i < j->steps[after].count; i++) {
 		name.index = i;
-		if (!task_of(f, &name)->ended)
+		if (!task_of(f, &name)->completed)
 			return false;
 	}
 	return true;
@@ -1346,44 +1360,45 @@
 
 static void
 check_start(struct fake_cell *f, const struct worker *w, struct job *j,
-    const struct cell_task_name *name, uint32_t cpu)
+    const struct cell_task_name *name, uint32_t cpu_milli)
 {
 	struct task *t = task_of(f, name);
 	char *text = task_text(name);
-	uint32_t used = cpu;
-	uint32_t team = cpu;
-	uint32_t max = f->team_cpu;
+	uint32_t worker_cpu = cpu_milli;
+	uint32_t team_cpu_used = cpu_milli;
+	uint32_t limit = f->team_cpu_milli;
 	unsigned i;
 	guint k;
 
-	if (f->now - f->limit_at < LIMIT_SLACK_US)
-		max = f->limit_before == 0 || f->team_cpu == 0
-			  ? 0
-			  : MAX(f->limit_before, f->team_cpu);
+	if (f->now - f->limit_set_at < LIMIT_SETTLE_TIME)
+		limit = f->earlier_limit_milli == 0 || f->team_cpu_milli == 0
+			    ? 0
+			    : MAX(f->earlier_limit_milli, f->team_cpu_milli);
 	for (k = 0; k < w->runs->len; k++)
-		used += ((struct run *)w->runs->pdata[k])->cpu;
+		worker_cpu += ((struct run *)w->runs->pdata[k])->cpu_milli;
 	for (i = 0; i < f->shape.workers; i++) {
 		for (k = 0; k < f->workers[i].runs->len; k++)
-			team +=
-			    ((struct run *)f->workers[i].runs->pdata[k])->cpu;
-	}
-	if (used > WORKER_CPU)
-		breach(f, "LIMIT", text);
-	if (max > 0 && team > max + max / 10 + cpu)
-		breach(f, "QUOTA", text);
+			team_cpu_used +=
+			    ((struct run *)f->workers[i].runs->pdata[k])
+				->cpu_milli;
+	}
+	if (worker_cpu > WORKER_CPU_MILLI)
+		report_violation(f, "LIMIT", text);
+	if (limit > 0 && team_cpu_used > limit + limit / 10 + cpu_milli)
+		report_violation(f, "QUOTA", text);
 	if (t->running > 0 && !j->steps[name->step].duplicates)
-		breach(f, "TWICE", text);
-	if (t->done && !j->steps[name->step].duplicates)
-		breach(f, "AGAIN", text);
-	if (!order_ready(f, j, name->step))
-		breach(f, "ORDER", text);
+		report_violation(f, "TWICE", text);
+	if (t->completion_acked && !j->steps[name->step].duplicates)
+		report_violation(f, "AGAIN", text);
+	if (!predecessor_completed(f, j, name->step))
+		report_violation(f, "ORDER", text);
 	if (!j->steps[name->step].lasting && f->shape.attempts_max > 0 &&
-	    t->failed >= f->shape.attempts_max)
-		breach(f, "BUDGET", text);
+	    t->failed_runs >= f->shape.attempts_max)
+		report_violation(f, "BUDGET", text);
 	if (j->cancelled && f->now - j->cancelled_at > 3 * OGL_SEC)
-		breach(f, "CANCELLED", text);
-	if (j->rejected == j->handed_in)
-		breach(f, "REFUSED", text);
+		report_violation(f, "CANCELLED", text);
+	if (j->rejections == j->submissions)
+		report_violation(f, "REFUSED", text);
 	g_free(text);
 }
 
@@ -1391,36 +1406,38 @@
 static void
 check_zone(struct fake_cell *f, const struct worker *w, const struct call *c)
 {
-	ogl_time since = f->evacuated_at[atoi(w->zone + 1)];
-	ogl_time in_touch = c->node->well_since + CONTACT_US;
+	ogl_time zone_evacuated_at = f->evacuated_at[atoi(w->zone + 1)];
+	ogl_time contact_since = c->node->healthy_since + STORE_CONTACT_TIME;
 
-	if (since != 0 && c->sent > MAX(since + EVACUATE_US, in_touch))
-		breach(f, "EVACUATED", c->task.id);
+	if (zone_evacuated_at != 0 &&
+	    c->sent_at >
+		MAX(zone_evacuated_at + EVACUATION_DELAY_MAX, contact_since))
+		report_violation(f, "EVACUATED", c->task.id);
 }
 
 static enum cell_refusal
-refuse_start(struct fake_cell *f, struct worker *w, const struct call *c)
+start_refusal(struct fake_cell *f, struct worker *w, const struct call *c)
 {
 	char *key = task_text(&c->task);
-	uint64_t *had = g_hash_table_lookup(w->highest, key);
+	uint64_t *highest_run = g_hash_table_lookup(w->highest_runs, key);
 	ogl_time *until;
 	char *ticket;
-	bool good;
+	bool ticket_valid;
 
 	g_free(key);
-	if (had != NULL && c->run <= *had)
+	if (highest_run != NULL && c->run <= *highest_run)
 		return CELL_REFUSED_OLD;
-	if (c->until_ms <= clock_of(f, w))
+	if (c->lease_until_ms <= worker_clock_ms(f, w))
 		return CELL_REFUSED_LATE;
 	if (!f->shape.policy)
 		return CELL_REFUSED_NOT;
 	ticket = g_strdup_printf("%s.%u.%u %s %" G_GUINT64_FORMAT, c->task.id,
-	    c->task.occurrence, c->task.step, w->id, w->born);
+	    c->task.occurrence, c->task.step, w->id, w->born_ms);
 	until = g_hash_table_lookup(f->tickets, ticket);
-	good = c->ticket != NULL && strcmp(c->ticket, ticket) == 0 &&
-	       until != NULL && f->now <= *until;
+	ticket_valid = c->ticket != NULL && strcmp(c->ticket, ticket) == 0 &&
+		       until != NULL && f->now <= *until;
 	g_free(ticket);
-	return good ? CELL_REFUSED_NOT : CELL_REFUSED_TICKET;
+	return ticket_valid ? CELL_REFUSED_NOT : CELL_REFUSED_TICKET;
 }
 
 static void
@@ -1431,7 +1448,7 @@
 	struct run *r;
 
 	if (j == NULL || c->task.step >= j->nsteps) {
-		breach(f, "UNASKED", c->task.id);
+		report_violation(f, "UNASKED", c->task.id);
 		return;
 	}
 	s = &j->steps[c->task.step];
@@ -1440,29 +1457,29 @@
 	r = g_new0(struct run, 1);
 	r->task = c->task;
 	r->number = c->run;
-	r->id = ++f->run_id;
-	r->cpu = s->cpu;
+	r->id = ++f->last_run_id;
+	r->cpu_milli = s->cpu;
 	r->run_ms = s->run_ms;
 	r->gang = s->gang;
-	r->members = s->count;
+	r->gang_size = s->count;
 	r->fails = s->fails;
 	r->checkpoints = s->checkpoints;
 	r->lasting = s->lasting;
-	r->done_ms = (uint32_t)atoi(c->checkpoint);
-	tell(f, w->id, "begins", &r->task, r->number);
+	r->saved_ms = (uint32_t)atoi(c->checkpoint);
+	trace(f, w->id, "begins", &r->task, r->number);
 	task_of(f, &c->task)->running++;
 	task_of(f, &c->task)->starts++;
 	j->starts++;
 	j->running++;
 	g_ptr_array_add(w->runs, r);
 	if (r->gang)
-		gather_gang(f, w, r);
+		start_gang_when_complete(f, w, r);
 	else
 		begin_work(f, w, r);
 }
 
 static bool
-fenced_off(struct worker *w, const struct call *c)
+epoch_is_stale(struct worker *w, const struct call *c)
 {
 	if (c->epoch < w->epoch)
 		return true;
@@ -1471,18 +1488,18 @@
 }
 
 static void
-note_lapse(const struct fake_cell *f, struct worker *w)
+record_lease_lapse(const struct fake_cell *f, struct worker *w)
 {
-	if (clock_of(f, w) > w->until_ms)
-		w->lapsed_ms = w->until_ms;
+	if (worker_clock_ms(f, w) > w->lease_until_ms)
+		w->lease_lapsed_ms = w->lease_until_ms;
 }
 
 static void
-renew(struct fake_cell *f, struct worker *w, uint64_t until)
+renew_lease(struct fake_cell *f, struct worker *w, uint64_t until)
 {
-	note_lapse(f, w);
-	w->until_ms =
-	    MAX(w->until_ms, MIN(until, clock_of(f, w) + LEASE_MAX_MS));
+	record_lease_lapse(f, w);
+	w->lease_until_ms = MAX(w->lease_until_ms,
+	    MIN(until, worker_clock_ms(f, w) + LEASE_MAX_MS));
 }
 
 static void
@@ -1491,24 +1508,24 @@
 	struct worker *w = c->worker;
 	enum cell_refusal why;
 
-	c->order.io = OGL_IO_OK;
-	c->order.clock_ms = clock_of(f, w);
-	if (fenced_off(w, c)) {
-		c->order.io = OGL_IO_REFUSED;
-		c->order.why = CELL_REFUSED_FENCE;
+	c->order_answer.io = OGL_IO_OK;
+	c->order_answer.clock_ms = worker_clock_ms(f, w);
+	if (epoch_is_stale(w, c)) {
+		c->order_answer.io = OGL_IO_REFUSED;
+		c->order_answer.why = CELL_REFUSED_FENCE;
 		return;
 	}
 	if (run_of(w, &c->task, c->run) != NULL)
 		return;
-	why = refuse_start(f, w, c);
+	why = start_refusal(f, w, c);
 	if (why != CELL_REFUSED_NOT) {
-		c->order.io = OGL_IO_REFUSED;
-		c->order.why = why;
+		c->order_answer.io = OGL_IO_REFUSED;
+		c->order_answer.why = why;
 		return;
 	}
 	if (g_strcmp0(c->spec, job_of(f, c->task.id)->spec) != 0)
-		breach(f, "SPEC", c->task.id);
-	renew(f, w, c->until_ms);
+		report_violation(f, "SPEC", c->task.id);
+	renew_lease(f, w, c->lease_until_ms);
 	start_run(f, w, c);
 }
 
@@ -1518,18 +1535,18 @@
 	struct worker *w = c->worker;
 	struct run *r;
 
-	c->order.io = OGL_IO_OK;
-	c->order.clock_ms = clock_of(f, w);
-	if (fenced_off(w, c)) {
-		c->order.io = OGL_IO_REFUSED;
-		c->order.why = CELL_REFUSED_FENCE;
+	c->order_answer.io = OGL_IO_OK;
+	c->order_answer.clock_ms = worker_clock_ms(f, w);
+	if (epoch_is_stale(w, c)) {
+		c->order_answer.io = OGL_IO_REFUSED;
+		c->order_answer.why = CELL_REFUSED_FENCE;
 		return;
 	}
 	r = run_of(w, &c->task, c->run);
 	if (r != NULL)
-		plan_end(f, w, r, STOP_US, CELL_END_STOPPED);
+		plan_end(f, w, r, STOP_DELAY, CELL_END_STOPPED);
 	else
-		raise_highest(w, &c->task, c->run);
+		raise_highest_run(w, &c->task, c->run);
 }
 
 static void
@@ -1538,7 +1555,7 @@
 	struct call *c = arg;
 
 	if (call_finish(c)) {
-		((cell_order_fn *)c->done)(c->arg, &c->order, f->now);
+		((cell_order_fn *)c->done)(c->arg, &c->order_answer, f->now);
 		step_node(f, c->node);
 	}
 	call_unref(f, c);
@@ -1546,7 +1563,7 @@
 
 /* Whether a call gets through to a worker and is meant for this life. */
 static bool
-reaches(struct fake_cell *f, struct call *c)
+worker_reachable(struct fake_cell *f, struct call *c)
 {
 	(void)f;
 	return c->worker != NULL && c->worker->up &&
@@ -1558,12 +1575,12 @@
 {
 	struct call *c = arg;
 
-	if (reaches(f, c)) {
+	if (worker_reachable(f, c)) {
 		if (c->kind == CALL_START)
 			do_start(f, c);
 		else
 			do_stop(f, c);
-		travel(c, 0, (int)c->node->index, answer_order);
+		transmit(c, 0, (int)c->node->index, answer_order);
 	}
 	call_unref(f, c);
 }
@@ -1574,7 +1591,7 @@
 {
 	struct call *c = arg;
 
-	if (reaches(f, c) && c->born == c->worker->born) {
+	if (worker_reachable(f, c) && c->born_ms == c->worker->born_ms) {
 		if (c->kind == CALL_START)
 			do_start(f, c);
 		else
@@ -1606,18 +1623,18 @@
 	c->epoch = o->to.epoch;
 	c->task = o->task;
 	c->run = o->run;
-	c->until_ms = o->until_ms;
+	c->lease_until_ms = o->until_ms;
 	c->spec = g_strdup(o->spec);
 	c->checkpoint = g_strdup(o->checkpoint != NULL ? o->checkpoint : "");
 	c->ticket = g_strdup(o->ticket);
 	if (c->worker != NULL)
-		c->born = c->worker->born;
+		c->born_ms = c->worker->born_ms;
 	if (c->worker != NULL && c->worker->fault == FAKE_WORKER_LATE &&
 	    chance(f, 0.4))
-		travel(c, g_rand_int_range(f->rand, 2000, 12000) * OGL_MS, -1,
+		transmit(c, g_rand_int_range(f->rand, 2000, 12000) * OGL_MS, -1,
 		    at_worker_order_late);
 	else
-		travel(c, 0, -1, at_worker_order);
+		transmit(c, 0, -1, at_worker_order);
 	return c;
 }
 
@@ -1636,24 +1653,24 @@
 /* ---- holds ------------------------------------------------------------ */
 
 static void
-note_ends(struct fake_cell *f, struct worker *w, uint64_t seen)
+acknowledge_ends(struct fake_cell *f, struct worker *w, uint64_t last_seen)
 {
-	note_lapse(f, w);
+	record_lease_lapse(f, w);
 	while (w->ended->len > 0) {
 		struct ended *e = w->ended->pdata[0];
 		struct task *t = task_of(f, &e->task);
 		struct job *j = job_of(f, e->task.id);
 
-		if (e->number > seen)
+		if (e->number > last_seen)
 			break;
-		tell(f, w->id, "end noted", &e->task, e->run);
+		trace(f, w->id, "end noted", &e->task, e->run);
 		/* An end that a lapse of the lease parts from its being noted
 		 * does not count as noted. */
 		if (t != NULL && e->how == CELL_END_DONE &&
-		    w->lapsed_ms < e->clock_ms)
-			t->done = true;
+		    w->lease_lapsed_ms < e->clock_ms)
+			t->completion_acked = true;
 		if (t != NULL && e->how == CELL_END_FAILED)
-			t->failed++;
+			t->failed_runs++;
 		/* One member's end stands for its gang. */
 		if (j != NULL && e->how == CELL_END_DONE &&
 		    j->steps[e->task.step].gang) {
@@ -1661,7 +1678,7 @@
 
 			for (m.index = 0;
 			     m.index < j->steps[e->task.step].count; m.index++)
-				task_of(f, &m)->done = true;
+				task_of(f, &m)->completion_acked = true;
 		}
 		g_ptr_array_remove_index(w->ended, 0);
 	}
@@ -1672,8 +1689,9 @@
 {
 	struct call *c = arg;
 	struct worker *w = c->worker;
-	struct cell_hold_answer a = {
-	    .io = OGL_IO_OK, .clock_ms = clock_of(f, w), .born_ms = w->born};
+	struct cell_hold_answer a = {.io = OGL_IO_OK,
+	    .clock_ms = worker_clock_ms(f, w),
+	    .born_ms = w->born_ms};
 	GArray *running = g_array_new(FALSE, TRUE, sizeof(struct cell_row));
 	GArray *ended = g_array_new(FALSE, TRUE, sizeof(struct cell_row));
 	GPtrArray *texts = g_ptr_array_new_with_free_func(g_free);
@@ -1684,7 +1702,7 @@
 		struct cell_row row = {.task = r->task, .run = r->number};
 		char *text = g_malloc0(24);
 
-		put_checkpoint(f, r, text, 24);
+		format_checkpoint(f, r, text, 24);
 		g_ptr_array_add(texts, text);
 		row.checkpoint = text;
 		row.percent =
@@ -1705,7 +1723,8 @@
 	a.nrunning = running->len;
 	a.ended = (const struct cell_row *)(void *)ended->data;
 	a.nended = ended->len;
-	if (reaches(f, c) && c->born == w->born && call_finish(c)) {
+	if (worker_reachable(f, c) && c->born_ms == w->born_ms &&
+	    call_finish(c)) {
 		((cell_hold_fn *)c->done)(c->arg, &a, f->now);
 		step_node(f, c->node);
 	}
@@ -1735,7 +1754,7 @@
 	struct call *c = arg;
 
 	if (g_queue_remove(&c->worker->holds, c)) {
-		travel_hold(c);
+		transmit_hold_answer(c);
 		call_unref(f, c);
 	}
 	call_unref(f, c);
@@ -1762,25 +1781,25 @@
 	struct worker *w = c->worker;
 
 	if (f->shape.refuses && w != NULL && !w->up) {
-		travel(c, 0, (int)c->node->index, answer_hold_refused);
+		transmit(c, 0, (int)c->node->index, answer_hold_refused);
 		call_unref(f, c);
 		return;
 	}
-	if (!reaches(f, c)) {
+	if (!worker_reachable(f, c)) {
 		call_unref(f, c);
 		return;
 	}
-	c->born = w->born;
-	if (fenced_off(w, c)) {
-		travel(c, 0, (int)c->node->index, answer_hold_fenced);
+	c->born_ms = w->born_ms;
+	if (epoch_is_stale(w, c)) {
+		transmit(c, 0, (int)c->node->index, answer_hold_fenced);
 		call_unref(f, c);
 		return;
 	}
-	note_ends(f, w, c->last_seen);
-	if (c->until_ms > 0)
-		renew(f, w, c->until_ms);
+	acknowledge_ends(f, w, c->last_seen);
+	if (c->lease_until_ms > 0)
+		renew_lease(f, w, c->lease_until_ms);
 	if (w->ended->len > 0 || c->wait_ms == 0) {
-		travel_hold(c);
+		transmit_hold_answer(c);
 	} else {
 		c->refs += 2;
 		g_queue_push_tail(&w->holds, c);
@@ -1799,9 +1818,9 @@
 	c->worker = worker_at(n->cell, h->to.addr);
 	c->epoch = h->to.epoch;
 	c->last_seen = h->last_seen;
-	c->until_ms = h->until_ms;
+	c->lease_until_ms = h->until_ms;
 	c->wait_ms = h->wait_ms;
-	travel(c, 0, -1, at_worker_hold);
+	transmit(c, 0, -1, at_worker_hold);
 }
 
 /* ---- advice ----------------------------------------------------------- */
@@ -1810,13 +1829,15 @@
 answer_ask(struct fake_cell *f, void *arg)
 {
 	struct call *c = arg;
-	struct cell_ask_answer a = {.io = OGL_IO_OK, .valid_ms = VALID_MS};
-	struct cell_ticket *tickets = g_new(struct cell_ticket, c->ids->len);
+	struct cell_ask_answer a = {
+	    .io = OGL_IO_OK, .valid_ms = TICKET_VALID_MS};
+	struct cell_ticket *tickets =
+	    g_new(struct cell_ticket, c->worker_ids->len);
 	GPtrArray *texts = g_ptr_array_new_with_free_func(g_free);
 	guint i;
 	unsigned k;
 
-	for (i = 0; i < c->ids->len; i++) {
+	for (i = 0; i < c->worker_ids->len; i++) {
 		for (k = 0; k < f->shape.workers; k++) {
 			struct worker *w = &f->workers[k];
 			ogl_time *until;
@@ -1824,13 +1845,13 @@
 
 			/* Half of the workers are allowed, which does not
 			 * change. */
-			if (strcmp(w->id, c->ids->pdata[i]) != 0 ||
+			if (strcmp(w->id, c->worker_ids->pdata[i]) != 0 ||
 			    (g_str_hash(c->step) + k) % 2 != 0)
 				continue;
 			text = g_strdup_printf("%s %s %" G_GUINT64_FORMAT,
-			    c->step, w->id, w->born);
+			    c->step, w->id, w->born_ms);
 			until = g_new(ogl_time, 1);
-			*until = f->now + VALID_MS * OGL_MS;
+			*until = f->now + TICKET_VALID_MS * OGL_MS;
 			g_hash_table_replace(f->tickets, g_strdup(text), until);
 			g_ptr_array_add(texts, text);
 			tickets[a.n].worker = w->id;
@@ -1858,25 +1879,26 @@
 	size_t i;
 
 	c->step = g_strdup(a->step);
-	c->ids = g_ptr_array_new_with_free_func(g_free);
+	c->worker_ids = g_ptr_array_new_with_free_func(g_free);
 	for (i = 0; i < a->n; i++)
-		g_ptr_array_add(c->ids, g_strdup(a->workers[i]));
-	travel(c,
-	    ADVICE_US + (ogl_time)a->n * f->shape.advice_worker_ms * OGL_MS,
+		g_ptr_array_add(c->worker_ids, g_strdup(a->workers[i]));
+	transmit(c,
+	    ADVICE_DELAY_US +
+		(ogl_time)a->n * f->shape.advice_worker_ms * OGL_MS,
 	    (int)c->node->index, answer_ask);
 }
 
 /* ---- peers ------------------------------------------------------------ */
 
-struct parcel {
+struct peer_message {
 	unsigned to;
 	GBytes *bytes;
 };
 
 static void
-parcel_free(struct fake_cell *f, void *arg)
+peer_message_free(struct fake_cell *f, void *arg)
 {
-	struct parcel *p = arg;
+	struct peer_message *p = arg;
 
 	(void)f;
 	g_bytes_unref(p->bytes);
@@ -1884,9 +1906,9 @@
 }
 
 static void
-on_parcel(struct fake_cell *f, void *arg)
+on_peer_message(struct fake_cell *f, void *arg)
 {
-	struct parcel *p = arg;
+	struct peer_message *p = arg;
 	struct node *n = &f->nodes[p->to];
 	gsize len;
 	struct ogl_str s;
@@ -1894,7 +1916,7 @@
 	s.p = g_bytes_get_data(p->bytes, &len);
 	s.n = len;
 	cell_node_peer(n->node, s, f->now);
-	parcel_free(f, p);
+	peer_message_free(f, p);
 	step_node(f, n);
 }
 
@@ -1903,26 +1925,27 @@
 {
 	struct node *from = ctx;
 	struct fake_cell *f = from->cell;
-	ogl_time busy;
+	ogl_time link_wait;
 	size_t bytes;
 	unsigned i;
 
 	for (i = 0; i < f->shape.nodes; i++) {
 		struct node *n = &f->nodes[i];
-		struct parcel *p;
+		struct peer_message *p;
 
 		if (strcmp(n->addr, addr) != 0)
 			continue;
-		from->refused = !n->up;
+		from->last_peer_refused = !n->up;
 		if (!n->up)
 			continue;
-		p = g_new(struct parcel, 1);
+		p = g_new(struct peer_message, 1);
 		p->to = i;
 		p->bytes = g_bytes_ref(msg);
-		bytes = PARCEL_BYTES + g_bytes_get_size(msg);
-		busy = link_delay(f, &from->sends_until, bytes) +
-		       link_delay(f, &n->receives_until, bytes);
-		post(f, hop(f) + busy, (int)i, on_parcel, parcel_free, p);
+		bytes = PEER_MSG_BYTES + g_bytes_get_size(msg);
+		link_wait = link_delay(f, &from->send_busy_until, bytes) +
+			    link_delay(f, &n->receive_busy_until, bytes);
+		post(f, hop_delay(f) + link_wait, (int)i, on_peer_message,
+		    peer_message_free, p);
 	}
 }
 
@@ -1939,7 +1962,7 @@
 	const struct node *n = ctx;
 
 	(void)addr;
-	return n->refused;
+	return n->last_peer_refused;
 }
 
 /* ---- callers ---------------------------------------------------------- */
@@ -1958,22 +1981,22 @@
 {
 	struct node *n = ctx;
 	struct fake_cell *f = n->cell;
-	struct job *j = g_hash_table_lookup(f->calls, &token);
+	struct job *j = g_hash_table_lookup(f->caller_requests, &token);
 
 	if (j == NULL)
 		return;
-	g_hash_table_remove(f->calls, &token);
+	g_hash_table_remove(f->caller_requests, &token);
 	j->status = http_status(a->status);
 	if (a->has_state) {
 		j->has_state = true;
 		j->state = a->state;
 	}
-	switch ((enum cell_method)(token % METHODS)) {
+	switch ((enum cell_method)(token % METHOD_COUNT)) {
 	case CELL_POST:
 		if (a->status == CELL_OK)
 			j->accepted = true;
 		else if (a->status != CELL_UNSURE)
-			j->rejected++;
+			j->rejections++;
 		break;
 	case CELL_DELETE:
 		if (a->status == CELL_OK && !j->cancelled) {
@@ -2022,7 +2045,7 @@
 
 /* The body of a fake submission is the job's id. */
 static Ogl__CellJob *
-on_decode(void *ctx, struct ogl_str body, const char **why)
+on_decode_job(void *ctx, struct ogl_str body, const char **why)
 {
 	struct node *n = ctx;
 	char *id = ogl_str_dup(body);
@@ -2052,25 +2075,25 @@
 	struct node *n = &f->nodes[node];
 	char path[64];
 	struct cell_request r = {.method = method,
-	    .host = ogl_str(HOST),
+	    .host = ogl_str(QUEUE_HOST),
 	    .key = ogl_str(key),
 	    .body = ogl_str(j->id),
-	    .budget_ms = f->budget_ms};
+	    .budget_ms = f->caller_timeout_ms};
 	uint64_t *token = g_new(uint64_t, 1);
 
-	if (f->rank == 0 || method != CELL_POST)
-		g_snprintf(path, sizeof path, PREFIX "%s", j->id);
+	if (f->queue_rank == 0 || method != CELL_POST)
+		g_snprintf(path, sizeof path, QUEUE_PATH "%s", j->id);
 	else
-		g_snprintf(path, sizeof path, "/q%u/%s", f->rank, j->id);
+		g_snprintf(path, sizeof path, "/q%u/%s", f->queue_rank, j->id);
 	r.path = ogl_str(path);
-	*token = ++f->token * METHODS + method;
+	*token = ++f->last_token * METHOD_COUNT + method;
 	if (method == CELL_POST)
-		j->handed_in++;
+		j->submissions++;
 	if (!n->up || n->frozen) {
 		g_free(token);
 		return;
 	}
-	g_hash_table_insert(f->calls, token, j);
+	g_hash_table_insert(f->caller_requests, token, j);
 	cell_node_call(n->node, *token, &r, f->now);
 	step_node(f, n);
 }
@@ -2078,13 +2101,13 @@
 void
 fake_cell_budget(struct fake_cell *f, uint32_t ms)
 {
-	f->budget_ms = ms;
+	f->caller_timeout_ms = ms;
 }
 
 void
 fake_cell_rank(struct fake_cell *f, unsigned rank)
 {
-	f->rank = rank;
+	f->queue_rank = rank;
 }
 
 void
@@ -2104,19 +2127,19 @@
 		    g_str_hash, g_str_equal, g_free, g_free);
 		g_hash_table_insert(f->jobs, j->id, j);
 	}
-	call_node(f, node, CELL_POST, j, key != NULL ? key : KEY);
+	call_node(f, node, CELL_POST, j, key != NULL ? key : API_KEY);
 }
 
 void
 fake_cell_cancel(struct fake_cell *f, unsigned node, const char *id)
 {
-	call_node(f, node, CELL_DELETE, job_of(f, id), KEY);
+	call_node(f, node, CELL_DELETE, job_of(f, id), API_KEY);
 }
 
 void
 fake_cell_ask(struct fake_cell *f, unsigned node, const char *id)
 {
-	call_node(f, node, CELL_GET, job_of(f, id), KEY);
+	call_node(f, node, CELL_GET, job_of(f, id), API_KEY);
 }
 
 int
@@ -2202,7 +2225,7 @@
 	o->stop = on_stop;
 	o->ask = on_ask;
 	o->decode_config = on_decode_config;
-	o->decode_job = on_decode;
+	o->decode_job = on_decode_job;
 	o->reply = on_reply;
 	o->peer_send = on_peer_send;
 	o->peer_reset = on_peer_reset;
@@ -2219,12 +2242,12 @@
 {
 	struct node *n = arg;
 
-	n->wake = OGL_NEVER;
+	n->wake_at = OGL_NEVER;
 	step_node(f, n);
 }
 
 static void
-no_drop(struct fake_cell *f, void *arg)
+drop_nothing(struct fake_cell *f, void *arg)
 {
 	(void)f;
 	(void)arg;
@@ -2240,13 +2263,13 @@
 	if (f->now < n->busy_until) {
 		at = n->busy_until;
 	} else {
-		cell_node_step(n->node, f->now, f->now + EPOCH_WALL);
-		n->busy_until = f->now + n->lag_ms * OGL_MS;
+		cell_node_step(n->node, f->now, f->now + WALL_CLOCK_OFFSET);
+		n->busy_until = f->now + n->step_ms * OGL_MS;
 		at = MAX(cell_node_wake(n->node, f->now), f->now + OGL_MS);
 	}
-	if (at < n->wake) {
-		n->wake = at;
-		post(f, at - f->now, (int)n->index, on_wake, no_drop, n);
+	if (at < n->wake_at) {
+		n->wake_at = at;
+		post(f, at - f->now, (int)n->index, on_wake, drop_nothing, n);
 	}
 }
 
@@ -2256,7 +2279,7 @@
 	struct node *n = &f->nodes[node];
 	struct cell_node_config c = {.name = n->name,
 	    .addr = n->addr,
-	    .boot = ++f->token,
+	    .boot = ++f->last_token,
 	    .seed = g_rand_int(f->rand),
 	    .link_kbps = f->shape.link_kbps,
 	    .limits = {.lease_max_ms = LEASE_MAX_MS,
@@ -2269,10 +2292,10 @@
 	if (n->up)
 		return;
 	n->up = true;
-	n->well_since = MAX(n->well_since, f->now);
+	n->healthy_since = MAX(n->healthy_since, f->now);
 	n->frozen = false;
-	n->life++;
-	n->wake = OGL_NEVER;
+	n->incarnation++;
+	n->wake_at = OGL_NEVER;
 	n->node = cell_node_init(&c, &n->ops);
 	step_node(f, n);
 }
@@ -2287,13 +2310,13 @@
 	if (!n->up)
 		return;
 	n->up = false;
-	n->life++;
+	n->incarnation++;
 	/* Its exchanges end with it; they are told so that nothing leaks. */
-	while (g_hash_table_size(n->open) > 0) {
-		g_hash_table_iter_init(&it, n->open);
+	while (g_hash_table_size(n->open_calls) > 0) {
+		g_hash_table_iter_init(&it, n->open_calls);
 		g_hash_table_iter_next(&it, &p, NULL);
-		g_hash_table_remove(n->open, p);
-		((struct call *)p)->over = true;
+		g_hash_table_remove(n->open_calls, p);
+		((struct call *)p)->finished = true;
 		answer_lost(p, f->now);
 	}
 	cell_node_end(n->node);
@@ -2305,8 +2328,8 @@
 {
 	f->nodes[node].frozen = on;
 	if (!on)
-		f->nodes[node].well_since =
-		    MAX(f->nodes[node].well_since, f->now);
+		f->nodes[node].healthy_since =
+		    MAX(f->nodes[node].healthy_since, f->now);
 	if (!on)
 		step_node(f, &f->nodes[node]);
 }
@@ -2314,15 +2337,15 @@
 void
 fake_cell_lag(struct fake_cell *f, unsigned node, uint32_t ms)
 {
-	f->nodes[node].lag_ms = ms;
+	f->nodes[node].step_ms = ms;
 }
 
 unsigned
 fake_cell_link_ms(const struct fake_cell *f, unsigned node)
 {
-	ogl_time busy = f->nodes[node].receives_until - f->now;
+	ogl_time link_wait = f->nodes[node].receive_busy_until - f->now;
 
-	return (unsigned)(MAX(busy, 0) / OGL_MS);
+	return (unsigned)(MAX(link_wait, 0) / OGL_MS);
 }
 
 void
@@ -2405,17 +2428,17 @@
 static void
 put_config(struct fake_cell *f)
 {
-	static const char *const keys[] = {KEY, "key-two"};
+	static const char *const keys[] = {API_KEY, "key-two"};
 	GString *s = g_string_new(NULL);
 	size_t i;
 
 	g_string_printf(s, "%" G_GUINT64_FORMAT " %d %u %u %u",
 	    ++f->config_version,
 	    f->shape.policy ? 1 + (int)f->shape.advice_worker_ms : 0,
-	    f->shape.attempts_max, f->team_cpu,
-	    f->shape.team_rate > 0 ? f->shape.team_rate : RATE_ANY);
+	    f->shape.attempts_max, f->team_cpu_milli,
+	    f->shape.team_rate > 0 ? f->shape.team_rate : RATE_UNLIMITED);
 	for (i = 0; i < G_N_ELEMENTS(keys); i++) {
-		if (!g_hash_table_contains(f->revoked, keys[i]))
+		if (!g_hash_table_contains(f->revoked_keys, keys[i]))
 			g_string_append_printf(s, " %s", keys[i]);
 	}
 	put_text(f, CELL_SETTINGS, "config", g_string_free(s, FALSE));
@@ -2426,7 +2449,7 @@
 {
 	put_text(f, CELL_WORKERS, w->id,
 	    w->up ? g_strdup_printf("%s %s %" G_GUINT64_FORMAT " %d %s",
-			w->addr, w->rack, w->born, w->draining, w->zone)
+			w->addr, w->rack, w->born_ms, w->draining, w->zone)
 		  : NULL);
 }
 
@@ -2438,8 +2461,8 @@
 	for (i = 0; i < f->shape.nodes; i++) {
 		if (node >= 0 && (unsigned)node != i)
 			continue;
-		f->nodes[i].store = fault;
-		f->nodes[i].well_since =
+		f->nodes[i].store_fault = fault;
+		f->nodes[i].healthy_since =
 		    fault == FAKE_STORE_WELL ? f->now : OGL_NEVER / 2;
 	}
 }
@@ -2448,7 +2471,7 @@
 fake_cell_evacuate(struct fake_cell *f, const char *zone, bool on)
 {
 	ogl_time *at = &f->evacuated_at[atoi(zone + 1)];
-	char *key = g_strdup_printf(EVACUATE "%s", zone);
+	char *key = g_strdup_printf(EVACUATE_KEY_PREFIX "%s", zone);
 
 	if (on && *at == 0)
 		*at = f->now;
@@ -2469,24 +2492,25 @@
 void
 fake_cell_revoke(struct fake_cell *f, const char *key)
 {
-	g_hash_table_add(f->revoked, g_strdup(key));
+	g_hash_table_add(f->revoked_keys, g_strdup(key));
 	put_config(f);
 }
 
 void
 fake_cell_limit(struct fake_cell *f, uint32_t team_cpu_max)
 {
-	if (f->now - f->limit_at > LIMIT_SLACK_US)
-		f->limit_before = f->team_cpu;
+	if (f->now - f->limit_set_at > LIMIT_SETTLE_TIME)
+		f->earlier_limit_milli = f->team_cpu_milli;
 	else
-		f->limit_before = MAX(f->limit_before, f->team_cpu);
-	f->team_cpu = team_cpu_max;
-	f->limit_at = f->now;
+		f->earlier_limit_milli =
+		    MAX(f->earlier_limit_milli, f->team_cpu_milli);
+	f->team_cpu_milli = team_cpu_max;
+	f->limit_set_at = f->now;
 	put_config(f);
 }
 
 static void
-on_entry_back(struct fake_cell *f, void *arg)
+on_entry_restored(struct fake_cell *f, void *arg)
 {
 	put_entry(f, arg);
 }
@@ -2499,7 +2523,7 @@
 	for (i = 0; i < f->shape.workers; i++) {
 		put_text(f, CELL_WORKERS, f->workers[i].id, NULL);
 		post(f, g_rand_int_range(f->rand, 200, 2000) * OGL_MS, -1,
-		    on_entry_back, no_drop, &f->workers[i]);
+		    on_entry_restored, drop_nothing, &f->workers[i]);
 	}
 }
 
@@ -2512,25 +2536,25 @@
 /* ---- faults of workers ------------------------------------------------ */
 
 static void
-lose_all(struct fake_cell *f, struct worker *w)
+lose_state(struct fake_cell *f, struct worker *w)
 {
 	while (w->runs->len > 0) {
 		struct run *r = w->runs->pdata[w->runs->len - 1];
 		struct run copy = *r;
 
-		forget_run(f, w, r);
+		remove_run(f, w, r);
 		if (copy.gang)
 			break_gang(f, &copy);
 	}
 	g_ptr_array_set_size(w->ended, 0);
-	g_hash_table_remove_all(w->highest);
-	w->last_end = 0;
+	g_hash_table_remove_all(w->highest_runs);
+	w->last_end_number = 0;
 	w->epoch = 0;
-	w->until_ms = 0;
-	w->lapsed_ms = 0;
-	w->born++;
-	w->born_at = f->now;
-	tell(f, w->id, "loses all", NULL, 0);
+	w->lease_until_ms = 0;
+	w->lease_lapsed_ms = 0;
+	w->born_ms++;
+	w->started_at = f->now;
+	trace(f, w->id, "loses all", NULL, 0);
 }
 
 void
@@ -2541,11 +2565,11 @@
 
 	if (fault == FAKE_WORKER_CRASHED && w->up) {
 		w->up = false;
-		lose_all(f, w);
+		lose_state(f, w);
 		put_entry(f, w);
 	} else if (fault != FAKE_WORKER_CRASHED && !w->up) {
 		w->up = true;
-		w->born_at = f->now;
+		w->started_at = f->now;
 		put_entry(f, w);
 	}
 	w->fault = fault;
@@ -2554,7 +2578,7 @@
 void
 fake_cell_reborn(struct fake_cell *f, unsigned worker)
 {
-	lose_all(f, &f->workers[worker]);
+	lose_state(f, &f->workers[worker]);
 	put_entry(f, &f->workers[worker]);
 }
 
@@ -2575,7 +2599,8 @@
 	for (i = 0; i < f->shape.workers; i++) {
 		struct worker *w = &f->workers[i];
 
-		while (w->runs->len > 0 && clock_of(f, w) > w->until_ms) {
+		while (w->runs->len > 0 &&
+		       worker_clock_ms(f, w) > w->lease_until_ms) {
 			struct run *r = w->runs->pdata[w->runs->len - 1];
 			struct run copy = *r;
 
@@ -2584,7 +2609,7 @@
 				break_gang(f, &copy);
 		}
 	}
-	post(f, 50 * OGL_MS, -1, on_lease_sweep, no_drop, NULL);
+	post(f, 50 * OGL_MS, -1, on_lease_sweep, drop_nothing, NULL);
 }
 
 /* ---- the whole -------------------------------------------------------- */
@@ -2613,7 +2638,7 @@
 		f->now = MAX(f->now, e->at);
 		g_sequence_remove(first);
 		n = e->node >= 0 ? &f->nodes[e->node] : NULL;
-		if (n != NULL && n->life != e->life)
+		if (n != NULL && n->incarnation != e->incarnation)
 			e->drop(f, e->arg);
 		else if (n != NULL && n->frozen)
 			post(f, 20 * OGL_MS, e->node, e->fn, e->drop, e->arg);
@@ -2648,11 +2673,11 @@
 	    w->rack, sizeof w->rack, "r%u", f->shape.shards > 1 ? i : i / 6);
 	g_snprintf(w->zone, sizeof w->zone, "z%u",
 	    1 + i % CLAMP(f->shape.zones, 1, MAX_ZONES));
-	w->born = 1000000 * (i + 1);
+	w->born_ms = 1000000 * (i + 1);
 	w->up = true;
 	w->runs = g_ptr_array_new_with_free_func(g_free);
 	w->ended = g_ptr_array_new_with_free_func(g_free);
-	w->highest =
+	w->highest_runs =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	put_entry(f, w);
 }
@@ -2666,7 +2691,7 @@
 	n->index = i;
 	g_snprintf(n->addr, sizeof n->addr, "10.1.0.%u:7000", i);
 	g_snprintf(n->name, sizeof n->name, "n%u", i);
-	n->open = g_hash_table_new(NULL, NULL);
+	n->open_calls = g_hash_table_new(NULL, NULL);
 	fill_ops(n);
 	fake_cell_boot(f, i);
 }
@@ -2678,20 +2703,20 @@
 	unsigned i;
 
 	f->shape = *shape;
-	f->budget_ms = 3000;
+	f->caller_timeout_ms = 3000;
 	f->now = OGL_SEC;
-	f->team_cpu = shape->team_cpu_max;
+	f->team_cpu_milli = shape->team_cpu_max;
 	f->events = g_sequence_new(NULL);
 	f->rand = g_rand_new_with_seed((guint32)shape->seed);
 	f->jobs =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
-	f->calls =
+	f->caller_requests =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-	f->revoked =
+	f->revoked_keys =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	f->tickets =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	f->breaches = g_string_new(NULL);
+	f->violations = g_string_new(NULL);
 	if (f->shape.shards == 0)
 		f->shape.shards = 1;
 	for (i = 0; i < CELL_NSTREAMS * CELL_SHARDS_MAX; i++) {
@@ -2699,7 +2724,7 @@
 		    &f->streams[i / CELL_SHARDS_MAX][i % CELL_SHARDS_MAX];
 
 		s->records = g_ptr_array_new_with_free_func(record_free);
-		g_queue_init(&s->repeats);
+		g_queue_init(&s->recent_appends);
 		g_queue_init(&s->readers);
 	}
 	if (!shape->unplanned)
@@ -2709,12 +2734,12 @@
 		init_worker(f, i);
 	for (i = 0; i < shape->nodes; i++)
 		init_node(f, i);
-	post(f, 0, -1, on_lease_sweep, no_drop, NULL);
+	post(f, 0, -1, on_lease_sweep, drop_nothing, NULL);
 	return f;
 }
 
 static void
-drop_queue(struct fake_cell *f, GQueue *q)
+unref_calls(struct fake_cell *f, GQueue *q)
 {
 	struct call *c;
 
@@ -2729,7 +2754,7 @@
 
 	for (i = 0; i < f->shape.nodes; i++) {
 		fake_cell_kill(f, i);
-		g_hash_table_unref(f->nodes[i].open);
+		g_hash_table_unref(f->nodes[i].open_calls);
 	}
 	while (!g_sequence_is_empty(f->events)) {
 		GSequenceIter *first = g_sequence_get_begin_iter(f->events);
@@ -2742,41 +2767,41 @@
 	for (i = 0; i < f->shape.workers; i++) {
 		struct worker *w = &f->workers[i];
 
-		drop_queue(f, &w->holds);
+		unref_calls(f, &w->holds);
 		g_ptr_array_unref(w->runs);
 		g_ptr_array_unref(w->ended);
-		g_hash_table_unref(w->highest);
+		g_hash_table_unref(w->highest_runs);
 	}
 	for (i = 0; i < CELL_NSTREAMS * CELL_SHARDS_MAX; i++) {
 		struct stream *s =
 		    &f->streams[i / CELL_SHARDS_MAX][i % CELL_SHARDS_MAX];
 
-		drop_queue(f, &s->readers);
-		g_queue_clear_full(&s->repeats, g_free);
+		unref_calls(f, &s->readers);
+		g_queue_clear_full(&s->recent_appends, g_free);
 		g_ptr_array_unref(s->records);
 	}
 	g_sequence_free(f->events);
 	g_rand_free(f->rand);
-	g_hash_table_unref(f->calls);
+	g_hash_table_unref(f->caller_requests);
 	g_hash_table_unref(f->jobs);
-	g_hash_table_unref(f->revoked);
+	g_hash_table_unref(f->revoked_keys);
 	g_hash_table_unref(f->tickets);
-	g_string_free(f->breaches, TRUE);
+	g_string_free(f->violations, TRUE);
 	g_free(f);
 }
 
 const char *
 fake_cell_breaches(const struct fake_cell *f)
 {
-	return f->breaches->str;
+	return f->violations->str;
 }
 
 static bool
-all_over(struct fake_cell *f)
+all_jobs_ended(struct fake_cell *f)
 {
 	GHashTableIter it;
 	gpointer p;
-	bool over = true;
+	bool all_ended = true;
 
 	g_hash_table_iter_init(&it, f->jobs);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
@@ -2785,14 +2810,15 @@
 		if (!j->accepted || j->steps[0].lasting ||
 		    (j->has_state && cell_job_over(j->state)))
 			continue;
-		over = false;
-		fake_cell_ask(f, (unsigned)(f->token % f->shape.nodes), j->id);
+		all_ended = false;
+		fake_cell_ask(
+		    f, (unsigned)(f->last_token % f->shape.nodes), j->id);
 	}
-	return over;
+	return all_ended;
 }
 
 static void
-tell_open(struct fake_cell *f)
+report_open_jobs(struct fake_cell *f)
 {
 	GHashTableIter it;
 	gpointer p;
@@ -2807,7 +2833,7 @@
 		g_snprintf(text, sizeof text, "%s state %d status %d runs %u",
 		    j->id, j->has_state ? (int)j->state : -1, j->status,
 		    j->running);
-		breach(f, "OPEN", text);
+		report_violation(f, "OPEN", text);
 	}
 }
 
@@ -2831,9 +2857,9 @@
 		if (f->evacuated_at[i] != 0)
 			fake_cell_evacuate(f, zone, false);
 	}
-	while (!all_over(f)) {
+	while (!all_jobs_ended(f)) {
 		if (f->now > end) {
-			tell_open(f);
+			report_open_jobs(f);
 			return false;
 		}
 		fake_cell_run(f, 500);
