--- a/test/fake_cell.c
+++ b/test/fake_cell.c
@@ -1,10 +1,10 @@
 /*
- * One queue of events in virtual time.  An event belongs to a life of a node
- * or to nobody; those of a node that was killed are dropped, those of a frozen
- * one wait until it wakes.
+ * Discrete event simulation: one queue of events in virtual time.  An event
+ * belongs to an incarnation of a node or to no node.  The events of a killed
+ * node are dropped, those of a frozen node are deferred until it resumes.
  *
- * Every exchange ends in one answer: with what the fake did, or as lost when
- * its time is over.
+ * Every call of a node gets exactly one answer: what the fake did, or that the
+ * call was lost when its timeout is over.
  */
 
 #include <stdio.h>
@@ -14,47 +14,51 @@
 #include "fake_cell.h"
 #include "job.h"
 
-#define HOP_DELAY_MIN_US 1500 /* one way, up to twice that */
+/* A message takes this to twice this long one way, besides its time on
+ * links. */
+#define HOP_DELAY_MIN_US 1500
 #define APPEND_DELAY_US 3000
 #define TICKET_VALID_MS 2500
-#define ADVICE_DELAY_US 8000
+#define ADVICE_DELAY_US 8000 /* for a question without workers */
 #define HEARTBEAT_INTERVAL (1500 * OGL_MS)
 #define MAX_NODES 16
 #define MAX_WORKERS 64
 #define API_KEY "key-one"
 #define QUEUE_HOST "cell.example"
-#define QUEUE_PATH "/q/" /* of the queue of rank 0; of others /q1/ and /q2/ */
+#define QUEUE_PATH "/q/" /* for rank 0; /q1/ and /q2/ for the other ranks */
 #define QUEUE_COUNT 3
 #define QUEUE_NAME "q"
 #define SERVICE_NAME "svc"
 #define TEAM_NAME "team"
+/* Newest fenced appends of a stream whose repeats get the first answer. */
 #define APPENDS_REMEMBERED 5
-#define METHOD_COUNT                                                           \
-	4 /* a caller's token tells its method: remainder by this */
+/* A caller's token modulo this is the request's enum cell_method. */
+#define METHOD_COUNT 4
 #define WORKER_CPU_MILLI 16000
 #define STOP_DELAY (200 * OGL_MS)
 #define GANG_TIMEOUT (3 * OGL_SEC)
 #define LEASE_MAX_MS 10000
 #define CHECKPOINT_INTERVAL_MS 500
 #define SLOW_FACTOR 6
-#define RATE_UNLIMITED 1000u
-/* A limit may go unseen for as long as faults keep nodes from the store. */
+#define RATE_UNLIMITED 1000u /* jobs a second; no test submits more */
+/* Until this long after a change of the team's limit an earlier limit may still
+ * be applied, since faults may keep nodes from reading the store. */
 #define LIMIT_SETTLE_TIME (12 * OGL_SEC)
-/* No node that has reached the store for CONTACT_US orders a start in a zone so
- * long after the zone was evacuated. */
+/* EVACUATION_DELAY_MAX after a zone was evacuated, no node that has reached the
+ * store for STORE_CONTACT_TIME sends a start to a worker of the zone. */
 #define EVACUATION_DELAY_MAX (5 * OGL_SEC)
 #define STORE_CONTACT_TIME (4 * OGL_SEC)
 #define MAX_ZONES 8
-#define EVACUATE_KEY_PREFIX                                                    \
-	"evacuate " /* begins a key of the settings stream */
+/* Key of an evacuated zone in the settings stream, followed by the zone. */
+#define EVACUATE_KEY_PREFIX "evacuate "
 
 typedef void event_fn(struct fake_cell *f, void *arg);
 
 struct event {
 	ogl_time at;
-	uint64_t order;
-	int node; /* -1: nobody's */
-	uint64_t incarnation;
+	uint64_t order;       /* of posting, for events of the same time */
+	int node;             /* -1: of no node */
+	uint64_t incarnation; /* of the node when the event was posted */
 	event_fn *fn;
 	event_fn *drop; /* frees arg when the event is dropped */
 	void *arg;
@@ -70,27 +74,27 @@
 	uint64_t incarnation;
 	bool up;
 	bool frozen;
-	uint32_t step_ms;       /* one step takes so long */
-	ogl_time busy_until;    /* with the last one */
-	bool last_peer_refused; /* nobody listened at the last try of a peer */
+	uint32_t step_ms;       /* duration of one step */
+	ogl_time busy_until;    /* end of the last step */
+	bool last_peer_refused; /* the last message met a peer that was down */
 	enum fake_store_fault store_fault;
-	ogl_time healthy_since;   /* it runs, and the store serves it */
-	ogl_time send_busy_until; /* the link is busy with what it was given */
-	ogl_time receive_busy_until; /* the same, of what is sent to the node */
+	ogl_time healthy_since;   /* running, and served by the store */
+	ogl_time send_busy_until; /* when the link has sent all it was given */
+	ogl_time receive_busy_until; /* the same for messages to the node */
 	char addr[32];
 	char name[32];
 	ogl_time wake_at;
 	GHashTable *open_calls; /* set of struct call */
 };
 
-/* Bytes of a message of each kind besides what differs from one to another:
- * headers, names, numbers. */
+/* Fixed part of each kind of message (headers, names, numbers), and the size of
+ * one run and one worker id in a list. */
 #define CALL_BYTES 300
 #define ANSWER_BYTES 200
 #define PEER_MSG_BYTES 60
 #define RUN_ROW_BYTES 60
 #define WORKER_ID_BYTES 15
-#define SPEC_BYTES 1000
+#define SPEC_BYTES 1000 /* of a job, when links are limited */
 
 /* ---- records of the store --------------------------------------------- */
 
@@ -101,28 +105,28 @@
 
 struct stream {
 	GPtrArray *records; /* struct record, by offset */
-	uint64_t first;     /* records before it can't be read any more */
-	uint64_t epoch;
-	uint64_t seq;
+	uint64_t first;     /* oldest retained offset */
+	uint64_t epoch;     /* highest seen */
+	uint64_t seq;       /* of the last fenced append in that epoch */
 	bool seq_set;
-	GQueue recent_appends; /* uint64_t pairs seq, offset */
-	GQueue readers;        /* struct call with a long poll */
+	GQueue recent_appends; /* pairs of uint64_t: seq, offset */
+	GQueue readers;        /* struct call of long polls */
 };
 
 /* ---- workers ---------------------------------------------------------- */
 
 struct run {
 	struct cell_task_name task;
-	uint64_t number;
-	uint64_t id; /* of this run, for its end's event */
+	uint64_t number; /* as given by the owner */
+	uint64_t id;     /* unique in the fake */
 	uint32_t cpu_milli;
 	bool gang;
-	bool working;
-	uint32_t run_ms;
-	uint32_t saved_ms;    /* work saved before this run */
-	uint32_t slow_factor; /* times as long as on a worker that is well */
+	bool working;         /* false while its gang is incomplete */
+	uint32_t run_ms;      /* work of the whole task */
+	uint32_t saved_ms;    /* work done, by the checkpoint it started from */
+	uint32_t slow_factor; /* its time as a multiple of the usual */
 	bool hangs;
-	ogl_time began_at;
+	ogl_time began_at; /* when it began to work */
 	bool fails;
 	bool checkpoints;
 	bool lasting;
@@ -130,12 +134,12 @@
 };
 
 struct ended {
-	uint64_t number;
+	uint64_t number; /* counts the ends of one incarnation of a worker */
 	struct cell_task_name task;
 	uint64_t run;
 	enum cell_end how;
 	char checkpoint[24];
-	uint64_t clock_ms; /* of the worker, when it ended */
+	uint64_t clock_ms; /* the worker's clock when the run ended */
 };
 
 struct worker {
@@ -144,27 +148,27 @@
 	char addr[32];
 	char rack[8];
 	char zone[8];
-	uint64_t born_ms;
-	ogl_time started_at;
-	uint64_t epoch;
-	uint64_t lease_until_ms;
-	uint64_t lease_lapsed_ms; /* clock at which the lease was over last */
+	uint64_t born_ms;         /* identifies the incarnation */
+	ogl_time started_at;      /* start of the worker's clock */
+	uint64_t epoch;           /* highest fencing token seen */
+	uint64_t lease_until_ms;  /* on the worker's clock */
+	uint64_t lease_lapsed_ms; /* last end of a lease that ran out */
 	bool up;
 	bool draining;
 	enum fake_worker_fault fault;
 	GPtrArray *runs;  /* struct run */
 	GPtrArray *ended; /* struct ended */
-	GHashTable
-	    *highest_runs; /* task text -> highest run stopped or ended */
+	/* task_text -> highest number of a run that was stopped or ended */
+	GHashTable *highest_runs;
 	uint64_t last_end_number;
-	GQueue holds; /* struct call waiting for an end */
+	GQueue holds; /* struct call of holds that wait for an end */
 };
 
-/* A task over the whole cell, for the checks. */
+/* What the checks know of a task, counted over all workers. */
 struct task {
 	unsigned running;
-	bool completed;        /* some run ended as done */
-	bool completion_acked; /* and that was taken note of */
+	bool completed;        /* some run ended as CELL_END_DONE */
+	bool completion_acked; /* that end was acknowledged within the lease */
 	unsigned failed_runs;
 	unsigned starts;
 };
@@ -174,11 +178,11 @@
 	char *spec;
 	struct fake_step steps[4];
 	size_t nsteps;
-	int status;
+	int status; /* HTTP status of the last answer, -1 none */
 	bool accepted;
-	unsigned submissions; /* submissions sent */
-	unsigned rejections;  /* of them, answered as not accepted */
-	bool cancelled;       /* acknowledged */
+	unsigned submissions;
+	unsigned rejections; /* submissions answered as not accepted */
+	bool cancelled;      /* a cancellation was acknowledged */
 	ogl_time cancelled_at;
 	bool has_state;
 	Ogl__CellJobState state;
@@ -190,30 +194,31 @@
 struct fake_cell {
 	struct fake_cell_shape shape;
 	ogl_time now;
-	uint64_t last_order;
-	GSequence *events; /* struct event */
+	uint64_t last_order; /* of events posted */
+	GSequence *events;   /* struct event */
 	GRand *rand;
-	uint32_t caller_timeout_ms; /* how long callers wait */
-	unsigned queue_rank;        /* of the queue that jobs go to */
+	uint32_t caller_timeout_ms;
+	unsigned queue_rank; /* of the queue that jobs are submitted to */
 	struct node nodes[MAX_NODES];
 	struct worker workers[MAX_WORKERS];
 	struct stream streams[CELL_NSTREAMS][CELL_SHARDS_MAX];
 	GHashTable *jobs;            /* id -> struct job */
-	GHashTable *caller_requests; /* token -> struct job, callers' */
-	GHashTable *revoked_keys;    /* set of keys */
-	GHashTable *tickets;         /* "step worker born" -> ogl_time until */
+	GHashTable *caller_requests; /* token -> struct job */
+	GHashTable *revoked_keys;    /* set of API keys */
+	GHashTable *tickets; /* "step worker born_ms" -> ogl_time of expiry */
 	uint64_t last_token;
 	uint64_t last_run_id;
 	uint64_t config_version;
 	uint32_t team_cpu_milli;
-	ogl_time limit_set_at; /* when the present limit was set */
-	uint32_t
-	    earlier_limit_milli; /* the highest that may still be in force */
+	ogl_time limit_set_at; /* when team_cpu_milli was set */
+	/* Highest earlier limit that may still be applied. */
+	uint32_t earlier_limit_milli;
 	unsigned writes;
-	ogl_time evacuated_at[MAX_ZONES + 1]; /* zone 1 and so on, 0 not */
+	ogl_time evacuated_at[MAX_ZONES + 1]; /* by zone number; 0: it is not */
 	GString *violations;
 };
 
+/* Wall clock time at virtual time 0. */
 #define WALL_CLOCK_OFFSET ((ogl_time)1780000000 * OGL_SEC)
 
 static void
@@ -224,7 +229,8 @@
 	    subject);
 }
 
-/* What the fakes do, beside what the nodes log: FAKE_CELL_LOG=1. */
+/* Prints an action of a fake when FAKE_CELL_LOG is set in the environment, as
+ * on_log does for the log lines of nodes. */
 static void
 trace(const struct fake_cell *f, const char *who, const char *what,
     const struct cell_task_name *t, uint64_t number)
@@ -282,7 +288,7 @@
 	return g_rand_double(f->rand) < p;
 }
 
-/* ---- exchanges -------------------------------------------------------- */
+/* ---- calls ------------------------------------------------------------ */
 
 enum call_kind {
 	CALL_APPEND,
@@ -294,36 +300,37 @@
 	CALL_ASK
 };
 
-/* One exchange of a node, from its sending to its answer. */
+/* One call of a node, from its sending to its answer. */
 struct call {
 	struct fake_cell *cell;
 	struct node *node;
 	enum call_kind kind;
-	bool finished; /* answered or lost */
+	bool finished; /* answered, also as lost */
 	ogl_time sent_at;
 	unsigned refs;
-	void *done;
-	void *arg;
+	void *done; /* callback, a cell_append_fn and so on by kind */
+	void *arg;  /* of the callback */
 	enum cell_stream stream;
 	uint32_t shard;
 	bool fenced;
-	uint64_t epoch;
+	uint64_t epoch; /* of the writer, or an order's fencing token */
 	uint64_t seq;
-	int64_t expected_end;
-	GPtrArray *puts; /* struct record */
-	uint64_t offset;
+	int64_t expected_end; /* appends only there; -1: anywhere */
+	GPtrArray *puts;      /* struct record */
+	uint64_t offset;      /* to read from, or of the first record written */
 	char *after_key;
 	uint32_t wait_ms;
 	struct worker *worker;
 	char *worker_id;
-	uint64_t born_ms; /* life of the worker when the call reached it */
+	/* Of the worker when an order was sent or a hold arrived. */
+	uint64_t born_ms;
 	uint64_t last_seen;
 	uint64_t lease_until_ms;
 	struct cell_task_name task;
 	uint64_t run;
 	char *checkpoint;
 	char *ticket;
-	char *step;
+	char *step; /* that advice is asked for */
 	GPtrArray *worker_ids;
 	char *spec;
 	size_t answer_bytes; /* besides ANSWER_BYTES */
@@ -441,7 +448,7 @@
 	return c;
 }
 
-/* Whether an answer may still be given; then it is the one. */
+/* Marks the call as answered; false if it already was. */
 static bool
 call_finish(struct call *c)
 {
@@ -452,7 +459,8 @@
 	return true;
 }
 
-/* How long bytes wait for a link and are on it; busy_until is the link's. */
+/* How long a message waits for a link and takes on it.  Moves *busy_until, the
+ * time from which the link is free. */
 static ogl_time
 link_delay(const struct fake_cell *f, ogl_time *busy_until, size_t bytes)
 {
@@ -481,7 +489,8 @@
 	return n;
 }
 
-/* node: where it goes, or -1 to whatever is no node. */
+/* Posts the call's arrival, or its answer's.  node: the node that gets the
+ * answer, -1 for a call to the store or a worker. */
 static void
 transmit(struct call *c, ogl_time extra_delay, int node, event_fn *fn)
 {
@@ -499,10 +508,11 @@
 /* ---- the store -------------------------------------------------------- */
 
 /*
- * The fake's own form of what the operator and the workers write: words
- * separated by spaces.  A configuration is `VERSION POLICY ATTEMPTS CPU RATE KEY..`
- * (POLICY: 0 none, else 1 and what a question costs for each worker),
- * an entry `ADDR RACK BORN DRAINING ZONE`.
+ * Records of the operator and the workers have a form of the fake's own: words
+ * separated by spaces.  A configuration is
+ * `VERSION POLICY ATTEMPTS CPU RATE KEY...`, where POLICY is 0 when no advice
+ * is needed, else 1 plus the milliseconds a question takes for each worker.
+ * A worker's entry is `ADDR RACK BORN DRAINING ZONE`.
  */
 static struct cell_config *
 decode_config(struct ogl_str value)
@@ -703,7 +713,7 @@
 	return offset;
 }
 
-/* The first answer of a repeat, or -1. */
+/* Offset that an append with this seq got before, -1 if none is remembered. */
 static int64_t
 offset_of_seq(const struct stream *s, uint64_t seq)
 {
@@ -718,6 +728,8 @@
 	return -1;
 }
 
+/* Appends the call's records unless it is refused or a repeat.  *answer: event
+ * that answers, NULL for none. */
 static bool
 apply_append(struct fake_cell *f, struct call *c, event_fn **answer)
 {
@@ -747,7 +759,7 @@
 			return false;
 		}
 		if (s->seq_set && c->seq != s->seq + 1) {
-			*answer = NULL; /* answered as lost: out of sequence */
+			*answer = NULL; /* out of sequence: times out */
 			return false;
 		}
 		s->seq = c->seq;
@@ -854,7 +866,7 @@
 struct newest_page {
 	const struct stream *stream;
 	const char *after_key; /* NULL: from the first key on */
-	guint max;
+	guint max;             /* records */
 	bool more;
 	GArray *out;
 };
@@ -880,7 +892,7 @@
 	return FALSE;
 }
 
-/* The stream of ownership has so few keys that it always fits one page. */
+/* CELL_LEAD has so few keys that they always fit one page. */
 static guint
 page_size(const struct fake_cell *f, enum cell_stream s)
 {
@@ -919,7 +931,7 @@
 	call_unref(f, c);
 }
 
-/* Of one record of each key, a third more for their form. */
+/* Bytes of the newest records of all keys; their encoding adds a third. */
 static size_t
 newest_bytes(const struct stream *s)
 {
@@ -937,6 +949,8 @@
 	return n;
 }
 
+/* The fault that this call meets: half of the writes meet FAKE_STORE_LOSING and
+ * FAKE_STORE_LATE. */
 static enum fake_store_fault
 pick_store_fault(struct fake_cell *f, const struct node *n, bool write)
 {
@@ -1066,6 +1080,7 @@
 	return g_hash_table_lookup(f->jobs, id);
 }
 
+/* Adds the task at its first use; NULL if its job was never submitted. */
 static struct task *
 task_of(const struct fake_cell *f, const struct cell_task_name *name)
 {
@@ -1174,7 +1189,7 @@
 	g_hash_table_replace(w->highest_runs, key, v);
 }
 
-/* One member's end stands for its gang. */
+/* The end of one gang member counts for the whole gang. */
 static void
 mark_completed(struct fake_cell *f, const struct run *r)
 {
@@ -1210,6 +1225,7 @@
 		wake_holds(f, w);
 }
 
+/* A future end of a run, void once the worker restarts. */
 struct planned_end {
 	struct worker *worker;
 	uint64_t id;
@@ -1281,7 +1297,7 @@
 	    fails ? CELL_END_FAILED : CELL_END_DONE);
 }
 
-/* Calls fn for each member of r's run of its gang, on workers that are up. */
+/* Calls fn for the other members of r's run of its gang, on all workers. */
 static void
 for_other_members(struct fake_cell *f, const struct run *r,
     void (*fn)(struct fake_cell *, struct worker *, struct run *))
@@ -1315,7 +1331,7 @@
 	for_other_members(f, r, break_member);
 }
 
-static unsigned gang_members_seen; /* of the gang being looked at */
+static unsigned gang_members_seen; /* counted by count_member */
 
 static void
 count_member(struct fake_cell *f, struct worker *w, struct run *r)
@@ -1358,6 +1374,8 @@
 	return true;
 }
 
+/* Reports each invariant that this start violates.  The team may exceed its
+ * limit by a tenth and one task. */
 static void
 check_start(struct fake_cell *f, const struct worker *w, struct job *j,
     const struct cell_task_name *name, uint32_t cpu_milli)
@@ -1402,7 +1420,8 @@
 	g_free(text);
 }
 
-/* One order may be carried out long after it was sent. */
+/* An order may be carried out long after it was sent, so the time of sending
+ * counts. */
 static void
 check_zone(struct fake_cell *f, const struct worker *w, const struct call *c)
 {
@@ -1561,7 +1580,7 @@
 	call_unref(f, c);
 }
 
-/* Whether a call gets through to a worker and is meant for this life. */
+/* Whether a call or its answer gets through. */
 static bool
 worker_reachable(struct fake_cell *f, struct call *c)
 {
@@ -1585,7 +1604,7 @@
 	call_unref(f, c);
 }
 
-/* The worker holds it back, so it is lost when the worker starts anew. */
+/* The worker has delayed the order, so a restart of the worker loses it. */
 static void
 at_worker_order_late(struct fake_cell *f, void *arg)
 {
@@ -1664,14 +1683,14 @@
 		if (e->number > last_seen)
 			break;
 		trace(f, w->id, "end noted", &e->task, e->run);
-		/* An end that a lapse of the lease parts from its being noted
-		 * does not count as noted. */
+		/* An end does not count as acknowledged if the lease ran out
+		 * between the end and its acknowledgement. */
 		if (t != NULL && e->how == CELL_END_DONE &&
 		    w->lease_lapsed_ms < e->clock_ms)
 			t->completion_acked = true;
 		if (t != NULL && e->how == CELL_END_FAILED)
 			t->failed_runs++;
-		/* One member's end stands for its gang. */
+		/* The end of one gang member counts for the whole gang. */
 		if (j != NULL && e->how == CELL_END_DONE &&
 		    j->steps[e->task.step].gang) {
 			struct cell_task_name m = e->task;
@@ -1843,8 +1862,8 @@
 			ogl_time *until;
 			char *text;
 
-			/* Half of the workers are allowed, which does not
-			 * change. */
+			/* For each step the same half of the workers is
+			 * allowed at all times. */
 			if (strcmp(w->id, c->worker_ids->pdata[i]) != 0 ||
 			    (g_str_hash(c->step) + k) % 2 != 0)
 				continue;
@@ -2009,7 +2028,7 @@
 	}
 }
 
-/* Each job has its own; on wide links its size does not matter. */
+/* The text differs from job to job.  Its size matters only on limited links. */
 static char *
 spec_of(const struct fake_cell *f, const char *id)
 {
@@ -2043,7 +2062,7 @@
 	return p;
 }
 
-/* The body of a fake submission is the job's id. */
+/* The body of a submission is the job's id. */
 static Ogl__CellJob *
 on_decode_job(void *ctx, struct ogl_str body, const char **why)
 {
@@ -2311,7 +2330,8 @@
 		return;
 	n->up = false;
 	n->incarnation++;
-	/* Its exchanges end with it; they are told so that nothing leaks. */
+	/* Open calls are answered as lost, so that the node frees their
+	 * arguments. */
 	while (g_hash_table_size(n->open_calls) > 0) {
 		g_hash_table_iter_init(&it, n->open_calls);
 		g_hash_table_iter_next(&it, &p, NULL);
@@ -2408,7 +2428,7 @@
 	g_ptr_array_unref(puts);
 }
 
-/* How many shards the cell has, as a first start would have decided. */
+/* Stores the number of shards, as the first start of a cell does. */
 static void
 put_plan(struct fake_cell *f)
 {
@@ -2589,7 +2609,7 @@
 	put_entry(f, &f->workers[worker]);
 }
 
-/* Leases end by the worker's own clock, wherever it is. */
+/* Leases run out by the worker's own clock, also while it is unreachable. */
 static void
 on_lease_sweep(struct fake_cell *f, void *arg)
 {
@@ -2612,7 +2632,7 @@
 	post(f, 50 * OGL_MS, -1, on_lease_sweep, drop_nothing, NULL);
 }
 
-/* ---- the whole -------------------------------------------------------- */
+/* ---- the cell --------------------------------------------------------- */
 
 ogl_time
 fake_cell_now(const struct fake_cell *f)
@@ -2667,8 +2687,8 @@
 	w->index = i;
 	g_snprintf(w->id, sizeof w->id, "w%u", i);
 	g_snprintf(w->addr, sizeof w->addr, "10.9.0.%u:80", i);
-	/* In a cell of several shards each worker is a rack, so that a few
-	 * dozen spread over all of them. */
+	/* Workers are assigned to shards by rack.  With a rack each, a few
+	 * dozen workers spread over all shards. */
 	g_snprintf(
 	    w->rack, sizeof w->rack, "r%u", f->shape.shards > 1 ? i : i / 6);
 	g_snprintf(w->zone, sizeof w->zone, "z%u",
