--- a/test/fake_cell.c
+++ b/test/fake_cell.c
@@ -1401,22 +1401,27 @@
 				->cpu_milli;
 	}
 	if (worker_cpu > WORKER_CPU_MILLI)
-		report_violation(f, "LIMIT", text);
+		report_violation(f, "worker's capacity exceeded", text);
 	if (limit > 0 && team_cpu_used > limit + limit / 10 + cpu_milli)
-		report_violation(f, "QUOTA", text);
+		report_violation(f, "team's limit exceeded", text);
 	if (t->running > 0 && !j->steps[name->step].duplicates)
-		report_violation(f, "TWICE", text);
+		report_violation(
+		    f, "task started while another run of it is running", text);
 	if (t->completion_acked && !j->steps[name->step].duplicates)
-		report_violation(f, "AGAIN", text);
+		report_violation(f,
+		    "task started after its completion was acknowledged", text);
 	if (!predecessor_completed(f, j, name->step))
-		report_violation(f, "ORDER", text);
+		report_violation(
+		    f, "step started before its predecessor completed", text);
 	if (!j->steps[name->step].lasting && f->shape.attempts_max > 0 &&
 	    t->failed_runs >= f->shape.attempts_max)
-		report_violation(f, "BUDGET", text);
+		report_violation(
+		    f, "task started after attempts_max failed runs", text);
 	if (j->cancelled && f->now - j->cancelled_at > 3 * OGL_SEC)
-		report_violation(f, "CANCELLED", text);
+		report_violation(
+		    f, "task started long after its job was cancelled", text);
 	if (j->rejections == j->submissions)
-		report_violation(f, "REFUSED", text);
+		report_violation(f, "task of a refused job started", text);
 	g_free(text);
 }
 
@@ -1431,7 +1436,8 @@
 	if (zone_evacuated_at != 0 &&
 	    c->sent_at >
 		MAX(zone_evacuated_at + EVACUATION_DELAY_MAX, contact_since))
-		report_violation(f, "EVACUATED", c->task.id);
+		report_violation(
+		    f, "task started in an evacuated zone", c->task.id);
 }
 
 static enum cell_refusal
@@ -1467,7 +1473,8 @@
 	struct run *r;
 
 	if (j == NULL || c->task.step >= j->nsteps) {
-		report_violation(f, "UNASKED", c->task.id);
+		report_violation(
+		    f, "start for an unknown job or step", c->task.id);
 		return;
 	}
 	s = &j->steps[c->task.step];
@@ -1485,7 +1492,7 @@
 	r->checkpoints = s->checkpoints;
 	r->lasting = s->lasting;
 	r->saved_ms = (uint32_t)atoi(c->checkpoint);
-	trace(f, w->id, "begins", &r->task, r->number);
+	trace(f, w->id, "started", &r->task, r->number);
 	task_of(f, &c->task)->running++;
 	task_of(f, &c->task)->starts++;
 	j->starts++;
@@ -1543,7 +1550,7 @@
 		return;
 	}
 	if (g_strcmp0(c->spec, job_of(f, c->task.id)->spec) != 0)
-		report_violation(f, "SPEC", c->task.id);
+		report_violation(f, "start with a wrong spec", c->task.id);
 	renew_lease(f, w, c->lease_until_ms);
 	start_run(f, w, c);
 }
@@ -1682,7 +1689,7 @@
 
 		if (e->number > last_seen)
 			break;
-		trace(f, w->id, "end noted", &e->task, e->run);
+		trace(f, w->id, "end acknowledged", &e->task, e->run);
 		/* An end does not count as acknowledged if the lease ran out
 		 * between the end and its acknowledgement. */
 		if (t != NULL && e->how == CELL_END_DONE &&
@@ -2574,7 +2581,7 @@
 	w->lease_lapsed_ms = 0;
 	w->born_ms++;
 	w->started_at = f->now;
-	trace(f, w->id, "loses all", NULL, 0);
+	trace(f, w->id, "state lost", NULL, 0);
 }
 
 void
@@ -2853,7 +2860,7 @@
 		g_snprintf(text, sizeof text, "%s state %d status %d runs %u",
 		    j->id, j->has_state ? (int)j->state : -1, j->status,
 		    j->running);
-		report_violation(f, "OPEN", text);
+		report_violation(f, "job has not ended", text);
 	}
 }
 
