--- a/test/test_cell_seeds.cc
+++ b/test/test_cell_seeds.cc
@@ -1,9 +1,11 @@
 /*
- * Random faults over a whole cell, by seed.  While jobs come in, nodes are
- * killed, frozen and stopped, the store fails in all its ways, workers are cut
- * off, crash, start anew and answer late; at the end all is healed and every
- * accepted job has to end.  The fakes check each start.  OGL_SEEDS tells how
- * many seeds from OGL_SEED_FIRST on, OGL_SEED one alone.
+ * Random faults in a simulated cell, by seed.  While jobs are submitted, nodes
+ * are killed, frozen and stopped, the store fails in each of its ways, and
+ * workers become unreachable, crash, restart and answer late.  At the end all
+ * faults are cleared and every accepted job has to end.  The fakes check each
+ * start.  OGL_SEEDS is the number of seeds from OGL_SEED_FIRST on; OGL_SEED
+ * runs one seed alone.  Other variables with the same roles are read by the
+ * tests of cells that stop nodes, have slow links, zones or several shards.
  */
 
 #include <gtest/gtest.h>
@@ -18,52 +20,54 @@
 namespace
 {
 
-class Storm
+class FaultRun
 {
       public:
-	explicit Storm(unsigned seed, unsigned shards = 1, bool stops = false,
-	    unsigned link_kbps = 0, unsigned zones = 1)
-	    : rand_(seed), stops_(stops), zones_(zones)
+	explicit FaultRun(unsigned seed, unsigned shards = 1,
+	    bool stops_nodes = false, unsigned link_kbps = 0,
+	    unsigned zones = 1)
+	    : rand_(seed), stops_nodes_(stops_nodes), zones_(zones)
 	{
-		shape_.nodes = 2 + below(4);
-		shape_.workers = shards == 1 ? 3 + below(10) : 12 + below(20);
+		shape_.nodes = 2 + random_below(4);
+		shape_.workers =
+		    shards == 1 ? 3 + random_below(10) : 12 + random_below(20);
 		shape_.shards = shards;
-		shape_.refuses = stops;
+		shape_.refuses = stops_nodes;
 		shape_.seed = seed;
 		shape_.link_kbps = link_kbps;
 		shape_.zones = zones;
 		shape_.page = zones > 1 ? 1 + seed % 3 : 0;
-		shape_.policy = below(2) == 0;
-		shape_.team_cpu_max = below(3) == 0 ? 40000 * shards : 0;
+		shape_.policy = random_below(2) == 0;
+		shape_.team_cpu_max = random_below(3) == 0 ? 40000 * shards : 0;
 		shape_.attempts_max = 3;
-		if (allowed(1) == 0)
+		if (usable_workers(1) == 0)
 			shape_.policy = false;
 		cell_ = fake_cell_init(&shape_);
 		fake_cell_run(cell_, 1000);
 	}
 
-	~Storm()
+	~FaultRun()
 	{
 		fake_cell_end(cell_);
 	}
 
-	void blow(unsigned turns)
+	void run(unsigned turns)
 	{
 		for (unsigned i = 0; i < turns; i++) {
 			submit();
-			if (below(3) == 0)
-				strike();
-			if (below(3) == 0)
-				heal();
-			if (zones_ > 1 && below(4) == 0)
+			if (random_below(3) == 0)
+				inject_fault();
+			if (random_below(3) == 0)
+				clear_faults();
+			if (zones_ > 1 && random_below(4) == 0)
 				evacuate();
-			fake_cell_run(cell_, 50 + below(400));
+			fake_cell_run(cell_, 50 + random_below(400));
 		}
 	}
 
 	std::string settle()
 	{
-		end_stopped();
+		kill_stopped();
 		if (!fake_cell_settle(cell_, 120000))
 			return std::string("not settled\n") +
 			       fake_cell_breaches(cell_);
@@ -71,25 +75,27 @@
 	}
 
       private:
-	unsigned below(unsigned n)
+	unsigned random_below(unsigned n)
 	{
 		return static_cast<unsigned>(rand_() % n);
 	}
 
-	unsigned node()
+	unsigned pick_node()
 	{
-		int o = fake_cell_owner(
-		    cell_, shape_.shards > 1 ? below(shape_.shards) : 0);
+		int owner = fake_cell_owner(
+		    cell_, shape_.shards > 1 ? random_below(shape_.shards) : 0);
 
-		return o >= 0 && below(2) == 0 ? static_cast<unsigned>(o)
-					       : below(shape_.nodes);
+		return owner >= 0 && random_below(2) == 0
+			   ? static_cast<unsigned>(owner)
+			   : random_below(shape_.nodes);
 	}
 
-	/* Workers that a step can count on in the shard that has the fewest:
-	 * advice allows those of even or those of odd number. */
-	unsigned allowed(unsigned of_each_parity) const
+	/* Workers that a step can use in the shard that has the fewest.  Advice
+	 * allows only workers of even or only those of odd number: if
+	 * per_parity is not 0, the smaller of the two groups is counted. */
+	unsigned usable_workers(unsigned per_parity) const
 	{
-		std::vector<unsigned> n(shape_.shards * 2);
+		std::vector<unsigned> counts(shape_.shards * 2);
 		unsigned least = shape_.workers;
 
 		if (shape_.shards == 1)
@@ -98,26 +104,27 @@
 		for (unsigned i = 0; i < shape_.workers; i++) {
 			std::string rack = "r" + std::to_string(i);
 
-			n[cell_shard_of_worker(
-			      rack.c_str(), "", shape_.shards) *
-				2 +
-			    i % 2]++;
+			counts[cell_shard_of_worker(
+				   rack.c_str(), "", shape_.shards) *
+				   2 +
+			       i % 2]++;
 		}
 		for (unsigned k = 0; k < shape_.shards; k++)
-			least = std::min(
-			    least, of_each_parity != 0
-				       ? std::min(n[k * 2], n[k * 2 + 1])
-				       : n[k * 2] + n[k * 2 + 1]);
+			least = std::min(least,
+			    per_parity != 0
+				? std::min(counts[k * 2], counts[k * 2 + 1])
+				: counts[k * 2] + counts[k * 2 + 1]);
 		return least;
 	}
 
-	/* A step that no choice of workers could hold would never end. */
-	void make_possible(struct fake_step &s) const
+	/* Reduces a step that no choice of workers could run; it would never
+	 * end. */
+	void make_feasible(struct fake_step &s) const
 	{
-		unsigned most = allowed(shape_.policy ? 1 : 0);
+		unsigned most_workers = usable_workers(shape_.policy ? 1 : 0);
 
 		if (s.worker_max > 0)
-			s.count = std::min(s.count, most);
+			s.count = std::min(s.count, most_workers);
 		if (s.gang)
 			s.count = std::min(s.count, 16000 / s.cpu);
 		if (s.gang && s.worker_max > 0)
@@ -127,63 +134,70 @@
 	void submit()
 	{
 		struct fake_step s[2] = {};
-		size_t n = 1 + below(2);
+		size_t n = 1 + random_below(2);
 		char id[17];
 
 		for (size_t i = 0; i < n; i++) {
-			s[i].count = 1 + below(5);
-			s[i].cpu = 500 + below(4000);
-			s[i].run_ms = 100 + below(3000);
+			s[i].count = 1 + random_below(5);
+			s[i].cpu = 500 + random_below(4000);
+			s[i].run_ms = 100 + random_below(3000);
 			s[i].after = i == 0 ? -1 : 0;
-			s[i].gang = below(4) == 0;
-			s[i].fails = below(12) == 0;
-			s[i].checkpoints = below(2) == 0;
-			s[i].worker_max = below(6) == 0 ? 1 : 0;
-			make_possible(s[i]);
+			s[i].gang = random_below(4) == 0;
+			s[i].fails = random_below(12) == 0;
+			s[i].checkpoints = random_below(2) == 0;
+			s[i].worker_max = random_below(6) == 0 ? 1 : 0;
+			make_feasible(s[i]);
 		}
-		snprintf(id, sizeof id, "%016x", ++last_);
-		fake_cell_submit(cell_, below(shape_.nodes), id, nullptr, s, n);
-		if (last_ > 1 && below(6) == 0) {
-			snprintf(id, sizeof id, "%016x", 1 + below(last_));
-			if (below(2) == 0)
+		snprintf(id, sizeof id, "%016x", ++last_job_);
+		fake_cell_submit(
+		    cell_, random_below(shape_.nodes), id, nullptr, s, n);
+		if (last_job_ > 1 && random_below(6) == 0) {
+			snprintf(id, sizeof id, "%016x",
+			    1 + random_below(last_job_));
+			if (random_below(2) == 0)
 				fake_cell_cancel(
-				    cell_, below(shape_.nodes), id);
+				    cell_, random_below(shape_.nodes), id);
 			else
-				fake_cell_submit(cell_, below(shape_.nodes), id,
-				    nullptr, s, n);
+				fake_cell_submit(cell_,
+				    random_below(shape_.nodes), id, nullptr, s,
+				    n);
 		}
 	}
 
-	/* A stopped node ends when its time is over, whatever it still does. */
-	void end_stopped()
+	/* Ends the stopped nodes: their time to stop is over, whatever they
+	 * still do. */
+	void kill_stopped()
 	{
 		for (unsigned i : stopped_)
 			fake_cell_kill(cell_, i);
 		stopped_.clear();
 	}
 
-	void strike()
+	void inject_fault()
 	{
-		unsigned w = below(shape_.workers);
+		unsigned w = random_below(shape_.workers);
 
-		if (stops_ && below(3) == 0) {
-			unsigned i = node();
+		if (stops_nodes_ && random_below(3) == 0) {
+			unsigned i = pick_node();
 
 			fake_cell_stop(cell_, i);
 			stopped_.push_back(i);
 			return;
 		}
-		switch (below(10)) {
+		switch (random_below(10)) {
 		case 0:
-			fake_cell_kill(cell_, node());
+			fake_cell_kill(cell_, pick_node());
 			break;
 		case 1:
-			fake_cell_freeze(cell_, node(), true);
+			fake_cell_freeze(cell_, pick_node(), true);
 			break;
 		case 2:
 			fake_cell_store(cell_,
-			    below(2) == 0 ? -1 : static_cast<int>(node()),
-			    static_cast<enum fake_store_fault>(1 + below(4)));
+			    random_below(2) == 0
+				? -1
+				: static_cast<int>(pick_node()),
+			    static_cast<enum fake_store_fault>(
+				1 + random_below(4)));
 			break;
 		case 3:
 			fake_cell_worker(cell_, w, FAKE_WORKER_DARK);
@@ -203,7 +217,8 @@
 		case 8:
 			if (shape_.team_cpu_max > 0)
 				fake_cell_limit(cell_,
-				    shape_.shards * (20000 + 10000 * below(4)));
+				    shape_.shards *
+					(20000 + 10000 * random_below(4)));
 			break;
 		default:
 			for (unsigned i = 0; i < shape_.nodes; i++)
@@ -212,23 +227,24 @@
 		}
 	}
 
-	/* Zones are evacuated and taken back, also all at once and again while
-	 * they are; now and then the store drops the records of it. */
+	/* Evacuates a zone or takes it back, whatever its state; all zones may
+	 * be evacuated at once.  Sometimes the store then trims the records. */
 	void evacuate()
 	{
-		std::string zone = "z" + std::to_string(1 + below(zones_));
+		std::string zone =
+		    "z" + std::to_string(1 + random_below(zones_));
 
-		fake_cell_evacuate(cell_, zone.c_str(), below(2) == 0);
-		if (below(4) == 0)
+		fake_cell_evacuate(cell_, zone.c_str(), random_below(2) == 0);
+		if (random_below(4) == 0)
 			fake_cell_forget_settings(cell_);
 	}
 
-	void heal()
+	void clear_faults()
 	{
 		unsigned i;
 
-		end_stopped();
-		switch (below(3)) {
+		kill_stopped();
+		switch (random_below(3)) {
 		case 0:
 			for (i = 0; i < shape_.nodes; i++) {
 				fake_cell_boot(cell_, i);
@@ -248,102 +264,108 @@
 	std::mt19937 rand_;
 	struct fake_cell_shape shape_ = {};
 	struct fake_cell *cell_ = nullptr;
-	unsigned last_ = 0;
-	bool stops_;
+	unsigned last_job_ = 0;
+	bool stops_nodes_;
 	unsigned zones_;
 	std::vector<unsigned> stopped_;
 };
 
 unsigned
-from_env(const char *name, unsigned otherwise)
+from_env(const char *name, unsigned default_value)
 {
 	const char *t = getenv(name);
 
-	return t != nullptr ? static_cast<unsigned>(atoi(t)) : otherwise;
+	return t != nullptr ? static_cast<unsigned>(atoi(t)) : default_value;
 }
 
-/* Every seed that ever showed a fault, with its cause. */
+/* Every seed that has shown a fault, with its cause. */
 const struct {
 	unsigned seed;
 	const char *cause;
-} once_failed[] = {
-    {1147, "ends of a new life acknowledged by a number of the last"},
-    {1196, "a repeat on its way brought a refused job to life"},
-    {1326, "work given to a worker that no successor was told of"},
-    {1184, "a late start carried out in a worker's new life"},
-    {1041, "a run that the new life lists taken for lost"},
-    {1145, "what runs on a silent worker not counted against its team"},
-    {1534, "the pending number of a gone life acknowledged"},
-    {2022, "a note of stored ends reached the worker's next life"},
-    {1159, "an owner cut off started work on a new life"},
-    {2420, "an owner that had stood still started work on a new life"},
-    {2987, "the same, right after it woke"},
-    {13882, "an earlier ownership's refusal taken for the last word"},
-    {18309, "a job handed in twice and refused used after it was freed"},
-    {19019, "workers known from an earlier ownership never named again"},
-    {1181, "a worker told of as silent never given work again"},
-    {1439, "an owner without a configuration looked for a team's limit"},
+} failed_seeds[] = {
+    {1147, "ends of a new worker incarnation acknowledged with a number of the "
+	   "previous one"},
+    {1196, "a delayed repeat of a submission revived a refused job"},
+    {1326, "work given to a worker before the store named it to successors"},
+    {1184, "a delayed start carried out by the next incarnation of a worker"},
+    {1041, "a run listed by the new incarnation of a worker treated as lost"},
+    {1145, "runs on a silent worker not counted against their team"},
+    {1534, "a pending end number of a previous incarnation acknowledged"},
+    {2022, "an acknowledgement of stored ends reached the worker's next "
+	   "incarnation"},
+    {1159, "an isolated owner started work on a new incarnation of a worker"},
+    {2420, "an owner that had been paused started work on a new incarnation"},
+    {2987, "an owner started work on a new incarnation right after it resumed"},
+    {13882, "a refusal from an earlier ownership treated as final"},
+    {18309, "a job submitted twice and refused was used after it was freed"},
+    {19019, "workers known from an earlier ownership never named to successors "
+	    "again"},
+    {1181, "a worker recorded as silent never given work again"},
+    {1439, "an owner without a configuration looked up a team's limit"},
 };
 
-/* The same for cells of several shards. */
+/* Seeds that have shown a fault in cells of several shards. */
 const struct {
 	unsigned seed;
 	const char *cause;
-} shards_once_failed[] = {
-    {1300, "what might run after a takeover was given out as room to use"},
-    {1831, "a worker off the list for a moment was never asked about again"},
+} failed_shard_seeds[] = {
+    {1300, "capacity of runs that may have survived a takeover was given out "
+	   "as free"},
+    {1831, "no advice was asked any more for a worker briefly missing from the "
+	   "list"},
 };
 
-TEST(CellSeeds, ThatOnceFailed)
+TEST(CellSeeds, FormerFailures)
 {
-	for (const auto &s : once_failed) {
-		Storm storm(s.seed);
+	for (const auto &s : failed_seeds) {
+		FaultRun fault_run(s.seed);
 
-		storm.blow(60);
-		EXPECT_EQ("", storm.settle())
+		fault_run.run(60);
+		EXPECT_EQ("", fault_run.settle())
 		    << "OGL_SEED=" << s.seed << ": " << s.cause;
 	}
 }
 
-/* The same for cells of thin links. */
+/* Seeds that have shown a fault in cells of slow links. */
 const struct {
 	unsigned seed;
 	const char *cause;
-} links_once_failed[] = {
-    {5133, "a start carried out by a new life taken for one of the last"},
-    {10635, "an order sent that waited while its owner stood still"},
-    {11057, "the same"},
-    {11210, "the same"},
+} failed_link_seeds[] = {
+    {5133, "a start carried out by a new incarnation attributed to the "
+	   "previous one"},
+    {10635, "an order that waited while its owner was paused was still sent"},
+    {11057, "as seed 10635"},
+    {11210, "as seed 10635"},
 };
 
 void
-expect_thin_links_hold(unsigned seed, const char *cause)
+expect_no_violation_on_slow_links(unsigned seed, const char *cause)
 {
-	Storm storm(seed, 1, seed % 2 == 0, 300 + seed % 4 * 100);
+	FaultRun fault_run(seed, 1, seed % 2 == 0, 300 + seed % 4 * 100);
 
-	storm.blow(60);
-	EXPECT_EQ("", storm.settle())
+	fault_run.run(60);
+	EXPECT_EQ("", fault_run.settle())
 	    << "OGL_LINK_SEED=" << seed << ": " << cause;
 }
 
-TEST(CellSeeds, OfThinLinksThatOnceFailed)
+TEST(CellSeeds, FormerFailuresOnSlowLinks)
 {
-	for (const auto &s : links_once_failed)
-		expect_thin_links_hold(s.seed, s.cause);
+	for (const auto &s : failed_link_seeds)
+		expect_no_violation_on_slow_links(s.seed, s.cause);
 }
 
-TEST(CellSeeds, OfShardsThatOnceFailed)
+TEST(CellSeeds, FormerFailuresWithShards)
 {
-	for (const auto &s : shards_once_failed) {
-		Storm storm(s.seed, 2 + s.seed % 2);
+	for (const auto &s : failed_shard_seeds) {
+		FaultRun fault_run(s.seed, 2 + s.seed % 2);
 
-		storm.blow(60);
-		EXPECT_EQ("", storm.settle())
+		fault_run.run(60);
+		EXPECT_EQ("", fault_run.settle())
 		    << "OGL_SHARD_SEED=" << s.seed << ": " << s.cause;
 	}
 }
 
-TEST(CellSeeds, KeepWhatMustHold)
+TEST(CellSeeds, InvariantsHold)
 {
 	unsigned one = from_env("OGL_SEED", 0);
 	unsigned seeds = one != 0 ? 1 : from_env("OGL_SEEDS", 60);
@@ -351,16 +373,16 @@
 
 	for (unsigned i = 0; i < seeds; i++) {
 		unsigned seed = one != 0 ? one : first + i;
-		Storm storm(seed);
+		FaultRun fault_run(seed);
 
-		storm.blow(60);
-		EXPECT_EQ("", storm.settle()) << "OGL_SEED=" << seed;
+		fault_run.run(60);
+		EXPECT_EQ("", fault_run.settle()) << "OGL_SEED=" << seed;
 	}
 }
 
-/* Nodes are stopped as well, so that shards are handed over while all else goes
- * wrong, and crashed workers are known by their refused connections. */
-TEST(CellSeeds, StopsKeepWhatMustHold)
+/* Nodes are stopped as well, so shards are handed over during other faults.
+ * Crashed workers refuse connections. */
+TEST(CellSeeds, InvariantsHoldWhenNodesStop)
 {
 	unsigned one = from_env("OGL_STOP_SEED", 0);
 	unsigned seeds = one != 0 ? 1 : from_env("OGL_STOP_SEEDS", 40);
@@ -368,15 +390,16 @@
 
 	for (unsigned i = 0; i < seeds; i++) {
 		unsigned seed = one != 0 ? one : first + i;
-		Storm storm(seed, 1 + seed % 3, true);
+		FaultRun fault_run(seed, 1 + seed % 3, true);
 
-		storm.blow(60);
-		EXPECT_EQ("", storm.settle()) << "OGL_STOP_SEED=" << seed;
+		fault_run.run(60);
+		EXPECT_EQ("", fault_run.settle()) << "OGL_STOP_SEED=" << seed;
 	}
 }
 
-/* Links so thin that workers are called through other nodes, which fail too. */
-TEST(CellSeeds, ThinLinksKeepWhatMustHold)
+/* The links are so slow that workers are called through other nodes, which fail
+ * too. */
+TEST(CellSeeds, InvariantsHoldOnSlowLinks)
 {
 	unsigned one = from_env("OGL_LINK_SEED", 0);
 	unsigned seeds = one != 0 ? 1 : from_env("OGL_LINK_SEEDS", 40);
@@ -385,13 +408,13 @@
 	for (unsigned i = 0; i < seeds; i++) {
 		unsigned seed = one != 0 ? one : first + i;
 
-		expect_thin_links_hold(seed, "");
+		expect_no_violation_on_slow_links(seed, "");
 	}
 }
 
-/* Zones are evacuated and taken back while all else goes wrong, on wide links
- * and thin ones. */
-TEST(CellSeeds, EvacuationsKeepWhatMustHold)
+/* Zones are evacuated and taken back during other faults, on slow links and on
+ * links without a limit. */
+TEST(CellSeeds, InvariantsHoldDuringEvacuations)
 {
 	unsigned one = from_env("OGL_ZONE_SEED", 0);
 	unsigned seeds = one != 0 ? 1 : from_env("OGL_ZONE_SEEDS", 60);
@@ -399,17 +422,16 @@
 
 	for (unsigned i = 0; i < seeds; i++) {
 		unsigned seed = one != 0 ? one : first + i;
-		Storm storm(seed, 1 + seed % 2, seed % 3 == 0,
+		FaultRun fault_run(seed, 1 + seed % 2, seed % 3 == 0,
 		    seed % 4 == 0 ? 400 : 0, 2 + seed % 3);
 
-		storm.blow(60);
-		EXPECT_EQ("", storm.settle()) << "OGL_ZONE_SEED=" << seed;
+		fault_run.run(60);
+		EXPECT_EQ("", fault_run.settle()) << "OGL_ZONE_SEED=" << seed;
 	}
 }
 
-/* The same in cells of two and three shards, whose owners come and go each by
- * itself. */
-TEST(CellSeeds, ShardsKeepWhatMustHold)
+/* Cells of two and three shards, whose owners change independently. */
+TEST(CellSeeds, InvariantsHoldWithShards)
 {
 	unsigned one = from_env("OGL_SHARD_SEED", 0);
 	unsigned seeds = one != 0 ? 1 : from_env("OGL_SHARD_SEEDS", 40);
@@ -417,10 +439,10 @@
 
 	for (unsigned i = 0; i < seeds; i++) {
 		unsigned seed = one != 0 ? one : first + i;
-		Storm storm(seed, 2 + seed % 2);
+		FaultRun fault_run(seed, 2 + seed % 2);
 
-		storm.blow(60);
-		EXPECT_EQ("", storm.settle()) << "OGL_SHARD_SEED=" << seed;
+		fault_run.run(60);
+		EXPECT_EQ("", fault_run.settle()) << "OGL_SHARD_SEED=" << seed;
 	}
 }
 
