--- a/test/test_cell_scripts.cc
+++ b/test/test_cell_scripts.cc
@@ -1,9 +1,79 @@
 /*
  * Scripted runs of a whole cell over fakes: test/scripts/cell_*.txt.  A line
- * is a command; `=>` at its end gives what it must print.  Nodes are numbers,
- * `owner` (of shard 0), `ownerN` (of shard N), `other` (some node that does not
- * own shard 0) or names given by `let`.  At the end of every script nothing may have been breached and every
- * accepted job must come to its end.
+ * is a command, and `=> TEXT` at its end gives the expected answer.  Lines
+ * that begin with `#` are comments.  At the end of a script all faults are
+ * healed; then every accepted job must end, and no invariant may have been
+ * violated.
+ *
+ * A node is a number, `owner` (of shard 0), `ownerN` (of shard N), `other` (a
+ * node that does not own shard 0) or a name given by `let`.  Times are in
+ * milliseconds of virtual time, processors in thousandths.
+ *
+ * cell OPTION ...              creates the cell; first command of a script
+ *      nodes= workers= shards= zones=
+ *                              how many of each
+ *      seed=                   of the fakes' random numbers
+ *      attempts=               attempts at a task
+ *      max=                    limit of the team's processors
+ *      rate=                   jobs a second of the team
+ *      link=                   kbit/s that a node's link carries
+ *      policy                  placing a task needs advice
+ *      ask=                    time that advice takes for each worker
+ *      page-records=           records in one answer of newest ones
+ *      refuse-connections      connections to crashed workers are refused
+ *      no-shard-plan           the nodes decide on the number of shards
+ * submit JOB NODE [key=K] step OPTION ... [step ...]
+ *      tasks= cpu= run=        number of tasks, processors and time of a task
+ *      after=                  step that has to end before, counted from 0
+ *      apart=                  tasks that may share a worker
+ *      gang lasting checkpoints
+ *      fails                   every run ends as failed
+ *      duplicates              its tasks may run twice
+ * submit-many JOB COUNT INTERVAL step ...
+ *                              submits JOB0, JOB1, ..., at all nodes in turn
+ * let NAME NODE                names the node that NODE stands for now
+ * run TIME                     lets virtual time pass
+ * kill NODE|all                ends the process
+ * stop NODE|all                asks the process to stop
+ * boot NODE|all                starts the process
+ * freeze NODE, thaw NODE       halts and resumes the machine
+ * loop-delay NODE TIME         each step of the node takes so long, 0 ends it
+ * rank RANK                    queue of later jobs, 0 to 2
+ * caller-timeout TIME          how long callers wait for an answer
+ * cancel JOB NODE              cancels a job through a node
+ * ask JOB NODE                 asks a node for a job's status
+ * store NODE|all FAULT         how the store answers the node: healthy,
+ *                              unreachable, refusing, losing-answers (half of
+ *                              the writes are done unanswered) or late (the
+ *                              same, and they are done seconds later)
+ * worker WORKER|all FAULT      healthy, unreachable (runs go on), crashed,
+ *                              failing (runs end as failed), late (orders are
+ *                              done seconds later, unanswered), slow (new runs
+ *                              take six times as long) or hanging (new runs
+ *                              make no progress)
+ * restart-worker WORKER        same id, but all its runs are lost
+ * drain WORKER                 the worker announces that it leaves
+ * expire-worker-entries        the store lists the workers again within 2 s
+ * evacuate ZONE, end-evacuation ZONE
+ * drop-settings-history        only the newest record of each key stays
+ * revoke KEY                   revokes an API key
+ * limit CPU                    sets the team's limit of processors
+ *
+ * Questions, which are answered:
+ * accepted JOB COUNT           how many jobs of a submit-many were accepted
+ * status JOB                   last HTTP status that answered a call about it
+ * state JOB                    as told by a node
+ * starts JOB                   runs that workers have begun
+ * running JOB                  runs that go on
+ * running-in ZONE              the same, of all jobs in a zone
+ * ready NODE                   yes or no
+ * owners [SHARD]               none, one or several
+ * claims                       how often shard 0 was won
+ * shards NODE                  number of shards that the node knows of
+ * shard JOB                    shard that the job belongs to
+ * link NODE TIME               whether data waits under or over that time for
+ *                              the node's link
+ * same-node NODE NODE          yes or no
  */
 
 #include <gtest/gtest.h>
@@ -46,7 +116,7 @@
 			return make(w);
 		if (w[0] == "submit")
 			return submit(w);
-		if (w[0] == "flood")
+		if (w[0] == "submit-many")
 			return flood(w);
 		if (w[0] == "let")
 			names_[w[1]] = node(w[2]);
@@ -64,9 +134,9 @@
 			fake_cell_freeze(cell_, node(w[1]), false);
 		else if (w[0] == "rank")
 			fake_cell_rank(cell_, num(w[1]));
-		else if (w[0] == "budget")
+		else if (w[0] == "caller-timeout")
 			fake_cell_budget(cell_, num(w[1]));
-		else if (w[0] == "lag")
+		else if (w[0] == "loop-delay")
 			fake_cell_lag(cell_, node(w[1]), num(w[2]));
 		else if (w[0] == "store")
 			fake_cell_store(cell_, w[1] == "all" ? -1 : node(w[1]),
@@ -74,17 +144,17 @@
 		else if (w[0] == "worker")
 			for (unsigned i : workers(w[1]))
 				fake_cell_worker(cell_, i, worker_fault(w[2]));
-		else if (w[0] == "reborn")
+		else if (w[0] == "restart-worker")
 			fake_cell_reborn(cell_, num(w[1]));
 		else if (w[0] == "drain")
 			fake_cell_drain(cell_, num(w[1]));
-		else if (w[0] == "forget-lists")
+		else if (w[0] == "expire-worker-entries")
 			fake_cell_forget_lists(cell_);
 		else if (w[0] == "evacuate")
 			fake_cell_evacuate(cell_, w[1].c_str(), true);
-		else if (w[0] == "take-back")
+		else if (w[0] == "end-evacuation")
 			fake_cell_evacuate(cell_, w[1].c_str(), false);
-		else if (w[0] == "forget-settings")
+		else if (w[0] == "drop-settings-history")
 			fake_cell_forget_settings(cell_);
 		else if (w[0] == "revoke")
 			fake_cell_revoke(cell_, w[1].c_str());
@@ -175,7 +245,7 @@
 		if (w[0] == "shard")
 			return std::to_string(cell_shard_of_job(
 			    id(w[1]), nullptr, shape_.shards));
-		if (w[0] == "same")
+		if (w[0] == "same-node")
 			return node(w[1]) == node(w[2]) ? "yes" : "no";
 		return "no such command: " + w[0];
 	}
@@ -230,8 +300,10 @@
 	static enum fake_store_fault store_fault(const std::string &s)
 	{
 		static const std::map<std::string, enum fake_store_fault> m = {
-		    {"well", FAKE_STORE_WELL}, {"silent", FAKE_STORE_SILENT},
-		    {"busy", FAKE_STORE_BUSY}, {"losing", FAKE_STORE_LOSING},
+		    {"healthy", FAKE_STORE_WELL},
+		    {"unreachable", FAKE_STORE_SILENT},
+		    {"refusing", FAKE_STORE_BUSY},
+		    {"losing-answers", FAKE_STORE_LOSING},
 		    {"late", FAKE_STORE_LATE}};
 
 		return m.at(s);
@@ -240,7 +312,8 @@
 	static enum fake_worker_fault worker_fault(const std::string &s)
 	{
 		static const std::map<std::string, enum fake_worker_fault> m = {
-		    {"well", FAKE_WORKER_WELL}, {"dark", FAKE_WORKER_DARK},
+		    {"healthy", FAKE_WORKER_WELL},
+		    {"unreachable", FAKE_WORKER_DARK},
 		    {"crashed", FAKE_WORKER_CRASHED},
 		    {"failing", FAKE_WORKER_FAILING},
 		    {"late", FAKE_WORKER_LATE}, {"slow", FAKE_WORKER_SLOW},
@@ -273,14 +346,15 @@
 		shape_.seed = o.count("seed") != 0 ? num(o["seed"]) : 1;
 		shape_.policy = o.count("policy") != 0;
 		shape_.shards = o.count("shards") != 0 ? num(o["shards"]) : 1;
-		shape_.unplanned = o.count("unplanned") != 0;
-		shape_.refuses = o.count("refuses") != 0;
+		shape_.unplanned = o.count("no-shard-plan") != 0;
+		shape_.refuses = o.count("refuse-connections") != 0;
 		shape_.team_cpu_max = o.count("max") != 0 ? num(o["max"]) : 0;
 		shape_.team_rate = o.count("rate") != 0 ? num(o["rate"]) : 0;
 		shape_.link_kbps = o.count("link") != 0 ? num(o["link"]) : 0;
 		shape_.advice_worker_ms =
 		    o.count("ask") != 0 ? num(o["ask"]) : 0;
-		shape_.page = o.count("page") != 0 ? num(o["page"]) : 0;
+		shape_.page =
+		    o.count("page-records") != 0 ? num(o["page-records"]) : 0;
 		shape_.zones = o.count("zones") != 0 ? num(o["zones"]) : 1;
 		shape_.attempts_max =
 		    o.count("attempts") != 0 ? num(o["attempts"]) : 3;
@@ -317,8 +391,8 @@
 				      : -1;
 			s.gang = o.count("gang") != 0;
 			s.fails = o.count("fails") != 0;
-			s.checkpoints = o.count("saves") != 0;
-			s.duplicates = o.count("twice") != 0;
+			s.checkpoints = o.count("checkpoints") != 0;
+			s.duplicates = o.count("duplicates") != 0;
 			s.lasting = o.count("lasting") != 0;
 			s.worker_max =
 			    o.count("apart") != 0 ? num(o["apart"]) : 0;
