--- a/test/test_cell_scripts.cc
+++ b/test/test_cell_scripts.cc
@@ -113,21 +113,21 @@
 	std::string command(const Words &w)
 	{
 		if (w[0] == "cell")
-			return make(w);
+			return create_cell(w);
 		if (w[0] == "submit")
 			return submit(w);
 		if (w[0] == "submit-many")
-			return flood(w);
+			return submit_many(w);
 		if (w[0] == "let")
-			names_[w[1]] = node(w[2]);
+			node_names_[w[1]] = node(w[2]);
 		else if (w[0] == "run")
 			fake_cell_run(cell_, num(w[1]));
 		else if (w[0] == "kill")
-			each(w[1], fake_cell_kill);
+			for_nodes(w[1], fake_cell_kill);
 		else if (w[0] == "boot")
-			each(w[1], fake_cell_boot);
+			for_nodes(w[1], fake_cell_boot);
 		else if (w[0] == "stop")
-			each(w[1], fake_cell_stop);
+			for_nodes(w[1], fake_cell_stop);
 		else if (w[0] == "freeze")
 			fake_cell_freeze(cell_, node(w[1]), true);
 		else if (w[0] == "thaw")
@@ -165,7 +165,7 @@
 		else if (w[0] == "ask")
 			fake_cell_ask(cell_, node(w[2]), id(w[1]));
 		else
-			return question(w);
+			return query(w);
 		return "";
 	}
 
@@ -178,22 +178,22 @@
 	}
 
       private:
-	/* flood NAME JOBS EVERY_MS step ...: jobs NAME0, NAME1, .. one after
-	 * the other, at one node after the other */
-	std::string flood(const Words &w)
+	/* The jobs are submitted one by one, at all nodes in turn. */
+	std::string submit_many(const Words &w)
 	{
 		for (unsigned i = 0; i < num(w[2]); i++) {
-			Words one = {"submit", w[1] + std::to_string(i),
+			Words submission = {"submit", w[1] + std::to_string(i),
 			    std::to_string(i % shape_.nodes)};
 
-			one.insert(one.end(), w.begin() + 4, w.end());
-			submit(one);
+			submission.insert(
+			    submission.end(), w.begin() + 4, w.end());
+			submit(submission);
 			fake_cell_run(cell_, num(w[3]));
 		}
 		return "";
 	}
 
-	/* How many of the jobs of a flood were accepted. */
+	/* How many jobs of a submit-many command were accepted. */
 	std::string accepted(const Words &w)
 	{
 		unsigned n = 0;
@@ -204,7 +204,7 @@
 		return std::to_string(n);
 	}
 
-	std::string question(const Words &w)
+	std::string query(const Words &w)
 	{
 		if (w[0] == "accepted")
 			return accepted(w);
@@ -257,14 +257,14 @@
 
 	const char *id(const std::string &name)
 	{
-		ids_[name] = job_id(name);
-		return ids_[name].c_str();
+		job_ids_[name] = job_id(name);
+		return job_ids_[name].c_str();
 	}
 
 	int node(const std::string &s)
 	{
-		if (names_.count(s) != 0)
-			return names_[s];
+		if (node_names_.count(s) != 0)
+			return node_names_[s];
 		if (s == "owner")
 			return std::max(fake_cell_owner(cell_, 0), 0);
 		if (s.rfind("owner", 0) == 0)
@@ -275,7 +275,7 @@
 		return static_cast<int>(num(s));
 	}
 
-	void each(
+	void for_nodes(
 	    const std::string &s, void (*fn)(struct fake_cell *, unsigned))
 	{
 		if (s != "all") {
@@ -336,7 +336,7 @@
 		return m;
 	}
 
-	std::string make(const Words &w)
+	std::string create_cell(const Words &w)
 	{
 		auto o = options(w, 1);
 
@@ -363,7 +363,7 @@
 		return "";
 	}
 
-	/* submit NAME NODE [key=K] step tasks=2 cpu=1000 run=500 ... */
+	/* A step without options has one task: one processor for 1 s. */
 	std::string submit(const Words &w)
 	{
 		std::vector<struct fake_step> steps;
@@ -406,8 +406,8 @@
 
 	struct fake_cell *cell_ = nullptr;
 	struct fake_cell_shape shape_ = {};
-	std::map<std::string, int> names_;
-	std::map<std::string, std::string> ids_;
+	std::map<std::string, int> node_names_;
+	std::map<std::string, std::string> job_ids_;
 };
 
 Words
@@ -443,7 +443,7 @@
 {
 };
 
-TEST_P(CellScript, Runs)
+TEST_P(CellScript, GivesExpectedAnswers)
 {
 	std::ifstream in(OGL_TEST_DIR "/scripts/cell_" + GetParam() + ".txt");
 	std::string line;
@@ -453,14 +453,14 @@
 	while (std::getline(in, line)) {
 		size_t arrow = line.find("=>");
 		Words w = split(line.substr(0, arrow));
-		std::string want;
+		std::string expected;
 
 		number++;
 		if (w.empty() || w[0][0] == '#')
 			continue;
 		if (arrow != std::string::npos && arrow + 3 < line.size())
-			want = line.substr(arrow + 3);
-		ASSERT_EQ(want, script.command(w)) << "line " << number;
+			expected = line.substr(arrow + 3);
+		ASSERT_EQ(expected, script.command(w)) << "line " << number;
 	}
 	EXPECT_EQ("", script.finish());
 }
