--- a/src/place.c
+++ b/src/place.c
@@ -1,7 +1,7 @@
 /*
  * Placement: which worker a task runs on, and what workers hold.
  *
- * Every zone has one grid of free room (place_grid.c) for each plane; planes
+ * Every zone has one grid of free room (place_grid.c) for each accel_group; planes
  * part workers by the accelerators they have free, so that tasks without
  * need of one look at workers that have none first.  place_index.c keeps the
  * grids up to date, place_pick.c chooses by the kind's policy, place_gang.c
@@ -34,7 +34,7 @@
 static void
 job_count(struct ogl_place *p, uint32_t w, uint64_t job, bool in)
 {
-	const struct ogl_slot *s = &p->slots[w];
+	const struct ogl_grid_entry *s = &p->entries[w];
 	uint64_t zone = ogl_counts_key(job, OGL_COUNT_ZONE, s->zone);
 	uint64_t rack = ogl_counts_key(job, OGL_COUNT_RACK, s->rack);
 
@@ -197,7 +197,7 @@
 	struct ogl_place_zone *z = v;
 	unsigned i;
 
-	for (i = 0; i < OGL_PLANES; i++)
+	for (i = 0; i < OGL_ACCEL_GROUPS; i++)
 		ogl_grid_clear(&z->grid[i]);
 	ogl_grid_clear(&z->racks);
 	g_free(z->name);
@@ -238,8 +238,9 @@
 	r.workers = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	g_array_append_val(p->racks, r);
 	n = p->racks->len - 1;
-	p->rack_slots = g_renew(struct ogl_slot, p->rack_slots, n + 1);
-	memset(&p->rack_slots[n], 0, sizeof(p->rack_slots[n]));
+	p->rack_entries =
+	    g_renew(struct ogl_grid_entry, p->rack_entries, n + 1);
+	memset(&p->rack_entries[n], 0, sizeof(p->rack_entries[n]));
 	ogl_place_rack_reindex(p, n);
 	g_hash_table_insert(p->rack_byname, key, GUINT_TO_POINTER(n));
 	return n;
@@ -257,7 +258,8 @@
 	}
 	if (p->n == p->room) {
 		p->room = p->room * 2 + 16;
-		p->slots = g_renew(struct ogl_slot, p->slots, p->room);
+		p->entries =
+		    g_renew(struct ogl_grid_entry, p->entries, p->room);
 		p->workers =
 		    g_renew(struct ogl_place_worker, p->workers, p->room);
 	}
@@ -268,7 +270,7 @@
 static void
 leave_rack(struct ogl_place *p, uint32_t w)
 {
-	GArray *a = ogl_place_rack_at(p, p->slots[w].rack)->workers;
+	GArray *a = ogl_place_rack_at(p, p->entries[w].rack)->workers;
 	uint32_t i;
 
 	for (i = 0; g_array_index(a, uint32_t, i) != w; i++)
@@ -309,16 +311,17 @@
 		w = new_number(p);
 		k = &p->workers[w];
 		memset(k, 0, sizeof(*k));
-		memset(&p->slots[w], 0, sizeof(p->slots[w]));
+		memset(&p->entries[w], 0, sizeof(p->entries[w]));
 		k->name = g_strdup(name);
 		k->known = true;
 		g_hash_table_insert(p->byname, k->name, GUINT_TO_POINTER(w));
 	}
 	k->capacity = *capacity;
-	p->slots[w].zone = zone_number(p, zone != NULL ? zone : "");
-	p->slots[w].rack =
-	    rack_number(p, p->slots[w].zone, rack != NULL ? rack : "");
-	g_array_append_val(ogl_place_rack_at(p, p->slots[w].rack)->workers, w);
+	p->entries[w].zone = zone_number(p, zone != NULL ? zone : "");
+	p->entries[w].rack =
+	    rack_number(p, p->entries[w].zone, rack != NULL ? rack : "");
+	g_array_append_val(
+	    ogl_place_rack_at(p, p->entries[w].rack)->workers, w);
 	recount_jobs(p, w, true);
 	shape_count(p, capacity, 1);
 	ogl_place_reindex(p, w);
@@ -440,8 +443,8 @@
 	g_array_free(p->aside, TRUE);
 	g_array_free(p->spare, TRUE);
 	g_free(p->workers);
-	g_free(p->rack_slots);
-	g_free(p->slots);
+	g_free(p->rack_entries);
+	g_free(p->entries);
 	g_free(p);
 }
 
@@ -450,21 +453,22 @@
 {
 	size_t n = sizeof(*p) + ogl_health_bytes(p->health);
 	uint32_t i;
-	unsigned plane;
+	unsigned accel_group;
 
-	n += p->room * (sizeof(*p->slots) + sizeof(*p->workers));
+	n += p->room * (sizeof(*p->entries) + sizeof(*p->workers));
 	n += p->counts.size * sizeof(*p->counts.cells);
 	n += p->racks->len *
-	     (sizeof(struct ogl_place_rack) + sizeof(*p->rack_slots));
+	     (sizeof(struct ogl_place_rack) + sizeof(*p->rack_entries));
 	for (i = 0; i < p->n; i++)
 		n += p->workers[i].room_jobs * sizeof(struct ogl_job_here);
 	for (i = 0; i < p->racks->len; i++)
 		n += ogl_place_rack_at(p, i)->workers->len * sizeof(uint32_t);
 	for (i = 0; i < p->zones->len; i++) {
 		n += ogl_grid_bytes(&ogl_place_zone_at(p, i)->racks);
-		for (plane = 0; plane < OGL_PLANES; plane++)
+		for (accel_group = 0; accel_group < OGL_ACCEL_GROUPS;
+		     accel_group++)
 			n += ogl_grid_bytes(
-			    &ogl_place_zone_at(p, i)->grid[plane]);
+			    &ogl_place_zone_at(p, i)->grid[accel_group]);
 	}
 	return n;
 }
--- a/src/place.h
+++ b/src/place.h
@@ -15,12 +15,12 @@
 #define OGL_GRID_CLASSES 64 /* size classes a dimension; bits of a mask */
 
 /* What a search reads of a worker, kept small for the cache. */
-struct ogl_slot {
+struct ogl_grid_entry {
 	struct ogl_res avail; /* free and not kept for a reservation */
 	uint32_t next, prev;  /* in its bucket's list */
 	uint32_t rack;
 	uint16_t zone;
-	uint8_t plane; /* by accelerators, see place.c */
+	uint8_t accel_group; /* by accelerators, see place.c */
 	uint8_t row, col;
 	bool indexed; /* stands in a bucket */
 };
@@ -37,26 +37,28 @@
 /* One search, tightest first in one dimension. */
 struct ogl_grid_walk {
 	const struct ogl_res *need;
-	bool by_mem;     /* order by memory, else by processors */
-	unsigned from;   /* class to begin at; lower ones come last */
-	uint32_t take;   /* offers left */
-	uint32_t misses; /* looks at workers without room left */
-	bool skipped;    /* a bucket that may fit was not looked through */
+	bool by_mem;          /* order by memory, else by processors */
+	unsigned from_class;  /* class to begin at; lower ones come last */
+	uint32_t offers_left; /* offers left */
+	uint32_t misses_left; /* looks at workers without room left */
+	bool skipped;         /* a bucket that may fit was not looked through */
 	void (*offer)(void *ctx, uint32_t w);
 	void *ctx;
 };
 
-void ogl_grid_put(struct ogl_grid *g, struct ogl_slot *slots, uint32_t w);
+void ogl_grid_insert(
+    struct ogl_grid *g, struct ogl_grid_entry *entries, uint32_t w);
 /* Puts worker w, by its avail, into its bucket. */
 
-void ogl_grid_take(struct ogl_grid *g, struct ogl_slot *slots, uint32_t w);
+void ogl_grid_remove(
+    struct ogl_grid *g, struct ogl_grid_entry *entries, uint32_t w);
 /* Takes worker w out of its bucket. */
 
-bool ogl_grid_moves(const struct ogl_slot *s);
+bool ogl_grid_must_move(const struct ogl_grid_entry *s);
 /* Whether the avail of an indexed worker now belongs to another bucket. */
 
-void ogl_grid_walk(const struct ogl_grid *g, const struct ogl_slot *slots,
-    struct ogl_grid_walk *k);
+void ogl_grid_walk(const struct ogl_grid *g,
+    const struct ogl_grid_entry *entries, struct ogl_grid_walk *k);
 /* Offers workers whose avail holds the need until offers run out. */
 
 void ogl_grid_clear(struct ogl_grid *g);
@@ -140,11 +142,11 @@
 	bool counted; /* in the sums of ogl_place_room */
 };
 
-#define OGL_PLANES 6 /* see plane_of in place.c */
+#define OGL_ACCEL_GROUPS 6 /* see accel_group_of in place.c */
 
 struct ogl_place_zone {
 	char *name;
-	struct ogl_grid grid[OGL_PLANES];
+	struct ogl_grid grid[OGL_ACCEL_GROUPS];
 	struct ogl_grid racks;    /* by the sums of their workers */
 	uint64_t cpu, mem, accel; /* avail over indexed workers */
 };
@@ -183,15 +185,16 @@
 };
 
 struct ogl_place {
-	struct ogl_slot *slots; /* by worker number */
+	struct ogl_grid_entry *entries; /* by worker number */
 	struct ogl_place_worker *workers;
 	uint32_t n, room;
 	GArray *spare;      /* uint32_t, numbers to give again */
 	GHashTable *byname; /* name -> number + 1 */
 	GPtrArray *zones;   /* struct ogl_place_zone */
 	GHashTable *zone_byname;
-	GArray *racks;               /* struct ogl_place_rack */
-	struct ogl_slot *rack_slots; /* by rack number, in zones' grids */
+	GArray *racks; /* struct ogl_place_rack */
+	struct ogl_grid_entry
+	    *rack_entries; /* by rack number, in zones' grids */
 	GHashTable *rack_byname;
 	GHashTable *shapes; /* capacity -> workers of it */
 	struct ogl_counts counts;
@@ -256,8 +259,8 @@
 uint32_t ogl_place_fit(const struct ogl_res *need, const struct ogl_res *room);
 /* How many such tasks the room holds; UINT32_MAX when they need nothing. */
 
-unsigned ogl_place_first_plane(const struct ogl_res *need);
-/* The lowest plane where the need may fit. */
+unsigned ogl_place_first_accel_group(const struct ogl_res *need);
+/* The lowest accel_group where the need may fit. */
 
 void ogl_place_reindex(struct ogl_place *p, uint32_t w);
 /* Brings the index up to date after worker w changed. */
--- a/src/place_gang.c
+++ b/src/place_gang.c
@@ -42,15 +42,16 @@
 plan_rack(struct plan *k, uint32_t rack)
 {
 	const GArray *a = ogl_place_rack_at(k->p, rack)->workers;
-	const struct ogl_slot *s;
+	const struct ogl_grid_entry *s;
 	uint32_t i, w, fit;
 
 	for (i = 0; i < a->len && k->got < k->n; i++) {
 		w = g_array_index(a, uint32_t, i);
-		s = &k->p->slots[w];
+		s = &k->p->entries[w];
 		if (!s->indexed)
 			continue;
-		if (k->ask->res.accel == 0 && s->plane != 0 && !k->accel_too)
+		if (k->ask->res.accel == 0 && s->accel_group != 0 &&
+		    !k->accel_too)
 			continue;
 		fit = ogl_place_fit(&k->ask->res, &s->avail);
 		for (; fit > 0 && k->got < k->n; fit--)
@@ -66,7 +67,7 @@
 	k->got = 0;
 	plan_rack(k, rack);
 	if (k->got == k->n)
-		k->walk->take = 0;
+		k->walk->offers_left = 0;
 }
 
 /* A single rack that holds all, in each zone the tightest first. */
@@ -81,15 +82,15 @@
 	for (i = 0; i < zones; i++) {
 		struct ogl_grid_walk walk = {
 		    .need = &all,
-		    .take = RACK_TRIES,
-		    .misses = RACK_LOOKS,
+		    .offers_left = RACK_TRIES,
+		    .misses_left = RACK_LOOKS,
 		    .offer = one_rack_offer,
 		    .ctx = k,
 		};
 
 		k->walk = &walk;
 		z = ogl_place_zone_at(k->p, (at + i) % zones);
-		ogl_grid_walk(&z->racks, k->p->rack_slots, &walk);
+		ogl_grid_walk(&z->racks, k->p->rack_entries, &walk);
 		if (k->got == k->n)
 			return true;
 	}
@@ -107,7 +108,7 @@
 	r->planned = k->p->plans;
 	plan_rack(k, rack);
 	if (k->got == k->n)
-		k->walk->take = 0;
+		k->walk->offers_left = 0;
 }
 
 /*
@@ -124,8 +125,8 @@
 	while (k->got < k->n && part > 0) {
 		struct ogl_grid_walk walk = {
 		    .need = &need,
-		    .take = UINT32_MAX,
-		    .misses = UINT32_MAX,
+		    .offers_left = UINT32_MAX,
+		    .misses_left = UINT32_MAX,
 		    .offer = fill_offer,
 		    .ctx = k,
 		};
@@ -133,7 +134,7 @@
 		part = part > 1 ? (part + 1) / 2 : 0;
 		need = ogl_place_times(&k->ask->res, MAX(part, 1));
 		k->walk = &walk;
-		ogl_grid_walk(g, k->p->rack_slots, &walk);
+		ogl_grid_walk(g, k->p->rack_entries, &walk);
 	}
 }
 
@@ -217,7 +218,7 @@
 	const struct ogl_res *need = &p->reserved.ask.res;
 	struct ogl_res room;
 
-	if (!p->slots[w].indexed)
+	if (!p->entries[w].indexed)
 		return 0;
 	if (need->accel == 0 && k->capacity.accel > 0 && !accel_too)
 		return 0;
--- a/src/place_grid.c
+++ b/src/place_grid.c
@@ -10,20 +10,20 @@
  * whole; in those two each worker must be looked at, and the number of such
  * looks is bounded by the caller.
  *
- * Buckets are lists through the slots.  Rows of list heads are allocated
+ * Buckets are lists through the entries.  Rows of list heads are allocated
  * when first used, so a small cell pays for few.
  */
 
 #include "place.h"
 
-#define UNIT_SHIFT 6 /* finest class: 64 thousandths or 64 MB */
+#define CLASS_UNIT_SHIFT 6 /* finest class: 64 thousandths or 64 MB */
 
 static unsigned
 size_class(uint32_t v)
 {
 	unsigned c, e;
 
-	v >>= UNIT_SHIFT;
+	v >>= CLASS_UNIT_SHIFT;
 	if (v < 4)
 		return v;
 	e = 31 - (unsigned)__builtin_clz(v);
@@ -38,9 +38,9 @@
 }
 
 void
-ogl_grid_put(struct ogl_grid *g, struct ogl_slot *slots, uint32_t w)
+ogl_grid_insert(struct ogl_grid *g, struct ogl_grid_entry *entries, uint32_t w)
 {
-	struct ogl_slot *s = &slots[w];
+	struct ogl_grid_entry *s = &entries[w];
 	uint32_t *head;
 	unsigned i;
 
@@ -55,7 +55,7 @@
 	s->prev = OGL_PLACE_NONE;
 	s->next = *head;
 	if (s->next != OGL_PLACE_NONE)
-		slots[s->next].prev = w;
+		entries[s->next].prev = w;
 	*head = w;
 	g->in_row[s->row] |= bit(s->col);
 	g->in_col[s->col] |= bit(s->row);
@@ -65,14 +65,14 @@
 }
 
 void
-ogl_grid_take(struct ogl_grid *g, struct ogl_slot *slots, uint32_t w)
+ogl_grid_remove(struct ogl_grid *g, struct ogl_grid_entry *entries, uint32_t w)
 {
-	struct ogl_slot *s = &slots[w];
+	struct ogl_grid_entry *s = &entries[w];
 
 	if (s->next != OGL_PLACE_NONE)
-		slots[s->next].prev = s->prev;
+		entries[s->next].prev = s->prev;
 	if (s->prev != OGL_PLACE_NONE)
-		slots[s->prev].next = s->next;
+		entries[s->prev].next = s->next;
 	else
 		g->head[s->row][s->col] = s->next;
 	s->indexed = false;
@@ -87,7 +87,7 @@
 }
 
 bool
-ogl_grid_moves(const struct ogl_slot *s)
+ogl_grid_must_move(const struct ogl_grid_entry *s)
 {
 	return size_class(s->avail.cpu_milli) != s->row ||
 	       size_class(s->avail.mem_mb) != s->col;
@@ -95,31 +95,31 @@
 
 /* Looks through one bucket; edge tells that some in it may not fit. */
 static void
-walk_bucket(const struct ogl_slot *slots, uint32_t w, bool edge,
+walk_bucket(const struct ogl_grid_entry *entries, uint32_t w, bool edge,
     struct ogl_grid_walk *k)
 {
-	if (edge && k->misses == 0) {
+	if (edge && k->misses_left == 0) {
 		k->skipped = true;
 		return;
 	}
-	while (w != OGL_PLACE_NONE && k->take > 0) {
-		if (ogl_res_fits(k->need, &slots[w].avail)) {
-			k->take--;
+	while (w != OGL_PLACE_NONE && k->offers_left > 0) {
+		if (ogl_res_fits(k->need, &entries[w].avail)) {
+			k->offers_left--;
 			k->offer(k->ctx, w);
 		} else {
-			if (k->misses == 0) {
+			if (k->misses_left == 0) {
 				k->skipped = true;
 				return;
 			}
-			k->misses--;
+			k->misses_left--;
 		}
-		w = slots[w].next;
+		w = entries[w].next;
 	}
 }
 
 /* Looks through the outer classes in `outer`, lowest first. */
 static void
-walk_outer(const struct ogl_grid *g, const struct ogl_slot *slots,
+walk_outer(const struct ogl_grid *g, const struct ogl_grid_entry *entries,
     uint64_t outer, struct ogl_grid_walk *k)
 {
 	unsigned cpu = size_class(k->need->cpu_milli);
@@ -127,34 +127,35 @@
 	unsigned a, b, row, col;
 	uint64_t inner;
 
-	while (outer != 0 && k->take > 0) {
+	while (outer != 0 && k->offers_left > 0) {
 		a = (unsigned)__builtin_ctzll(outer);
 		outer &= outer - 1;
 		inner = k->by_mem ? g->in_col[a] & (~(uint64_t)0 << cpu)
 				  : g->in_row[a] & (~(uint64_t)0 << mem);
-		while (inner != 0 && k->take > 0) {
+		while (inner != 0 && k->offers_left > 0) {
 			b = (unsigned)__builtin_ctzll(inner);
 			inner &= inner - 1;
 			row = k->by_mem ? b : a;
 			col = k->by_mem ? a : b;
-			walk_bucket(slots, g->head[row][col],
+			walk_bucket(entries, g->head[row][col],
 			    row == cpu || col == mem, k);
 		}
 	}
 }
 
 void
-ogl_grid_walk(const struct ogl_grid *g, const struct ogl_slot *slots,
+ogl_grid_walk(const struct ogl_grid *g, const struct ogl_grid_entry *entries,
     struct ogl_grid_walk *k)
 {
 	unsigned need =
 	    size_class(k->by_mem ? k->need->mem_mb : k->need->cpu_milli);
 	uint64_t outer =
 	    (k->by_mem ? g->cols : g->rows) & (~(uint64_t)0 << need);
-	uint64_t first = ~(uint64_t)0 << MIN(k->from, OGL_GRID_CLASSES - 1);
+	uint64_t first = ~(uint64_t)0
+			 << MIN(k->from_class, OGL_GRID_CLASSES - 1);
 
-	walk_outer(g, slots, outer & first, k);
-	walk_outer(g, slots, outer & ~first, k);
+	walk_outer(g, entries, outer & first, k);
+	walk_outer(g, entries, outer & ~first, k);
 }
 
 void
--- a/src/place_index.c
+++ b/src/place_index.c
@@ -42,13 +42,13 @@
 
 /* 0 for workers without accelerators, else by how many are free. */
 static unsigned
-plane_of(const struct ogl_res *capacity, const struct ogl_res *avail)
+accel_group_of(const struct ogl_res *capacity, const struct ogl_res *avail)
 {
 	return capacity->accel == 0 ? 0 : 1 + accel_class(avail->accel);
 }
 
 unsigned
-ogl_place_first_plane(const struct ogl_res *need)
+ogl_place_first_accel_group(const struct ogl_res *need)
 {
 	return need->accel == 0 ? 0 : 1 + accel_class(need->accel);
 }
@@ -72,20 +72,20 @@
 {
 	const struct ogl_place_rack *r = ogl_place_rack_at(p, rack);
 	struct ogl_grid *g = &ogl_place_zone_at(p, r->zone)->racks;
-	struct ogl_slot *s = &p->rack_slots[rack];
+	struct ogl_grid_entry *s = &p->rack_entries[rack];
 
 	s->avail.cpu_milli = ogl_place_sat(r->cpu);
 	s->avail.mem_mb = ogl_place_sat(r->mem);
 	s->avail.accel = ogl_place_sat(r->accel);
-	if (s->indexed && !ogl_grid_moves(s))
+	if (s->indexed && !ogl_grid_must_move(s))
 		return;
 	if (s->indexed)
-		ogl_grid_take(g, p->rack_slots, rack);
-	ogl_grid_put(g, p->rack_slots, rack);
+		ogl_grid_remove(g, p->rack_entries, rack);
+	ogl_grid_insert(g, p->rack_entries, rack);
 }
 
 static void
-sums_add(struct ogl_place *p, const struct ogl_slot *s)
+sums_add(struct ogl_place *p, const struct ogl_grid_entry *s)
 {
 	struct ogl_place_rack *r = ogl_place_rack_at(p, s->rack);
 	struct ogl_place_zone *z = ogl_place_zone_at(p, s->zone);
@@ -99,7 +99,7 @@
 }
 
 static void
-sums_sub(struct ogl_place *p, const struct ogl_slot *s)
+sums_sub(struct ogl_place *p, const struct ogl_grid_entry *s)
 {
 	struct ogl_place_rack *r = ogl_place_rack_at(p, s->rack);
 	struct ogl_place_zone *z = ogl_place_zone_at(p, s->zone);
@@ -140,7 +140,7 @@
 void
 ogl_place_unindex(struct ogl_place *p, uint32_t w)
 {
-	struct ogl_slot *s = &p->slots[w];
+	struct ogl_grid_entry *s = &p->entries[w];
 
 	if (p->workers[w].counted)
 		count_out(p, &p->workers[w]);
@@ -148,8 +148,8 @@
 		return;
 	sums_sub(p, s);
 	ogl_place_rack_reindex(p, s->rack);
-	ogl_grid_take(
-	    &ogl_place_zone_at(p, s->zone)->grid[s->plane], p->slots, w);
+	ogl_grid_remove(&ogl_place_zone_at(p, s->zone)->grid[s->accel_group],
+	    p->entries, w);
 }
 
 static bool
@@ -192,25 +192,27 @@
 
 /* Puts the slot of worker w, its avail set, where it belongs. */
 static void
-put_slot(struct ogl_place *p, uint32_t w)
+move_entry(struct ogl_place *p, uint32_t w)
 {
-	struct ogl_slot *s = &p->slots[w];
+	struct ogl_grid_entry *s = &p->entries[w];
 	struct ogl_grid *grid = ogl_place_zone_at(p, s->zone)->grid;
-	unsigned plane = plane_of(&p->workers[w].capacity, &s->avail);
+	unsigned accel_group =
+	    accel_group_of(&p->workers[w].capacity, &s->avail);
 
-	if (s->indexed && plane == s->plane && !ogl_grid_moves(s))
+	if (s->indexed && accel_group == s->accel_group &&
+	    !ogl_grid_must_move(s))
 		return;
 	if (s->indexed)
-		ogl_grid_take(&grid[s->plane], p->slots, w);
-	s->plane = (uint8_t)plane;
-	ogl_grid_put(&grid[plane], p->slots, w);
+		ogl_grid_remove(&grid[s->accel_group], p->entries, w);
+	s->accel_group = (uint8_t)accel_group;
+	ogl_grid_insert(&grid[accel_group], p->entries, w);
 }
 
 void
 ogl_place_reindex(struct ogl_place *p, uint32_t w)
 {
 	struct ogl_place_worker *k = &p->workers[w];
-	struct ogl_slot *s = &p->slots[w];
+	struct ogl_grid_entry *s = &p->entries[w];
 	struct ogl_res before = {0}, kept;
 
 	if (!usable(k)) {
@@ -230,7 +232,7 @@
 	}
 	sums_add(p, s);
 	ogl_place_rack_reindex(p, s->rack);
-	put_slot(p, w);
+	move_entry(p, w);
 	forget_misses(p, &s->avail);
 	raise_gang_misses(p, &before, &s->avail);
 }
--- a/src/place_pick.c
+++ b/src/place_pick.c
@@ -25,7 +25,7 @@
 /* ---- batch: best fit -------------------------------------------------- */
 
 struct pack {
-	const struct ogl_slot *slots;
+	const struct ogl_grid_entry *entries;
 	const struct ogl_res *need;
 	double cpu_unit, mem_unit; /* one over the mean capacity */
 	bool by_mem;
@@ -49,7 +49,7 @@
 pack_offer(void *ctx, uint32_t w)
 {
 	struct pack *k = ctx;
-	const struct ogl_res *a = &k->slots[w].avail;
+	const struct ogl_res *a = &k->entries[w].avail;
 	double cpu = (a->cpu_milli - k->need->cpu_milli) * k->cpu_unit;
 	double mem = (a->mem_mb - k->need->mem_mb) * k->mem_unit;
 	double before =
@@ -63,12 +63,12 @@
 }
 
 /*
- * Walks a plane of one zone after the other, from a zone drawn by chance,
+ * Walks a accel_group of one zone after the other, from a zone drawn by chance,
  * until there were offers enough; sets *skipped when a walk was cut short.
  */
 static void
-pack_plane(struct ogl_place *p, struct pack *k, unsigned plane, uint32_t looks,
-    bool *skipped)
+pack_accel_group(struct ogl_place *p, struct pack *k, unsigned accel_group,
+    uint32_t looks, bool *skipped)
 {
 	uint32_t z, n = p->zones->len, left = OFFERS;
 	uint32_t at = n > 0 ? ogl_place_random(p) % n : 0;
@@ -77,16 +77,17 @@
 		struct ogl_grid_walk walk = {
 		    .need = k->need,
 		    .by_mem = k->by_mem,
-		    .take = MIN(OFFERS_ZONE, left),
-		    .misses = looks,
+		    .offers_left = MIN(OFFERS_ZONE, left),
+		    .misses_left = looks,
 		    .offer = pack_offer,
 		    .ctx = k,
 		};
 
-		left -= walk.take;
-		ogl_grid_walk(&ogl_place_zone_at(p, (at + z) % n)->grid[plane],
-		    p->slots, &walk);
-		left += walk.take;
+		left -= walk.offers_left;
+		ogl_grid_walk(
+		    &ogl_place_zone_at(p, (at + z) % n)->grid[accel_group],
+		    p->entries, &walk);
+		left += walk.offers_left;
 		*skipped |= walk.skipped;
 	}
 }
@@ -95,20 +96,21 @@
 batch_pick(struct ogl_place *p, const struct ogl_ask *ask, uint32_t *w)
 {
 	struct pack k = {
-	    .slots = p->slots, .need = &ask->res, .best = OGL_PLACE_NONE};
-	unsigned plane;
+	    .entries = p->entries, .need = &ask->res, .best = OGL_PLACE_NONE};
+	unsigned accel_group;
 	bool skipped;
 
 	k.cpu_unit = p->n / (p->total_cpu + 1.0);
 	k.mem_unit = p->n / (p->total_mem + 1.0);
 	k.by_mem =
 	    ask->res.mem_mb * k.mem_unit > ask->res.cpu_milli * k.cpu_unit;
-	for (plane = ogl_place_first_plane(&ask->res); plane < OGL_PLANES;
-	     plane++) {
+	for (accel_group = ogl_place_first_accel_group(&ask->res);
+	     accel_group < OGL_ACCEL_GROUPS; accel_group++) {
 		skipped = false;
-		pack_plane(p, &k, plane, LOOKS, &skipped);
+		pack_accel_group(p, &k, accel_group, LOOKS, &skipped);
 		if (k.best == OGL_PLACE_NONE && skipped)
-			pack_plane(p, &k, plane, UINT32_MAX, &skipped);
+			pack_accel_group(
+			    p, &k, accel_group, UINT32_MAX, &skipped);
 		if (k.best != OGL_PLACE_NONE)
 			break;
 	}
@@ -141,7 +143,7 @@
 spread_offer(void *ctx, uint32_t w)
 {
 	struct spread *k = ctx;
-	const struct ogl_slot *s = &k->p->slots[w];
+	const struct ogl_grid_entry *s = &k->p->entries[w];
 	uint64_t rack = ogl_counts_get(
 	    &k->p->counts, ogl_counts_key(k->job, OGL_COUNT_RACK, s->rack));
 	uint64_t here = job_here(&k->p->workers[w], k->job);
@@ -153,29 +155,29 @@
 	k->best = w;
 }
 
-/* One walk of a zone's plane from a class chosen by chance. */
+/* One walk of a zone's accel_group from a class chosen by chance. */
 static void
 spread_walk(struct ogl_place *p, const struct ogl_ask *ask, struct spread *k,
     const struct ogl_grid *g, uint32_t looks, bool *skipped)
 {
 	struct ogl_grid_walk walk = {
 	    .need = &ask->res,
-	    .from = ogl_place_random(p) % OGL_GRID_CLASSES,
-	    .take = OFFERS,
-	    .misses = looks,
+	    .from_class = ogl_place_random(p) % OGL_GRID_CLASSES,
+	    .offers_left = OFFERS,
+	    .misses_left = looks,
 	    .offer = spread_offer,
 	    .ctx = k,
 	};
 
-	ogl_grid_walk(g, p->slots, &walk);
+	ogl_grid_walk(g, p->entries, &walk);
 	*skipped |= walk.skipped;
 }
 
 static bool
 spread_in_zone(struct ogl_place *p, const struct ogl_ask *ask, uint32_t z,
-    unsigned plane, uint32_t *w)
+    unsigned accel_group, uint32_t *w)
 {
-	struct ogl_grid *g = &ogl_place_zone_at(p, z)->grid[plane];
+	struct ogl_grid *g = &ogl_place_zone_at(p, z)->grid[accel_group];
 	struct spread k = {.p = p, .job = ask->job, .best = OGL_PLACE_NONE};
 	bool skipped = false;
 
@@ -218,15 +220,15 @@
 static bool
 service_pick(struct ogl_place *p, const struct ogl_ask *ask, uint32_t *w)
 {
-	unsigned plane;
+	unsigned accel_group;
 	uint32_t z = 0;
 
-	for (plane = ogl_place_first_plane(&ask->res); plane < OGL_PLANES;
-	     plane++) {
+	for (accel_group = ogl_place_first_accel_group(&ask->res);
+	     accel_group < OGL_ACCEL_GROUPS; accel_group++) {
 		uint8_t tried[UINT8_MAX + 1] = {0};
 
 		while (next_zone(p, ask->job, tried, &z)) {
-			if (spread_in_zone(p, ask, z, plane, w))
+			if (spread_in_zone(p, ask, z, accel_group, w))
 				return true;
 		}
 	}
