--- a/src/place.c
+++ b/src/place.c
@@ -456,7 +456,7 @@
 	unsigned accel_group;
 
 	n += p->room * (sizeof(*p->entries) + sizeof(*p->workers));
-	n += p->counts.size * sizeof(*p->counts.cells);
+	n += p->counts.size * sizeof(*p->counts.entries);
 	n += p->racks->len *
 	     (sizeof(struct ogl_place_rack) + sizeof(*p->rack_entries));
 	for (i = 0; i < p->n; i++)
--- a/src/place.h
+++ b/src/place.h
@@ -67,25 +67,25 @@
 /* ---- counts ----------------------------------------------------------- */
 
 /* How many tasks of a job stand in a zone or rack, by hashed key. */
-struct ogl_count_cell {
+struct ogl_count_entry {
 	uint64_t key; /* 0 when empty */
 	uint32_t n;
 };
 
 struct ogl_counts {
-	struct ogl_count_cell *cells;
+	struct ogl_count_entry *entries;
 	uint32_t size; /* power of two */
 	uint32_t used;
 };
 
-enum ogl_count_sort {
+enum ogl_count_scope {
 	OGL_COUNT_ZONE = 1,
 	OGL_COUNT_RACK
 };
 
 void ogl_counts_init(struct ogl_counts *c);
 void ogl_counts_clear(struct ogl_counts *c);
-uint64_t ogl_counts_key(uint64_t job, enum ogl_count_sort sort, uint32_t id);
+uint64_t ogl_counts_key(uint64_t job, enum ogl_count_scope scope, uint32_t id);
 uint32_t ogl_counts_get(const struct ogl_counts *c, uint64_t key);
 void ogl_counts_add(struct ogl_counts *c, uint64_t key);
 void ogl_counts_sub(struct ogl_counts *c, uint64_t key);
--- a/src/place_count.c
+++ b/src/place_count.c
@@ -2,7 +2,7 @@
  * Counts by a 64-bit hashed key, for spreading a job's tasks.
  *
  * An open-addressed table with linear probing; a count that falls to zero is
- * taken out by moving later cells back, so the table needs no tombstones and
+ * taken out by moving later entries back, so the table needs no tombstones and
  * its size follows what is counted now.  Two keys that collide would share a
  * count: spreading gets a little worse, nothing else.
  */
@@ -16,20 +16,20 @@
 {
 	c->size = COUNT_MIN_SIZE;
 	c->used = 0;
-	c->cells = g_new0(struct ogl_count_cell, c->size);
+	c->entries = g_new0(struct ogl_count_entry, c->size);
 }
 
 void
 ogl_counts_clear(struct ogl_counts *c)
 {
-	g_free(c->cells);
-	c->cells = NULL;
+	g_free(c->entries);
+	c->entries = NULL;
 }
 
 uint64_t
-ogl_counts_key(uint64_t job, enum ogl_count_sort sort, uint32_t id)
+ogl_counts_key(uint64_t job, enum ogl_count_scope scope, uint32_t id)
 {
-	uint64_t x = job + 0x9e3779b97f4a7c15u * ((uint64_t)id * 4 + sort);
+	uint64_t x = job + 0x9e3779b97f4a7c15u * ((uint64_t)id * 4 + scope);
 
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9u;
 	x = (x ^ (x >> 27)) * 0x94d049bb133111ebu;
@@ -43,7 +43,7 @@
 {
 	uint32_t i = (uint32_t)key & (c->size - 1);
 
-	while (c->cells[i].key != 0 && c->cells[i].key != key)
+	while (c->entries[i].key != 0 && c->entries[i].key != key)
 		i = (i + 1) & (c->size - 1);
 	return i;
 }
@@ -51,20 +51,20 @@
 uint32_t
 ogl_counts_get(const struct ogl_counts *c, uint64_t key)
 {
-	return c->cells[find(c, key)].n;
+	return c->entries[find(c, key)].n;
 }
 
 static void
 resize(struct ogl_counts *c, uint32_t size)
 {
-	struct ogl_count_cell *old = c->cells;
+	struct ogl_count_entry *old = c->entries;
 	uint32_t i, n = c->size;
 
-	c->cells = g_new0(struct ogl_count_cell, size);
+	c->entries = g_new0(struct ogl_count_entry, size);
 	c->size = size;
 	for (i = 0; i < n; i++) {
 		if (old[i].key != 0)
-			c->cells[find(c, old[i].key)] = old[i];
+			c->entries[find(c, old[i].key)] = old[i];
 	}
 	g_free(old);
 }
@@ -77,14 +77,14 @@
 	if ((c->used + 1) * 4 > c->size * 3)
 		resize(c, c->size * 2);
 	i = find(c, key);
-	if (c->cells[i].key == 0) {
-		c->cells[i].key = key;
+	if (c->entries[i].key == 0) {
+		c->entries[i].key = key;
 		c->used++;
 	}
-	c->cells[i].n++;
+	c->entries[i].n++;
 }
 
-/* Empties cell i and closes the gap in the run of cells after it. */
+/* Empties cell i and closes the gap in the run of entries after it. */
 static void
 erase(struct ogl_counts *c, uint32_t i)
 {
@@ -92,16 +92,16 @@
 
 	for (;;) {
 		j = (j + 1) & mask;
-		if (c->cells[j].key == 0)
+		if (c->entries[j].key == 0)
 			break;
-		home = (uint32_t)c->cells[j].key & mask;
+		home = (uint32_t)c->entries[j].key & mask;
 		if (((j - home) & mask) < ((j - i) & mask))
 			continue;
-		c->cells[i] = c->cells[j];
+		c->entries[i] = c->entries[j];
 		i = j;
 	}
-	c->cells[i].key = 0;
-	c->cells[i].n = 0;
+	c->entries[i].key = 0;
+	c->entries[i].n = 0;
 	c->used--;
 }
 
@@ -110,9 +110,9 @@
 {
 	uint32_t i = find(c, key);
 
-	if (c->cells[i].key == 0)
+	if (c->entries[i].key == 0)
 		return;
-	if (--c->cells[i].n > 0)
+	if (--c->entries[i].n > 0)
 		return;
 	erase(c, i);
 	if (c->size > COUNT_MIN_SIZE && c->used * 8 < c->size)
