--- a/src/place.c
+++ b/src/place.c
@@ -263,7 +263,7 @@
 		p->workers =
 		    g_renew(struct ogl_place_worker, p->workers, p->room);
 	}
-	ogl_health_fit(p->health, p->n + 1);
+	ogl_health_resize(p->health, p->n + 1);
 	return p->n++;
 }
 
@@ -342,7 +342,7 @@
 	shape_count(p, &k->capacity, -1);
 	recount_jobs(p, w, false);
 	leave_rack(p, w);
-	ogl_health_forget(p->health, w);
+	ogl_health_remove_worker(p->health, w);
 	g_hash_table_remove(p->byname, k->name);
 	g_free(k->name);
 	g_free(k->jobs);
--- a/src/place.h
+++ b/src/place.h
@@ -101,15 +101,16 @@
     struct ogl_health *h, uint32_t w, uint64_t job, bool ok, ogl_time now);
 /* Tells of a task's end; whether the worker should be set aside now. */
 
-ogl_time ogl_health_aside(struct ogl_health *h, uint32_t w, ogl_time now);
+ogl_time ogl_health_start_quarantine(
+    struct ogl_health *h, uint32_t w, ogl_time now);
 /* The worker is set aside; until when. */
 
-void ogl_health_fit(struct ogl_health *h, uint32_t workers);
+void ogl_health_resize(struct ogl_health *h, uint32_t workers);
 /* Makes room for the jobs of so many workers. */
 
 size_t ogl_health_bytes(const struct ogl_health *h);
 
-void ogl_health_forget(struct ogl_health *h, uint32_t w);
+void ogl_health_remove_worker(struct ogl_health *h, uint32_t w);
 /* Worker w is gone. */
 
 /* ---- the whole -------------------------------------------------------- */
--- a/src/place_aside.c
+++ b/src/place_aside.c
@@ -23,7 +23,7 @@
 	if (k->aside == OGL_ASIDE_PROBE)
 		p->probes--;
 	k->aside = OGL_ASIDE_WAITS;
-	k->aside_due = ogl_health_aside(p->health, w, now);
+	k->aside_due = ogl_health_start_quarantine(p->health, w, now);
 	p->aside_due = MIN(p->aside_due, k->aside_due);
 	ogl_place_unkeep(p, w);
 	ogl_place_reindex(p, w);
--- a/src/place_health.c
+++ b/src/place_health.c
@@ -23,33 +23,33 @@
 
 #include "place.h"
 
-#define JOB_SETS_MIN 64 /* of two records each */
-#define WORKERS_A_SET 4
-#define JOB_WEIGHT_MAX 64   /* results after which old ones are halved */
-#define SUSPECT_JOBS 8      /* failed jobs remembered a worker */
-#define SURPRISE_MAX 4.0    /* bits that one job can add */
-#define SURPRISE_MIN 0.5    /* bits below which a job tells nothing */
-#define SURPRISE_ASIDE 20.0 /* bits at which a worker is set aside */
-#define JOBS_ASIDE 3        /* telling jobs needed besides */
-#define SURPRISE_AGAIN 10.0 /* the same for one set aside lately */
-#define JOBS_AGAIN 2
-#define ASIDE_BASE (30 * OGL_SEC)
-#define ASIDE_DOUBLINGS 6
-#define GOOD_RUN 32   /* good tasks that clear the past */
-#define FAILS_A_JOB 2 /* of a job on one worker that count */
+#define MIN_JOB_SETS 64 /* of two records each */
+#define WORKERS_PER_SET 4
+#define MAX_JOB_RESULTS 64       /* results after which old ones are halved */
+#define MAX_FAILED_JOBS 8        /* failed jobs remembered a worker */
+#define MAX_SURPRISAL_BITS 4.0   /* bits that one job can add */
+#define MIN_SURPRISAL_BITS 0.5   /* bits below which a job tells nothing */
+#define SUSPECT_BITS 20.0        /* bits at which a worker is set aside */
+#define SUSPECT_MIN_JOBS 3       /* significant jobs needed besides */
+#define REPEAT_SUSPECT_BITS 10.0 /* the same for one set aside lately */
+#define REPEAT_SUSPECT_MIN_JOBS 2
+#define MIN_COOLDOWN (30 * OGL_SEC)
+#define MAX_COOLDOWN_DOUBLINGS 6
+#define CLEARING_SUCCESSES 32  /* good tasks that clear the past */
+#define MAX_FAILURES_PER_JOB 2 /* of a job on one worker that count */
 
 struct job_record {
 	uint64_t job;
 	ogl_time last;
-	uint16_t ok, fail;
+	uint16_t ok, failed;
 };
 
 struct worker_record {
-	uint64_t jobs[SUSPECT_JOBS]; /* failed here since a good task */
-	uint8_t fails[SUSPECT_JOBS]; /* how often */
+	uint64_t jobs[MAX_FAILED_JOBS];    /* failed here since a good task */
+	uint8_t failures[MAX_FAILED_JOBS]; /* how often */
 	uint8_t njobs, next;
-	uint8_t strikes; /* times set aside of late */
-	uint8_t run;     /* good tasks since it was set aside */
+	uint8_t quarantines; /* times set aside of late */
+	uint8_t successes;   /* good tasks since it was set aside */
 };
 
 struct ogl_health {
@@ -63,7 +63,7 @@
 {
 	struct ogl_health *h = g_new0(struct ogl_health, 1);
 
-	h->sets = JOB_SETS_MIN;
+	h->sets = MIN_JOB_SETS;
 	h->jobs = g_malloc0(h->sets * sizeof(*h->jobs));
 	h->workers = g_ptr_array_new_with_free_func(g_free);
 	return h;
@@ -108,24 +108,24 @@
 	if (ok)
 		r->ok++;
 	else
-		r->fail++;
-	if (r->ok + r->fail > JOB_WEIGHT_MAX) {
+		r->failed++;
+	if (r->ok + r->failed > MAX_JOB_RESULTS) {
 		r->ok /= 2;
-		r->fail /= 2;
+		r->failed /= 2;
 	}
 }
 
-/* Bits of surprise that this job failed at one worker. */
+/* Bits of surprisal that this job failed at one worker. */
 static double
-surprise(const struct job_record *r)
+surprisal(const struct job_record *r)
 {
-	unsigned other = r->fail > 0 ? r->fail - 1u : 0;
+	unsigned other = r->failed > 0 ? r->failed - 1u : 0;
 	double bits;
 
 	if (r->ok == 0)
 		return 0;
 	bits = -log2((other + 1.0) / (r->ok + other + 2.0));
-	return bits < SURPRISE_MIN ? 0 : MIN(bits, SURPRISE_MAX);
+	return bits < MIN_SURPRISAL_BITS ? 0 : MIN(bits, MAX_SURPRISAL_BITS);
 }
 
 static struct worker_record *
@@ -142,7 +142,7 @@
 }
 
 static void
-worker_did_well(struct ogl_health *h, uint32_t w)
+worker_succeeded(struct ogl_health *h, uint32_t w)
 {
 	struct worker_record *r = worker_record(h, w, false);
 
@@ -150,7 +150,7 @@
 		return;
 	r->njobs /= 2;
 	r->next = r->njobs;
-	if (++r->run < GOOD_RUN)
+	if (++r->successes < CLEARING_SUCCESSES)
 		return;
 	g_free(r);
 	h->workers->pdata[w] = NULL;
@@ -158,20 +158,20 @@
 
 /* Notes a failed job; false when it was noted before. */
 static bool
-note_job(struct worker_record *r, uint64_t job)
+add_failed_job(struct worker_record *r, uint64_t job)
 {
 	unsigned i;
 
 	for (i = 0; i < r->njobs; i++) {
 		if (r->jobs[i] != job)
 			continue;
-		r->fails[i] = MIN(r->fails[i] + 1, FAILS_A_JOB);
+		r->failures[i] = MIN(r->failures[i] + 1, MAX_FAILURES_PER_JOB);
 		return false;
 	}
-	r->next %= SUSPECT_JOBS;
-	r->fails[r->next] = 1;
+	r->next %= MAX_FAILED_JOBS;
+	r->failures[r->next] = 1;
 	r->jobs[r->next++] = job;
-	if (r->njobs < SUSPECT_JOBS)
+	if (r->njobs < MAX_FAILED_JOBS)
 		r->njobs++;
 	return true;
 }
@@ -180,16 +180,17 @@
 is_suspect(struct ogl_health *h, const struct worker_record *r, ogl_time now)
 {
 	double bits, sum = 0;
-	unsigned i, telling = 0;
+	unsigned i, significant = 0;
 
 	for (i = 0; i < r->njobs; i++) {
-		bits = surprise(job_record(h, r->jobs[i], now));
-		sum += bits * r->fails[i];
-		telling += bits > 0;
+		bits = surprisal(job_record(h, r->jobs[i], now));
+		sum += bits * r->failures[i];
+		significant += bits > 0;
 	}
-	if (r->strikes > 0)
-		return sum >= SURPRISE_AGAIN && telling >= JOBS_AGAIN;
-	return sum >= SURPRISE_ASIDE && telling >= JOBS_ASIDE;
+	if (r->quarantines > 0)
+		return sum >= REPEAT_SUSPECT_BITS &&
+		       significant >= REPEAT_SUSPECT_MIN_JOBS;
+	return sum >= SUSPECT_BITS && significant >= SUSPECT_MIN_JOBS;
 }
 
 bool
@@ -201,38 +202,38 @@
 
 	if (ok) {
 		job_result(j, true);
-		worker_did_well(h, w);
+		worker_succeeded(h, w);
 		return false;
 	}
 	r = worker_record(h, w, true);
-	if (note_job(r, job))
+	if (add_failed_job(r, job))
 		job_result(j, false);
 	return is_suspect(h, r, now);
 }
 
 ogl_time
-ogl_health_aside(struct ogl_health *h, uint32_t w, ogl_time now)
+ogl_health_start_quarantine(struct ogl_health *h, uint32_t w, ogl_time now)
 {
 	struct worker_record *r = worker_record(h, w, true);
-	unsigned doublings = MIN(r->strikes, ASIDE_DOUBLINGS);
+	unsigned doublings = MIN(r->quarantines, MAX_COOLDOWN_DOUBLINGS);
 
-	if (r->strikes <= ASIDE_DOUBLINGS)
-		r->strikes++;
+	if (r->quarantines <= MAX_COOLDOWN_DOUBLINGS)
+		r->quarantines++;
 	r->njobs = 0;
 	r->next = 0;
-	r->run = 0;
-	return now + ASIDE_BASE * ((ogl_time)1 << doublings);
+	r->successes = 0;
+	return now + MIN_COOLDOWN * ((ogl_time)1 << doublings);
 }
 
 void
-ogl_health_fit(struct ogl_health *h, uint32_t workers)
+ogl_health_resize(struct ogl_health *h, uint32_t workers)
 {
 	struct job_record(*old)[2] = h->jobs, *r;
 	uint32_t i, n = h->sets;
 
-	if (workers <= n * WORKERS_A_SET)
+	if (workers <= n * WORKERS_PER_SET)
 		return;
-	while (workers > h->sets * WORKERS_A_SET)
+	while (workers > h->sets * WORKERS_PER_SET)
 		h->sets *= 2;
 	h->jobs = g_malloc0(h->sets * sizeof(*h->jobs));
 	for (i = 0; i < 2 * n; i++) {
@@ -258,7 +259,7 @@
 }
 
 void
-ogl_health_forget(struct ogl_health *h, uint32_t w)
+ogl_health_remove_worker(struct ogl_health *h, uint32_t w)
 {
 	if (w >= h->workers->len)
 		return;
