--- a/src/place.c
+++ b/src/place.c
@@ -149,8 +149,8 @@
     struct ogl_place *p, const struct ogl_ask *ask, ogl_time now, uint32_t *w)
 {
 	ogl_place_expire(p, now);
-	ogl_place_wake(p, now);
-	if (!ogl_place_probe(p, ask, now, w)) {
+	ogl_place_update_quarantine(p, now);
+	if (!ogl_place_pick_probe(p, ask, now, w)) {
 		if (ogl_place_missed(p, &ask->res))
 			return false;
 		if (!ogl_place_policy(ask->kind)->pick(p, ask, w)) {
@@ -337,7 +337,7 @@
 		return;
 	k = &p->workers[w];
 	ogl_place_unkeep(p, w);
-	ogl_place_take_back(p, w);
+	ogl_place_end_quarantine(p, w);
 	ogl_place_unindex(p, w);
 	shape_count(p, &k->capacity, -1);
 	recount_jobs(p, w, false);
@@ -399,7 +399,7 @@
 	struct ogl_place *p = g_new0(struct ogl_place, 1);
 
 	p->spare = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-	p->aside = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+	p->quarantined = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	p->reserved.kept = g_array_new(FALSE, FALSE, sizeof(struct ogl_kept));
 	p->byname = g_hash_table_new(g_str_hash, g_str_equal);
 	p->zones = g_ptr_array_new_with_free_func(zone_free);
@@ -411,7 +411,7 @@
 	    g_hash_table_new_full(shape_hash, shape_equal, g_free, NULL);
 	ogl_counts_init(&p->counts);
 	p->health = ogl_health_init();
-	p->aside_due = OGL_NEVER;
+	p->next_quarantine_update = OGL_NEVER;
 	p->rnd = seed;
 	return p;
 }
@@ -440,7 +440,7 @@
 	g_ptr_array_free(p->zones, TRUE);
 	g_hash_table_destroy(p->byname);
 	g_array_free(p->reserved.kept, TRUE);
-	g_array_free(p->aside, TRUE);
+	g_array_free(p->quarantined, TRUE);
 	g_array_free(p->spare, TRUE);
 	g_free(p->workers);
 	g_free(p->rack_entries);
--- a/src/place.h
+++ b/src/place.h
@@ -115,11 +115,11 @@
 
 /* ---- the whole -------------------------------------------------------- */
 
-enum ogl_aside {
-	OGL_ASIDE_NOT,    /* in use */
-	OGL_ASIDE_WAITS,  /* gets nothing until its delay is over */
-	OGL_ASIDE_PROBE,  /* may get one task */
-	OGL_ASIDE_PROBING /* has its one task */
+enum ogl_quarantine {
+	OGL_ASIDE_NOT,            /* in use */
+	OGL_QUARANTINE_COOLDOWN,  /* gets nothing until its delay is over */
+	OGL_QUARANTINE_PROBE_DUE, /* may get one task */
+	OGL_QUARANTINE_PROBING    /* has its one task */
 };
 
 /* Tasks of one spread job on one worker. */
@@ -135,10 +135,10 @@
 	struct ogl_res held_long; /* part of held that services hold */
 	struct ogl_job_here *jobs;
 	uint16_t njobs, room_jobs;
-	uint32_t kept;      /* as struct ogl_kept has it, while in force */
-	ogl_time aside_due; /* when the present aside state ends */
-	uint8_t aside;      /* enum ogl_aside */
-	bool known;         /* the number is in use */
+	uint32_t kept; /* as struct ogl_kept has it, while in force */
+	ogl_time quarantine_until; /* when the present aside state ends */
+	uint8_t aside;             /* enum ogl_quarantine */
+	bool known;                /* the number is in use */
 	bool open;
 	bool counted; /* in the sums of ogl_place_room */
 };
@@ -200,9 +200,9 @@
 	GHashTable *shapes; /* capacity -> workers of it */
 	struct ogl_counts counts;
 	struct ogl_health *health;
-	GArray *aside; /* uint32_t, workers not in OGL_ASIDE_NOT */
-	ogl_time aside_due;
-	uint32_t probes; /* workers in OGL_ASIDE_PROBE */
+	GArray *quarantined; /* uint32_t, workers not in OGL_ASIDE_NOT */
+	ogl_time next_quarantine_update;
+	uint32_t probes_due; /* workers in OGL_QUARANTINE_PROBE_DUE */
 	struct ogl_reservation reserved;
 	struct ogl_res miss[OGL_PLACE_MISSES];
 	uint32_t nmiss;
@@ -309,14 +309,14 @@
 
 /* ---- place_aside.c ---------------------------------------------------- */
 
-void ogl_place_wake(struct ogl_place *p, ogl_time now);
+void ogl_place_update_quarantine(struct ogl_place *p, ogl_time now);
 /* Moves workers on whose delay, or whose long probe task, has come due. */
 
-bool ogl_place_probe(
+bool ogl_place_pick_probe(
     struct ogl_place *p, const struct ogl_ask *ask, ogl_time now, uint32_t *w);
 /* A worker ready for its probe that has room for the task. */
 
-void ogl_place_take_back(struct ogl_place *p, uint32_t w);
+void ogl_place_end_quarantine(struct ogl_place *p, uint32_t w);
 /* Worker w is no longer set aside. */
 
 #endif
--- a/src/place_aside.c
+++ b/src/place_aside.c
@@ -8,65 +8,67 @@
 
 #include "place.h"
 
-#define ASIDE_PART 10              /* at most one in so many is set aside */
-#define ASIDE_SMALLEST 3           /* workers below which none is */
-#define PROBE_LONG (120 * OGL_SEC) /* a probe task this long is good */
-#define PROBE_LOOKS 4
+#define QUARANTINE_ONE_IN 10     /* at most one in so many is set aside */
+#define QUARANTINE_MIN_WORKERS 3 /* workers below which none is */
+#define PROBE_SUCCESS_AFTER (120 * OGL_SEC) /* a probe task this long is good */
+#define PROBE_CANDIDATES 4
 
 static void
-set_aside(struct ogl_place *p, uint32_t w, ogl_time now)
+quarantine(struct ogl_place *p, uint32_t w, ogl_time now)
 {
 	struct ogl_place_worker *k = &p->workers[w];
 
 	if (k->aside == OGL_ASIDE_NOT)
-		g_array_append_val(p->aside, w);
-	if (k->aside == OGL_ASIDE_PROBE)
-		p->probes--;
-	k->aside = OGL_ASIDE_WAITS;
-	k->aside_due = ogl_health_start_quarantine(p->health, w, now);
-	p->aside_due = MIN(p->aside_due, k->aside_due);
+		g_array_append_val(p->quarantined, w);
+	if (k->aside == OGL_QUARANTINE_PROBE_DUE)
+		p->probes_due--;
+	k->aside = OGL_QUARANTINE_COOLDOWN;
+	k->quarantine_until = ogl_health_start_quarantine(p->health, w, now);
+	p->next_quarantine_update =
+	    MIN(p->next_quarantine_update, k->quarantine_until);
 	ogl_place_unkeep(p, w);
 	ogl_place_reindex(p, w);
 }
 
 void
-ogl_place_take_back(struct ogl_place *p, uint32_t w)
+ogl_place_end_quarantine(struct ogl_place *p, uint32_t w)
 {
 	uint32_t i;
 
 	if (p->workers[w].aside == OGL_ASIDE_NOT)
 		return;
-	if (p->workers[w].aside == OGL_ASIDE_PROBE)
-		p->probes--;
+	if (p->workers[w].aside == OGL_QUARANTINE_PROBE_DUE)
+		p->probes_due--;
 	p->workers[w].aside = OGL_ASIDE_NOT;
-	for (i = 0; g_array_index(p->aside, uint32_t, i) != w; i++)
+	for (i = 0; g_array_index(p->quarantined, uint32_t, i) != w; i++)
 		;
-	g_array_remove_index_fast(p->aside, i);
+	g_array_remove_index_fast(p->quarantined, i);
 	ogl_place_reindex(p, w);
 }
 
 /* Moves workers on whose delay, or whose long probe task, has come due. */
 void
-ogl_place_wake(struct ogl_place *p, ogl_time now)
+ogl_place_update_quarantine(struct ogl_place *p, ogl_time now)
 {
 	struct ogl_place_worker *k;
 	uint32_t i, w;
 
-	if (now < p->aside_due)
+	if (now < p->next_quarantine_update)
 		return;
-	p->aside_due = OGL_NEVER;
-	for (i = p->aside->len; i-- > 0;) {
-		w = g_array_index(p->aside, uint32_t, i);
+	p->next_quarantine_update = OGL_NEVER;
+	for (i = p->quarantined->len; i-- > 0;) {
+		w = g_array_index(p->quarantined, uint32_t, i);
 		k = &p->workers[w];
-		if (k->aside == OGL_ASIDE_PROBE)
+		if (k->aside == OGL_QUARANTINE_PROBE_DUE)
 			continue;
-		if (now < k->aside_due) {
-			p->aside_due = MIN(p->aside_due, k->aside_due);
-		} else if (k->aside == OGL_ASIDE_WAITS) {
-			k->aside = OGL_ASIDE_PROBE;
-			p->probes++;
+		if (now < k->quarantine_until) {
+			p->next_quarantine_update =
+			    MIN(p->next_quarantine_update, k->quarantine_until);
+		} else if (k->aside == OGL_QUARANTINE_COOLDOWN) {
+			k->aside = OGL_QUARANTINE_PROBE_DUE;
+			p->probes_due++;
 		} else {
-			ogl_place_take_back(p, w);
+			ogl_place_end_quarantine(p, w);
 		}
 	}
 }
@@ -76,29 +78,30 @@
  * one failed task would cost the whole gang.
  */
 bool
-ogl_place_probe(
+ogl_place_pick_probe(
     struct ogl_place *p, const struct ogl_ask *ask, ogl_time now, uint32_t *w)
 {
 	struct ogl_place_worker *k;
 	struct ogl_res room;
 	uint32_t i, at;
 
-	if (p->probes == 0 || ask->kind == OGL__KIND__gang)
+	if (p->probes_due == 0 || ask->kind == OGL__KIND__gang)
 		return false;
 	at = ogl_place_random(p);
-	for (i = 0; i < MIN(PROBE_LOOKS, p->aside->len); i++) {
-		*w =
-		    g_array_index(p->aside, uint32_t, (at + i) % p->aside->len);
+	for (i = 0; i < MIN(PROBE_CANDIDATES, p->quarantined->len); i++) {
+		*w = g_array_index(
+		    p->quarantined, uint32_t, (at + i) % p->quarantined->len);
 		k = &p->workers[*w];
 		room = ogl_place_free_room(k);
-		if (k->aside != OGL_ASIDE_PROBE || !k->open ||
+		if (k->aside != OGL_QUARANTINE_PROBE_DUE || !k->open ||
 		    !ogl_res_fits(&k->held, &k->capacity) ||
 		    !ogl_res_fits(&ask->res, &room))
 			continue;
-		k->aside = OGL_ASIDE_PROBING;
-		k->aside_due = now + PROBE_LONG;
-		p->aside_due = MIN(p->aside_due, k->aside_due);
-		p->probes--;
+		k->aside = OGL_QUARANTINE_PROBING;
+		k->quarantine_until = now + PROBE_SUCCESS_AFTER;
+		p->next_quarantine_update =
+		    MIN(p->next_quarantine_update, k->quarantine_until);
+		p->probes_due--;
 		return true;
 	}
 	return false;
@@ -110,13 +113,13 @@
  * would lose most of its workers to it just when all else is failing.
  */
 static bool
-may_set_aside(const struct ogl_place *p)
+may_quarantine(const struct ogl_place *p)
 {
 	uint32_t n = g_hash_table_size(p->byname);
 
-	if (n < ASIDE_SMALLEST)
+	if (n < QUARANTINE_MIN_WORKERS)
 		return false;
-	return p->aside->len < MAX(n / ASIDE_PART, 1);
+	return p->quarantined->len < MAX(n / QUARANTINE_ONE_IN, 1);
 }
 
 void
@@ -128,13 +131,13 @@
 	if (!ogl_place_known(p, w))
 		return;
 	suspect = ogl_health_result(p->health, w, job, ok, now);
-	if (p->workers[w].aside == OGL_ASIDE_PROBING) {
+	if (p->workers[w].aside == OGL_QUARANTINE_PROBING) {
 		if (ok)
-			ogl_place_take_back(p, w);
+			ogl_place_end_quarantine(p, w);
 		else
-			set_aside(p, w, now);
+			quarantine(p, w, now);
 	} else if (suspect && p->workers[w].aside == OGL_ASIDE_NOT &&
-		   may_set_aside(p)) {
-		set_aside(p, w, now);
+		   may_quarantine(p)) {
+		quarantine(p, w, now);
 	}
 }
