--- a/src/place.c
+++ b/src/place.c
@@ -148,7 +148,7 @@
 ogl_place_task(
     struct ogl_place *p, const struct ogl_ask *ask, ogl_time now, uint32_t *w)
 {
-	ogl_place_expire(p, now);
+	ogl_place_expire_reservation(p, now);
 	ogl_place_update_quarantine(p, now);
 	if (!ogl_place_pick_probe(p, ask, now, w)) {
 		if (ogl_place_missed(p, &ask->res))
@@ -302,7 +302,7 @@
 	if (g_hash_table_lookup_extended(p->byname, name, NULL, &v)) {
 		w = GPOINTER_TO_UINT(v);
 		k = &p->workers[w];
-		ogl_place_unkeep(p, w);
+		ogl_place_unreserve_worker(p, w);
 		ogl_place_unindex(p, w);
 		shape_count(p, &k->capacity, -1);
 		recount_jobs(p, w, false);
@@ -336,7 +336,7 @@
 	if (!ogl_place_known(p, w))
 		return;
 	k = &p->workers[w];
-	ogl_place_unkeep(p, w);
+	ogl_place_unreserve_worker(p, w);
 	ogl_place_end_quarantine(p, w);
 	ogl_place_unindex(p, w);
 	shape_count(p, &k->capacity, -1);
@@ -357,7 +357,7 @@
 		return;
 	p->workers[w].open = st == OGL_PLACE_OPEN;
 	if (st == OGL_PLACE_CLOSED)
-		ogl_place_unkeep(p, w);
+		ogl_place_unreserve_worker(p, w);
 	ogl_place_reindex(p, w);
 }
 
@@ -400,7 +400,8 @@
 
 	p->spare = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	p->quarantined = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-	p->reserved.kept = g_array_new(FALSE, FALSE, sizeof(struct ogl_kept));
+	p->reserved.workers =
+	    g_array_new(FALSE, FALSE, sizeof(struct ogl_reserved_worker));
 	p->byname = g_hash_table_new(g_str_hash, g_str_equal);
 	p->zones = g_ptr_array_new_with_free_func(zone_free);
 	p->zone_byname = g_hash_table_new(g_str_hash, g_str_equal);
@@ -439,7 +440,7 @@
 	g_hash_table_destroy(p->zone_byname);
 	g_ptr_array_free(p->zones, TRUE);
 	g_hash_table_destroy(p->byname);
-	g_array_free(p->reserved.kept, TRUE);
+	g_array_free(p->reserved.workers, TRUE);
 	g_array_free(p->quarantined, TRUE);
 	g_array_free(p->spare, TRUE);
 	g_free(p->workers);
--- a/src/place.h
+++ b/src/place.h
@@ -135,7 +135,8 @@
 	struct ogl_res held_long; /* part of held that services hold */
 	struct ogl_job_here *jobs;
 	uint16_t njobs, room_jobs;
-	uint32_t kept; /* as struct ogl_kept has it, while in force */
+	uint32_t
+	    reserved_tasks; /* as struct ogl_reserved_worker has it, while in force */
 	ogl_time quarantine_until; /* when the present aside state ends */
 	uint8_t aside;             /* enum ogl_quarantine */
 	bool known;                /* the number is in use */
@@ -156,24 +157,24 @@
 	uint16_t zone;
 	uint64_t cpu, mem, accel; /* avail over indexed workers */
 	GArray *workers;          /* uint32_t */
-	uint32_t planned;         /* the last plan that looked at it */
+	uint32_t last_plan;       /* the last plan that looked at it */
 };
 
 /* Tasks of the reserved gang that a worker keeps room for. */
-struct ogl_kept {
+struct ogl_reserved_worker {
 	uint32_t w;
 	uint32_t tasks;
 };
 
 /* The one waiting gang that room is kept for. */
 struct ogl_reservation {
-	bool set;
-	bool lost; /* a chosen worker went away */
+	bool active;
+	bool worker_lost; /* a chosen worker went away */
 	struct ogl_ask ask;
 	uint32_t n;
 	ogl_time until;
-	ogl_time chosen; /* when kept was last chosen */
-	GArray *kept;    /* struct ogl_kept */
+	ogl_time chosen_at; /* when kept was last chosen */
+	GArray *workers;    /* struct ogl_reserved_worker */
 };
 
 #define OGL_PLACE_MISSES 8 /* shapes known to fit nowhere */
@@ -208,7 +209,7 @@
 	uint32_t nmiss;
 	struct ogl_gang_miss gang_miss[OGL_GANG_MISSES];
 	uint32_t ngang_miss, next_gang_miss;
-	uint32_t plans;                             /* made so far */
+	uint32_t plans_made;                        /* made so far */
 	uint64_t total_cpu, total_mem, total_accel; /* open workers */
 	uint64_t held_cpu, held_mem, held_accel;
 	uint64_t rnd;
@@ -301,10 +302,10 @@
 
 /* ---- place_gang.c ----------------------------------------------------- */
 
-void ogl_place_unkeep(struct ogl_place *p, uint32_t w);
+void ogl_place_unreserve_worker(struct ogl_place *p, uint32_t w);
 /* Worker w can no longer serve the reservation. */
 
-void ogl_place_expire(struct ogl_place *p, ogl_time now);
+void ogl_place_expire_reservation(struct ogl_place *p, ogl_time now);
 /* Drops a reservation whose deadline has passed. */
 
 /* ---- place_aside.c ---------------------------------------------------- */
--- a/src/place_aside.c
+++ b/src/place_aside.c
@@ -26,7 +26,7 @@
 	k->quarantine_until = ogl_health_start_quarantine(p->health, w, now);
 	p->next_quarantine_update =
 	    MIN(p->next_quarantine_update, k->quarantine_until);
-	ogl_place_unkeep(p, w);
+	ogl_place_unreserve_worker(p, w);
 	ogl_place_reindex(p, w);
 }
 
--- a/src/place_gang.c
+++ b/src/place_gang.c
@@ -1,7 +1,7 @@
 /*
  * Gangs: all tasks at once or none, and the one reservation.
  *
- * A gang is first planned, touching nothing, then held.  The plan tries
+ * A gang is first last_plan, touching nothing, then held.  The plan tries
  * single racks whose free room in sum is enough, found in the zone's grid of
  * racks, then many racks, of the roomiest zone first.  All tasks of a gang
  * are alike, so how many a worker takes does not depend on the others, and a
@@ -21,12 +21,12 @@
 
 #include "place.h"
 
-#define RACK_TRIES 4 /* single racks tried in each zone */
-#define RACK_LOOKS 32
-#define HALVINGS 7          /* steps to the part of work that has to end */
-#define CHOOSE_EACH OGL_SEC /* least time between choices */
+#define SINGLE_RACK_OFFERS 4 /* single racks tried in each zone */
+#define SINGLE_RACK_MISSES 32
+#define BISECTION_STEPS 7 /* steps to the part of work that has to end */
+#define MIN_CHOOSE_INTERVAL OGL_SEC /* least time between choices */
 
-/* ---- plans ------------------------------------------------------------ */
+/* ---- plans_made ------------------------------------------------------------ */
 
 struct plan {
 	struct ogl_place *p;
@@ -34,7 +34,8 @@
 	uint32_t n; /* wanted */
 	uint32_t got;
 	uint32_t *w;
-	bool accel_too; /* also workers with accelerators, if not needed */
+	bool
+	    use_accel_workers; /* also workers with accelerators, if not needed */
 	struct ogl_grid_walk *walk;
 };
 
@@ -51,7 +52,7 @@
 		if (!s->indexed)
 			continue;
 		if (k->ask->res.accel == 0 && s->accel_group != 0 &&
-		    !k->accel_too)
+		    !k->use_accel_workers)
 			continue;
 		fit = ogl_place_fit(&k->ask->res, &s->avail);
 		for (; fit > 0 && k->got < k->n; fit--)
@@ -60,7 +61,7 @@
 }
 
 static void
-one_rack_offer(void *ctx, uint32_t rack)
+single_rack_offer(void *ctx, uint32_t rack)
 {
 	struct plan *k = ctx;
 
@@ -72,7 +73,7 @@
 
 /* A single rack that holds all, in each zone the tightest first. */
 static bool
-plan_one_rack(struct plan *k)
+plan_single_rack(struct plan *k)
 {
 	struct ogl_res all = ogl_place_times(&k->ask->res, k->n);
 	uint32_t i, zones = k->p->zones->len, at = ogl_place_random(k->p);
@@ -82,9 +83,9 @@
 	for (i = 0; i < zones; i++) {
 		struct ogl_grid_walk walk = {
 		    .need = &all,
-		    .offers_left = RACK_TRIES,
-		    .misses_left = RACK_LOOKS,
-		    .offer = one_rack_offer,
+		    .offers_left = SINGLE_RACK_OFFERS,
+		    .misses_left = SINGLE_RACK_MISSES,
+		    .offer = single_rack_offer,
 		    .ctx = k,
 		};
 
@@ -103,9 +104,9 @@
 	struct plan *k = ctx;
 	struct ogl_place_rack *r = ogl_place_rack_at(k->p, rack);
 
-	if (r->planned == k->p->plans)
+	if (r->last_plan == k->p->plans_made)
 		return;
-	r->planned = k->p->plans;
+	r->last_plan = k->p->plans_made;
 	plan_rack(k, rack);
 	if (k->got == k->n)
 		k->walk->offers_left = 0;
@@ -119,10 +120,10 @@
 plan_zone(struct plan *k, uint32_t z)
 {
 	const struct ogl_grid *g = &ogl_place_zone_at(k->p, z)->racks;
-	uint32_t part = k->n;
+	uint32_t tasks = k->n;
 	struct ogl_res need;
 
-	while (k->got < k->n && part > 0) {
+	while (k->got < k->n && tasks > 0) {
 		struct ogl_grid_walk walk = {
 		    .need = &need,
 		    .offers_left = UINT32_MAX,
@@ -131,8 +132,8 @@
 		    .ctx = k,
 		};
 
-		part = part > 1 ? (part + 1) / 2 : 0;
-		need = ogl_place_times(&k->ask->res, MAX(part, 1));
+		tasks = tasks > 1 ? (tasks + 1) / 2 : 0;
+		need = ogl_place_times(&k->ask->res, MAX(tasks, 1));
 		k->walk = &walk;
 		ogl_grid_walk(g, k->p->rack_entries, &walk);
 	}
@@ -146,7 +147,7 @@
 
 /* Tasks that the sums of a zone allow; at least what fits. */
 static uint64_t
-zone_most(const struct ogl_place_zone *z, const struct ogl_res *need)
+zone_upper_bound(const struct ogl_place_zone *z, const struct ogl_res *need)
 {
 	uint64_t n = fit_sum(need->cpu_milli, z->cpu);
 
@@ -162,7 +163,8 @@
 	uint64_t most, sum = 0, best_most = 0;
 
 	for (z = 0; z < zones; z++) {
-		most = zone_most(ogl_place_zone_at(k->p, z), &k->ask->res);
+		most =
+		    zone_upper_bound(ogl_place_zone_at(k->p, z), &k->ask->res);
 		sum += most;
 		if (most > best_most) {
 			best_most = most;
@@ -172,7 +174,7 @@
 	k->got = 0;
 	if (sum < k->n)
 		return false;
-	k->p->plans++;
+	k->p->plans_made++;
 	for (z = 0; z < zones && k->got < k->n; z++)
 		plan_zone(k, (best + z) % zones);
 	return k->got == k->n;
@@ -188,11 +190,11 @@
 	if (ogl_place_missed(k->p, need) ||
 	    ogl_place_gang_missed(k->p, need, k->n))
 		return false;
-	if (plan_one_rack(k) || plan_many_racks(k))
+	if (plan_single_rack(k) || plan_many_racks(k))
 		return true;
 	if (need->accel == 0) {
-		k->accel_too = true;
-		if (plan_one_rack(k) || plan_many_racks(k))
+		k->use_accel_workers = true;
+		if (plan_single_rack(k) || plan_many_racks(k))
 			return true;
 	}
 	/* A plan over all racks that failed has counted all that fits. */
@@ -204,15 +206,16 @@
 /* ---- the reservation -------------------------------------------------- */
 
 static uint32_t
-part_free(uint32_t capacity, uint32_t held, uint32_t held_long, double part)
+free_after_end(
+    uint32_t capacity, uint32_t held, uint32_t held_long, double ended)
 {
-	return capacity - held + (uint32_t)(part * (held - held_long));
+	return capacity - held + (uint32_t)(ended * (held - held_long));
 }
 
 /* Tasks of the gang that fit on w once a part of its work has ended. */
 static uint32_t
-fit_once_ended(
-    const struct ogl_place *p, uint32_t w, double part, bool accel_too)
+fit_after_end(
+    const struct ogl_place *p, uint32_t w, double ended, bool use_accel_workers)
 {
 	const struct ogl_place_worker *k = &p->workers[w];
 	const struct ogl_res *need = &p->reserved.ask.res;
@@ -220,47 +223,49 @@
 
 	if (!p->entries[w].indexed)
 		return 0;
-	if (need->accel == 0 && k->capacity.accel > 0 && !accel_too)
+	if (need->accel == 0 && k->capacity.accel > 0 && !use_accel_workers)
 		return 0;
-	room.cpu_milli = part_free(k->capacity.cpu_milli, k->held.cpu_milli,
-	    k->held_long.cpu_milli, part);
-	room.mem_mb = part_free(
-	    k->capacity.mem_mb, k->held.mem_mb, k->held_long.mem_mb, part);
-	room.accel = part_free(
-	    k->capacity.accel, k->held.accel, k->held_long.accel, part);
+	room.cpu_milli = free_after_end(k->capacity.cpu_milli,
+	    k->held.cpu_milli, k->held_long.cpu_milli, ended);
+	room.mem_mb = free_after_end(
+	    k->capacity.mem_mb, k->held.mem_mb, k->held_long.mem_mb, ended);
+	room.accel = free_after_end(
+	    k->capacity.accel, k->held.accel, k->held_long.accel, ended);
 	return MIN(ogl_place_fit(need, &room), p->reserved.n);
 }
 
 static bool
-enough_once_ended(const struct ogl_place *p, double part, bool accel_too)
+enough_after_end(
+    const struct ogl_place *p, double ended, bool use_accel_workers)
 {
 	uint64_t sum = 0;
 	uint32_t w;
 
 	for (w = 0; w < p->n && sum < p->reserved.n; w++)
-		sum += fit_once_ended(p, w, part, accel_too);
+		sum += fit_after_end(p, w, ended, use_accel_workers);
 	return sum >= p->reserved.n;
 }
 
 /* Keeps what fits once that part has ended, on top of kept tasks. */
 static void
-choose_at(struct ogl_place *p, double part, bool accel_too, uint32_t *left)
+reserve_on_workers(
+    struct ogl_place *p, double ended, bool use_accel_workers, uint32_t *left)
 {
-	struct ogl_kept kept;
+	struct ogl_reserved_worker r;
 	uint32_t fit;
 
-	for (kept.w = 0; kept.w<p->n && * left> 0; kept.w++) {
-		fit = fit_once_ended(p, kept.w, part, accel_too);
-		kept.tasks = MIN(fit, *left);
-		if (kept.tasks == 0)
+	for (r.w = 0; r.w<p->n && * left> 0; r.w++) {
+		fit = fit_after_end(p, r.w, ended, use_accel_workers);
+		r.tasks = MIN(fit, *left);
+		if (r.tasks == 0)
 			continue;
-		*left -= kept.tasks;
-		g_array_append_val(p->reserved.kept, kept);
+		*left -= r.tasks;
+		g_array_append_val(p->reserved.workers, r);
 	}
 }
 
 /*
- * Chooses where to keep room; false when too little can ever fall free.  The
+ * Chooses where to show_reservation room; false when too little can ever fall free.  The
  * least part of every worker's work that has to end is found by halving, so
  * room is kept where little is missing, a few tasks on each of many workers:
  * the first tasks to end on many workers are there long before the last ones
@@ -268,39 +273,40 @@
  * loses none of it and follows what fell free since.
  */
 static bool
-choose(struct ogl_place *p, ogl_time now)
+choose_workers(struct ogl_place *p, ogl_time now)
 {
 	double low = 0, high = 1, middle;
 	uint32_t i, left = p->reserved.n;
-	bool accel_too;
+	bool use_accel_workers;
 
-	g_array_set_size(p->reserved.kept, 0);
-	p->reserved.lost = false;
-	p->reserved.chosen = now;
-	accel_too = !enough_once_ended(p, high, false);
-	if (accel_too && !enough_once_ended(p, high, true))
+	g_array_set_size(p->reserved.workers, 0);
+	p->reserved.worker_lost = false;
+	p->reserved.chosen_at = now;
+	use_accel_workers = !enough_after_end(p, high, false);
+	if (use_accel_workers && !enough_after_end(p, high, true))
 		return false;
-	for (i = 0; i < HALVINGS; i++) {
+	for (i = 0; i < BISECTION_STEPS; i++) {
 		middle = (low + high) / 2;
-		if (enough_once_ended(p, middle, accel_too))
+		if (enough_after_end(p, middle, use_accel_workers))
 			high = middle;
 		else
 			low = middle;
 	}
-	choose_at(p, high, accel_too, &left);
+	reserve_on_workers(p, high, use_accel_workers, &left);
 	return true;
 }
 
 /* Keeps room as chosen, or shows all of it. */
 static void
-keep(struct ogl_place *p, bool on)
+show_reservation(struct ogl_place *p, bool on)
 {
-	const struct ogl_kept *k;
+	const struct ogl_reserved_worker *k;
 	uint32_t i;
 
-	for (i = 0; i < p->reserved.kept->len; i++) {
-		k = &g_array_index(p->reserved.kept, struct ogl_kept, i);
-		p->workers[k->w].kept = on ? k->tasks : 0;
+	for (i = 0; i < p->reserved.workers->len; i++) {
+		k = &g_array_index(
+		    p->reserved.workers, struct ogl_reserved_worker, i);
+		p->workers[k->w].reserved_tasks = on ? k->tasks : 0;
 		ogl_place_reindex(p, k->w);
 	}
 }
@@ -309,30 +315,30 @@
 static void
 end_reservation(struct ogl_place *p)
 {
-	keep(p, false);
-	g_array_set_size(p->reserved.kept, 0);
-	p->reserved.set = false;
+	show_reservation(p, false);
+	g_array_set_size(p->reserved.workers, 0);
+	p->reserved.active = false;
 }
 
 void
-ogl_place_unkeep(struct ogl_place *p, uint32_t w)
+ogl_place_unreserve_worker(struct ogl_place *p, uint32_t w)
 {
-	GArray *a = p->reserved.kept;
+	GArray *a = p->reserved.workers;
 	uint32_t i;
 
-	if (p->workers[w].kept == 0)
+	if (p->workers[w].reserved_tasks == 0)
 		return;
-	p->workers[w].kept = 0;
-	p->reserved.lost = true;
-	for (i = 0; g_array_index(a, struct ogl_kept, i).w != w; i++)
+	p->workers[w].reserved_tasks = 0;
+	p->reserved.worker_lost = true;
+	for (i = 0; g_array_index(a, struct ogl_reserved_worker, i).w != w; i++)
 		;
 	g_array_remove_index_fast(a, i);
 }
 
 void
-ogl_place_expire(struct ogl_place *p, ogl_time now)
+ogl_place_expire_reservation(struct ogl_place *p, ogl_time now)
 {
-	if (p->reserved.set && now >= p->reserved.until)
+	if (p->reserved.active && now >= p->reserved.until)
 		end_reservation(p);
 }
 
@@ -340,28 +346,28 @@
 ogl_place_reserve(struct ogl_place *p, uint64_t job, const struct ogl_ask *ask,
     uint32_t n, ogl_time until, ogl_time now)
 {
-	ogl_place_expire(p, now);
-	if (p->reserved.set && p->reserved.ask.job != job)
+	ogl_place_expire_reservation(p, now);
+	if (p->reserved.active && p->reserved.ask.job != job)
 		return false;
 	if (until <= now)
 		return false;
-	keep(p, false);
-	p->reserved.set = true;
+	show_reservation(p, false);
+	p->reserved.active = true;
 	p->reserved.ask = *ask;
 	p->reserved.ask.job = job;
 	p->reserved.n = n;
 	p->reserved.until = until;
-	if (choose(p, now))
-		keep(p, true);
+	if (choose_workers(p, now))
+		show_reservation(p, true);
 	else
 		end_reservation(p);
-	return p->reserved.set;
+	return p->reserved.active;
 }
 
 void
 ogl_place_unreserve(struct ogl_place *p, uint64_t job)
 {
-	if (!p->reserved.set || p->reserved.ask.job != job)
+	if (!p->reserved.active || p->reserved.ask.job != job)
 		return;
 	end_reservation(p);
 }
@@ -374,14 +380,15 @@
 {
 	bool ok;
 
-	keep(p, false);
+	show_reservation(p, false);
 	ok = plan_gang(k);
 	if (!ok &&
-	    (p->reserved.lost || now - p->reserved.chosen >= CHOOSE_EACH) &&
-	    !choose(p, now))
+	    (p->reserved.worker_lost ||
+		now - p->reserved.chosen_at >= MIN_CHOOSE_INTERVAL) &&
+	    !choose_workers(p, now))
 		end_reservation(p);
 	else
-		keep(p, true);
+		show_reservation(p, true);
 	return ok;
 }
 
@@ -393,8 +400,8 @@
 	uint32_t i;
 	bool own, ok;
 
-	ogl_place_expire(p, now);
-	own = p->reserved.set && p->reserved.ask.job == ask->job;
+	ogl_place_expire_reservation(p, now);
+	own = p->reserved.active && p->reserved.ask.job == ask->job;
 	ok = own ? plan_reserved(p, &k, now) : plan_gang(&k);
 	if (!ok)
 		return false;
--- a/src/place_index.c
+++ b/src/place_index.c
@@ -226,8 +226,8 @@
 		sums_sub(p, s);
 	}
 	s->avail = ogl_place_free_room(k);
-	if (k->kept > 0) {
-		kept = ogl_place_times(&p->reserved.ask.res, k->kept);
+	if (k->reserved_tasks > 0) {
+		kept = ogl_place_times(&p->reserved.ask.res, k->reserved_tasks);
 		ogl_res_sub(&s->avail, &kept);
 	}
 	sums_add(p, s);
