--- a/src/place.c
+++ b/src/place.c
@@ -151,10 +151,10 @@
 	ogl_place_expire_reservation(p, now);
 	ogl_place_update_quarantine(p, now);
 	if (!ogl_place_pick_probe(p, ask, now, w)) {
-		if (ogl_place_missed(p, &ask->res))
+		if (ogl_place_known_no_fit(p, &ask->res))
 			return false;
 		if (!ogl_place_policy(ask->kind)->pick(p, ask, w)) {
-			ogl_place_note_miss(p, &ask->res);
+			ogl_place_note_no_fit(p, &ask->res);
 			return false;
 		}
 	}
--- a/src/place.h
+++ b/src/place.h
@@ -177,13 +177,13 @@
 	GArray *workers;    /* struct ogl_reserved_worker */
 };
 
-#define OGL_PLACE_MISSES 8 /* shapes known to fit nowhere */
-#define OGL_GANG_MISSES 4  /* shapes known to fit few times */
+#define OGL_PLACE_NO_FITS 8 /* shapes known to fit nowhere */
+#define OGL_GANG_BOUNDS 4   /* shapes known to fit few times */
 
 /* How often a shape fits at most, since a gang of it was refused. */
-struct ogl_gang_miss {
+struct ogl_gang_bound {
 	struct ogl_res need;
-	uint64_t most;
+	uint64_t max_tasks;
 };
 
 struct ogl_place {
@@ -205,10 +205,10 @@
 	ogl_time next_quarantine_update;
 	uint32_t probes_due; /* workers in OGL_QUARANTINE_PROBE_DUE */
 	struct ogl_reservation reserved;
-	struct ogl_res miss[OGL_PLACE_MISSES];
-	uint32_t nmiss;
-	struct ogl_gang_miss gang_miss[OGL_GANG_MISSES];
-	uint32_t ngang_miss, next_gang_miss;
+	struct ogl_res no_fits[OGL_PLACE_NO_FITS];
+	uint32_t nno_fits;
+	struct ogl_gang_bound gang_bounds[OGL_GANG_BOUNDS];
+	uint32_t ngang_bounds, next_gang_bound;
 	uint32_t plans_made;                        /* made so far */
 	uint64_t total_cpu, total_mem, total_accel; /* open workers */
 	uint64_t held_cpu, held_mem, held_accel;
@@ -270,7 +270,8 @@
 void ogl_place_unindex(struct ogl_place *p, uint32_t w);
 /* Takes a worker out of every index, before it changes as a whole. */
 
-bool ogl_place_missed(const struct ogl_place *p, const struct ogl_res *need);
+bool ogl_place_known_no_fit(
+    const struct ogl_place *p, const struct ogl_res *need);
 /* Whether the need is known to fit nowhere now. */
 
 struct ogl_res ogl_place_times(const struct ogl_res *r, uint32_t n);
@@ -279,15 +280,15 @@
 void ogl_place_rack_reindex(struct ogl_place *p, uint32_t rack);
 /* Brings a rack's place in its zone's grid up to date. */
 
-bool ogl_place_gang_missed(
+bool ogl_place_gang_known_no_fit(
     const struct ogl_place *p, const struct ogl_res *need, uint32_t n);
 /* Whether so many are known not to fit now. */
 
-void ogl_place_note_gang_miss(
+void ogl_place_note_gang_bound(
     struct ogl_place *p, const struct ogl_res *need, uint64_t most);
 /* The need was found to fit so often and no more. */
 
-void ogl_place_note_miss(struct ogl_place *p, const struct ogl_res *need);
+void ogl_place_note_no_fit(struct ogl_place *p, const struct ogl_res *need);
 /* The need was found to fit nowhere. */
 
 /* ---- place_pick.c ----------------------------------------------------- */
--- a/src/place_gang.c
+++ b/src/place_gang.c
@@ -187,8 +187,8 @@
 
 	if (k->n == 0)
 		return true;
-	if (ogl_place_missed(k->p, need) ||
-	    ogl_place_gang_missed(k->p, need, k->n))
+	if (ogl_place_known_no_fit(k->p, need) ||
+	    ogl_place_gang_known_no_fit(k->p, need, k->n))
 		return false;
 	if (plan_single_rack(k) || plan_many_racks(k))
 		return true;
@@ -199,7 +199,7 @@
 	}
 	/* A plan over all racks that failed has counted all that fits. */
 	if (k->got > 0)
-		ogl_place_note_gang_miss(k->p, need, k->got);
+		ogl_place_note_gang_bound(k->p, need, k->got);
 	return false;
 }
 
--- a/src/place_index.c
+++ b/src/place_index.c
@@ -161,13 +161,13 @@
 
 /* A worker gained room: what fits there is no longer known to fit nowhere. */
 static void
-forget_misses(struct ogl_place *p, const struct ogl_res *avail)
+forget_no_fits(struct ogl_place *p, const struct ogl_res *avail)
 {
 	uint32_t i = 0;
 
-	while (i < p->nmiss) {
-		if (ogl_res_fits(&p->miss[i], avail))
-			p->miss[i] = p->miss[--p->nmiss];
+	while (i < p->nno_fits) {
+		if (ogl_res_fits(&p->no_fits[i], avail))
+			p->no_fits[i] = p->no_fits[--p->nno_fits];
 		else
 			i++;
 	}
@@ -175,18 +175,18 @@
 
 /* A worker gained room: gangs refused before fit so much more often. */
 static void
-raise_gang_misses(struct ogl_place *p, const struct ogl_res *before,
+raise_gang_bounds(struct ogl_place *p, const struct ogl_res *before,
     const struct ogl_res *after)
 {
-	struct ogl_gang_miss *m;
+	struct ogl_gang_bound *m;
 	uint32_t i, old, new;
 
-	for (i = 0; i < p->ngang_miss; i++) {
-		m = &p->gang_miss[i];
+	for (i = 0; i < p->ngang_bounds; i++) {
+		m = &p->gang_bounds[i];
 		old = ogl_place_fit(&m->need, before);
 		new = ogl_place_fit(&m->need, after);
 		if (new > old)
-			m->most += new - old;
+			m->max_tasks += new - old;
 	}
 }
 
@@ -233,55 +233,55 @@
 	sums_add(p, s);
 	ogl_place_rack_reindex(p, s->rack);
 	move_entry(p, w);
-	forget_misses(p, &s->avail);
-	raise_gang_misses(p, &before, &s->avail);
+	forget_no_fits(p, &s->avail);
+	raise_gang_bounds(p, &before, &s->avail);
 }
 
 bool
-ogl_place_missed(const struct ogl_place *p, const struct ogl_res *need)
+ogl_place_known_no_fit(const struct ogl_place *p, const struct ogl_res *need)
 {
 	uint32_t i;
 
-	for (i = 0; i < p->nmiss; i++) {
-		if (ogl_res_fits(&p->miss[i], need))
+	for (i = 0; i < p->nno_fits; i++) {
+		if (ogl_res_fits(&p->no_fits[i], need))
 			return true;
 	}
 	return false;
 }
 
 void
-ogl_place_note_miss(struct ogl_place *p, const struct ogl_res *need)
+ogl_place_note_no_fit(struct ogl_place *p, const struct ogl_res *need)
 {
 	uint32_t i;
 
-	if (p->nmiss < OGL_PLACE_MISSES)
-		i = p->nmiss++;
+	if (p->nno_fits < OGL_PLACE_NO_FITS)
+		i = p->nno_fits++;
 	else
-		i = ogl_place_random(p) % OGL_PLACE_MISSES;
-	p->miss[i] = *need;
+		i = ogl_place_random(p) % OGL_PLACE_NO_FITS;
+	p->no_fits[i] = *need;
 }
 
 bool
-ogl_place_gang_missed(
+ogl_place_gang_known_no_fit(
     const struct ogl_place *p, const struct ogl_res *need, uint32_t n)
 {
 	uint32_t i;
 
-	for (i = 0; i < p->ngang_miss; i++) {
-		if (ogl_res_fits(&p->gang_miss[i].need, need) &&
-		    n > p->gang_miss[i].most)
+	for (i = 0; i < p->ngang_bounds; i++) {
+		if (ogl_res_fits(&p->gang_bounds[i].need, need) &&
+		    n > p->gang_bounds[i].max_tasks)
 			return true;
 	}
 	return false;
 }
 
 void
-ogl_place_note_gang_miss(
+ogl_place_note_gang_bound(
     struct ogl_place *p, const struct ogl_res *need, uint64_t most)
 {
-	uint32_t i = p->next_gang_miss++ % OGL_GANG_MISSES;
+	uint32_t i = p->next_gang_bound++ % OGL_GANG_BOUNDS;
 
-	p->ngang_miss = MIN(p->ngang_miss + 1, OGL_GANG_MISSES);
-	p->gang_miss[i].need = *need;
-	p->gang_miss[i].most = most;
+	p->ngang_bounds = MIN(p->ngang_bounds + 1, OGL_GANG_BOUNDS);
+	p->gang_bounds[i].need = *need;
+	p->gang_bounds[i].max_tasks = most;
 }
