--- a/src/place.c
+++ b/src/place.c
@@ -22,8 +22,8 @@
 {
 	uint64_t x;
 
-	p->rnd += 0x9e3779b97f4a7c15u;
-	x = (p->rnd ^ (p->rnd >> 30)) * 0xbf58476d1ce4e5b9u;
+	p->random_state += 0x9e3779b97f4a7c15u;
+	x = (p->random_state ^ (p->random_state >> 30)) * 0xbf58476d1ce4e5b9u;
 	x = (x ^ (x >> 27)) * 0x94d049bb133111ebu;
 	return (uint32_t)(x >> 32);
 }
@@ -32,7 +32,7 @@
 
 /* Counts one task of a job in or out of the zone and rack of worker w. */
 static void
-job_count(struct ogl_place *p, uint32_t w, uint64_t job, bool in)
+count_job(struct ogl_place *p, uint32_t w, uint64_t job, bool in)
 {
 	const struct ogl_grid_entry *s = &p->entries[w];
 	uint64_t zone = ogl_counts_key(job, OGL_COUNT_ZONE, s->zone);
@@ -53,16 +53,17 @@
 	struct ogl_place_worker *k = &p->workers[w];
 	unsigned i;
 
-	job_count(p, w, job, true);
+	count_job(p, w, job, true);
 	for (i = 0; i < k->njobs; i++) {
 		if (k->jobs[i].job == job) {
 			k->jobs[i].n++;
 			return;
 		}
 	}
-	if (k->njobs == k->room_jobs) {
-		k->room_jobs = (uint16_t)(k->room_jobs * 2 + 2);
-		k->jobs = g_renew(struct ogl_job_here, k->jobs, k->room_jobs);
+	if (k->njobs == k->jobs_allocated) {
+		k->jobs_allocated = (uint16_t)(k->jobs_allocated * 2 + 2);
+		k->jobs =
+		    g_renew(struct ogl_job_tasks, k->jobs, k->jobs_allocated);
 	}
 	k->jobs[k->njobs].job = job;
 	k->jobs[k->njobs++].n = 1;
@@ -78,13 +79,13 @@
 		;
 	if (i == k->njobs)
 		return;
-	job_count(p, w, job, false);
+	count_job(p, w, job, false);
 	if (--k->jobs[i].n == 0)
 		k->jobs[i] = k->jobs[--k->njobs];
 }
 
 void
-ogl_place_take(struct ogl_place *p, uint32_t w, const struct ogl_ask *ask)
+ogl_place_allocate(struct ogl_place *p, uint32_t w, const struct ogl_ask *ask)
 {
 	struct ogl_place_worker *k = &p->workers[w];
 	struct ogl_res room = ogl_place_free_room(k);
@@ -93,13 +94,13 @@
 	g_assert(ogl_res_fits(&k->held, &k->capacity));
 	g_assert(ogl_res_fits(&ask->res, &room));
 	ogl_res_add(&k->held, &ask->res);
-	if (k->counted) {
+	if (k->in_totals) {
 		p->held_cpu += ask->res.cpu_milli;
 		p->held_mem += ask->res.mem_mb;
 		p->held_accel += ask->res.accel;
 	}
 	if (ogl_place_policy(ask->kind)->spreads) {
-		ogl_res_add(&k->held_long, &ask->res);
+		ogl_res_add(&k->held_by_services, &ask->res);
 		job_add(p, w, ask->job);
 	}
 	ogl_place_reindex(p, w);
@@ -117,7 +118,7 @@
 	room = ogl_place_free_room(&p->workers[w]);
 	if (!ogl_res_fits(&ask->res, &room))
 		return false;
-	ogl_place_take(p, w, ask);
+	ogl_place_allocate(p, w, ask);
 	return true;
 }
 
@@ -129,14 +130,14 @@
 	g_return_if_fail(ogl_place_known(p, w));
 	k = &p->workers[w];
 	g_return_if_fail(ogl_res_fits(&ask->res, &k->held));
-	if (k->counted) {
+	if (k->in_totals) {
 		p->held_cpu -= ask->res.cpu_milli;
 		p->held_mem -= ask->res.mem_mb;
 		p->held_accel -= ask->res.accel;
 	}
 	ogl_res_sub(&k->held, &ask->res);
 	if (ogl_place_policy(ask->kind)->spreads) {
-		ogl_res_sub(&k->held_long, &ask->res);
+		ogl_res_sub(&k->held_by_services, &ask->res);
 		job_sub(p, w, ask->job);
 	}
 	ogl_place_reindex(p, w);
@@ -158,14 +159,14 @@
 			return false;
 		}
 	}
-	ogl_place_take(p, *w, ask);
+	ogl_place_allocate(p, *w, ask);
 	return true;
 }
 
 /* ---- workers ---------------------------------------------------------- */
 
 static guint
-shape_hash(gconstpointer v)
+res_hash(gconstpointer v)
 {
 	const struct ogl_res *r = v;
 
@@ -173,22 +174,22 @@
 }
 
 static gboolean
-shape_equal(gconstpointer a, gconstpointer b)
+res_equal(gconstpointer a, gconstpointer b)
 {
 	return memcmp(a, b, sizeof(struct ogl_res)) == 0;
 }
 
 static void
-shape_count(struct ogl_place *p, const struct ogl_res *r, int by)
+count_capacity(struct ogl_place *p, const struct ogl_res *r, int by)
 {
-	guint n = GPOINTER_TO_UINT(g_hash_table_lookup(p->shapes, r));
+	guint n = GPOINTER_TO_UINT(g_hash_table_lookup(p->capacity_counts, r));
 
 	n = (guint)((int)n + by);
 	if (n == 0)
-		g_hash_table_remove(p->shapes, r);
+		g_hash_table_remove(p->capacity_counts, r);
 	else
-		g_hash_table_replace(
-		    p->shapes, g_memdup2(r, sizeof(*r)), GUINT_TO_POINTER(n));
+		g_hash_table_replace(p->capacity_counts,
+		    g_memdup2(r, sizeof(*r)), GUINT_TO_POINTER(n));
 }
 
 static void
@@ -211,7 +212,7 @@
 	struct ogl_place_zone *z;
 	gpointer v;
 
-	if (g_hash_table_lookup_extended(p->zone_byname, name, NULL, &v))
+	if (g_hash_table_lookup_extended(p->zone_by_name, name, NULL, &v))
 		return (uint16_t)GPOINTER_TO_UINT(v);
 	if (p->zones->len == UINT8_MAX)
 		return UINT8_MAX - 1;
@@ -219,7 +220,7 @@
 	z->name = g_strdup(name);
 	g_ptr_array_add(p->zones, z);
 	g_hash_table_insert(
-	    p->zone_byname, z->name, GUINT_TO_POINTER(p->zones->len - 1));
+	    p->zone_by_name, z->name, GUINT_TO_POINTER(p->zones->len - 1));
 	return (uint16_t)(p->zones->len - 1);
 }
 
@@ -231,7 +232,7 @@
 	gpointer v;
 	uint32_t n;
 
-	if (g_hash_table_lookup_extended(p->rack_byname, key, NULL, &v)) {
+	if (g_hash_table_lookup_extended(p->rack_by_name, key, NULL, &v)) {
 		g_free(key);
 		return GPOINTER_TO_UINT(v);
 	}
@@ -242,7 +243,7 @@
 	    g_renew(struct ogl_grid_entry, p->rack_entries, n + 1);
 	memset(&p->rack_entries[n], 0, sizeof(p->rack_entries[n]));
 	ogl_place_rack_reindex(p, n);
-	g_hash_table_insert(p->rack_byname, key, GUINT_TO_POINTER(n));
+	g_hash_table_insert(p->rack_by_name, key, GUINT_TO_POINTER(n));
 	return n;
 }
 
@@ -251,17 +252,18 @@
 {
 	uint32_t w;
 
-	if (p->spare->len > 0) {
-		w = g_array_index(p->spare, uint32_t, p->spare->len - 1);
-		g_array_set_size(p->spare, p->spare->len - 1);
+	if (p->free_numbers->len > 0) {
+		w = g_array_index(
+		    p->free_numbers, uint32_t, p->free_numbers->len - 1);
+		g_array_set_size(p->free_numbers, p->free_numbers->len - 1);
 		return w;
 	}
-	if (p->n == p->room) {
-		p->room = p->room * 2 + 16;
+	if (p->n == p->allocated) {
+		p->allocated = p->allocated * 2 + 16;
 		p->entries =
-		    g_renew(struct ogl_grid_entry, p->entries, p->room);
+		    g_renew(struct ogl_grid_entry, p->entries, p->allocated);
 		p->workers =
-		    g_renew(struct ogl_place_worker, p->workers, p->room);
+		    g_renew(struct ogl_place_worker, p->workers, p->allocated);
 	}
 	ogl_health_resize(p->health, p->n + 1);
 	return p->n++;
@@ -287,7 +289,7 @@
 
 	for (i = 0; i < k->njobs; i++) {
 		for (n = 0; n < k->jobs[i].n; n++)
-			job_count(p, w, k->jobs[i].job, in);
+			count_job(p, w, k->jobs[i].job, in);
 	}
 }
 
@@ -299,12 +301,12 @@
 	uint32_t w;
 	gpointer v;
 
-	if (g_hash_table_lookup_extended(p->byname, name, NULL, &v)) {
+	if (g_hash_table_lookup_extended(p->worker_by_name, name, NULL, &v)) {
 		w = GPOINTER_TO_UINT(v);
 		k = &p->workers[w];
 		ogl_place_unreserve_worker(p, w);
 		ogl_place_unindex(p, w);
-		shape_count(p, &k->capacity, -1);
+		count_capacity(p, &k->capacity, -1);
 		recount_jobs(p, w, false);
 		leave_rack(p, w);
 	} else {
@@ -314,7 +316,8 @@
 		memset(&p->entries[w], 0, sizeof(p->entries[w]));
 		k->name = g_strdup(name);
 		k->known = true;
-		g_hash_table_insert(p->byname, k->name, GUINT_TO_POINTER(w));
+		g_hash_table_insert(
+		    p->worker_by_name, k->name, GUINT_TO_POINTER(w));
 	}
 	k->capacity = *capacity;
 	p->entries[w].zone = zone_number(p, zone != NULL ? zone : "");
@@ -323,7 +326,7 @@
 	g_array_append_val(
 	    ogl_place_rack_at(p, p->entries[w].rack)->workers, w);
 	recount_jobs(p, w, true);
-	shape_count(p, capacity, 1);
+	count_capacity(p, capacity, 1);
 	ogl_place_reindex(p, w);
 	return w;
 }
@@ -339,15 +342,15 @@
 	ogl_place_unreserve_worker(p, w);
 	ogl_place_end_quarantine(p, w);
 	ogl_place_unindex(p, w);
-	shape_count(p, &k->capacity, -1);
+	count_capacity(p, &k->capacity, -1);
 	recount_jobs(p, w, false);
 	leave_rack(p, w);
 	ogl_health_remove_worker(p->health, w);
-	g_hash_table_remove(p->byname, k->name);
+	g_hash_table_remove(p->worker_by_name, k->name);
 	g_free(k->name);
 	g_free(k->jobs);
 	memset(k, 0, sizeof(*k));
-	g_array_append_val(p->spare, w);
+	g_array_append_val(p->free_numbers, w);
 }
 
 void
@@ -371,9 +374,9 @@
 	gpointer shape, count;
 	uint64_t sum = 0;
 
-	g_hash_table_iter_init(&it, p->shapes);
+	g_hash_table_iter_init(&it, p->capacity_counts);
 	while (g_hash_table_iter_next(&it, &shape, &count)) {
-		sum += (uint64_t)ogl_place_fit(&ask->res, shape) *
+		sum += (uint64_t)ogl_place_tasks_fit(&ask->res, shape) *
 		       GPOINTER_TO_UINT(count);
 		if (sum > 0 && sum >= n)
 			return OGL_NEVER_NOT;
@@ -385,12 +388,12 @@
 ogl_place_room(
     const struct ogl_place *p, struct ogl_res *total, struct ogl_res *held)
 {
-	total->cpu_milli = ogl_place_sat(p->total_cpu);
-	total->mem_mb = ogl_place_sat(p->total_mem);
-	total->accel = ogl_place_sat(p->total_accel);
-	held->cpu_milli = ogl_place_sat(p->held_cpu);
-	held->mem_mb = ogl_place_sat(p->held_mem);
-	held->accel = ogl_place_sat(p->held_accel);
+	total->cpu_milli = ogl_place_saturate(p->total_cpu);
+	total->mem_mb = ogl_place_saturate(p->total_mem);
+	total->accel = ogl_place_saturate(p->total_accel);
+	held->cpu_milli = ogl_place_saturate(p->held_cpu);
+	held->mem_mb = ogl_place_saturate(p->held_mem);
+	held->accel = ogl_place_saturate(p->held_accel);
 }
 
 struct ogl_place *
@@ -398,22 +401,22 @@
 {
 	struct ogl_place *p = g_new0(struct ogl_place, 1);
 
-	p->spare = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+	p->free_numbers = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	p->quarantined = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	p->reserved.workers =
 	    g_array_new(FALSE, FALSE, sizeof(struct ogl_reserved_worker));
-	p->byname = g_hash_table_new(g_str_hash, g_str_equal);
+	p->worker_by_name = g_hash_table_new(g_str_hash, g_str_equal);
 	p->zones = g_ptr_array_new_with_free_func(zone_free);
-	p->zone_byname = g_hash_table_new(g_str_hash, g_str_equal);
+	p->zone_by_name = g_hash_table_new(g_str_hash, g_str_equal);
 	p->racks = g_array_new(FALSE, FALSE, sizeof(struct ogl_place_rack));
-	p->rack_byname =
+	p->rack_by_name =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	p->shapes =
-	    g_hash_table_new_full(shape_hash, shape_equal, g_free, NULL);
+	p->capacity_counts =
+	    g_hash_table_new_full(res_hash, res_equal, g_free, NULL);
 	ogl_counts_init(&p->counts);
 	p->health = ogl_health_init();
 	p->next_quarantine_update = OGL_NEVER;
-	p->rnd = seed;
+	p->random_state = seed;
 	return p;
 }
 
@@ -434,15 +437,15 @@
 		g_array_free(ogl_place_rack_at(p, i)->workers, TRUE);
 	ogl_health_end(p->health);
 	ogl_counts_clear(&p->counts);
-	g_hash_table_destroy(p->shapes);
-	g_hash_table_destroy(p->rack_byname);
+	g_hash_table_destroy(p->capacity_counts);
+	g_hash_table_destroy(p->rack_by_name);
 	g_array_free(p->racks, TRUE);
-	g_hash_table_destroy(p->zone_byname);
+	g_hash_table_destroy(p->zone_by_name);
 	g_ptr_array_free(p->zones, TRUE);
-	g_hash_table_destroy(p->byname);
+	g_hash_table_destroy(p->worker_by_name);
 	g_array_free(p->reserved.workers, TRUE);
 	g_array_free(p->quarantined, TRUE);
-	g_array_free(p->spare, TRUE);
+	g_array_free(p->free_numbers, TRUE);
 	g_free(p->workers);
 	g_free(p->rack_entries);
 	g_free(p->entries);
@@ -456,12 +459,13 @@
 	uint32_t i;
 	unsigned accel_group;
 
-	n += p->room * (sizeof(*p->entries) + sizeof(*p->workers));
+	n += p->allocated * (sizeof(*p->entries) + sizeof(*p->workers));
 	n += p->counts.size * sizeof(*p->counts.entries);
 	n += p->racks->len *
 	     (sizeof(struct ogl_place_rack) + sizeof(*p->rack_entries));
 	for (i = 0; i < p->n; i++)
-		n += p->workers[i].room_jobs * sizeof(struct ogl_job_here);
+		n +=
+		    p->workers[i].jobs_allocated * sizeof(struct ogl_job_tasks);
 	for (i = 0; i < p->racks->len; i++)
 		n += ogl_place_rack_at(p, i)->workers->len * sizeof(uint32_t);
 	for (i = 0; i < p->zones->len; i++) {
--- a/src/place.h
+++ b/src/place.h
@@ -123,7 +123,7 @@
 };
 
 /* Tasks of one spread job on one worker. */
-struct ogl_job_here {
+struct ogl_job_tasks {
 	uint64_t job;
 	uint32_t n;
 };
@@ -132,16 +132,16 @@
 	char *name;
 	struct ogl_res capacity;
 	struct ogl_res held;
-	struct ogl_res held_long; /* part of held that services hold */
-	struct ogl_job_here *jobs;
-	uint16_t njobs, room_jobs;
+	struct ogl_res held_by_services; /* part of held that services hold */
+	struct ogl_job_tasks *jobs;
+	uint16_t njobs, jobs_allocated;
 	uint32_t
 	    reserved_tasks; /* as struct ogl_reserved_worker has it, while in force */
 	ogl_time quarantine_until; /* when the present aside state ends */
 	uint8_t aside;             /* enum ogl_quarantine */
 	bool known;                /* the number is in use */
 	bool open;
-	bool counted; /* in the sums of ogl_place_room */
+	bool in_totals; /* in the sums of ogl_place_room */
 };
 
 #define OGL_ACCEL_GROUPS 6 /* see accel_group_of in place.c */
@@ -177,8 +177,8 @@
 	GArray *workers;    /* struct ogl_reserved_worker */
 };
 
-#define OGL_PLACE_NO_FITS 8 /* shapes known to fit nowhere */
-#define OGL_GANG_BOUNDS 4   /* shapes known to fit few times */
+#define OGL_PLACE_NO_FITS 8 /* capacity_counts known to fit nowhere */
+#define OGL_GANG_BOUNDS 4   /* capacity_counts known to fit few times */
 
 /* How often a shape fits at most, since a gang of it was refused. */
 struct ogl_gang_bound {
@@ -189,16 +189,16 @@
 struct ogl_place {
 	struct ogl_grid_entry *entries; /* by worker number */
 	struct ogl_place_worker *workers;
-	uint32_t n, room;
-	GArray *spare;      /* uint32_t, numbers to give again */
-	GHashTable *byname; /* name -> number + 1 */
-	GPtrArray *zones;   /* struct ogl_place_zone */
-	GHashTable *zone_byname;
+	uint32_t n, allocated;
+	GArray *free_numbers;       /* uint32_t, numbers to give again */
+	GHashTable *worker_by_name; /* name -> number + 1 */
+	GPtrArray *zones;           /* struct ogl_place_zone */
+	GHashTable *zone_by_name;
 	GArray *racks; /* struct ogl_place_rack */
 	struct ogl_grid_entry
 	    *rack_entries; /* by rack number, in zones' grids */
-	GHashTable *rack_byname;
-	GHashTable *shapes; /* capacity -> workers of it */
+	GHashTable *rack_by_name;
+	GHashTable *capacity_counts; /* capacity -> workers of it */
 	struct ogl_counts counts;
 	struct ogl_health *health;
 	GArray *quarantined; /* uint32_t, workers not in OGL_ASIDE_NOT */
@@ -212,7 +212,7 @@
 	uint32_t plans_made;                        /* made so far */
 	uint64_t total_cpu, total_mem, total_accel; /* open workers */
 	uint64_t held_cpu, held_mem, held_accel;
-	uint64_t rnd;
+	uint64_t random_state;
 };
 
 static inline struct ogl_place_zone *
@@ -247,7 +247,8 @@
 
 uint32_t ogl_place_random(struct ogl_place *p);
 
-void ogl_place_take(struct ogl_place *p, uint32_t w, const struct ogl_ask *ask);
+void ogl_place_allocate(
+    struct ogl_place *p, uint32_t w, const struct ogl_ask *ask);
 /* Holds room that is known to be there. */
 
 size_t ogl_place_bytes(const struct ogl_place *p);
@@ -255,10 +256,11 @@
 
 /* ---- place_index.c ---------------------------------------------------- */
 
-uint32_t ogl_place_sat(uint64_t v);
+uint32_t ogl_place_saturate(uint64_t v);
 /* The number, or the largest that 32 bits hold. */
 
-uint32_t ogl_place_fit(const struct ogl_res *need, const struct ogl_res *room);
+uint32_t ogl_place_tasks_fit(
+    const struct ogl_res *need, const struct ogl_res *room);
 /* How many such tasks the room holds; UINT32_MAX when they need nothing. */
 
 unsigned ogl_place_first_accel_group(const struct ogl_res *need);
@@ -274,7 +276,7 @@
     const struct ogl_place *p, const struct ogl_res *need);
 /* Whether the need is known to fit nowhere now. */
 
-struct ogl_res ogl_place_times(const struct ogl_res *r, uint32_t n);
+struct ogl_res ogl_place_multiply(const struct ogl_res *r, uint32_t n);
 /* n times r, at most the largest that 32 bits hold. */
 
 void ogl_place_rack_reindex(struct ogl_place *p, uint32_t rack);
@@ -296,7 +298,7 @@
 struct ogl_place_policy {
 	bool (*pick)(
 	    struct ogl_place *p, const struct ogl_ask *ask, uint32_t *w);
-	bool spreads; /* its jobs' tasks are counted by zone and rack */
+	bool spreads; /* its jobs' tasks are in_totals by zone and rack */
 };
 
 const struct ogl_place_policy *ogl_place_policy(Ogl__Kind kind);
--- a/src/place_aside.c
+++ b/src/place_aside.c
@@ -115,7 +115,7 @@
 static bool
 may_quarantine(const struct ogl_place *p)
 {
-	uint32_t n = g_hash_table_size(p->byname);
+	uint32_t n = g_hash_table_size(p->worker_by_name);
 
 	if (n < QUARANTINE_MIN_WORKERS)
 		return false;
--- a/src/place_count.c
+++ b/src/place_count.c
@@ -3,7 +3,7 @@
  *
  * An open-addressed table with linear probing; a count that falls to zero is
  * taken out by moving later entries back, so the table needs no tombstones and
- * its size follows what is counted now.  Two keys that collide would share a
+ * its size follows what is in_totals now.  Two keys that collide would share a
  * count: spreading gets a little worse, nothing else.
  */
 
--- a/src/place_gang.c
+++ b/src/place_gang.c
@@ -54,7 +54,7 @@
 		if (k->ask->res.accel == 0 && s->accel_group != 0 &&
 		    !k->use_accel_workers)
 			continue;
-		fit = ogl_place_fit(&k->ask->res, &s->avail);
+		fit = ogl_place_tasks_fit(&k->ask->res, &s->avail);
 		for (; fit > 0 && k->got < k->n; fit--)
 			k->w[k->got++] = w;
 	}
@@ -75,7 +75,7 @@
 static bool
 plan_single_rack(struct plan *k)
 {
-	struct ogl_res all = ogl_place_times(&k->ask->res, k->n);
+	struct ogl_res all = ogl_place_multiply(&k->ask->res, k->n);
 	uint32_t i, zones = k->p->zones->len, at = ogl_place_random(k->p);
 	struct ogl_place_zone *z;
 
@@ -133,7 +133,7 @@
 		};
 
 		tasks = tasks > 1 ? (tasks + 1) / 2 : 0;
-		need = ogl_place_times(&k->ask->res, MAX(tasks, 1));
+		need = ogl_place_multiply(&k->ask->res, MAX(tasks, 1));
 		k->walk = &walk;
 		ogl_grid_walk(g, k->p->rack_entries, &walk);
 	}
@@ -197,7 +197,7 @@
 		if (plan_single_rack(k) || plan_many_racks(k))
 			return true;
 	}
-	/* A plan over all racks that failed has counted all that fits. */
+	/* A plan over all racks that failed has in_totals all that fits. */
 	if (k->got > 0)
 		ogl_place_note_gang_bound(k->p, need, k->got);
 	return false;
@@ -207,9 +207,9 @@
 
 static uint32_t
 free_after_end(
-    uint32_t capacity, uint32_t held, uint32_t held_long, double ended)
+    uint32_t capacity, uint32_t held, uint32_t held_by_services, double ended)
 {
-	return capacity - held + (uint32_t)(ended * (held - held_long));
+	return capacity - held + (uint32_t)(ended * (held - held_by_services));
 }
 
 /* Tasks of the gang that fit on w once a part of its work has ended. */
@@ -226,12 +226,12 @@
 	if (need->accel == 0 && k->capacity.accel > 0 && !use_accel_workers)
 		return 0;
 	room.cpu_milli = free_after_end(k->capacity.cpu_milli,
-	    k->held.cpu_milli, k->held_long.cpu_milli, ended);
-	room.mem_mb = free_after_end(
-	    k->capacity.mem_mb, k->held.mem_mb, k->held_long.mem_mb, ended);
+	    k->held.cpu_milli, k->held_by_services.cpu_milli, ended);
+	room.mem_mb = free_after_end(k->capacity.mem_mb, k->held.mem_mb,
+	    k->held_by_services.mem_mb, ended);
 	room.accel = free_after_end(
-	    k->capacity.accel, k->held.accel, k->held_long.accel, ended);
-	return MIN(ogl_place_fit(need, &room), p->reserved.n);
+	    k->capacity.accel, k->held.accel, k->held_by_services.accel, ended);
+	return MIN(ogl_place_tasks_fit(need, &room), p->reserved.n);
 }
 
 static bool
@@ -408,6 +408,6 @@
 	if (own)
 		ogl_place_unreserve(p, ask->job);
 	for (i = 0; i < n; i++)
-		ogl_place_take(p, w[i], ask);
+		ogl_place_allocate(p, w[i], ask);
 	return true;
 }
--- a/src/place_index.c
+++ b/src/place_index.c
@@ -1,6 +1,6 @@
 /*
  * The index of placement: where each worker stands in the grids, sums by
- * zone and rack, shapes known to fit nowhere, and gangs known not to fit.
+ * zone and rack, capacity_counts known to fit nowhere, and gangs known not to fit.
  *
  * Every change of a worker ends in ogl_place_reindex, which works out what
  * it shows to searches: its free room less what is kept for a reservation,
@@ -10,24 +10,24 @@
 #include "place.h"
 
 uint32_t
-ogl_place_sat(uint64_t v)
+ogl_place_saturate(uint64_t v)
 {
 	return v > UINT32_MAX ? UINT32_MAX : (uint32_t)v;
 }
 
 static uint32_t
-fit_one(uint32_t need, uint32_t room)
+tasks_fit_one(uint32_t need, uint32_t room)
 {
 	return need > 0 ? room / need : UINT32_MAX;
 }
 
 uint32_t
-ogl_place_fit(const struct ogl_res *need, const struct ogl_res *room)
+ogl_place_tasks_fit(const struct ogl_res *need, const struct ogl_res *room)
 {
-	uint32_t n = fit_one(need->cpu_milli, room->cpu_milli);
+	uint32_t n = tasks_fit_one(need->cpu_milli, room->cpu_milli);
 
-	n = MIN(n, fit_one(need->mem_mb, room->mem_mb));
-	return MIN(n, fit_one(need->accel, room->accel));
+	n = MIN(n, tasks_fit_one(need->mem_mb, room->mem_mb));
+	return MIN(n, tasks_fit_one(need->accel, room->accel));
 }
 
 static unsigned
@@ -54,12 +54,12 @@
 }
 
 struct ogl_res
-ogl_place_times(const struct ogl_res *r, uint32_t n)
+ogl_place_multiply(const struct ogl_res *r, uint32_t n)
 {
 	struct ogl_res out = {
-	    ogl_place_sat((uint64_t)r->cpu_milli * n),
-	    ogl_place_sat((uint64_t)r->mem_mb * n),
-	    ogl_place_sat((uint64_t)r->accel * n),
+	    ogl_place_saturate((uint64_t)r->cpu_milli * n),
+	    ogl_place_saturate((uint64_t)r->mem_mb * n),
+	    ogl_place_saturate((uint64_t)r->accel * n),
 	};
 
 	return out;
@@ -74,9 +74,9 @@
 	struct ogl_grid *g = &ogl_place_zone_at(p, r->zone)->racks;
 	struct ogl_grid_entry *s = &p->rack_entries[rack];
 
-	s->avail.cpu_milli = ogl_place_sat(r->cpu);
-	s->avail.mem_mb = ogl_place_sat(r->mem);
-	s->avail.accel = ogl_place_sat(r->accel);
+	s->avail.cpu_milli = ogl_place_saturate(r->cpu);
+	s->avail.mem_mb = ogl_place_saturate(r->mem);
+	s->avail.accel = ogl_place_saturate(r->accel);
 	if (s->indexed && !ogl_grid_must_move(s))
 		return;
 	if (s->indexed)
@@ -113,7 +113,7 @@
 }
 
 static void
-count_in(struct ogl_place *p, struct ogl_place_worker *k)
+add_to_totals(struct ogl_place *p, struct ogl_place_worker *k)
 {
 	p->total_cpu += k->capacity.cpu_milli;
 	p->total_mem += k->capacity.mem_mb;
@@ -121,11 +121,11 @@
 	p->held_cpu += k->held.cpu_milli;
 	p->held_mem += k->held.mem_mb;
 	p->held_accel += k->held.accel;
-	k->counted = true;
+	k->in_totals = true;
 }
 
 static void
-count_out(struct ogl_place *p, struct ogl_place_worker *k)
+remove_from_totals(struct ogl_place *p, struct ogl_place_worker *k)
 {
 	p->total_cpu -= k->capacity.cpu_milli;
 	p->total_mem -= k->capacity.mem_mb;
@@ -133,7 +133,7 @@
 	p->held_cpu -= k->held.cpu_milli;
 	p->held_mem -= k->held.mem_mb;
 	p->held_accel -= k->held.accel;
-	k->counted = false;
+	k->in_totals = false;
 }
 
 /* Takes a worker out of every index, before it changes as a whole. */
@@ -142,8 +142,8 @@
 {
 	struct ogl_grid_entry *s = &p->entries[w];
 
-	if (p->workers[w].counted)
-		count_out(p, &p->workers[w]);
+	if (p->workers[w].in_totals)
+		remove_from_totals(p, &p->workers[w]);
 	if (!s->indexed)
 		return;
 	sums_sub(p, s);
@@ -183,8 +183,8 @@
 
 	for (i = 0; i < p->ngang_bounds; i++) {
 		m = &p->gang_bounds[i];
-		old = ogl_place_fit(&m->need, before);
-		new = ogl_place_fit(&m->need, after);
+		old = ogl_place_tasks_fit(&m->need, before);
+		new = ogl_place_tasks_fit(&m->need, after);
 		if (new > old)
 			m->max_tasks += new - old;
 	}
@@ -219,15 +219,16 @@
 		ogl_place_unindex(p, w);
 		return;
 	}
-	if (!k->counted)
-		count_in(p, k);
+	if (!k->in_totals)
+		add_to_totals(p, k);
 	if (s->indexed) {
 		before = s->avail;
 		sums_sub(p, s);
 	}
 	s->avail = ogl_place_free_room(k);
 	if (k->reserved_tasks > 0) {
-		kept = ogl_place_times(&p->reserved.ask.res, k->reserved_tasks);
+		kept =
+		    ogl_place_multiply(&p->reserved.ask.res, k->reserved_tasks);
 		ogl_res_sub(&s->avail, &kept);
 	}
 	sums_add(p, s);
--- a/src/place_pick.c
+++ b/src/place_pick.c
@@ -128,7 +128,7 @@
 };
 
 static uint32_t
-job_here(const struct ogl_place_worker *k, uint64_t job)
+tasks_of_job(const struct ogl_place_worker *k, uint64_t job)
 {
 	unsigned i;
 
@@ -146,7 +146,7 @@
 	const struct ogl_grid_entry *s = &k->p->entries[w];
 	uint64_t rack = ogl_counts_get(
 	    &k->p->counts, ogl_counts_key(k->job, OGL_COUNT_RACK, s->rack));
-	uint64_t here = job_here(&k->p->workers[w], k->job);
+	uint64_t here = tasks_of_job(&k->p->workers[w], k->job);
 	uint64_t score = rack << 32 | here;
 
 	if (k->best != OGL_PLACE_NONE && score >= k->score)
