--- a/src/place_pick.c
+++ b/src/place_pick.c
@@ -16,11 +16,11 @@
 
 #include "place.h"
 
-#define OFFERS 32        /* workers compared a decision */
-#define OFFERS_ZONE 8    /* of them in one zone */
-#define LOOKS 48         /* first bound on looks in vain, a zone */
-#define TIGHT 0.05       /* weight of tightness against balance */
-#define ALMOST_FULL 0.05 /* part of a worker that hardly matters */
+#define MAX_OFFERS 32          /* workers compared a decision */
+#define MAX_OFFERS_PER_ZONE 8  /* of them in one zone */
+#define MAX_MISSES_PER_ZONE 48 /* first bound on misses in vain, a zone */
+#define TIGHTNESS_WEIGHT 0.05  /* weight of tightness against balance */
+#define IMBALANCE_FLOOR 0.05   /* part of a worker that hardly matters */
 
 /* ---- batch: best fit -------------------------------------------------- */
 
@@ -33,11 +33,11 @@
 	uint32_t best;
 };
 
-/* How lopsided room is; weighs more the less there is of the scarcer. */
+/* How imbalance room is; weighs more the less there is of the scarcer. */
 static double
-lopsided(double cpu, double mem)
+imbalance(double cpu, double mem)
 {
-	return fabs(cpu - mem) / (MIN(cpu, mem) + ALMOST_FULL);
+	return fabs(cpu - mem) / (MIN(cpu, mem) + IMBALANCE_FLOOR);
 }
 
 /*
@@ -53,8 +53,9 @@
 	double cpu = (a->cpu_milli - k->need->cpu_milli) * k->cpu_unit;
 	double mem = (a->mem_mb - k->need->mem_mb) * k->mem_unit;
 	double before =
-	    lopsided(a->cpu_milli * k->cpu_unit, a->mem_mb * k->mem_unit);
-	double score = lopsided(cpu, mem) - before + TIGHT * (cpu + mem);
+	    imbalance(a->cpu_milli * k->cpu_unit, a->mem_mb * k->mem_unit);
+	double score =
+	    imbalance(cpu, mem) - before + TIGHTNESS_WEIGHT * (cpu + mem);
 
 	if (k->best != OGL_PLACE_NONE && score >= k->score)
 		return;
@@ -68,17 +69,17 @@
  */
 static void
 pack_accel_group(struct ogl_place *p, struct pack *k, unsigned accel_group,
-    uint32_t looks, bool *skipped)
+    uint32_t misses, bool *skipped)
 {
-	uint32_t z, n = p->zones->len, left = OFFERS;
+	uint32_t z, n = p->zones->len, left = MAX_OFFERS;
 	uint32_t at = n > 0 ? ogl_place_random(p) % n : 0;
 
 	for (z = 0; z < n && left > 0; z++) {
 		struct ogl_grid_walk walk = {
 		    .need = k->need,
 		    .by_mem = k->by_mem,
-		    .offers_left = MIN(OFFERS_ZONE, left),
-		    .misses_left = looks,
+		    .offers_left = MIN(MAX_OFFERS_PER_ZONE, left),
+		    .misses_left = misses,
 		    .offer = pack_offer,
 		    .ctx = k,
 		};
@@ -107,7 +108,8 @@
 	for (accel_group = ogl_place_first_accel_group(&ask->res);
 	     accel_group < OGL_ACCEL_GROUPS; accel_group++) {
 		skipped = false;
-		pack_accel_group(p, &k, accel_group, LOOKS, &skipped);
+		pack_accel_group(
+		    p, &k, accel_group, MAX_MISSES_PER_ZONE, &skipped);
 		if (k.best == OGL_PLACE_NONE && skipped)
 			pack_accel_group(
 			    p, &k, accel_group, UINT32_MAX, &skipped);
@@ -158,13 +160,13 @@
 /* One walk of a zone's accel_group from a class chosen by chance. */
 static void
 spread_walk(struct ogl_place *p, const struct ogl_ask *ask, struct spread *k,
-    const struct ogl_grid *g, uint32_t looks, bool *skipped)
+    const struct ogl_grid *g, uint32_t misses, bool *skipped)
 {
 	struct ogl_grid_walk walk = {
 	    .need = &ask->res,
 	    .from_class = ogl_place_random(p) % OGL_GRID_CLASSES,
-	    .offers_left = OFFERS,
-	    .misses_left = looks,
+	    .offers_left = MAX_OFFERS,
+	    .misses_left = misses,
 	    .offer = spread_offer,
 	    .ctx = k,
 	};
@@ -183,7 +185,7 @@
 
 	if (g->rows == 0)
 		return false;
-	spread_walk(p, ask, &k, g, LOOKS, &skipped);
+	spread_walk(p, ask, &k, g, MAX_MISSES_PER_ZONE, &skipped);
 	if (k.best == OGL_PLACE_NONE && skipped)
 		spread_walk(p, ask, &k, g, UINT32_MAX, &skipped);
 	*w = k.best;
