--- a/src/place.h
+++ b/src/place.h
@@ -1,5 +1,5 @@
 /*
- * Parts of placement: the grid of free room, counts for spreading, the
+ * Internals of placement: the grid of free room, counts for spreading, the
  * record of failures, and the state they share.
  */
 
@@ -8,65 +8,66 @@
 
 #include "orioleglade.h"
 
-#define OGL_PLACE_NONE UINT32_MAX /* no worker */
+#define OGL_PLACE_NONE UINT32_MAX /* no worker or rack */
 
 /* ---- grid ------------------------------------------------------------- */
 
-#define OGL_GRID_CLASSES 64 /* size classes a dimension; bits of a mask */
+#define OGL_GRID_CLASSES 64 /* size classes per dimension; one mask bit each */
 
-/* What a search reads of a worker, kept small for the cache. */
+/* What a search reads of a worker or rack; kept small for the cache. */
 struct ogl_grid_entry {
-	struct ogl_res avail; /* free and not kept for a reservation */
+	struct ogl_res avail; /* free and not reserved for a gang */
 	uint32_t next, prev;  /* in its bucket's list */
 	uint32_t rack;
 	uint16_t zone;
-	uint8_t accel_group; /* by accelerators, see place.c */
+	uint8_t accel_group; /* see accel_group_of in place_index.c */
 	uint8_t row, col;
-	bool indexed; /* stands in a bucket */
+	bool indexed; /* is in a bucket */
 };
 
-/* Workers by the size classes of their free processors and memory. */
+/* Workers or racks by the size classes of their free processors and memory. */
 struct ogl_grid {
-	uint64_t rows;                     /* rows with a worker */
-	uint64_t cols;                     /* columns with a worker */
-	uint64_t in_row[OGL_GRID_CLASSES]; /* columns with a worker, by row */
-	uint64_t in_col[OGL_GRID_CLASSES]; /* rows with a worker, by column */
-	uint32_t *head[OGL_GRID_CLASSES];  /* lists by row then column */
+	uint64_t rows; /* mask of rows that hold a worker */
+	uint64_t cols; /* mask of columns that hold a worker */
+	uint64_t in_row[OGL_GRID_CLASSES]; /* mask of used columns, by row */
+	uint64_t in_col[OGL_GRID_CLASSES]; /* mask of used rows, by column */
+	uint32_t *head[OGL_GRID_CLASSES];  /* lists by row, then column */
 };
 
-/* One search, tightest first in one dimension. */
+/* One search of a grid, in ascending size classes of one dimension. */
 struct ogl_grid_walk {
 	const struct ogl_res *need;
 	bool by_mem;          /* order by memory, else by processors */
 	unsigned from_class;  /* class to begin at; lower ones come last */
-	uint32_t offers_left; /* offers left */
-	uint32_t misses_left; /* looks at workers without room left */
-	bool skipped;         /* a bucket that may fit was not looked through */
+	uint32_t offers_left; /* 0 ends the search; offer may set it */
+	uint32_t misses_left; /* workers without room still to examine */
+	bool skipped;         /* some workers that may fit were not examined */
 	void (*offer)(void *ctx, uint32_t w);
 	void *ctx;
 };
 
 void ogl_grid_insert(
     struct ogl_grid *g, struct ogl_grid_entry *entries, uint32_t w);
-/* Puts worker w, by its avail, into its bucket. */
+/* Inserts worker w into the bucket that its avail belongs to. */
 
 void ogl_grid_remove(
     struct ogl_grid *g, struct ogl_grid_entry *entries, uint32_t w);
-/* Takes worker w out of its bucket. */
+/* Removes worker w from its bucket. */
 
 bool ogl_grid_must_move(const struct ogl_grid_entry *s);
 /* Whether the avail of an indexed worker now belongs to another bucket. */
 
 void ogl_grid_walk(const struct ogl_grid *g,
     const struct ogl_grid_entry *entries, struct ogl_grid_walk *k);
-/* Offers workers whose avail holds the need until offers run out. */
+/* Calls offer for workers with room for the need, until offers_left is 0.
+ * Buckets in which a worker may not fit are left once misses_left is 0. */
 
 void ogl_grid_clear(struct ogl_grid *g);
 size_t ogl_grid_bytes(const struct ogl_grid *g);
 
 /* ---- counts ----------------------------------------------------------- */
 
-/* How many tasks of a job stand in a zone or rack, by hashed key. */
+/* The number of a job's tasks in a zone or rack, by hashed key. */
 struct ogl_count_entry {
 	uint64_t key; /* 0 when empty */
 	uint32_t n;
@@ -92,37 +93,38 @@
 
 /* ---- failures --------------------------------------------------------- */
 
-struct ogl_health; /* what tasks' ends say of workers */
+struct ogl_health; /* failures of workers and jobs */
 
 struct ogl_health *ogl_health_init(void);
 void ogl_health_end(struct ogl_health *h);
 
 bool ogl_health_result(
     struct ogl_health *h, uint32_t w, uint64_t job, bool ok, ogl_time now);
-/* Tells of a task's end; whether the worker should be set aside now. */
+/* Records the end of a task of the job on worker w.  Returns whether the
+ * worker is suspect and should be quarantined. */
 
 ogl_time ogl_health_start_quarantine(
     struct ogl_health *h, uint32_t w, ogl_time now);
-/* The worker is set aside; until when. */
+/* Records that worker w is quarantined; returns when its cooldown ends. */
 
 void ogl_health_resize(struct ogl_health *h, uint32_t workers);
-/* Makes room for the jobs of so many workers. */
+/* Enlarges the table of jobs for so many workers. */
 
 size_t ogl_health_bytes(const struct ogl_health *h);
 
 void ogl_health_remove_worker(struct ogl_health *h, uint32_t w);
-/* Worker w is gone. */
+/* Drops the record of worker w. */
 
-/* ---- the whole -------------------------------------------------------- */
+/* ---- shared state ----------------------------------------------------- */
 
 enum ogl_quarantine {
-	OGL_ASIDE_NOT,            /* in use */
-	OGL_QUARANTINE_COOLDOWN,  /* gets nothing until its delay is over */
-	OGL_QUARANTINE_PROBE_DUE, /* may get one task */
-	OGL_QUARANTINE_PROBING    /* has its one task */
+	OGL_ASIDE_NOT,            /* no quarantine */
+	OGL_QUARANTINE_COOLDOWN,  /* gets no tasks until its delay is over */
+	OGL_QUARANTINE_PROBE_DUE, /* may be given one task */
+	OGL_QUARANTINE_PROBING    /* runs that task */
 };
 
-/* Tasks of one spread job on one worker. */
+/* The number of a spread job's tasks on one worker. */
 struct ogl_job_tasks {
 	uint64_t job;
 	uint32_t n;
@@ -132,19 +134,18 @@
 	char *name;
 	struct ogl_res capacity;
 	struct ogl_res held;
-	struct ogl_res held_by_services; /* part of held that services hold */
+	struct ogl_res held_by_services; /* part of held */
 	struct ogl_job_tasks *jobs;
 	uint16_t njobs, jobs_allocated;
-	uint32_t
-	    reserved_tasks; /* as struct ogl_reserved_worker has it, while in force */
-	ogl_time quarantine_until; /* when the present aside state ends */
+	uint32_t reserved_tasks;   /* hidden from others; 0 if not in force */
+	ogl_time quarantine_until; /* end of the present state */
 	uint8_t aside;             /* enum ogl_quarantine */
 	bool known;                /* the number is in use */
 	bool open;
-	bool in_totals; /* in the sums of ogl_place_room */
+	bool in_totals; /* counted in the sums of struct ogl_place */
 };
 
-#define OGL_ACCEL_GROUPS 6 /* see accel_group_of in place.c */
+#define OGL_ACCEL_GROUPS 6 /* see accel_group_of in place_index.c */
 
 struct ogl_place_zone {
 	char *name;
@@ -157,30 +158,30 @@
 	uint16_t zone;
 	uint64_t cpu, mem, accel; /* avail over indexed workers */
 	GArray *workers;          /* uint32_t */
-	uint32_t last_plan;       /* the last plan that looked at it */
+	uint32_t last_plan;       /* number of the last plan that used it */
 };
 
-/* Tasks of the reserved gang that a worker keeps room for. */
+/* A worker with room reserved for some tasks of a gang. */
 struct ogl_reserved_worker {
 	uint32_t w;
 	uint32_t tasks;
 };
 
-/* The one waiting gang that room is kept for. */
+/* Room reserved for one waiting gang; there is at most one reservation. */
 struct ogl_reservation {
 	bool active;
-	bool worker_lost; /* a chosen worker went away */
+	bool worker_lost; /* a chosen worker can no longer be used */
 	struct ogl_ask ask;
 	uint32_t n;
 	ogl_time until;
-	ogl_time chosen_at; /* when kept was last chosen */
+	ogl_time chosen_at; /* when the workers were last chosen */
 	GArray *workers;    /* struct ogl_reserved_worker */
 };
 
-#define OGL_PLACE_NO_FITS 8 /* capacity_counts known to fit nowhere */
-#define OGL_GANG_BOUNDS 4   /* capacity_counts known to fit few times */
+#define OGL_MAX_NO_FITS 8     /* needs known to fit nowhere */
+#define OGL_MAX_GANG_BOUNDS 4 /* needs known to fit only so many times */
 
-/* How often a shape fits at most, since a gang of it was refused. */
+/* The most tasks with a need that fit, known since a gang was refused. */
 struct ogl_gang_bound {
 	struct ogl_res need;
 	uint64_t max_tasks;
@@ -190,27 +191,26 @@
 	struct ogl_grid_entry *entries; /* by worker number */
 	struct ogl_place_worker *workers;
 	uint32_t n, allocated;
-	GArray *free_numbers;       /* uint32_t, numbers to give again */
-	GHashTable *worker_by_name; /* name -> number + 1 */
+	GArray *free_numbers;       /* uint32_t, worker numbers to reuse */
+	GHashTable *worker_by_name; /* name -> number */
 	GPtrArray *zones;           /* struct ogl_place_zone */
 	GHashTable *zone_by_name;
-	GArray *racks; /* struct ogl_place_rack */
-	struct ogl_grid_entry
-	    *rack_entries; /* by rack number, in zones' grids */
+	GArray *racks;                       /* struct ogl_place_rack */
+	struct ogl_grid_entry *rack_entries; /* by rack number */
 	GHashTable *rack_by_name;
-	GHashTable *capacity_counts; /* capacity -> workers of it */
+	GHashTable *capacity_counts; /* capacity -> number of workers */
 	struct ogl_counts counts;
 	struct ogl_health *health;
 	GArray *quarantined; /* uint32_t, workers not in OGL_ASIDE_NOT */
 	ogl_time next_quarantine_update;
 	uint32_t probes_due; /* workers in OGL_QUARANTINE_PROBE_DUE */
 	struct ogl_reservation reserved;
-	struct ogl_res no_fits[OGL_PLACE_NO_FITS];
-	uint32_t nno_fits;
-	struct ogl_gang_bound gang_bounds[OGL_GANG_BOUNDS];
-	uint32_t ngang_bounds, next_gang_bound;
-	uint32_t plans_made;                        /* made so far */
-	uint64_t total_cpu, total_mem, total_accel; /* open workers */
+	struct ogl_res no_fits[OGL_MAX_NO_FITS];
+	uint32_t no_fit_count;
+	struct ogl_gang_bound gang_bounds[OGL_MAX_GANG_BOUNDS];
+	uint32_t gang_bound_count, next_gang_bound;
+	uint32_t plans_made; /* number of the last plan */
+	uint64_t total_cpu, total_mem, total_accel; /* over usable workers */
 	uint64_t held_cpu, held_mem, held_accel;
 	uint64_t random_state;
 };
@@ -233,7 +233,7 @@
 	return w < p->n && p->workers[w].known;
 }
 
-/* Free room of a worker, whoever it is kept for. */
+/* Free room of a worker, including room reserved for a gang. */
 static inline struct ogl_res
 ogl_place_free_room(const struct ogl_place_worker *k)
 {
@@ -249,49 +249,50 @@
 
 void ogl_place_allocate(
     struct ogl_place *p, uint32_t w, const struct ogl_ask *ask);
-/* Holds room that is known to be there. */
+/* Holds room for a task on worker w; the caller knows that it fits. */
 
 size_t ogl_place_bytes(const struct ogl_place *p);
-/* Memory held, for bench and metrics. */
+/* Bytes of memory in use, for benchmarks and metrics. */
 
 /* ---- place_index.c ---------------------------------------------------- */
 
 uint32_t ogl_place_saturate(uint64_t v);
-/* The number, or the largest that 32 bits hold. */
+/* v, or UINT32_MAX when it is larger. */
 
 uint32_t ogl_place_tasks_fit(
     const struct ogl_res *need, const struct ogl_res *room);
 /* How many such tasks the room holds; UINT32_MAX when they need nothing. */
 
 unsigned ogl_place_first_accel_group(const struct ogl_res *need);
-/* The lowest accel_group where the need may fit. */
+/* The lowest group of workers, by free accelerators, where the need may fit. */
 
 void ogl_place_reindex(struct ogl_place *p, uint32_t w);
 /* Brings the index up to date after worker w changed. */
 
 void ogl_place_unindex(struct ogl_place *p, uint32_t w);
-/* Takes a worker out of every index, before it changes as a whole. */
+/* Removes worker w from every index, before its capacity, zone or rack
+ * changes. */
 
 bool ogl_place_known_no_fit(
     const struct ogl_place *p, const struct ogl_res *need);
 /* Whether the need is known to fit nowhere now. */
 
 struct ogl_res ogl_place_multiply(const struct ogl_res *r, uint32_t n);
-/* n times r, at most the largest that 32 bits hold. */
+/* n times r, each dimension at most UINT32_MAX. */
 
 void ogl_place_rack_reindex(struct ogl_place *p, uint32_t rack);
-/* Brings a rack's place in its zone's grid up to date. */
+/* Brings a rack's bucket in its zone's grid up to date. */
 
 bool ogl_place_gang_known_no_fit(
     const struct ogl_place *p, const struct ogl_res *need, uint32_t n);
-/* Whether so many are known not to fit now. */
+/* Whether n tasks with this need are known not to fit now. */
 
 void ogl_place_note_gang_bound(
-    struct ogl_place *p, const struct ogl_res *need, uint64_t most);
-/* The need was found to fit so often and no more. */
+    struct ogl_place *p, const struct ogl_res *need, uint64_t max_tasks);
+/* Notes that no more than max_tasks tasks with this need fit now. */
 
 void ogl_place_note_no_fit(struct ogl_place *p, const struct ogl_res *need);
-/* The need was found to fit nowhere. */
+/* Notes that the need fits on no worker now. */
 
 /* ---- place_pick.c ----------------------------------------------------- */
 
@@ -306,7 +307,7 @@
 /* ---- place_gang.c ----------------------------------------------------- */
 
 void ogl_place_unreserve_worker(struct ogl_place *p, uint32_t w);
-/* Worker w can no longer serve the reservation. */
+/* Takes worker w out of the reservation, which will choose workers again. */
 
 void ogl_place_expire_reservation(struct ogl_place *p, ogl_time now);
 /* Drops a reservation whose deadline has passed. */
@@ -314,13 +315,15 @@
 /* ---- place_aside.c ---------------------------------------------------- */
 
 void ogl_place_update_quarantine(struct ogl_place *p, ogl_time now);
-/* Moves workers on whose delay, or whose long probe task, has come due. */
+/* Makes a probe due where a cooldown is over, and ends the quarantine where a
+ * probe task has run for long enough. */
 
 bool ogl_place_pick_probe(
     struct ogl_place *p, const struct ogl_ask *ask, ogl_time now, uint32_t *w);
-/* A worker ready for its probe that has room for the task. */
+/* Picks a worker that has its probe due and room for the task, and marks it
+ * as probing; false when there is none. */
 
 void ogl_place_end_quarantine(struct ogl_place *p, uint32_t w);
-/* Worker w is no longer set aside. */
+/* Ends the quarantine of worker w, if there is one. */
 
 #endif
--- a/src/place_index.c
+++ b/src/place_index.c
@@ -1,10 +1,10 @@
 /*
- * The index of placement: where each worker stands in the grids, sums by
- * zone and rack, capacity_counts known to fit nowhere, and gangs known not to fit.
+ * The index of placement: the buckets of workers in the grids, sums by zone and
+ * rack, needs known to fit nowhere, and gangs known not to fit.
  *
- * Every change of a worker ends in ogl_place_reindex, which works out what
- * it shows to searches: its free room less what is kept for a reservation,
- * nothing at all when it is closed, set aside or overfull.
+ * Every change of a worker ends in ogl_place_reindex, which computes the room
+ * that searches see: the worker's free room less what is reserved for a gang,
+ * or nothing when it is closed, quarantined or overfull.
  */
 
 #include "place.h"
@@ -136,7 +136,6 @@
 	k->in_totals = false;
 }
 
-/* Takes a worker out of every index, before it changes as a whole. */
 void
 ogl_place_unindex(struct ogl_place *p, uint32_t w)
 {
@@ -159,21 +158,21 @@
 	       ogl_res_fits(&k->held, &k->capacity);
 }
 
-/* A worker gained room: what fits there is no longer known to fit nowhere. */
+/* A worker gained room: forgets the needs that now fit there. */
 static void
 forget_no_fits(struct ogl_place *p, const struct ogl_res *avail)
 {
 	uint32_t i = 0;
 
-	while (i < p->nno_fits) {
+	while (i < p->no_fit_count) {
 		if (ogl_res_fits(&p->no_fits[i], avail))
-			p->no_fits[i] = p->no_fits[--p->nno_fits];
+			p->no_fits[i] = p->no_fits[--p->no_fit_count];
 		else
 			i++;
 	}
 }
 
-/* A worker gained room: gangs refused before fit so much more often. */
+/* Raises the bounds of gangs by the tasks that fit in room a worker gained. */
 static void
 raise_gang_bounds(struct ogl_place *p, const struct ogl_res *before,
     const struct ogl_res *after)
@@ -181,7 +180,7 @@
 	struct ogl_gang_bound *m;
 	uint32_t i, old, new;
 
-	for (i = 0; i < p->ngang_bounds; i++) {
+	for (i = 0; i < p->gang_bound_count; i++) {
 		m = &p->gang_bounds[i];
 		old = ogl_place_tasks_fit(&m->need, before);
 		new = ogl_place_tasks_fit(&m->need, after);
@@ -190,7 +189,7 @@
 	}
 }
 
-/* Puts the slot of worker w, its avail set, where it belongs. */
+/* Moves worker w to the bucket that its avail, just set, belongs to. */
 static void
 move_entry(struct ogl_place *p, uint32_t w)
 {
@@ -243,7 +242,7 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < p->nno_fits; i++) {
+	for (i = 0; i < p->no_fit_count; i++) {
 		if (ogl_res_fits(&p->no_fits[i], need))
 			return true;
 	}
@@ -255,10 +254,10 @@
 {
 	uint32_t i;
 
-	if (p->nno_fits < OGL_PLACE_NO_FITS)
-		i = p->nno_fits++;
+	if (p->no_fit_count < OGL_MAX_NO_FITS)
+		i = p->no_fit_count++;
 	else
-		i = ogl_place_random(p) % OGL_PLACE_NO_FITS;
+		i = ogl_place_random(p) % OGL_MAX_NO_FITS;
 	p->no_fits[i] = *need;
 }
 
@@ -268,7 +267,7 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < p->ngang_bounds; i++) {
+	for (i = 0; i < p->gang_bound_count; i++) {
 		if (ogl_res_fits(&p->gang_bounds[i].need, need) &&
 		    n > p->gang_bounds[i].max_tasks)
 			return true;
@@ -278,11 +277,11 @@
 
 void
 ogl_place_note_gang_bound(
-    struct ogl_place *p, const struct ogl_res *need, uint64_t most)
+    struct ogl_place *p, const struct ogl_res *need, uint64_t max_tasks)
 {
-	uint32_t i = p->next_gang_bound++ % OGL_GANG_BOUNDS;
+	uint32_t i = p->next_gang_bound++ % OGL_MAX_GANG_BOUNDS;
 
-	p->ngang_bounds = MIN(p->ngang_bounds + 1, OGL_GANG_BOUNDS);
+	p->gang_bound_count = MIN(p->gang_bound_count + 1, OGL_MAX_GANG_BOUNDS);
 	p->gang_bounds[i].need = *need;
-	p->gang_bounds[i].max_tasks = most;
+	p->gang_bounds[i].max_tasks = max_tasks;
 }
