--- a/src/place.c
+++ b/src/place.c
@@ -1,13 +1,13 @@
 /*
  * Placement: which worker a task runs on, and what workers hold.
  *
- * Every zone has one grid of free room (place_grid.c) for each accel_group; planes
- * part workers by the accelerators they have free, so that tasks without
- * need of one look at workers that have none first.  place_index.c keeps the
- * grids up to date, place_pick.c chooses by the kind's policy, place_gang.c
- * places gangs, place_aside.c sets broken workers aside.  Shapes found to fit
- * nowhere are remembered until some worker gains room for them, so a full
- * cell refuses at the cost of a few comparisons.
+ * Every zone has a grid of free room (place_grid.c) for each of several groups
+ * of workers.  The groups divide workers by their free accelerators, so that
+ * tasks that need none try workers without accelerators first.  place_index.c
+ * keeps the grids up to date, place_pick.c chooses by the kind's policy,
+ * place_gang.c places gangs, place_aside.c quarantines failing workers.  Needs
+ * found to fit nowhere are remembered until some worker gains room for them, so
+ * a full cell refuses a task after a few comparisons.
  *
  * Invariant: on no worker does the sum of what is held exceed its capacity,
  * unless the worker itself lowered its capacity; then it gets no more.
@@ -30,15 +30,15 @@
 
 /* ---- holding ---------------------------------------------------------- */
 
-/* Counts one task of a job in or out of the zone and rack of worker w. */
+/* Adds or removes a task of a job in the counts of worker w's zone and rack. */
 static void
-count_job(struct ogl_place *p, uint32_t w, uint64_t job, bool in)
+count_job(struct ogl_place *p, uint32_t w, uint64_t job, bool add)
 {
 	const struct ogl_grid_entry *s = &p->entries[w];
 	uint64_t zone = ogl_counts_key(job, OGL_COUNT_ZONE, s->zone);
 	uint64_t rack = ogl_counts_key(job, OGL_COUNT_RACK, s->rack);
 
-	if (in) {
+	if (add) {
 		ogl_counts_add(&p->counts, zone);
 		ogl_counts_add(&p->counts, rack);
 	} else {
@@ -90,7 +90,7 @@
 	struct ogl_place_worker *k = &p->workers[w];
 	struct ogl_res room = ogl_place_free_room(k);
 
-	/* The one thing that must hold: no worker gets more than it has. */
+	/* Invariant: no worker gets more than its capacity. */
 	g_assert(ogl_res_fits(&k->held, &k->capacity));
 	g_assert(ogl_res_fits(&ask->res, &room));
 	ogl_res_add(&k->held, &ask->res);
@@ -205,7 +205,7 @@
 	g_free(z);
 }
 
-/* Number of a zone; beyond 255 of them they share the last number. */
+/* Returns the number of a zone; zones beyond 255 share the last number. */
 static uint16_t
 zone_number(struct ogl_place *p, const char *name)
 {
@@ -280,16 +280,16 @@
 	g_array_remove_index_fast(a, i);
 }
 
-/* Counts all spread tasks of worker w in or out of its zone and rack. */
+/* Adds or removes all tasks of worker w in the counts of its zone and rack. */
 static void
-recount_jobs(struct ogl_place *p, uint32_t w, bool in)
+recount_jobs(struct ogl_place *p, uint32_t w, bool add)
 {
 	const struct ogl_place_worker *k = &p->workers[w];
 	uint32_t i, n;
 
 	for (i = 0; i < k->njobs; i++) {
 		for (n = 0; n < k->jobs[i].n; n++)
-			count_job(p, w, k->jobs[i].job, in);
+			count_job(p, w, k->jobs[i].job, add);
 	}
 }
 
@@ -364,7 +364,7 @@
 	ogl_place_reindex(p, w);
 }
 
-/* ---- whole ------------------------------------------------------------ */
+/* ---- totals and setup ------------------------------------------------- */
 
 enum ogl_never
 ogl_place_never(
