--- a/src/place_aside.c
+++ b/src/place_aside.c
@@ -1,17 +1,18 @@
 /*
- * Workers set aside for failures, their delays and probes.
+ * Quarantine of failing workers: cooldowns and probes.
  *
- * What place_health.c finds suspect gets nothing for a delay that doubles
- * each time, then one probe task; the probe's end, or its running long
- * enough, decides.
+ * A worker that place_health.c finds suspect gets no tasks during a cooldown,
+ * which doubles each time, and then one task as a probe.  The quarantine ends
+ * when the probe task succeeds or has run for long enough; it starts again with
+ * the next cooldown when the task fails.
  */
 
 #include "place.h"
 
-#define QUARANTINE_ONE_IN 10     /* at most one in so many is set aside */
-#define QUARANTINE_MIN_WORKERS 3 /* workers below which none is */
-#define PROBE_SUCCESS_AFTER (120 * OGL_SEC) /* a probe task this long is good */
-#define PROBE_CANDIDATES 4
+#define QUARANTINE_ONE_IN 10                /* at most one worker in so many */
+#define QUARANTINE_MIN_WORKERS 3            /* with fewer workers none */
+#define PROBE_SUCCESS_AFTER (120 * OGL_SEC) /* run time of a probe task */
+#define PROBE_CANDIDATES 4 /* quarantined workers examined for a task */
 
 static void
 quarantine(struct ogl_place *p, uint32_t w, ogl_time now)
@@ -46,7 +47,6 @@
 	ogl_place_reindex(p, w);
 }
 
-/* Moves workers on whose delay, or whose long probe task, has come due. */
 void
 ogl_place_update_quarantine(struct ogl_place *p, ogl_time now)
 {
@@ -74,8 +74,7 @@
 }
 
 /*
- * A worker ready for its probe that has room.  Gangs are not used as probes:
- * one failed task would cost the whole gang.
+ * Gangs are not used as probes: one failed task would cost the whole gang.
  */
 bool
 ogl_place_pick_probe(
@@ -108,9 +107,9 @@
 }
 
 /*
- * At most a small part of the cell is set aside at once.  Were the signs
- * ever wrong for a common cause, such as a broken image or store, the cell
- * would lose most of its workers to it just when all else is failing.
+ * At most a small part of the cell is quarantined at once.  A common cause,
+ * such as a broken image or store, can make many workers suspect; without this
+ * limit the cell would lose most of them while other things fail as well.
  */
 static bool
 may_quarantine(const struct ogl_place *p)
