--- a/src/place_count.c
+++ b/src/place_count.c
@@ -1,10 +1,10 @@
 /*
  * Counts by a 64-bit hashed key, for spreading a job's tasks.
  *
- * An open-addressed table with linear probing; a count that falls to zero is
- * taken out by moving later entries back, so the table needs no tombstones and
- * its size follows what is in_totals now.  Two keys that collide would share a
- * count: spreading gets a little worse, nothing else.
+ * An open-addressed table with linear probing.  An entry whose count falls to
+ * zero is removed by moving later entries back, so the table needs no
+ * tombstones and its size follows the number of entries in use.  Two keys that
+ * collide share a count, which only makes spreading a little worse.
  */
 
 #include "place.h"
@@ -37,7 +37,7 @@
 	return x != 0 ? x : 1;
 }
 
-/* The cell of a key, or the empty one where it would go. */
+/* The entry of a key, or the empty one where it belongs. */
 static uint32_t
 find(const struct ogl_counts *c, uint64_t key)
 {
@@ -84,7 +84,7 @@
 	c->entries[i].n++;
 }
 
-/* Empties cell i and closes the gap in the run of entries after it. */
+/* Empties entry i and closes the gap in the run of entries after it. */
 static void
 erase(struct ogl_counts *c, uint32_t i)
 {
