--- a/src/place_gang.c
+++ b/src/place_gang.c
@@ -1,41 +1,41 @@
 /*
- * Gangs: all tasks at once or none, and the one reservation.
+ * Gangs, whose tasks are placed all at once or not at all, and the reservation.
  *
- * A gang is first last_plan, touching nothing, then held.  The plan tries
- * single racks whose free room in sum is enough, found in the zone's grid of
- * racks, then many racks, of the roomiest zone first.  All tasks of a gang
- * are alike, so how many a worker takes does not depend on the others, and a
- * plan over all racks finds room whenever there is some.  When it finds too
- * little, the number that did fit is remembered, and raised as workers gain
- * room; until it reaches the gang's size the gang is refused at once.
+ * A gang is first planned without changing anything, then held.  The plan tries
+ * single racks with enough free room in total, found in the zone's grid of
+ * racks, then many racks, starting in the zone with the most room.  All tasks
+ * of a gang have the same need, so how many a worker takes does not depend on
+ * the others, and a plan over all racks finds room whenever there is enough.
+ * When it fails, the number of tasks that did fit is remembered, and raised as
+ * workers gain room; while it is below the gang's size the gang is refused at
+ * once.
  *
- * Without a reservation a large gang may wait for ever, since each bit of
- * room that falls free goes to some smaller task at once.  The reservation
- * keeps the room of chosen workers for one gang: on each a number of its
- * tasks.  Only what a worker has beyond that is shown to others, and workers
- * not chosen stay open to all, so smaller work runs on behind it.  What
- * services hold is taken to stay.  The deadline ends it whatever happens,
- * and a gang that could not run even then reserves nothing, so no room is
- * hoarded.
+ * Without a reservation a large gang may wait for ever, since each bit of room
+ * that falls free goes to some smaller task at once.  The reservation keeps
+ * room on chosen workers for one gang: on each for a number of its tasks.
+ * Others see only the room beyond that, and all of the workers not chosen, so
+ * smaller tasks keep running meanwhile.  Room that services hold is assumed to
+ * stay held.  The reservation ends at its deadline at the latest.  A gang that
+ * could not run even if all tasks but those of services ended gets none, so no
+ * room is kept in vain.
  */
 
 #include "place.h"
 
-#define SINGLE_RACK_OFFERS 4 /* single racks tried in each zone */
-#define SINGLE_RACK_MISSES 32
-#define BISECTION_STEPS 7 /* steps to the part of work that has to end */
-#define MIN_CHOOSE_INTERVAL OGL_SEC /* least time between choices */
+#define SINGLE_RACK_OFFERS 4        /* racks offered per zone */
+#define SINGLE_RACK_MISSES 32       /* racks without room examined per zone */
+#define BISECTION_STEPS 7           /* to find how much work has to end */
+#define MIN_CHOOSE_INTERVAL OGL_SEC /* between choices of workers */
 
-/* ---- plans_made ------------------------------------------------------------ */
+/* ---- plans ------------------------------------------------------------ */
 
 struct plan {
 	struct ogl_place *p;
 	const struct ogl_ask *ask;
-	uint32_t n; /* wanted */
+	uint32_t n; /* tasks wanted */
 	uint32_t got;
 	uint32_t *w;
-	bool
-	    use_accel_workers; /* also workers with accelerators, if not needed */
+	bool use_accel_workers; /* also if none is needed */
 	struct ogl_grid_walk *walk;
 };
 
@@ -71,7 +71,7 @@
 		k->walk->offers_left = 0;
 }
 
-/* A single rack that holds all, in each zone the tightest first. */
+/* Looks for one rack that holds all, in each zone the tightest first. */
 static bool
 plan_single_rack(struct plan *k)
 {
@@ -113,8 +113,8 @@
 }
 
 /*
- * Fills the racks of a zone: first those that may hold half of the gang,
- * then a quarter, and so on to single tasks, so few racks are used.
+ * Fills the racks of a zone: first those that may hold half of the gang, then a
+ * quarter, and so on down to single tasks, so that few racks are used.
  */
 static void
 plan_zone(struct plan *k, uint32_t z)
@@ -145,7 +145,7 @@
 	return need > 0 ? sum / need : UINT32_MAX;
 }
 
-/* Tasks that the sums of a zone allow; at least what fits. */
+/* An upper bound of the tasks that fit in a zone, by its sums. */
 static uint64_t
 zone_upper_bound(const struct ogl_place_zone *z, const struct ogl_res *need)
 {
@@ -155,19 +155,19 @@
 	return MIN(n, fit_sum(need->accel, z->accel));
 }
 
-/* Many racks, of the roomiest zone first. */
+/* Plans over many racks, starting in the zone with the most room. */
 static bool
 plan_many_racks(struct plan *k)
 {
 	uint32_t z, zones = k->p->zones->len, best = 0;
-	uint64_t most, sum = 0, best_most = 0;
+	uint64_t bound, sum = 0, best_bound = 0;
 
 	for (z = 0; z < zones; z++) {
-		most =
+		bound =
 		    zone_upper_bound(ogl_place_zone_at(k->p, z), &k->ask->res);
-		sum += most;
-		if (most > best_most) {
-			best_most = most;
+		sum += bound;
+		if (bound > best_bound) {
+			best_bound = bound;
 			best = z;
 		}
 	}
@@ -197,7 +197,7 @@
 		if (plan_single_rack(k) || plan_many_racks(k))
 			return true;
 	}
-	/* A plan over all racks that failed has in_totals all that fits. */
+	/* The failed plan over all racks has counted all tasks that fit. */
 	if (k->got > 0)
 		ogl_place_note_gang_bound(k->p, need, k->got);
 	return false;
@@ -212,7 +212,10 @@
 	return capacity - held + (uint32_t)(ended * (held - held_by_services));
 }
 
-/* Tasks of the gang that fit on w once a part of its work has ended. */
+/*
+ * Tasks of the gang that fit on w once the fraction `ended` of its work, apart
+ * from services, has ended.
+ */
 static uint32_t
 fit_after_end(
     const struct ogl_place *p, uint32_t w, double ended, bool use_accel_workers)
@@ -246,7 +249,7 @@
 	return sum >= p->reserved.n;
 }
 
-/* Keeps what fits once that part has ended, on top of kept tasks. */
+/* Adds workers to the reservation, for what fits then, until *left is 0. */
 static void
 reserve_on_workers(
     struct ogl_place *p, double ended, bool use_accel_workers, uint32_t *left)
@@ -265,12 +268,12 @@
 }
 
 /*
- * Chooses where to show_reservation room; false when too little can ever fall free.  The
- * least part of every worker's work that has to end is found by halving, so
- * room is kept where little is missing, a few tasks on each of many workers:
- * the first tasks to end on many workers are there long before the last ones
- * on few.  Room that is free already is kept at any part, so choosing anew
- * loses none of it and follows what fell free since.
+ * Chooses workers to reserve room on; false when too little can ever fall free.
+ * Bisection finds the least fraction of every worker's work that has to end, so
+ * that room is kept where little is missing, for a few tasks on each of many
+ * workers: the first tasks to end on many workers end long before the last ones
+ * on few.  Room that is free already is kept at any fraction, so choosing again
+ * loses none of it and uses the room that fell free since.
  */
 static bool
 choose_workers(struct ogl_place *p, ogl_time now)
@@ -296,9 +299,9 @@
 	return true;
 }
 
-/* Keeps room as chosen, or shows all of it. */
+/* Hides the reserved room from others, or shows it to all. */
 static void
-show_reservation(struct ogl_place *p, bool on)
+apply_reservation(struct ogl_place *p, bool on)
 {
 	const struct ogl_reserved_worker *k;
 	uint32_t i;
@@ -315,7 +318,7 @@
 static void
 end_reservation(struct ogl_place *p)
 {
-	show_reservation(p, false);
+	apply_reservation(p, false);
 	g_array_set_size(p->reserved.workers, 0);
 	p->reserved.active = false;
 }
@@ -351,14 +354,14 @@
 		return false;
 	if (until <= now)
 		return false;
-	show_reservation(p, false);
+	apply_reservation(p, false);
 	p->reserved.active = true;
 	p->reserved.ask = *ask;
 	p->reserved.ask.job = job;
 	p->reserved.n = n;
 	p->reserved.until = until;
 	if (choose_workers(p, now))
-		show_reservation(p, true);
+		apply_reservation(p, true);
 	else
 		end_reservation(p);
 	return p->reserved.active;
@@ -374,13 +377,16 @@
 
 /* ---- a gang ----------------------------------------------------------- */
 
-/* Plans with the room kept for this gang in view. */
+/*
+ * Plans the gang that holds the reservation, with the reserved room.  When that
+ * fails, workers are chosen again if one was lost or the choice is old.
+ */
 static bool
 plan_reserved(struct ogl_place *p, struct plan *k, ogl_time now)
 {
 	bool ok;
 
-	show_reservation(p, false);
+	apply_reservation(p, false);
 	ok = plan_gang(k);
 	if (!ok &&
 	    (p->reserved.worker_lost ||
@@ -388,7 +394,7 @@
 	    !choose_workers(p, now))
 		end_reservation(p);
 	else
-		show_reservation(p, true);
+		apply_reservation(p, true);
 	return ok;
 }
 
