--- a/src/place_grid.c
+++ b/src/place_grid.c
@@ -1,22 +1,22 @@
 /*
  * Workers indexed by free room.
  *
- * Free processors and free memory are each cut into 64 size classes, four to
- * an octave, and a worker stands in the bucket of its two classes.  For each
- * row one word tells which columns hold a worker, and the other way round,
- * so a search visits only buckets that are not empty, tightest first in
+ * Free processors and free memory are each divided into 64 size classes, four
+ * for each doubling, and a worker is in the bucket of its two classes.  For
+ * each row a mask tells which columns hold a worker, and for each column which
+ * rows, so a search visits only buckets that are not empty, tightest first in
  * either dimension, and its cost depends on the number of classes, not of
- * workers.  Every bucket beyond the need's own row and column fits as a
- * whole; in those two each worker must be looked at, and the number of such
- * looks is bounded by the caller.
+ * workers.  In every bucket beyond the need's own row and column all workers
+ * have enough processors and memory; in those two each worker must be examined,
+ * and the caller limits how many are examined in vain.
  *
- * Buckets are lists through the entries.  Rows of list heads are allocated
- * when first used, so a small cell pays for few.
+ * Buckets are linked lists through the entries.  Rows of list heads are
+ * allocated when first used, so a small cell needs few.
  */
 
 #include "place.h"
 
-#define CLASS_UNIT_SHIFT 6 /* finest class: 64 thousandths or 64 MB */
+#define CLASS_UNIT_SHIFT 6 /* lowest classes: 64 thousandths or 64 MB wide */
 
 static unsigned
 size_class(uint32_t v)
@@ -93,7 +93,7 @@
 	       size_class(s->avail.mem_mb) != s->col;
 }
 
-/* Looks through one bucket; edge tells that some in it may not fit. */
+/* Searches one bucket; edge tells that some workers in it may not fit. */
 static void
 walk_bucket(const struct ogl_grid_entry *entries, uint32_t w, bool edge,
     struct ogl_grid_walk *k)
@@ -117,7 +117,10 @@
 	}
 }
 
-/* Looks through the outer classes in `outer`, lowest first. */
+/*
+ * Searches the classes in the mask `outer`, of the dimension that orders the
+ * search, lowest first.
+ */
 static void
 walk_outer(const struct ogl_grid *g, const struct ogl_grid_entry *entries,
     uint64_t outer, struct ogl_grid_walk *k)
