--- a/src/place_health.c
+++ b/src/place_health.c
@@ -1,22 +1,22 @@
 /*
- * What tasks' ends say of workers.
+ * Failure records of workers and jobs.
  *
- * A worker is suspect when its failures are surprising.  A failed task of a
- * job that does well elsewhere is surprising, one of a job that fails
- * everywhere is not: each failure since the worker's last good tasks adds
- * -log2(p) bits, p being how often that job fails on other workers.  Twenty
- * bits, about one in a million by chance, from several jobs are too many.
- * Of one job only two failures count on a worker, so a wave of failures of
- * one job condemns nobody; and in the job's own record a worker counts once,
- * so a worker that fails its tasks at once, and so draws many, does not
- * spoil the record of the jobs that came to it.
+ * A worker is suspect when its failures are improbable.  A failed task of a job
+ * that succeeds elsewhere is improbable, one of a job that fails everywhere is
+ * not: each failure since the worker's last successful tasks adds its surprisal
+ * of -log2(p) bits, p being how often that job fails on other workers.  Twenty
+ * bits, about one in a million by chance, from several jobs make it suspect.  Of
+ * one job at most two failures count against a worker, so a wave of failures of
+ * one job makes no worker suspect.  In the job's own record a worker counts
+ * once, so a worker that fails its tasks at once, and so is given many, does
+ * not spoil the records of their jobs.
  *
  * Without this a broken worker, always empty because all it starts ends at
- * once, takes in a large part of all new tasks; it shows as failures on one
- * worker over many jobs.
+ * once, is given a large part of all new tasks, and many jobs fail on that one
+ * worker.
  *
- * The jobs' records live in a two-way table sized by the number of workers,
- * where a new job takes the place of the one unheard of for longest.
+ * The records of jobs are kept in a two-way set-associative table sized by the
+ * number of workers, where a new job replaces the least recently used of two.
  */
 
 #include <math.h>
@@ -25,18 +25,18 @@
 
 #define MIN_JOB_SETS 64 /* of two records each */
 #define WORKERS_PER_SET 4
-#define MAX_JOB_RESULTS 64       /* results after which old ones are halved */
-#define MAX_FAILED_JOBS 8        /* failed jobs remembered a worker */
-#define MAX_SURPRISAL_BITS 4.0   /* bits that one job can add */
-#define MIN_SURPRISAL_BITS 0.5   /* bits below which a job tells nothing */
-#define SUSPECT_BITS 20.0        /* bits at which a worker is set aside */
-#define SUSPECT_MIN_JOBS 3       /* significant jobs needed besides */
-#define REPEAT_SUSPECT_BITS 10.0 /* the same for one set aside lately */
+#define MAX_JOB_RESULTS 64       /* beyond this a job's counts are halved */
+#define MAX_FAILED_JOBS 8        /* remembered per worker */
+#define MAX_SURPRISAL_BITS 4.0   /* that one failure can add */
+#define MIN_SURPRISAL_BITS 0.5   /* failures below this count as nothing */
+#define SUSPECT_BITS 20.0        /* sum that makes a worker suspect ... */
+#define SUSPECT_MIN_JOBS 3       /* ... when so many jobs add to it */
+#define REPEAT_SUSPECT_BITS 10.0 /* for workers quarantined before */
 #define REPEAT_SUSPECT_MIN_JOBS 2
 #define MIN_COOLDOWN (30 * OGL_SEC)
 #define MAX_COOLDOWN_DOUBLINGS 6
-#define CLEARING_SUCCESSES 32  /* good tasks that clear the past */
-#define MAX_FAILURES_PER_JOB 2 /* of a job on one worker that count */
+#define CLEARING_SUCCESSES 32  /* that delete a worker's record */
+#define MAX_FAILURES_PER_JOB 2 /* that count against a worker */
 
 struct job_record {
 	uint64_t job;
@@ -45,17 +45,17 @@
 };
 
 struct worker_record {
-	uint64_t jobs[MAX_FAILED_JOBS];    /* failed here since a good task */
-	uint8_t failures[MAX_FAILED_JOBS]; /* how often */
+	uint64_t jobs[MAX_FAILED_JOBS];    /* that failed here lately */
+	uint8_t failures[MAX_FAILED_JOBS]; /* of each of them */
 	uint8_t njobs, next;
-	uint8_t quarantines; /* times set aside of late */
-	uint8_t successes;   /* good tasks since it was set aside */
+	uint8_t quarantines; /* since the record was made */
+	uint8_t successes;   /* since the last quarantine */
 };
 
 struct ogl_health {
 	struct job_record (*jobs)[2];
 	uint32_t sets;      /* power of two */
-	GPtrArray *workers; /* struct worker_record, NULL when all went well */
+	GPtrArray *workers; /* struct worker_record, NULL when none failed */
 };
 
 struct ogl_health *
@@ -115,7 +115,7 @@
 	}
 }
 
-/* Bits of surprisal that this job failed at one worker. */
+/* Bits that one failure of this job on a worker adds. */
 static double
 surprisal(const struct job_record *r)
 {
@@ -156,7 +156,7 @@
 	h->workers->pdata[w] = NULL;
 }
 
-/* Notes a failed job; false when it was noted before. */
+/* Counts a failure of the job; false when the job had failed here before. */
 static bool
 add_failed_job(struct worker_record *r, uint64_t job)
 {
