--- a/src/place_pick.c
+++ b/src/place_pick.c
@@ -1,39 +1,43 @@
 /*
  * Policies of placement by kind: which worker a task goes to.
  *
- *   batch    among the workers tightest in the dimension that matters most
- *            to the task the one whose processors and memory it evens out;
+ *   batch    among the workers tightest in the dimension that matters most to
+ *            the task, the one whose free processors and memory it balances
+ *            best;
  *   service  the zone, then the rack, then the worker with the fewest tasks
  *            of the job;
- *   gang     a single task as batch; whole gangs see place_gang.c.
+ *   gang     a single task as batch; for whole gangs see place_gang.c.
  *
- * Each compares the workers that a bounded walk of the grids offers.  A walk
- * that was cut short and found nothing is repeated without a bound, so room
- * is found whenever there is some.
+ * Each compares the workers that a bounded search of the grids offers.  A
+ * search that was cut short and found nothing is repeated without a bound, so
+ * room is found whenever there is some.
  */
 
 #include <math.h>
 
 #include "place.h"
 
-#define MAX_OFFERS 32          /* workers compared a decision */
+#define MAX_OFFERS 32          /* workers compared per decision */
 #define MAX_OFFERS_PER_ZONE 8  /* of them in one zone */
-#define MAX_MISSES_PER_ZONE 48 /* first bound on misses in vain, a zone */
-#define TIGHTNESS_WEIGHT 0.05  /* weight of tightness against balance */
-#define IMBALANCE_FLOOR 0.05   /* part of a worker that hardly matters */
+#define MAX_MISSES_PER_ZONE 48 /* workers without room, in the first search */
+#define TIGHTNESS_WEIGHT 0.05  /* against balance */
+#define IMBALANCE_FLOOR 0.05   /* free fraction that counts as almost full */
 
 /* ---- batch: best fit -------------------------------------------------- */
 
 struct pack {
 	const struct ogl_grid_entry *entries;
 	const struct ogl_res *need;
-	double cpu_unit, mem_unit; /* one over the mean capacity */
+	double cpu_scale, mem_scale; /* one over the mean capacity */
 	bool by_mem;
 	double score; /* least so far */
 	uint32_t best;
 };
 
-/* How imbalance room is; weighs more the less there is of the scarcer. */
+/*
+ * How far free processors and memory differ, weighted by the scarcity of the
+ * scarcer one.
+ */
 static double
 imbalance(double cpu, double mem)
 {
@@ -41,19 +45,19 @@
 }
 
 /*
- * Less is better.  Room is lost when one dimension runs out before the other,
- * so a task goes where it evens out what is left; among alike the fuller
- * worker keeps others whole for large tasks.
+ * A lower score is better.  Room is lost when one dimension runs out before the
+ * other, so a task goes where it balances what is left; among equals it goes to
+ * the fuller worker, which leaves the others free for large tasks.
  */
 static void
 pack_offer(void *ctx, uint32_t w)
 {
 	struct pack *k = ctx;
 	const struct ogl_res *a = &k->entries[w].avail;
-	double cpu = (a->cpu_milli - k->need->cpu_milli) * k->cpu_unit;
-	double mem = (a->mem_mb - k->need->mem_mb) * k->mem_unit;
+	double cpu = (a->cpu_milli - k->need->cpu_milli) * k->cpu_scale;
+	double mem = (a->mem_mb - k->need->mem_mb) * k->mem_scale;
 	double before =
-	    imbalance(a->cpu_milli * k->cpu_unit, a->mem_mb * k->mem_unit);
+	    imbalance(a->cpu_milli * k->cpu_scale, a->mem_mb * k->mem_scale);
 	double score =
 	    imbalance(cpu, mem) - before + TIGHTNESS_WEIGHT * (cpu + mem);
 
@@ -64,8 +68,8 @@
 }
 
 /*
- * Walks a accel_group of one zone after the other, from a zone drawn by chance,
- * until there were offers enough; sets *skipped when a walk was cut short.
+ * Searches one group of workers zone by zone, beginning with a random zone,
+ * until there are enough offers; sets *skipped when a search was cut short.
  */
 static void
 pack_accel_group(struct ogl_place *p, struct pack *k, unsigned accel_group,
@@ -101,10 +105,10 @@
 	unsigned accel_group;
 	bool skipped;
 
-	k.cpu_unit = p->n / (p->total_cpu + 1.0);
-	k.mem_unit = p->n / (p->total_mem + 1.0);
+	k.cpu_scale = p->n / (p->total_cpu + 1.0);
+	k.mem_scale = p->n / (p->total_mem + 1.0);
 	k.by_mem =
-	    ask->res.mem_mb * k.mem_unit > ask->res.cpu_milli * k.cpu_unit;
+	    ask->res.mem_mb * k.mem_scale > ask->res.cpu_milli * k.cpu_scale;
 	for (accel_group = ogl_place_first_accel_group(&ask->res);
 	     accel_group < OGL_ACCEL_GROUPS; accel_group++) {
 		skipped = false;
@@ -157,7 +161,7 @@
 	k->best = w;
 }
 
-/* One walk of a zone's accel_group from a class chosen by chance. */
+/* Searches one group of workers in a zone from a random size class on. */
 static void
 spread_walk(struct ogl_place *p, const struct ogl_ask *ask, struct spread *k,
     const struct ogl_grid *g, uint32_t misses, bool *skipped)
@@ -192,7 +196,7 @@
 	return k.best != OGL_PLACE_NONE;
 }
 
-/* The zone not yet tried with fewest tasks of the job, then most room. */
+/* The untried zone with the fewest tasks of the job, then the most room. */
 static bool
 next_zone(const struct ogl_place *p, uint64_t job, uint8_t *tried, uint32_t *z)
 {
