--- a/src/place.c
+++ b/src/place.c
@@ -85,7 +85,7 @@
 }
 
 void
-ogl_place_allocate(struct ogl_place *p, uint32_t w, const struct ogl_ask *ask)
+ogl_place_take(struct ogl_place *p, uint32_t w, const struct ogl_ask *ask)
 {
 	struct ogl_place_worker *k = &p->workers[w];
 	struct ogl_res room = ogl_place_free_room(k);
@@ -118,7 +118,7 @@
 	room = ogl_place_free_room(&p->workers[w]);
 	if (!ogl_res_fits(&ask->res, &room))
 		return false;
-	ogl_place_allocate(p, w, ask);
+	ogl_place_take(p, w, ask);
 	return true;
 }
 
@@ -159,7 +159,7 @@
 			return false;
 		}
 	}
-	ogl_place_allocate(p, *w, ask);
+	ogl_place_take(p, *w, ask);
 	return true;
 }
 
--- a/src/place.h
+++ b/src/place.h
@@ -247,8 +247,7 @@
 
 uint32_t ogl_place_random(struct ogl_place *p);
 
-void ogl_place_allocate(
-    struct ogl_place *p, uint32_t w, const struct ogl_ask *ask);
+void ogl_place_take(struct ogl_place *p, uint32_t w, const struct ogl_ask *ask);
 /* Holds room for a task on worker w; the caller knows that it fits. */
 
 size_t ogl_place_bytes(const struct ogl_place *p);
--- a/src/place_gang.c
+++ b/src/place_gang.c
@@ -414,6 +414,6 @@
 	if (own)
 		ogl_place_unreserve(p, ask->job);
 	for (i = 0; i < n; i++)
-		ogl_place_allocate(p, w[i], ask);
+		ogl_place_take(p, w[i], ask);
 	return true;
 }
--- a/src/place_health.c
+++ b/src/place_health.c
@@ -5,9 +5,9 @@
  * that succeeds elsewhere is improbable, one of a job that fails everywhere is
  * not: each failure since the worker's last successful tasks adds its surprisal
  * of -log2(p) bits, p being how often that job fails on other workers.  Twenty
- * bits, about one in a million by chance, from several jobs make it suspect.  Of
- * one job at most two failures count against a worker, so a wave of failures of
- * one job makes no worker suspect.  In the job's own record a worker counts
+ * bits, about one in a million by chance, from several jobs make it suspect.
+ * Of one job at most two failures count against a worker, so a wave of failures
+ * of one job makes no worker suspect.  In the job's own record a worker counts
  * once, so a worker that fails its tasks at once, and so is given many, does
  * not spoil the records of their jobs.
  *
