--- a/test/test_place.cc
+++ b/test/test_place.cc
@@ -1,5 +1,5 @@
-// Placement: scripted runs against expected output, and random holds and
-// frees against a model that looks at every worker.
+// Placement: scripts against expected answers, and random operations against a
+// simple model that examines every worker.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -14,8 +14,8 @@
 namespace
 {
 
-// Runs the commands of a script; a line `= text` is what the last command
-// has to answer.
+// Runs the commands of a script; a line `= text` is the expected answer of the
+// command before it.
 class Script
 {
 	struct ogl_place *p = ogl_place_init(7);
@@ -72,7 +72,7 @@
 		return out;
 	}
 
-	std::string never(std::istringstream &in)
+	std::string feasible(std::istringstream &in)
 	{
 		uint32_t n;
 		in >> n;
@@ -122,8 +122,8 @@
 							      : "none";
 		} else if (cmd == "gang") {
 			return gang(in);
-		} else if (cmd == "never") {
-			return never(in);
+		} else if (cmd == "feasible") {
+			return feasible(in);
 		} else if (cmd == "reserve") {
 			return reserve(in);
 		} else if (cmd == "unreserve") {
@@ -189,14 +189,14 @@
 	EXPECT_GT(checked, 0) << name;
 }
 
-// One worker as the naive model sees it.
-struct Plain {
+// A worker of the simple model.
+struct ModelWorker {
 	struct ogl_res capacity, held;
 	bool open;
 };
 
 struct ogl_res
-room_of(const Plain &w)
+free_room(const ModelWorker &w)
 {
 	struct ogl_res r = w.capacity;
 
@@ -205,12 +205,12 @@
 }
 
 uint64_t
-fits_in_all(const std::vector<Plain> &ws, const struct ogl_res &need)
+count_fits(const std::vector<ModelWorker> &workers, const struct ogl_res &need)
 {
 	uint64_t sum = 0;
 
-	for (const Plain &w : ws) {
-		struct ogl_res room = room_of(w);
+	for (const ModelWorker &w : workers) {
+		struct ogl_res room = free_room(w);
 		for (; w.open && ogl_res_fits(&need, &room); sum++)
 			ogl_res_sub(&room, &need);
 	}
@@ -249,28 +249,28 @@
 	struct ogl_ask ask;
 };
 
-// Checks that a worker given really had the room, and notes the task.
+// Checks that the worker chosen had room for the task, and records the task.
 void
-take(std::vector<Plain> &ws, std::vector<Held> &held, uint32_t w,
-    const struct ogl_ask &a)
+hold_checked(std::vector<ModelWorker> &workers, std::vector<Held> &held,
+    uint32_t w, const struct ogl_ask &a)
 {
-	ASSERT_LT(w, ws.size());
-	struct ogl_res room = room_of(ws[w]);
-	ASSERT_TRUE(ws[w].open);
+	ASSERT_LT(w, workers.size());
+	struct ogl_res room = free_room(workers[w]);
+	ASSERT_TRUE(workers[w].open);
 	ASSERT_TRUE(ogl_res_fits(&a.res, &room));
-	ogl_res_add(&ws[w].held, &a.res);
+	ogl_res_add(&workers[w].held, &a.res);
 	held.push_back({w, a});
 }
 
-// A cell driven at random beside the naive model.
+// Random operations on a cell, checked against the simple model.
 class RandomRun
 {
 	Random r;
 	struct ogl_place *p;
-	std::vector<Plain> ws;
+	std::vector<ModelWorker> workers;
 	std::vector<Held> held;
 	struct ogl_ask reserved = {};
-	uint32_t nreserved = 0; /* 0 when nothing is reserved */
+	uint32_t reserved_tasks = 0; // 0 without a reservation
 
 	void add(uint32_t i)
 	{
@@ -282,13 +282,13 @@
 		ASSERT_EQ(i, ogl_place_worker(
 				 p, n.c_str(), &c, zone.c_str(), rack.c_str()));
 		ogl_place_set(p, i, OGL_PLACE_OPEN);
-		ws[i] = {c, {}, true};
+		workers[i] = {c, {}, true};
 	}
 
-	// While room is kept for a gang, others may find less.
+	// While room is reserved for a gang, other work may find less.
 	void check(bool found, bool fits, bool own)
 	{
-		if (nreserved == 0 || own)
+		if (reserved_tasks == 0 || own)
 			ASSERT_EQ(fits, found);
 		else
 			ASSERT_TRUE(fits || !found);
@@ -300,34 +300,34 @@
 		uint32_t w = 0;
 		bool found = ogl_place_task(p, &a, now, &w);
 
-		check(found, fits_in_all(ws, a.res) > 0, false);
+		check(found, count_fits(workers, a.res) > 0, false);
 		if (found)
-			take(ws, held, w, a);
+			hold_checked(workers, held, w, a);
 	}
 
 	void gang(ogl_time now)
 	{
 		struct ogl_ask a = r.ask();
 		uint32_t n = 1 + r.below(30);
-		bool own = nreserved > 0 && r.below(2) == 0;
+		bool own = reserved_tasks > 0 && r.below(2) == 0;
 
 		if (own) {
 			a = reserved;
-			n = nreserved;
+			n = reserved_tasks;
 		}
 		std::vector<uint32_t> at(n);
 		bool found = ogl_place_gang(p, &a, n, now, at.data());
-		check(found, fits_in_all(ws, a.res) >= n, own);
+		check(found, count_fits(workers, a.res) >= n, own);
 		for (uint32_t i = 0; found && i < n; i++)
-			take(ws, held, at[i], a);
+			hold_checked(workers, held, at[i], a);
 		if (found && own)
-			nreserved = 0;
+			reserved_tasks = 0;
 	}
 
 	void reserve(ogl_time now)
 	{
 		ogl_place_unreserve(p, reserved.job);
-		nreserved = 0;
+		reserved_tasks = 0;
 		if (r.below(2) == 0)
 			return;
 		reserved = r.ask();
@@ -335,7 +335,7 @@
 		uint32_t n = 1 + r.below(30);
 		if (ogl_place_reserve(
 			p, 1000, &reserved, n, now + OGL_SEC, now))
-			nreserved = n;
+			reserved_tasks = n;
 	}
 
 	void free_one()
@@ -343,14 +343,14 @@
 		uint32_t i = r.below(held.size());
 
 		ogl_place_free(p, held[i].w, &held[i].ask);
-		ogl_res_sub(&ws[held[i].w].held, &held[i].ask.res);
+		ogl_res_sub(&workers[held[i].w].held, &held[i].ask.res);
 		held[i] = held.back();
 		held.pop_back();
 	}
 
 	void drop()
 	{
-		uint32_t w = r.below(ws.size());
+		uint32_t w = r.below(workers.size());
 
 		ogl_place_drop(p, w);
 		for (size_t i = held.size(); i-- > 0;) {
@@ -364,18 +364,18 @@
 
 	void toggle()
 	{
-		uint32_t w = r.below(ws.size());
+		uint32_t w = r.below(workers.size());
 
-		ws[w].open = !ws[w].open;
+		workers[w].open = !workers[w].open;
 		ogl_place_set(
-		    p, w, ws[w].open ? OGL_PLACE_OPEN : OGL_PLACE_CLOSED);
+		    p, w, workers[w].open ? OGL_PLACE_OPEN : OGL_PLACE_CLOSED);
 	}
 
       public:
 	explicit RandomRun(unsigned seed)
-	    : r(seed), p(ogl_place_init(seed)), ws(60)
+	    : r(seed), p(ogl_place_init(seed)), workers(60)
 	{
-		for (uint32_t i = 0; i < ws.size(); i++)
+		for (uint32_t i = 0; i < workers.size(); i++)
 			add(i);
 	}
 
@@ -405,7 +405,7 @@
 
 } // namespace
 
-TEST(Place, RandomRunsAgreeWithAModelThatLooksAtEveryWorker)
+TEST(Place, RandomRunsAgreeWithExhaustiveModel)
 {
 	for (unsigned seed = 1; seed <= 8; seed++) {
 		RandomRun run(seed);
@@ -424,32 +424,32 @@
 	run_script("place_gangs.txt");
 }
 
-// A large gang waits in a full cell.  Smaller tasks take each bit of room
-// that falls free, so without a reservation its caller waits for ever; with
-// one that never ended, a gang that is not coming would idle the cell.
+// A large gang waits in a full cell.  Smaller tasks take all room that falls
+// free, so without a reservation the gang never starts.  A reservation without
+// a deadline would leave room idle for a gang that is no longer tried.
 TEST(Place, ReservationKeepsRoomUntilItsDeadline)
 {
 	run_script("place_reserve.txt");
 }
 
 // A worker with a broken disk ends every task at once with an error.  It is
-// always empty, so it draws most new tasks, and callers of many jobs see
-// failures.  One job with a fault of its own fails on every worker, and must
-// not close the cell to all others.
-TEST(Place, BrokenWorkerIsSetAsideAndBadJobIsNot)
+// always empty, so it is given most new tasks, and many jobs fail.  A job with
+// a fault of its own fails on every worker, and must not get the workers
+// quarantined.
+TEST(Place, BrokenWorkerIsQuarantinedAndWorkersOfFailingJobAreNot)
 {
-	run_script("place_aside.txt");
+	run_script("place_quarantine.txt");
 }
 
-TEST(Place, JobsThatCanNeverRunAreTold)
+TEST(Place, InfeasibleJobsAreReported)
 {
-	run_script("place_never.txt");
+	run_script("place_feasible.txt");
 }
 
-// A tenth of all tasks fail for reasons of their own, one job fails on every
-// worker, and one worker fails nearly everything it starts.  Callers see the
-// broken worker's failures until it is set aside; the others must stay.
-TEST(Place, FailuresByChanceDoNotSetWorkersAside)
+// A tenth of all tasks fail at random, one job fails on every worker, and one
+// worker fails nearly everything it starts.  Tasks fail on the broken worker
+// until it is quarantined; the other workers must not be.
+TEST(Place, RandomFailuresDoNotQuarantineWorkers)
 {
 	struct ogl_place *p = ogl_place_init(3);
 	struct ogl_res c = {16000, 65536, 0}, total, held;
@@ -467,7 +467,7 @@
 		    OGL__KIND__batch, {1000, 1024, 0}, g() % 60};
 		uint32_t w;
 		ASSERT_TRUE(ogl_place_task(p, &a, i * OGL_MS, &w));
-		// Work lasts, so that it spreads over the cell.
+		// Long tasks would spread over the cell, so a random worker ends it.
 		uint32_t on = (w + g()) % n;
 		ogl_place_free(p, w, &a);
 		if (on == broken)
