--- a/src/place.c
+++ b/src/place.c
@@ -1,10 +1,9 @@
 /*
  * Placement: which worker a task runs on, and what workers hold.
  *
- * Every zone has a grid of free room (place_grid.c) for each of several groups
- * of workers.  The groups divide workers by their free accelerators, so that
- * tasks that need none try workers without accelerators first.  place_index.c
- * keeps the grids up to date, place_pick.c chooses by the kind's policy,
+ * Every zone has one grid of free room (place_grid.c) for each group of workers
+ * by free accelerators; tasks that need none try workers without any first.
+ * place_index.c keeps the grids, place_pick.c has the policies of the kinds,
  * place_gang.c places gangs, place_aside.c quarantines failing workers.  Needs
  * found to fit nowhere are remembered until some worker gains room for them, so
  * a full cell refuses a task after a few comparisons.
