--- a/test/test_place.cc
+++ b/test/test_place.cc
@@ -467,7 +467,7 @@
 		    OGL__KIND__batch, {1000, 1024, 0}, g() % 60};
 		uint32_t w;
 		ASSERT_TRUE(ogl_place_task(p, &a, i * OGL_MS, &w));
-		// Long tasks would spread over the cell, so a random worker ends it.
+		// Real tasks run on, and so spread over all workers.
 		uint32_t on = (w + g()) % n;
 		ogl_place_free(p, w, &a);
 		if (on == broken)
