--- a/src/place.c
+++ b/src/place.c
@@ -370,12 +370,12 @@
     const struct ogl_place *p, const struct ogl_ask *ask, uint32_t n)
 {
 	GHashTableIter it;
-	gpointer shape, count;
+	gpointer capacity, count;
 	uint64_t sum = 0;
 
 	g_hash_table_iter_init(&it, p->capacity_counts);
-	while (g_hash_table_iter_next(&it, &shape, &count)) {
-		sum += (uint64_t)ogl_place_tasks_fit(&ask->res, shape) *
+	while (g_hash_table_iter_next(&it, &capacity, &count)) {
+		sum += (uint64_t)ogl_place_tasks_fit(&ask->res, capacity) *
 		       GPOINTER_TO_UINT(count);
 		if (sum > 0 && sum >= n)
 			return OGL_NEVER_NOT;
