--- a/src/place_aside.c
+++ b/src/place_aside.c
@@ -73,9 +73,7 @@
 	}
 }
 
-/*
- * Gangs are not used as probes: one failed task would cost the whole gang.
- */
+/* Gangs are not used as probes: one failed task would cost the whole gang. */
 bool
 ogl_place_pick_probe(
     struct ogl_place *p, const struct ogl_ask *ask, ogl_time now, uint32_t *w)
