--- a/src/place_gang.c
+++ b/src/place_gang.c
@@ -35,7 +35,7 @@
 	uint32_t n; /* tasks wanted */
 	uint32_t got;
 	uint32_t *w;
-	bool use_accel_workers; /* also if none is needed */
+	bool use_accel_workers; /* even when no accelerator is needed */
 	struct ogl_grid_walk *walk;
 };
 
