--- a/src/place_health.c
+++ b/src/place_health.c
@@ -115,7 +115,7 @@
 	}
 }
 
-/* Bits that one failure of this job on a worker adds. */
+/* Surprisal, in bits, of one failure of this job on a worker. */
 static double
 surprisal(const struct job_record *r)
 {
