--- a/src/place_index.c
+++ b/src/place_index.c
@@ -212,7 +212,7 @@
 {
 	struct ogl_place_worker *k = &p->workers[w];
 	struct ogl_grid_entry *s = &p->entries[w];
-	struct ogl_res before = {0}, kept;
+	struct ogl_res before = {0}, reserved;
 
 	if (!usable(k)) {
 		ogl_place_unindex(p, w);
@@ -226,9 +226,9 @@
 	}
 	s->avail = ogl_place_free_room(k);
 	if (k->reserved_tasks > 0) {
-		kept =
+		reserved =
 		    ogl_place_multiply(&p->reserved.ask.res, k->reserved_tasks);
-		ogl_res_sub(&s->avail, &kept);
+		ogl_res_sub(&s->avail, &reserved);
 	}
 	sums_add(p, s);
 	ogl_place_rack_reindex(p, s->rack);
