--- a/src/place_pick.c
+++ b/src/place_pick.c
@@ -20,7 +20,7 @@
 #define MAX_OFFERS 32          /* workers compared per decision */
 #define MAX_OFFERS_PER_ZONE 8  /* of them in one zone */
 #define MAX_MISSES_PER_ZONE 48 /* workers without room, in the first search */
-#define TIGHTNESS_WEIGHT 0.05  /* against balance */
+#define TIGHTNESS_WEIGHT 0.05  /* of tightness against balance in a score */
 #define IMBALANCE_FLOOR 0.05   /* free fraction that counts as almost full */
 
 /* ---- batch: best fit -------------------------------------------------- */
@@ -30,7 +30,7 @@
 	const struct ogl_res *need;
 	double cpu_scale, mem_scale; /* one over the mean capacity */
 	bool by_mem;
-	double score; /* least so far */
+	double score; /* lowest so far */
 	uint32_t best;
 };
 
@@ -129,7 +129,7 @@
 struct spread {
 	const struct ogl_place *p;
 	uint64_t job;
-	uint64_t score; /* least so far */
+	uint64_t score; /* lowest so far */
 	uint32_t best;
 };
 
