--- a/src/place.c
+++ b/src/place.c
@@ -1,13 +1,12 @@
 /*
  * Placement: which worker a task runs on, and what workers hold.
  *
- * Every zone has one grid of free room (place_grid.c) for each plane; planes
- * part workers by the accelerators they have free, so that tasks without
- * need of one look at workers that have none first.  place_index.c keeps the
- * grids up to date, place_pick.c chooses by the kind's policy, place_gang.c
- * places gangs, place_aside.c sets broken workers aside.  Shapes found to fit
- * nowhere are remembered until some worker gains room for them, so a full
- * cell refuses at the cost of a few comparisons.
+ * Every zone has one grid of free room (place_grid.c) for each group of workers
+ * by free accelerators; tasks that need none try workers without any first.
+ * place_index.c keeps the grids, place_pick.c has the policies of the kinds,
+ * place_gang.c places gangs, place_aside.c quarantines failing workers.  Needs
+ * found to fit nowhere are remembered until some worker gains room for them, so
+ * a full cell refuses a task after a few comparisons.
  *
  * Invariant: on no worker does the sum of what is held exceed its capacity,
  * unless the worker itself lowered its capacity; then it gets no more.
@@ -22,23 +21,23 @@
 {
 	uint64_t x;
 
-	p->rnd += 0x9e3779b97f4a7c15u;
-	x = (p->rnd ^ (p->rnd >> 30)) * 0xbf58476d1ce4e5b9u;
+	p->random_state += 0x9e3779b97f4a7c15u;
+	x = (p->random_state ^ (p->random_state >> 30)) * 0xbf58476d1ce4e5b9u;
 	x = (x ^ (x >> 27)) * 0x94d049bb133111ebu;
 	return (uint32_t)(x >> 32);
 }
 
 /* ---- holding ---------------------------------------------------------- */
 
-/* Counts one task of a job in or out of the zone and rack of worker w. */
+/* Adds or removes a task of a job in the counts of worker w's zone and rack. */
 static void
-job_count(struct ogl_place *p, uint32_t w, uint64_t job, bool in)
+count_job(struct ogl_place *p, uint32_t w, uint64_t job, bool add)
 {
-	const struct ogl_slot *s = &p->slots[w];
+	const struct ogl_grid_entry *s = &p->entries[w];
 	uint64_t zone = ogl_counts_key(job, OGL_COUNT_ZONE, s->zone);
 	uint64_t rack = ogl_counts_key(job, OGL_COUNT_RACK, s->rack);
 
-	if (in) {
+	if (add) {
 		ogl_counts_add(&p->counts, zone);
 		ogl_counts_add(&p->counts, rack);
 	} else {
@@ -53,16 +52,17 @@
 	struct ogl_place_worker *k = &p->workers[w];
 	unsigned i;
 
-	job_count(p, w, job, true);
+	count_job(p, w, job, true);
 	for (i = 0; i < k->njobs; i++) {
 		if (k->jobs[i].job == job) {
 			k->jobs[i].n++;
 			return;
 		}
 	}
-	if (k->njobs == k->room_jobs) {
-		k->room_jobs = (uint16_t)(k->room_jobs * 2 + 2);
-		k->jobs = g_renew(struct ogl_job_here, k->jobs, k->room_jobs);
+	if (k->njobs == k->jobs_allocated) {
+		k->jobs_allocated = (uint16_t)(k->jobs_allocated * 2 + 2);
+		k->jobs =
+		    g_renew(struct ogl_job_tasks, k->jobs, k->jobs_allocated);
 	}
 	k->jobs[k->njobs].job = job;
 	k->jobs[k->njobs++].n = 1;
@@ -78,7 +78,7 @@
 		;
 	if (i == k->njobs)
 		return;
-	job_count(p, w, job, false);
+	count_job(p, w, job, false);
 	if (--k->jobs[i].n == 0)
 		k->jobs[i] = k->jobs[--k->njobs];
 }
@@ -89,17 +89,17 @@
 	struct ogl_place_worker *k = &p->workers[w];
 	struct ogl_res room = ogl_place_free_room(k);
 
-	/* The one thing that must hold: no worker gets more than it has. */
+	/* Invariant: no worker gets more than its capacity. */
 	g_assert(ogl_res_fits(&k->held, &k->capacity));
 	g_assert(ogl_res_fits(&ask->res, &room));
 	ogl_res_add(&k->held, &ask->res);
-	if (k->counted) {
+	if (k->in_totals) {
 		p->held_cpu += ask->res.cpu_milli;
 		p->held_mem += ask->res.mem_mb;
 		p->held_accel += ask->res.accel;
 	}
 	if (ogl_place_policy(ask->kind)->spreads) {
-		ogl_res_add(&k->held_long, &ask->res);
+		ogl_res_add(&k->held_by_services, &ask->res);
 		job_add(p, w, ask->job);
 	}
 	ogl_place_reindex(p, w);
@@ -129,14 +129,14 @@
 	g_return_if_fail(ogl_place_known(p, w));
 	k = &p->workers[w];
 	g_return_if_fail(ogl_res_fits(&ask->res, &k->held));
-	if (k->counted) {
+	if (k->in_totals) {
 		p->held_cpu -= ask->res.cpu_milli;
 		p->held_mem -= ask->res.mem_mb;
 		p->held_accel -= ask->res.accel;
 	}
 	ogl_res_sub(&k->held, &ask->res);
 	if (ogl_place_policy(ask->kind)->spreads) {
-		ogl_res_sub(&k->held_long, &ask->res);
+		ogl_res_sub(&k->held_by_services, &ask->res);
 		job_sub(p, w, ask->job);
 	}
 	ogl_place_reindex(p, w);
@@ -148,13 +148,13 @@
 ogl_place_task(
     struct ogl_place *p, const struct ogl_ask *ask, ogl_time now, uint32_t *w)
 {
-	ogl_place_expire(p, now);
-	ogl_place_wake(p, now);
-	if (!ogl_place_probe(p, ask, now, w)) {
-		if (ogl_place_missed(p, &ask->res))
+	ogl_place_expire_reservation(p, now);
+	ogl_place_update_quarantine(p, now);
+	if (!ogl_place_pick_probe(p, ask, now, w)) {
+		if (ogl_place_known_no_fit(p, &ask->res))
 			return false;
 		if (!ogl_place_policy(ask->kind)->pick(p, ask, w)) {
-			ogl_place_note_miss(p, &ask->res);
+			ogl_place_note_no_fit(p, &ask->res);
 			return false;
 		}
 	}
@@ -165,7 +165,7 @@
 /* ---- workers ---------------------------------------------------------- */
 
 static guint
-shape_hash(gconstpointer v)
+res_hash(gconstpointer v)
 {
 	const struct ogl_res *r = v;
 
@@ -173,22 +173,22 @@
 }
 
 static gboolean
-shape_equal(gconstpointer a, gconstpointer b)
+res_equal(gconstpointer a, gconstpointer b)
 {
 	return memcmp(a, b, sizeof(struct ogl_res)) == 0;
 }
 
 static void
-shape_count(struct ogl_place *p, const struct ogl_res *r, int by)
+count_capacity(struct ogl_place *p, const struct ogl_res *r, int by)
 {
-	guint n = GPOINTER_TO_UINT(g_hash_table_lookup(p->shapes, r));
+	guint n = GPOINTER_TO_UINT(g_hash_table_lookup(p->capacity_counts, r));
 
 	n = (guint)((int)n + by);
 	if (n == 0)
-		g_hash_table_remove(p->shapes, r);
+		g_hash_table_remove(p->capacity_counts, r);
 	else
-		g_hash_table_replace(
-		    p->shapes, g_memdup2(r, sizeof(*r)), GUINT_TO_POINTER(n));
+		g_hash_table_replace(p->capacity_counts,
+		    g_memdup2(r, sizeof(*r)), GUINT_TO_POINTER(n));
 }
 
 static void
@@ -197,21 +197,21 @@
 	struct ogl_place_zone *z = v;
 	unsigned i;
 
-	for (i = 0; i < OGL_PLANES; i++)
+	for (i = 0; i < OGL_ACCEL_GROUPS; i++)
 		ogl_grid_clear(&z->grid[i]);
 	ogl_grid_clear(&z->racks);
 	g_free(z->name);
 	g_free(z);
 }
 
-/* Number of a zone; beyond 255 of them they share the last number. */
+/* Returns the number of a zone; zones beyond 255 share the last number. */
 static uint16_t
 zone_number(struct ogl_place *p, const char *name)
 {
 	struct ogl_place_zone *z;
 	gpointer v;
 
-	if (g_hash_table_lookup_extended(p->zone_byname, name, NULL, &v))
+	if (g_hash_table_lookup_extended(p->zone_by_name, name, NULL, &v))
 		return (uint16_t)GPOINTER_TO_UINT(v);
 	if (p->zones->len == UINT8_MAX)
 		return UINT8_MAX - 1;
@@ -219,7 +219,7 @@
 	z->name = g_strdup(name);
 	g_ptr_array_add(p->zones, z);
 	g_hash_table_insert(
-	    p->zone_byname, z->name, GUINT_TO_POINTER(p->zones->len - 1));
+	    p->zone_by_name, z->name, GUINT_TO_POINTER(p->zones->len - 1));
 	return (uint16_t)(p->zones->len - 1);
 }
 
@@ -231,17 +231,18 @@
 	gpointer v;
 	uint32_t n;
 
-	if (g_hash_table_lookup_extended(p->rack_byname, key, NULL, &v)) {
+	if (g_hash_table_lookup_extended(p->rack_by_name, key, NULL, &v)) {
 		g_free(key);
 		return GPOINTER_TO_UINT(v);
 	}
 	r.workers = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	g_array_append_val(p->racks, r);
 	n = p->racks->len - 1;
-	p->rack_slots = g_renew(struct ogl_slot, p->rack_slots, n + 1);
-	memset(&p->rack_slots[n], 0, sizeof(p->rack_slots[n]));
+	p->rack_entries =
+	    g_renew(struct ogl_grid_entry, p->rack_entries, n + 1);
+	memset(&p->rack_entries[n], 0, sizeof(p->rack_entries[n]));
 	ogl_place_rack_reindex(p, n);
-	g_hash_table_insert(p->rack_byname, key, GUINT_TO_POINTER(n));
+	g_hash_table_insert(p->rack_by_name, key, GUINT_TO_POINTER(n));
 	return n;
 }
 
@@ -250,25 +251,27 @@
 {
 	uint32_t w;
 
-	if (p->spare->len > 0) {
-		w = g_array_index(p->spare, uint32_t, p->spare->len - 1);
-		g_array_set_size(p->spare, p->spare->len - 1);
+	if (p->free_numbers->len > 0) {
+		w = g_array_index(
+		    p->free_numbers, uint32_t, p->free_numbers->len - 1);
+		g_array_set_size(p->free_numbers, p->free_numbers->len - 1);
 		return w;
 	}
-	if (p->n == p->room) {
-		p->room = p->room * 2 + 16;
-		p->slots = g_renew(struct ogl_slot, p->slots, p->room);
+	if (p->n == p->allocated) {
+		p->allocated = p->allocated * 2 + 16;
+		p->entries =
+		    g_renew(struct ogl_grid_entry, p->entries, p->allocated);
 		p->workers =
-		    g_renew(struct ogl_place_worker, p->workers, p->room);
+		    g_renew(struct ogl_place_worker, p->workers, p->allocated);
 	}
-	ogl_health_fit(p->health, p->n + 1);
+	ogl_health_resize(p->health, p->n + 1);
 	return p->n++;
 }
 
 static void
 leave_rack(struct ogl_place *p, uint32_t w)
 {
-	GArray *a = ogl_place_rack_at(p, p->slots[w].rack)->workers;
+	GArray *a = ogl_place_rack_at(p, p->entries[w].rack)->workers;
 	uint32_t i;
 
 	for (i = 0; g_array_index(a, uint32_t, i) != w; i++)
@@ -276,16 +279,16 @@
 	g_array_remove_index_fast(a, i);
 }
 
-/* Counts all spread tasks of worker w in or out of its zone and rack. */
+/* Adds or removes all tasks of worker w in the counts of its zone and rack. */
 static void
-recount_jobs(struct ogl_place *p, uint32_t w, bool in)
+recount_jobs(struct ogl_place *p, uint32_t w, bool add)
 {
 	const struct ogl_place_worker *k = &p->workers[w];
 	uint32_t i, n;
 
 	for (i = 0; i < k->njobs; i++) {
 		for (n = 0; n < k->jobs[i].n; n++)
-			job_count(p, w, k->jobs[i].job, in);
+			count_job(p, w, k->jobs[i].job, add);
 	}
 }
 
@@ -297,30 +300,32 @@
 	uint32_t w;
 	gpointer v;
 
-	if (g_hash_table_lookup_extended(p->byname, name, NULL, &v)) {
+	if (g_hash_table_lookup_extended(p->worker_by_name, name, NULL, &v)) {
 		w = GPOINTER_TO_UINT(v);
 		k = &p->workers[w];
-		ogl_place_unkeep(p, w);
+		ogl_place_unreserve_worker(p, w);
 		ogl_place_unindex(p, w);
-		shape_count(p, &k->capacity, -1);
+		count_capacity(p, &k->capacity, -1);
 		recount_jobs(p, w, false);
 		leave_rack(p, w);
 	} else {
 		w = new_number(p);
 		k = &p->workers[w];
 		memset(k, 0, sizeof(*k));
-		memset(&p->slots[w], 0, sizeof(p->slots[w]));
+		memset(&p->entries[w], 0, sizeof(p->entries[w]));
 		k->name = g_strdup(name);
 		k->known = true;
-		g_hash_table_insert(p->byname, k->name, GUINT_TO_POINTER(w));
+		g_hash_table_insert(
+		    p->worker_by_name, k->name, GUINT_TO_POINTER(w));
 	}
 	k->capacity = *capacity;
-	p->slots[w].zone = zone_number(p, zone != NULL ? zone : "");
-	p->slots[w].rack =
-	    rack_number(p, p->slots[w].zone, rack != NULL ? rack : "");
-	g_array_append_val(ogl_place_rack_at(p, p->slots[w].rack)->workers, w);
+	p->entries[w].zone = zone_number(p, zone != NULL ? zone : "");
+	p->entries[w].rack =
+	    rack_number(p, p->entries[w].zone, rack != NULL ? rack : "");
+	g_array_append_val(
+	    ogl_place_rack_at(p, p->entries[w].rack)->workers, w);
 	recount_jobs(p, w, true);
-	shape_count(p, capacity, 1);
+	count_capacity(p, capacity, 1);
 	ogl_place_reindex(p, w);
 	return w;
 }
@@ -333,18 +338,18 @@
 	if (!ogl_place_known(p, w))
 		return;
 	k = &p->workers[w];
-	ogl_place_unkeep(p, w);
-	ogl_place_take_back(p, w);
+	ogl_place_unreserve_worker(p, w);
+	ogl_place_end_quarantine(p, w);
 	ogl_place_unindex(p, w);
-	shape_count(p, &k->capacity, -1);
+	count_capacity(p, &k->capacity, -1);
 	recount_jobs(p, w, false);
 	leave_rack(p, w);
-	ogl_health_forget(p->health, w);
-	g_hash_table_remove(p->byname, k->name);
+	ogl_health_remove_worker(p->health, w);
+	g_hash_table_remove(p->worker_by_name, k->name);
 	g_free(k->name);
 	g_free(k->jobs);
 	memset(k, 0, sizeof(*k));
-	g_array_append_val(p->spare, w);
+	g_array_append_val(p->free_numbers, w);
 }
 
 void
@@ -354,23 +359,23 @@
 		return;
 	p->workers[w].open = st == OGL_PLACE_OPEN;
 	if (st == OGL_PLACE_CLOSED)
-		ogl_place_unkeep(p, w);
+		ogl_place_unreserve_worker(p, w);
 	ogl_place_reindex(p, w);
 }
 
-/* ---- whole ------------------------------------------------------------ */
+/* ---- totals and setup ------------------------------------------------- */
 
 enum ogl_never
 ogl_place_never(
     const struct ogl_place *p, const struct ogl_ask *ask, uint32_t n)
 {
 	GHashTableIter it;
-	gpointer shape, count;
+	gpointer capacity, count;
 	uint64_t sum = 0;
 
-	g_hash_table_iter_init(&it, p->shapes);
-	while (g_hash_table_iter_next(&it, &shape, &count)) {
-		sum += (uint64_t)ogl_place_fit(&ask->res, shape) *
+	g_hash_table_iter_init(&it, p->capacity_counts);
+	while (g_hash_table_iter_next(&it, &capacity, &count)) {
+		sum += (uint64_t)ogl_place_tasks_fit(&ask->res, capacity) *
 		       GPOINTER_TO_UINT(count);
 		if (sum > 0 && sum >= n)
 			return OGL_NEVER_NOT;
@@ -382,12 +387,12 @@
 ogl_place_room(
     const struct ogl_place *p, struct ogl_res *total, struct ogl_res *held)
 {
-	total->cpu_milli = ogl_place_sat(p->total_cpu);
-	total->mem_mb = ogl_place_sat(p->total_mem);
-	total->accel = ogl_place_sat(p->total_accel);
-	held->cpu_milli = ogl_place_sat(p->held_cpu);
-	held->mem_mb = ogl_place_sat(p->held_mem);
-	held->accel = ogl_place_sat(p->held_accel);
+	total->cpu_milli = ogl_place_saturate(p->total_cpu);
+	total->mem_mb = ogl_place_saturate(p->total_mem);
+	total->accel = ogl_place_saturate(p->total_accel);
+	held->cpu_milli = ogl_place_saturate(p->held_cpu);
+	held->mem_mb = ogl_place_saturate(p->held_mem);
+	held->accel = ogl_place_saturate(p->held_accel);
 }
 
 struct ogl_place *
@@ -395,21 +400,22 @@
 {
 	struct ogl_place *p = g_new0(struct ogl_place, 1);
 
-	p->spare = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-	p->aside = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-	p->reserved.kept = g_array_new(FALSE, FALSE, sizeof(struct ogl_kept));
-	p->byname = g_hash_table_new(g_str_hash, g_str_equal);
+	p->free_numbers = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+	p->quarantined = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+	p->reserved.workers =
+	    g_array_new(FALSE, FALSE, sizeof(struct ogl_reserved_worker));
+	p->worker_by_name = g_hash_table_new(g_str_hash, g_str_equal);
 	p->zones = g_ptr_array_new_with_free_func(zone_free);
-	p->zone_byname = g_hash_table_new(g_str_hash, g_str_equal);
+	p->zone_by_name = g_hash_table_new(g_str_hash, g_str_equal);
 	p->racks = g_array_new(FALSE, FALSE, sizeof(struct ogl_place_rack));
-	p->rack_byname =
+	p->rack_by_name =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	p->shapes =
-	    g_hash_table_new_full(shape_hash, shape_equal, g_free, NULL);
+	p->capacity_counts =
+	    g_hash_table_new_full(res_hash, res_equal, g_free, NULL);
 	ogl_counts_init(&p->counts);
 	p->health = ogl_health_init();
-	p->aside_due = OGL_NEVER;
-	p->rnd = seed;
+	p->next_quarantine_update = OGL_NEVER;
+	p->random_state = seed;
 	return p;
 }
 
@@ -430,18 +436,18 @@
 		g_array_free(ogl_place_rack_at(p, i)->workers, TRUE);
 	ogl_health_end(p->health);
 	ogl_counts_clear(&p->counts);
-	g_hash_table_destroy(p->shapes);
-	g_hash_table_destroy(p->rack_byname);
+	g_hash_table_destroy(p->capacity_counts);
+	g_hash_table_destroy(p->rack_by_name);
 	g_array_free(p->racks, TRUE);
-	g_hash_table_destroy(p->zone_byname);
+	g_hash_table_destroy(p->zone_by_name);
 	g_ptr_array_free(p->zones, TRUE);
-	g_hash_table_destroy(p->byname);
-	g_array_free(p->reserved.kept, TRUE);
-	g_array_free(p->aside, TRUE);
-	g_array_free(p->spare, TRUE);
+	g_hash_table_destroy(p->worker_by_name);
+	g_array_free(p->reserved.workers, TRUE);
+	g_array_free(p->quarantined, TRUE);
+	g_array_free(p->free_numbers, TRUE);
 	g_free(p->workers);
-	g_free(p->rack_slots);
-	g_free(p->slots);
+	g_free(p->rack_entries);
+	g_free(p->entries);
 	g_free(p);
 }
 
@@ -450,21 +456,23 @@
 {
 	size_t n = sizeof(*p) + ogl_health_bytes(p->health);
 	uint32_t i;
-	unsigned plane;
+	unsigned accel_group;
 
-	n += p->room * (sizeof(*p->slots) + sizeof(*p->workers));
-	n += p->counts.size * sizeof(*p->counts.cells);
+	n += p->allocated * (sizeof(*p->entries) + sizeof(*p->workers));
+	n += p->counts.size * sizeof(*p->counts.entries);
 	n += p->racks->len *
-	     (sizeof(struct ogl_place_rack) + sizeof(*p->rack_slots));
+	     (sizeof(struct ogl_place_rack) + sizeof(*p->rack_entries));
 	for (i = 0; i < p->n; i++)
-		n += p->workers[i].room_jobs * sizeof(struct ogl_job_here);
+		n +=
+		    p->workers[i].jobs_allocated * sizeof(struct ogl_job_tasks);
 	for (i = 0; i < p->racks->len; i++)
 		n += ogl_place_rack_at(p, i)->workers->len * sizeof(uint32_t);
 	for (i = 0; i < p->zones->len; i++) {
 		n += ogl_grid_bytes(&ogl_place_zone_at(p, i)->racks);
-		for (plane = 0; plane < OGL_PLANES; plane++)
+		for (accel_group = 0; accel_group < OGL_ACCEL_GROUPS;
+		     accel_group++)
 			n += ogl_grid_bytes(
-			    &ogl_place_zone_at(p, i)->grid[plane]);
+			    &ogl_place_zone_at(p, i)->grid[accel_group]);
 	}
 	return n;
 }
--- a/src/place_gang.c
+++ b/src/place_gang.c
@@ -1,40 +1,41 @@
 /*
- * Gangs: all tasks at once or none, and the one reservation.
+ * Gangs, whose tasks are placed all at once or not at all, and the reservation.
  *
- * A gang is first planned, touching nothing, then held.  The plan tries
- * single racks whose free room in sum is enough, found in the zone's grid of
- * racks, then many racks, of the roomiest zone first.  All tasks of a gang
- * are alike, so how many a worker takes does not depend on the others, and a
- * plan over all racks finds room whenever there is some.  When it finds too
- * little, the number that did fit is remembered, and raised as workers gain
- * room; until it reaches the gang's size the gang is refused at once.
+ * A gang is first planned without changing anything, then held.  The plan tries
+ * single racks with enough free room in total, found in the zone's grid of
+ * racks, then many racks, starting in the zone with the most room.  All tasks
+ * of a gang have the same need, so how many a worker takes does not depend on
+ * the others, and a plan over all racks finds room whenever there is enough.
+ * When it fails, the number of tasks that did fit is remembered, and raised as
+ * workers gain room; while it is below the gang's size the gang is refused at
+ * once.
  *
- * Without a reservation a large gang may wait for ever, since each bit of
- * room that falls free goes to some smaller task at once.  The reservation
- * keeps the room of chosen workers for one gang: on each a number of its
- * tasks.  Only what a worker has beyond that is shown to others, and workers
- * not chosen stay open to all, so smaller work runs on behind it.  What
- * services hold is taken to stay.  The deadline ends it whatever happens,
- * and a gang that could not run even then reserves nothing, so no room is
- * hoarded.
+ * Without a reservation a large gang may wait for ever, since each bit of room
+ * that falls free goes to some smaller task at once.  The reservation keeps
+ * room on chosen workers for one gang: on each for a number of its tasks.
+ * Others see only the room beyond that, and all of the workers not chosen, so
+ * smaller tasks keep running meanwhile.  Room that services hold is assumed to
+ * stay held.  The reservation ends at its deadline at the latest.  A gang that
+ * could not run even if all tasks but those of services ended gets none, so no
+ * room is kept in vain.
  */
 
 #include "place.h"
 
-#define RACK_TRIES 4 /* single racks tried in each zone */
-#define RACK_LOOKS 32
-#define HALVINGS 7          /* steps to the part of work that has to end */
-#define CHOOSE_EACH OGL_SEC /* least time between choices */
+#define SINGLE_RACK_OFFERS 4        /* racks offered per zone */
+#define SINGLE_RACK_MISSES 32       /* racks without room examined per zone */
+#define BISECTION_STEPS 7           /* to find how much work has to end */
+#define MIN_CHOOSE_INTERVAL OGL_SEC /* between choices of workers */
 
 /* ---- plans ------------------------------------------------------------ */
 
 struct plan {
 	struct ogl_place *p;
 	const struct ogl_ask *ask;
-	uint32_t n; /* wanted */
+	uint32_t n; /* tasks wanted */
 	uint32_t got;
 	uint32_t *w;
-	bool accel_too; /* also workers with accelerators, if not needed */
+	bool use_accel_workers; /* even when no accelerator is needed */
 	struct ogl_grid_walk *walk;
 };
 
@@ -42,38 +43,39 @@
 plan_rack(struct plan *k, uint32_t rack)
 {
 	const GArray *a = ogl_place_rack_at(k->p, rack)->workers;
-	const struct ogl_slot *s;
+	const struct ogl_grid_entry *s;
 	uint32_t i, w, fit;
 
 	for (i = 0; i < a->len && k->got < k->n; i++) {
 		w = g_array_index(a, uint32_t, i);
-		s = &k->p->slots[w];
+		s = &k->p->entries[w];
 		if (!s->indexed)
 			continue;
-		if (k->ask->res.accel == 0 && s->plane != 0 && !k->accel_too)
+		if (k->ask->res.accel == 0 && s->accel_group != 0 &&
+		    !k->use_accel_workers)
 			continue;
-		fit = ogl_place_fit(&k->ask->res, &s->avail);
+		fit = ogl_place_tasks_fit(&k->ask->res, &s->avail);
 		for (; fit > 0 && k->got < k->n; fit--)
 			k->w[k->got++] = w;
 	}
 }
 
 static void
-one_rack_offer(void *ctx, uint32_t rack)
+single_rack_offer(void *ctx, uint32_t rack)
 {
 	struct plan *k = ctx;
 
 	k->got = 0;
 	plan_rack(k, rack);
 	if (k->got == k->n)
-		k->walk->take = 0;
+		k->walk->offers_left = 0;
 }
 
-/* A single rack that holds all, in each zone the tightest first. */
+/* Looks for one rack that holds all, in each zone the tightest first. */
 static bool
-plan_one_rack(struct plan *k)
+plan_single_rack(struct plan *k)
 {
-	struct ogl_res all = ogl_place_times(&k->ask->res, k->n);
+	struct ogl_res all = ogl_place_multiply(&k->ask->res, k->n);
 	uint32_t i, zones = k->p->zones->len, at = ogl_place_random(k->p);
 	struct ogl_place_zone *z;
 
@@ -81,15 +83,15 @@
 	for (i = 0; i < zones; i++) {
 		struct ogl_grid_walk walk = {
 		    .need = &all,
-		    .take = RACK_TRIES,
-		    .misses = RACK_LOOKS,
-		    .offer = one_rack_offer,
+		    .offers_left = SINGLE_RACK_OFFERS,
+		    .misses_left = SINGLE_RACK_MISSES,
+		    .offer = single_rack_offer,
 		    .ctx = k,
 		};
 
 		k->walk = &walk;
 		z = ogl_place_zone_at(k->p, (at + i) % zones);
-		ogl_grid_walk(&z->racks, k->p->rack_slots, &walk);
+		ogl_grid_walk(&z->racks, k->p->rack_entries, &walk);
 		if (k->got == k->n)
 			return true;
 	}
@@ -102,38 +104,38 @@
 	struct plan *k = ctx;
 	struct ogl_place_rack *r = ogl_place_rack_at(k->p, rack);
 
-	if (r->planned == k->p->plans)
+	if (r->last_plan == k->p->plans_made)
 		return;
-	r->planned = k->p->plans;
+	r->last_plan = k->p->plans_made;
 	plan_rack(k, rack);
 	if (k->got == k->n)
-		k->walk->take = 0;
+		k->walk->offers_left = 0;
 }
 
 /*
- * Fills the racks of a zone: first those that may hold half of the gang,
- * then a quarter, and so on to single tasks, so few racks are used.
+ * Fills the racks of a zone: first those that may hold half of the gang, then a
+ * quarter, and so on down to single tasks, so that few racks are used.
  */
 static void
 plan_zone(struct plan *k, uint32_t z)
 {
 	const struct ogl_grid *g = &ogl_place_zone_at(k->p, z)->racks;
-	uint32_t part = k->n;
+	uint32_t tasks = k->n;
 	struct ogl_res need;
 
-	while (k->got < k->n && part > 0) {
+	while (k->got < k->n && tasks > 0) {
 		struct ogl_grid_walk walk = {
 		    .need = &need,
-		    .take = UINT32_MAX,
-		    .misses = UINT32_MAX,
+		    .offers_left = UINT32_MAX,
+		    .misses_left = UINT32_MAX,
 		    .offer = fill_offer,
 		    .ctx = k,
 		};
 
-		part = part > 1 ? (part + 1) / 2 : 0;
-		need = ogl_place_times(&k->ask->res, MAX(part, 1));
+		tasks = tasks > 1 ? (tasks + 1) / 2 : 0;
+		need = ogl_place_multiply(&k->ask->res, MAX(tasks, 1));
 		k->walk = &walk;
-		ogl_grid_walk(g, k->p->rack_slots, &walk);
+		ogl_grid_walk(g, k->p->rack_entries, &walk);
 	}
 }
 
@@ -143,9 +145,9 @@
 	return need > 0 ? sum / need : UINT32_MAX;
 }
 
-/* Tasks that the sums of a zone allow; at least what fits. */
+/* An upper bound of the tasks that fit in a zone, by its sums. */
 static uint64_t
-zone_most(const struct ogl_place_zone *z, const struct ogl_res *need)
+zone_upper_bound(const struct ogl_place_zone *z, const struct ogl_res *need)
 {
 	uint64_t n = fit_sum(need->cpu_milli, z->cpu);
 
@@ -153,25 +155,26 @@
 	return MIN(n, fit_sum(need->accel, z->accel));
 }
 
-/* Many racks, of the roomiest zone first. */
+/* Plans over many racks, starting in the zone with the most room. */
 static bool
 plan_many_racks(struct plan *k)
 {
 	uint32_t z, zones = k->p->zones->len, best = 0;
-	uint64_t most, sum = 0, best_most = 0;
+	uint64_t bound, sum = 0, best_bound = 0;
 
 	for (z = 0; z < zones; z++) {
-		most = zone_most(ogl_place_zone_at(k->p, z), &k->ask->res);
-		sum += most;
-		if (most > best_most) {
-			best_most = most;
+		bound =
+		    zone_upper_bound(ogl_place_zone_at(k->p, z), &k->ask->res);
+		sum += bound;
+		if (bound > best_bound) {
+			best_bound = bound;
 			best = z;
 		}
 	}
 	k->got = 0;
 	if (sum < k->n)
 		return false;
-	k->p->plans++;
+	k->p->plans_made++;
 	for (z = 0; z < zones && k->got < k->n; z++)
 		plan_zone(k, (best + z) % zones);
 	return k->got == k->n;
@@ -184,122 +187,129 @@
 
 	if (k->n == 0)
 		return true;
-	if (ogl_place_missed(k->p, need) ||
-	    ogl_place_gang_missed(k->p, need, k->n))
+	if (ogl_place_known_no_fit(k->p, need) ||
+	    ogl_place_gang_known_no_fit(k->p, need, k->n))
 		return false;
-	if (plan_one_rack(k) || plan_many_racks(k))
+	if (plan_single_rack(k) || plan_many_racks(k))
 		return true;
 	if (need->accel == 0) {
-		k->accel_too = true;
-		if (plan_one_rack(k) || plan_many_racks(k))
+		k->use_accel_workers = true;
+		if (plan_single_rack(k) || plan_many_racks(k))
 			return true;
 	}
-	/* A plan over all racks that failed has counted all that fits. */
+	/* The failed plan over all racks has counted all tasks that fit. */
 	if (k->got > 0)
-		ogl_place_note_gang_miss(k->p, need, k->got);
+		ogl_place_note_gang_bound(k->p, need, k->got);
 	return false;
 }
 
 /* ---- the reservation -------------------------------------------------- */
 
 static uint32_t
-part_free(uint32_t capacity, uint32_t held, uint32_t held_long, double part)
+free_after_end(
+    uint32_t capacity, uint32_t held, uint32_t held_by_services, double ended)
 {
-	return capacity - held + (uint32_t)(part * (held - held_long));
+	return capacity - held + (uint32_t)(ended * (held - held_by_services));
 }
 
-/* Tasks of the gang that fit on w once a part of its work has ended. */
+/*
+ * Tasks of the gang that fit on w once the fraction `ended` of its work, apart
+ * from services, has ended.
+ */
 static uint32_t
-fit_once_ended(
-    const struct ogl_place *p, uint32_t w, double part, bool accel_too)
+fit_after_end(
+    const struct ogl_place *p, uint32_t w, double ended, bool use_accel_workers)
 {
 	const struct ogl_place_worker *k = &p->workers[w];
 	const struct ogl_res *need = &p->reserved.ask.res;
 	struct ogl_res room;
 
-	if (!p->slots[w].indexed)
+	if (!p->entries[w].indexed)
 		return 0;
-	if (need->accel == 0 && k->capacity.accel > 0 && !accel_too)
+	if (need->accel == 0 && k->capacity.accel > 0 && !use_accel_workers)
 		return 0;
-	room.cpu_milli = part_free(k->capacity.cpu_milli, k->held.cpu_milli,
-	    k->held_long.cpu_milli, part);
-	room.mem_mb = part_free(
-	    k->capacity.mem_mb, k->held.mem_mb, k->held_long.mem_mb, part);
-	room.accel = part_free(
-	    k->capacity.accel, k->held.accel, k->held_long.accel, part);
-	return MIN(ogl_place_fit(need, &room), p->reserved.n);
+	room.cpu_milli = free_after_end(k->capacity.cpu_milli,
+	    k->held.cpu_milli, k->held_by_services.cpu_milli, ended);
+	room.mem_mb = free_after_end(k->capacity.mem_mb, k->held.mem_mb,
+	    k->held_by_services.mem_mb, ended);
+	room.accel = free_after_end(
+	    k->capacity.accel, k->held.accel, k->held_by_services.accel, ended);
+	return MIN(ogl_place_tasks_fit(need, &room), p->reserved.n);
 }
 
 static bool
-enough_once_ended(const struct ogl_place *p, double part, bool accel_too)
+enough_after_end(
+    const struct ogl_place *p, double ended, bool use_accel_workers)
 {
 	uint64_t sum = 0;
 	uint32_t w;
 
 	for (w = 0; w < p->n && sum < p->reserved.n; w++)
-		sum += fit_once_ended(p, w, part, accel_too);
+		sum += fit_after_end(p, w, ended, use_accel_workers);
 	return sum >= p->reserved.n;
 }
 
-/* Keeps what fits once that part has ended, on top of kept tasks. */
+/* Adds workers to the reservation, for what fits then, until *left is 0. */
 static void
-choose_at(struct ogl_place *p, double part, bool accel_too, uint32_t *left)
+reserve_on_workers(
+    struct ogl_place *p, double ended, bool use_accel_workers, uint32_t *left)
 {
-	struct ogl_kept kept;
+	struct ogl_reserved_worker r;
 	uint32_t fit;
 
-	for (kept.w = 0; kept.w<p->n && * left> 0; kept.w++) {
-		fit = fit_once_ended(p, kept.w, part, accel_too);
-		kept.tasks = MIN(fit, *left);
-		if (kept.tasks == 0)
+	for (r.w = 0; r.w<p->n && * left> 0; r.w++) {
+		fit = fit_after_end(p, r.w, ended, use_accel_workers);
+		r.tasks = MIN(fit, *left);
+		if (r.tasks == 0)
 			continue;
-		*left -= kept.tasks;
-		g_array_append_val(p->reserved.kept, kept);
+		*left -= r.tasks;
+		g_array_append_val(p->reserved.workers, r);
 	}
 }
 
 /*
- * Chooses where to keep room; false when too little can ever fall free.  The
- * least part of every worker's work that has to end is found by halving, so
- * room is kept where little is missing, a few tasks on each of many workers:
- * the first tasks to end on many workers are there long before the last ones
- * on few.  Room that is free already is kept at any part, so choosing anew
- * loses none of it and follows what fell free since.
+ * Chooses workers to reserve room on; false when too little can ever fall free.
+ * Bisection finds the least fraction of every worker's work that has to end, so
+ * that room is kept where little is missing, for a few tasks on each of many
+ * workers: the first tasks to end on many workers end long before the last ones
+ * on few.  Room that is free already is kept at any fraction, so choosing again
+ * loses none of it and uses the room that fell free since.
  */
 static bool
-choose(struct ogl_place *p, ogl_time now)
+choose_workers(struct ogl_place *p, ogl_time now)
 {
 	double low = 0, high = 1, middle;
 	uint32_t i, left = p->reserved.n;
-	bool accel_too;
+	bool use_accel_workers;
 
-	g_array_set_size(p->reserved.kept, 0);
-	p->reserved.lost = false;
-	p->reserved.chosen = now;
-	accel_too = !enough_once_ended(p, high, false);
-	if (accel_too && !enough_once_ended(p, high, true))
+	g_array_set_size(p->reserved.workers, 0);
+	p->reserved.worker_lost = false;
+	p->reserved.chosen_at = now;
+	use_accel_workers = !enough_after_end(p, high, false);
+	if (use_accel_workers && !enough_after_end(p, high, true))
 		return false;
-	for (i = 0; i < HALVINGS; i++) {
+	for (i = 0; i < BISECTION_STEPS; i++) {
 		middle = (low + high) / 2;
-		if (enough_once_ended(p, middle, accel_too))
+		if (enough_after_end(p, middle, use_accel_workers))
 			high = middle;
 		else
 			low = middle;
 	}
-	choose_at(p, high, accel_too, &left);
+	reserve_on_workers(p, high, use_accel_workers, &left);
 	return true;
 }
 
-/* Keeps room as chosen, or shows all of it. */
+/* Hides the reserved room from others, or shows it to all. */
 static void
-keep(struct ogl_place *p, bool on)
+apply_reservation(struct ogl_place *p, bool on)
 {
-	const struct ogl_kept *k;
+	const struct ogl_reserved_worker *k;
 	uint32_t i;
 
-	for (i = 0; i < p->reserved.kept->len; i++) {
-		k = &g_array_index(p->reserved.kept, struct ogl_kept, i);
-		p->workers[k->w].kept = on ? k->tasks : 0;
+	for (i = 0; i < p->reserved.workers->len; i++) {
+		k = &g_array_index(
+		    p->reserved.workers, struct ogl_reserved_worker, i);
+		p->workers[k->w].reserved_tasks = on ? k->tasks : 0;
 		ogl_place_reindex(p, k->w);
 	}
 }
@@ -308,30 +318,30 @@
 static void
 end_reservation(struct ogl_place *p)
 {
-	keep(p, false);
-	g_array_set_size(p->reserved.kept, 0);
-	p->reserved.set = false;
+	apply_reservation(p, false);
+	g_array_set_size(p->reserved.workers, 0);
+	p->reserved.active = false;
 }
 
 void
-ogl_place_unkeep(struct ogl_place *p, uint32_t w)
+ogl_place_unreserve_worker(struct ogl_place *p, uint32_t w)
 {
-	GArray *a = p->reserved.kept;
+	GArray *a = p->reserved.workers;
 	uint32_t i;
 
-	if (p->workers[w].kept == 0)
+	if (p->workers[w].reserved_tasks == 0)
 		return;
-	p->workers[w].kept = 0;
-	p->reserved.lost = true;
-	for (i = 0; g_array_index(a, struct ogl_kept, i).w != w; i++)
+	p->workers[w].reserved_tasks = 0;
+	p->reserved.worker_lost = true;
+	for (i = 0; g_array_index(a, struct ogl_reserved_worker, i).w != w; i++)
 		;
 	g_array_remove_index_fast(a, i);
 }
 
 void
-ogl_place_expire(struct ogl_place *p, ogl_time now)
+ogl_place_expire_reservation(struct ogl_place *p, ogl_time now)
 {
-	if (p->reserved.set && now >= p->reserved.until)
+	if (p->reserved.active && now >= p->reserved.until)
 		end_reservation(p);
 }
 
@@ -339,48 +349,52 @@
 ogl_place_reserve(struct ogl_place *p, uint64_t job, const struct ogl_ask *ask,
     uint32_t n, ogl_time until, ogl_time now)
 {
-	ogl_place_expire(p, now);
-	if (p->reserved.set && p->reserved.ask.job != job)
+	ogl_place_expire_reservation(p, now);
+	if (p->reserved.active && p->reserved.ask.job != job)
 		return false;
 	if (until <= now)
 		return false;
-	keep(p, false);
-	p->reserved.set = true;
+	apply_reservation(p, false);
+	p->reserved.active = true;
 	p->reserved.ask = *ask;
 	p->reserved.ask.job = job;
 	p->reserved.n = n;
 	p->reserved.until = until;
-	if (choose(p, now))
-		keep(p, true);
+	if (choose_workers(p, now))
+		apply_reservation(p, true);
 	else
 		end_reservation(p);
-	return p->reserved.set;
+	return p->reserved.active;
 }
 
 void
 ogl_place_unreserve(struct ogl_place *p, uint64_t job)
 {
-	if (!p->reserved.set || p->reserved.ask.job != job)
+	if (!p->reserved.active || p->reserved.ask.job != job)
 		return;
 	end_reservation(p);
 }
 
 /* ---- a gang ----------------------------------------------------------- */
 
-/* Plans with the room kept for this gang in view. */
+/*
+ * Plans the gang that holds the reservation, with the reserved room.  When that
+ * fails, workers are chosen again if one was lost or the choice is old.
+ */
 static bool
 plan_reserved(struct ogl_place *p, struct plan *k, ogl_time now)
 {
 	bool ok;
 
-	keep(p, false);
+	apply_reservation(p, false);
 	ok = plan_gang(k);
 	if (!ok &&
-	    (p->reserved.lost || now - p->reserved.chosen >= CHOOSE_EACH) &&
-	    !choose(p, now))
+	    (p->reserved.worker_lost ||
+		now - p->reserved.chosen_at >= MIN_CHOOSE_INTERVAL) &&
+	    !choose_workers(p, now))
 		end_reservation(p);
 	else
-		keep(p, true);
+		apply_reservation(p, true);
 	return ok;
 }
 
@@ -392,8 +406,8 @@
 	uint32_t i;
 	bool own, ok;
 
-	ogl_place_expire(p, now);
-	own = p->reserved.set && p->reserved.ask.job == ask->job;
+	ogl_place_expire_reservation(p, now);
+	own = p->reserved.active && p->reserved.ask.job == ask->job;
 	ok = own ? plan_reserved(p, &k, now) : plan_gang(&k);
 	if (!ok)
 		return false;
--- a/src/place_index.c
+++ b/src/place_index.c
@@ -1,33 +1,33 @@
 /*
- * The index of placement: where each worker stands in the grids, sums by
- * zone and rack, shapes known to fit nowhere, and gangs known not to fit.
+ * The index of placement: the buckets of workers in the grids, sums by zone and
+ * rack, needs known to fit nowhere, and gangs known not to fit.
  *
- * Every change of a worker ends in ogl_place_reindex, which works out what
- * it shows to searches: its free room less what is kept for a reservation,
- * nothing at all when it is closed, set aside or overfull.
+ * Every change of a worker ends in ogl_place_reindex, which computes the room
+ * that searches see: the worker's free room less what is reserved for a gang,
+ * or nothing when it is closed, quarantined or overfull.
  */
 
 #include "place.h"
 
 uint32_t
-ogl_place_sat(uint64_t v)
+ogl_place_saturate(uint64_t v)
 {
 	return v > UINT32_MAX ? UINT32_MAX : (uint32_t)v;
 }
 
 static uint32_t
-fit_one(uint32_t need, uint32_t room)
+tasks_fit_one(uint32_t need, uint32_t room)
 {
 	return need > 0 ? room / need : UINT32_MAX;
 }
 
 uint32_t
-ogl_place_fit(const struct ogl_res *need, const struct ogl_res *room)
+ogl_place_tasks_fit(const struct ogl_res *need, const struct ogl_res *room)
 {
-	uint32_t n = fit_one(need->cpu_milli, room->cpu_milli);
+	uint32_t n = tasks_fit_one(need->cpu_milli, room->cpu_milli);
 
-	n = MIN(n, fit_one(need->mem_mb, room->mem_mb));
-	return MIN(n, fit_one(need->accel, room->accel));
+	n = MIN(n, tasks_fit_one(need->mem_mb, room->mem_mb));
+	return MIN(n, tasks_fit_one(need->accel, room->accel));
 }
 
 static unsigned
@@ -42,24 +42,24 @@
 
 /* 0 for workers without accelerators, else by how many are free. */
 static unsigned
-plane_of(const struct ogl_res *capacity, const struct ogl_res *avail)
+accel_group_of(const struct ogl_res *capacity, const struct ogl_res *avail)
 {
 	return capacity->accel == 0 ? 0 : 1 + accel_class(avail->accel);
 }
 
 unsigned
-ogl_place_first_plane(const struct ogl_res *need)
+ogl_place_first_accel_group(const struct ogl_res *need)
 {
 	return need->accel == 0 ? 0 : 1 + accel_class(need->accel);
 }
 
 struct ogl_res
-ogl_place_times(const struct ogl_res *r, uint32_t n)
+ogl_place_multiply(const struct ogl_res *r, uint32_t n)
 {
 	struct ogl_res out = {
-	    ogl_place_sat((uint64_t)r->cpu_milli * n),
-	    ogl_place_sat((uint64_t)r->mem_mb * n),
-	    ogl_place_sat((uint64_t)r->accel * n),
+	    ogl_place_saturate((uint64_t)r->cpu_milli * n),
+	    ogl_place_saturate((uint64_t)r->mem_mb * n),
+	    ogl_place_saturate((uint64_t)r->accel * n),
 	};
 
 	return out;
@@ -72,20 +72,20 @@
 {
 	const struct ogl_place_rack *r = ogl_place_rack_at(p, rack);
 	struct ogl_grid *g = &ogl_place_zone_at(p, r->zone)->racks;
-	struct ogl_slot *s = &p->rack_slots[rack];
+	struct ogl_grid_entry *s = &p->rack_entries[rack];
 
-	s->avail.cpu_milli = ogl_place_sat(r->cpu);
-	s->avail.mem_mb = ogl_place_sat(r->mem);
-	s->avail.accel = ogl_place_sat(r->accel);
-	if (s->indexed && !ogl_grid_moves(s))
+	s->avail.cpu_milli = ogl_place_saturate(r->cpu);
+	s->avail.mem_mb = ogl_place_saturate(r->mem);
+	s->avail.accel = ogl_place_saturate(r->accel);
+	if (s->indexed && !ogl_grid_must_move(s))
 		return;
 	if (s->indexed)
-		ogl_grid_take(g, p->rack_slots, rack);
-	ogl_grid_put(g, p->rack_slots, rack);
+		ogl_grid_remove(g, p->rack_entries, rack);
+	ogl_grid_insert(g, p->rack_entries, rack);
 }
 
 static void
-sums_add(struct ogl_place *p, const struct ogl_slot *s)
+sums_add(struct ogl_place *p, const struct ogl_grid_entry *s)
 {
 	struct ogl_place_rack *r = ogl_place_rack_at(p, s->rack);
 	struct ogl_place_zone *z = ogl_place_zone_at(p, s->zone);
@@ -99,7 +99,7 @@
 }
 
 static void
-sums_sub(struct ogl_place *p, const struct ogl_slot *s)
+sums_sub(struct ogl_place *p, const struct ogl_grid_entry *s)
 {
 	struct ogl_place_rack *r = ogl_place_rack_at(p, s->rack);
 	struct ogl_place_zone *z = ogl_place_zone_at(p, s->zone);
@@ -113,7 +113,7 @@
 }
 
 static void
-count_in(struct ogl_place *p, struct ogl_place_worker *k)
+add_to_totals(struct ogl_place *p, struct ogl_place_worker *k)
 {
 	p->total_cpu += k->capacity.cpu_milli;
 	p->total_mem += k->capacity.mem_mb;
@@ -121,11 +121,11 @@
 	p->held_cpu += k->held.cpu_milli;
 	p->held_mem += k->held.mem_mb;
 	p->held_accel += k->held.accel;
-	k->counted = true;
+	k->in_totals = true;
 }
 
 static void
-count_out(struct ogl_place *p, struct ogl_place_worker *k)
+remove_from_totals(struct ogl_place *p, struct ogl_place_worker *k)
 {
 	p->total_cpu -= k->capacity.cpu_milli;
 	p->total_mem -= k->capacity.mem_mb;
@@ -133,23 +133,22 @@
 	p->held_cpu -= k->held.cpu_milli;
 	p->held_mem -= k->held.mem_mb;
 	p->held_accel -= k->held.accel;
-	k->counted = false;
+	k->in_totals = false;
 }
 
-/* Takes a worker out of every index, before it changes as a whole. */
 void
 ogl_place_unindex(struct ogl_place *p, uint32_t w)
 {
-	struct ogl_slot *s = &p->slots[w];
+	struct ogl_grid_entry *s = &p->entries[w];
 
-	if (p->workers[w].counted)
-		count_out(p, &p->workers[w]);
+	if (p->workers[w].in_totals)
+		remove_from_totals(p, &p->workers[w]);
 	if (!s->indexed)
 		return;
 	sums_sub(p, s);
 	ogl_place_rack_reindex(p, s->rack);
-	ogl_grid_take(
-	    &ogl_place_zone_at(p, s->zone)->grid[s->plane], p->slots, w);
+	ogl_grid_remove(&ogl_place_zone_at(p, s->zone)->grid[s->accel_group],
+	    p->entries, w);
 }
 
 static bool
@@ -159,127 +158,130 @@
 	       ogl_res_fits(&k->held, &k->capacity);
 }
 
-/* A worker gained room: what fits there is no longer known to fit nowhere. */
+/* A worker gained room: forgets the needs that now fit there. */
 static void
-forget_misses(struct ogl_place *p, const struct ogl_res *avail)
+forget_no_fits(struct ogl_place *p, const struct ogl_res *avail)
 {
 	uint32_t i = 0;
 
-	while (i < p->nmiss) {
-		if (ogl_res_fits(&p->miss[i], avail))
-			p->miss[i] = p->miss[--p->nmiss];
+	while (i < p->no_fit_count) {
+		if (ogl_res_fits(&p->no_fits[i], avail))
+			p->no_fits[i] = p->no_fits[--p->no_fit_count];
 		else
 			i++;
 	}
 }
 
-/* A worker gained room: gangs refused before fit so much more often. */
+/* Raises the bounds of gangs by the tasks that fit in room a worker gained. */
 static void
-raise_gang_misses(struct ogl_place *p, const struct ogl_res *before,
+raise_gang_bounds(struct ogl_place *p, const struct ogl_res *before,
     const struct ogl_res *after)
 {
-	struct ogl_gang_miss *m;
+	struct ogl_gang_bound *m;
 	uint32_t i, old, new;
 
-	for (i = 0; i < p->ngang_miss; i++) {
-		m = &p->gang_miss[i];
-		old = ogl_place_fit(&m->need, before);
-		new = ogl_place_fit(&m->need, after);
+	for (i = 0; i < p->gang_bound_count; i++) {
+		m = &p->gang_bounds[i];
+		old = ogl_place_tasks_fit(&m->need, before);
+		new = ogl_place_tasks_fit(&m->need, after);
 		if (new > old)
-			m->most += new - old;
+			m->max_tasks += new - old;
 	}
 }
 
-/* Puts the slot of worker w, its avail set, where it belongs. */
+/* Moves worker w to the bucket that its avail, just set, belongs to. */
 static void
-put_slot(struct ogl_place *p, uint32_t w)
+move_entry(struct ogl_place *p, uint32_t w)
 {
-	struct ogl_slot *s = &p->slots[w];
+	struct ogl_grid_entry *s = &p->entries[w];
 	struct ogl_grid *grid = ogl_place_zone_at(p, s->zone)->grid;
-	unsigned plane = plane_of(&p->workers[w].capacity, &s->avail);
+	unsigned accel_group =
+	    accel_group_of(&p->workers[w].capacity, &s->avail);
 
-	if (s->indexed && plane == s->plane && !ogl_grid_moves(s))
+	if (s->indexed && accel_group == s->accel_group &&
+	    !ogl_grid_must_move(s))
 		return;
 	if (s->indexed)
-		ogl_grid_take(&grid[s->plane], p->slots, w);
-	s->plane = (uint8_t)plane;
-	ogl_grid_put(&grid[plane], p->slots, w);
+		ogl_grid_remove(&grid[s->accel_group], p->entries, w);
+	s->accel_group = (uint8_t)accel_group;
+	ogl_grid_insert(&grid[accel_group], p->entries, w);
 }
 
 void
 ogl_place_reindex(struct ogl_place *p, uint32_t w)
 {
 	struct ogl_place_worker *k = &p->workers[w];
-	struct ogl_slot *s = &p->slots[w];
-	struct ogl_res before = {0}, kept;
+	struct ogl_grid_entry *s = &p->entries[w];
+	struct ogl_res before = {0}, reserved;
 
 	if (!usable(k)) {
 		ogl_place_unindex(p, w);
 		return;
 	}
-	if (!k->counted)
-		count_in(p, k);
+	if (!k->in_totals)
+		add_to_totals(p, k);
 	if (s->indexed) {
 		before = s->avail;
 		sums_sub(p, s);
 	}
 	s->avail = ogl_place_free_room(k);
-	if (k->kept > 0) {
-		kept = ogl_place_times(&p->reserved.ask.res, k->kept);
-		ogl_res_sub(&s->avail, &kept);
+	if (k->reserved_tasks > 0) {
+		reserved =
+		    ogl_place_multiply(&p->reserved.ask.res, k->reserved_tasks);
+		ogl_res_sub(&s->avail, &reserved);
 	}
 	sums_add(p, s);
 	ogl_place_rack_reindex(p, s->rack);
-	put_slot(p, w);
-	forget_misses(p, &s->avail);
-	raise_gang_misses(p, &before, &s->avail);
+	move_entry(p, w);
+	forget_no_fits(p, &s->avail);
+	raise_gang_bounds(p, &before, &s->avail);
 }
 
 bool
-ogl_place_missed(const struct ogl_place *p, const struct ogl_res *need)
+ogl_place_known_no_fit(const struct ogl_place *p, const struct ogl_res *need)
 {
 	uint32_t i;
 
-	for (i = 0; i < p->nmiss; i++) {
-		if (ogl_res_fits(&p->miss[i], need))
+	for (i = 0; i < p->no_fit_count; i++) {
+		if (ogl_res_fits(&p->no_fits[i], need))
 			return true;
 	}
 	return false;
 }
 
 void
-ogl_place_note_miss(struct ogl_place *p, const struct ogl_res *need)
+ogl_place_note_no_fit(struct ogl_place *p, const struct ogl_res *need)
 {
 	uint32_t i;
 
-	if (p->nmiss < OGL_PLACE_MISSES)
-		i = p->nmiss++;
+	if (p->no_fit_count < OGL_MAX_NO_FITS)
+		i = p->no_fit_count++;
 	else
-		i = ogl_place_random(p) % OGL_PLACE_MISSES;
-	p->miss[i] = *need;
+		i = ogl_place_random(p) % OGL_MAX_NO_FITS;
+	p->no_fits[i] = *need;
 }
 
 bool
-ogl_place_gang_missed(
+ogl_place_gang_known_no_fit(
     const struct ogl_place *p, const struct ogl_res *need, uint32_t n)
 {
 	uint32_t i;
 
-	for (i = 0; i < p->ngang_miss; i++) {
-		if (ogl_res_fits(&p->gang_miss[i].need, need) &&
-		    n > p->gang_miss[i].most)
+	for (i = 0; i < p->gang_bound_count; i++) {
+		if (ogl_res_fits(&p->gang_bounds[i].need, need) &&
+		    n > p->gang_bounds[i].max_tasks)
 			return true;
 	}
 	return false;
 }
 
 void
-ogl_place_note_gang_miss(
-    struct ogl_place *p, const struct ogl_res *need, uint64_t most)
+ogl_place_note_gang_bound(
+    struct ogl_place *p, const struct ogl_res *need, uint64_t max_tasks)
 {
-	uint32_t i = p->next_gang_miss++ % OGL_GANG_MISSES;
+	uint32_t i = p->next_gang_bound++ % OGL_MAX_GANG_BOUNDS;
 
-	p->ngang_miss = MIN(p->ngang_miss + 1, OGL_GANG_MISSES);
-	p->gang_miss[i].need = *need;
-	p->gang_miss[i].most = most;
+	p->gang_bound_count = MIN(p->gang_bound_count + 1, OGL_MAX_GANG_BOUNDS);
+	p->gang_bounds[i].need = *need;
+	p->gang_bounds[i].max_tasks = max_tasks;
 }
--- a/src/place_pick.c
+++ b/src/place_pick.c
@@ -1,60 +1,65 @@
 /*
  * Policies of placement by kind: which worker a task goes to.
  *
- *   batch    among the workers tightest in the dimension that matters most
- *            to the task the one whose processors and memory it evens out;
+ *   batch    among the workers tightest in the dimension that matters most to
+ *            the task, the one whose free processors and memory it balances
+ *            best;
  *   service  the zone, then the rack, then the worker with the fewest tasks
  *            of the job;
- *   gang     a single task as batch; whole gangs see place_gang.c.
+ *   gang     a single task as batch; for whole gangs see place_gang.c.
  *
- * Each compares the workers that a bounded walk of the grids offers.  A walk
- * that was cut short and found nothing is repeated without a bound, so room
- * is found whenever there is some.
+ * Each compares the workers that a bounded search of the grids offers.  A
+ * search that was cut short and found nothing is repeated without a bound, so
+ * room is found whenever there is some.
  */
 
 #include <math.h>
 
 #include "place.h"
 
-#define OFFERS 32        /* workers compared a decision */
-#define OFFERS_ZONE 8    /* of them in one zone */
-#define LOOKS 48         /* first bound on looks in vain, a zone */
-#define TIGHT 0.05       /* weight of tightness against balance */
-#define ALMOST_FULL 0.05 /* part of a worker that hardly matters */
+#define MAX_OFFERS 32          /* workers compared per decision */
+#define MAX_OFFERS_PER_ZONE 8  /* of them in one zone */
+#define MAX_MISSES_PER_ZONE 48 /* workers without room, in the first search */
+#define TIGHTNESS_WEIGHT 0.05  /* of tightness against balance in a score */
+#define IMBALANCE_FLOOR 0.05   /* free fraction that counts as almost full */
 
 /* ---- batch: best fit -------------------------------------------------- */
 
 struct pack {
-	const struct ogl_slot *slots;
+	const struct ogl_grid_entry *entries;
 	const struct ogl_res *need;
-	double cpu_unit, mem_unit; /* one over the mean capacity */
+	double cpu_scale, mem_scale; /* one over the mean capacity */
 	bool by_mem;
-	double score; /* least so far */
+	double score; /* lowest so far */
 	uint32_t best;
 };
 
-/* How lopsided room is; weighs more the less there is of the scarcer. */
+/*
+ * How far free processors and memory differ, weighted by the scarcity of the
+ * scarcer one.
+ */
 static double
-lopsided(double cpu, double mem)
+imbalance(double cpu, double mem)
 {
-	return fabs(cpu - mem) / (MIN(cpu, mem) + ALMOST_FULL);
+	return fabs(cpu - mem) / (MIN(cpu, mem) + IMBALANCE_FLOOR);
 }
 
 /*
- * Less is better.  Room is lost when one dimension runs out before the other,
- * so a task goes where it evens out what is left; among alike the fuller
- * worker keeps others whole for large tasks.
+ * A lower score is better.  Room is lost when one dimension runs out before the
+ * other, so a task goes where it balances what is left; among equals it goes to
+ * the fuller worker, which leaves the others free for large tasks.
  */
 static void
 pack_offer(void *ctx, uint32_t w)
 {
 	struct pack *k = ctx;
-	const struct ogl_res *a = &k->slots[w].avail;
-	double cpu = (a->cpu_milli - k->need->cpu_milli) * k->cpu_unit;
-	double mem = (a->mem_mb - k->need->mem_mb) * k->mem_unit;
+	const struct ogl_res *a = &k->entries[w].avail;
+	double cpu = (a->cpu_milli - k->need->cpu_milli) * k->cpu_scale;
+	double mem = (a->mem_mb - k->need->mem_mb) * k->mem_scale;
 	double before =
-	    lopsided(a->cpu_milli * k->cpu_unit, a->mem_mb * k->mem_unit);
-	double score = lopsided(cpu, mem) - before + TIGHT * (cpu + mem);
+	    imbalance(a->cpu_milli * k->cpu_scale, a->mem_mb * k->mem_scale);
+	double score =
+	    imbalance(cpu, mem) - before + TIGHTNESS_WEIGHT * (cpu + mem);
 
 	if (k->best != OGL_PLACE_NONE && score >= k->score)
 		return;
@@ -63,30 +68,31 @@
 }
 
 /*
- * Walks a plane of one zone after the other, from a zone drawn by chance,
- * until there were offers enough; sets *skipped when a walk was cut short.
+ * Searches one group of workers zone by zone, beginning with a random zone,
+ * until there are enough offers; sets *skipped when a search was cut short.
  */
 static void
-pack_plane(struct ogl_place *p, struct pack *k, unsigned plane, uint32_t looks,
-    bool *skipped)
+pack_accel_group(struct ogl_place *p, struct pack *k, unsigned accel_group,
+    uint32_t misses, bool *skipped)
 {
-	uint32_t z, n = p->zones->len, left = OFFERS;
+	uint32_t z, n = p->zones->len, left = MAX_OFFERS;
 	uint32_t at = n > 0 ? ogl_place_random(p) % n : 0;
 
 	for (z = 0; z < n && left > 0; z++) {
 		struct ogl_grid_walk walk = {
 		    .need = k->need,
 		    .by_mem = k->by_mem,
-		    .take = MIN(OFFERS_ZONE, left),
-		    .misses = looks,
+		    .offers_left = MIN(MAX_OFFERS_PER_ZONE, left),
+		    .misses_left = misses,
 		    .offer = pack_offer,
 		    .ctx = k,
 		};
 
-		left -= walk.take;
-		ogl_grid_walk(&ogl_place_zone_at(p, (at + z) % n)->grid[plane],
-		    p->slots, &walk);
-		left += walk.take;
+		left -= walk.offers_left;
+		ogl_grid_walk(
+		    &ogl_place_zone_at(p, (at + z) % n)->grid[accel_group],
+		    p->entries, &walk);
+		left += walk.offers_left;
 		*skipped |= walk.skipped;
 	}
 }
@@ -95,20 +101,22 @@
 batch_pick(struct ogl_place *p, const struct ogl_ask *ask, uint32_t *w)
 {
 	struct pack k = {
-	    .slots = p->slots, .need = &ask->res, .best = OGL_PLACE_NONE};
-	unsigned plane;
+	    .entries = p->entries, .need = &ask->res, .best = OGL_PLACE_NONE};
+	unsigned accel_group;
 	bool skipped;
 
-	k.cpu_unit = p->n / (p->total_cpu + 1.0);
-	k.mem_unit = p->n / (p->total_mem + 1.0);
+	k.cpu_scale = p->n / (p->total_cpu + 1.0);
+	k.mem_scale = p->n / (p->total_mem + 1.0);
 	k.by_mem =
-	    ask->res.mem_mb * k.mem_unit > ask->res.cpu_milli * k.cpu_unit;
-	for (plane = ogl_place_first_plane(&ask->res); plane < OGL_PLANES;
-	     plane++) {
+	    ask->res.mem_mb * k.mem_scale > ask->res.cpu_milli * k.cpu_scale;
+	for (accel_group = ogl_place_first_accel_group(&ask->res);
+	     accel_group < OGL_ACCEL_GROUPS; accel_group++) {
 		skipped = false;
-		pack_plane(p, &k, plane, LOOKS, &skipped);
+		pack_accel_group(
+		    p, &k, accel_group, MAX_MISSES_PER_ZONE, &skipped);
 		if (k.best == OGL_PLACE_NONE && skipped)
-			pack_plane(p, &k, plane, UINT32_MAX, &skipped);
+			pack_accel_group(
+			    p, &k, accel_group, UINT32_MAX, &skipped);
 		if (k.best != OGL_PLACE_NONE)
 			break;
 	}
@@ -121,12 +129,12 @@
 struct spread {
 	const struct ogl_place *p;
 	uint64_t job;
-	uint64_t score; /* least so far */
+	uint64_t score; /* lowest so far */
 	uint32_t best;
 };
 
 static uint32_t
-job_here(const struct ogl_place_worker *k, uint64_t job)
+tasks_of_job(const struct ogl_place_worker *k, uint64_t job)
 {
 	unsigned i;
 
@@ -141,10 +149,10 @@
 spread_offer(void *ctx, uint32_t w)
 {
 	struct spread *k = ctx;
-	const struct ogl_slot *s = &k->p->slots[w];
+	const struct ogl_grid_entry *s = &k->p->entries[w];
 	uint64_t rack = ogl_counts_get(
 	    &k->p->counts, ogl_counts_key(k->job, OGL_COUNT_RACK, s->rack));
-	uint64_t here = job_here(&k->p->workers[w], k->job);
+	uint64_t here = tasks_of_job(&k->p->workers[w], k->job);
 	uint64_t score = rack << 32 | here;
 
 	if (k->best != OGL_PLACE_NONE && score >= k->score)
@@ -153,42 +161,42 @@
 	k->best = w;
 }
 
-/* One walk of a zone's plane from a class chosen by chance. */
+/* Searches one group of workers in a zone from a random size class on. */
 static void
 spread_walk(struct ogl_place *p, const struct ogl_ask *ask, struct spread *k,
-    const struct ogl_grid *g, uint32_t looks, bool *skipped)
+    const struct ogl_grid *g, uint32_t misses, bool *skipped)
 {
 	struct ogl_grid_walk walk = {
 	    .need = &ask->res,
-	    .from = ogl_place_random(p) % OGL_GRID_CLASSES,
-	    .take = OFFERS,
-	    .misses = looks,
+	    .from_class = ogl_place_random(p) % OGL_GRID_CLASSES,
+	    .offers_left = MAX_OFFERS,
+	    .misses_left = misses,
 	    .offer = spread_offer,
 	    .ctx = k,
 	};
 
-	ogl_grid_walk(g, p->slots, &walk);
+	ogl_grid_walk(g, p->entries, &walk);
 	*skipped |= walk.skipped;
 }
 
 static bool
 spread_in_zone(struct ogl_place *p, const struct ogl_ask *ask, uint32_t z,
-    unsigned plane, uint32_t *w)
+    unsigned accel_group, uint32_t *w)
 {
-	struct ogl_grid *g = &ogl_place_zone_at(p, z)->grid[plane];
+	struct ogl_grid *g = &ogl_place_zone_at(p, z)->grid[accel_group];
 	struct spread k = {.p = p, .job = ask->job, .best = OGL_PLACE_NONE};
 	bool skipped = false;
 
 	if (g->rows == 0)
 		return false;
-	spread_walk(p, ask, &k, g, LOOKS, &skipped);
+	spread_walk(p, ask, &k, g, MAX_MISSES_PER_ZONE, &skipped);
 	if (k.best == OGL_PLACE_NONE && skipped)
 		spread_walk(p, ask, &k, g, UINT32_MAX, &skipped);
 	*w = k.best;
 	return k.best != OGL_PLACE_NONE;
 }
 
-/* The zone not yet tried with fewest tasks of the job, then most room. */
+/* The untried zone with the fewest tasks of the job, then the most room. */
 static bool
 next_zone(const struct ogl_place *p, uint64_t job, uint8_t *tried, uint32_t *z)
 {
@@ -218,15 +226,15 @@
 static bool
 service_pick(struct ogl_place *p, const struct ogl_ask *ask, uint32_t *w)
 {
-	unsigned plane;
+	unsigned accel_group;
 	uint32_t z = 0;
 
-	for (plane = ogl_place_first_plane(&ask->res); plane < OGL_PLANES;
-	     plane++) {
+	for (accel_group = ogl_place_first_accel_group(&ask->res);
+	     accel_group < OGL_ACCEL_GROUPS; accel_group++) {
 		uint8_t tried[UINT8_MAX + 1] = {0};
 
 		while (next_zone(p, ask->job, tried, &z)) {
-			if (spread_in_zone(p, ask, z, plane, w))
+			if (spread_in_zone(p, ask, z, accel_group, w))
 				return true;
 		}
 	}
