--- a/src/keys.c
+++ b/src/keys.c
@@ -1,11 +1,11 @@
 /*
- * Keys: og_<id>_<43 characters of base64url>.
+ * API keys: og_<id>_<43 characters of base64url>.
  *
- * The last part is 256 random bits, so the hash needs no salt and no slow
- * function: there is nothing to guess.  The tree holds only the hash, so who
- * reads the log or a dump holds no key.  The id is a hash of the same bits
- * under another context and tells nothing of them; it names the key in the
- * tree, in audit lines and to operators.
+ * The last part is 256 random bits, which cannot be guessed, so the hash needs
+ * neither a salt nor a slow function.  The tree holds only the hash, so the log
+ * or a dump does not reveal a key.  The id is a hash of the same bits under
+ * another context and does not reveal them; it names the key in the tree, in
+ * audit lines and to operators.
  */
 
 #include <sodium.h>
@@ -16,8 +16,8 @@
 #define KEY_PREFIX "og_"
 #define SECRET_BYTES 32
 #define SECRET_CHARS 43
-#define ID_BYTES 8
-#define KEY_TEXT_MAX 80
+#define ID_HASH_BYTES 8
+#define KEY_TEXT_BYTES 80
 #define ID_CONTEXT "orioleglade key id"
 #define ID_CHARS "abcdefghijklmnopqrstuvwxyz0123456789"
 #define SECRET_ALPHABET                                                        \
@@ -26,13 +26,13 @@
 G_STATIC_ASSERT(crypto_generichash_BYTES == OGL_HASH_BYTES);
 
 static void
-make_id(const uint8_t random[SECRET_BYTES], char id[OGL_KEY_ID_MAX])
+make_id(const uint8_t random[SECRET_BYTES], char id[OGL_KEY_ID_BYTES])
 {
-	unsigned char out[crypto_generichash_BYTES];
+	unsigned char digest[crypto_generichash_BYTES];
 
-	crypto_generichash(out, sizeof(out), random, SECRET_BYTES,
+	crypto_generichash(digest, sizeof(digest), random, SECRET_BYTES,
 	    (const unsigned char *)ID_CONTEXT, strlen(ID_CONTEXT));
-	sodium_bin2hex(id, OGL_KEY_ID_MAX, out, ID_BYTES);
+	sodium_bin2hex(id, OGL_KEY_ID_BYTES, digest, ID_HASH_BYTES);
 }
 
 static Ogl__Change *
@@ -59,7 +59,7 @@
 	make_id(random, id_out);
 	sodium_bin2base64(secret, sizeof(secret), random, SECRET_BYTES,
 	    sodium_base64_VARIANT_URLSAFE_NO_PADDING);
-	g_snprintf(key_out, KEY_TEXT_MAX, KEY_PREFIX "%s_%s", id_out, secret);
+	g_snprintf(key_out, KEY_TEXT_BYTES, KEY_PREFIX "%s_%s", id_out, secret);
 	sodium_memzero(secret, sizeof(secret));
 	if (!ogl_key_hash(ogl_str(key_out), hex))
 		return false;
@@ -76,7 +76,7 @@
 }
 
 static bool
-is_key(const char *text)
+is_key_text(const char *text)
 {
 	size_t n;
 
@@ -84,7 +84,7 @@
 		return false;
 	text += strlen(KEY_PREFIX);
 	n = strspn(text, ID_CHARS);
-	if (n == 0 || n >= OGL_KEY_ID_MAX || text[n] != '_')
+	if (n == 0 || n >= OGL_KEY_ID_BYTES || text[n] != '_')
 		return false;
 	text += n + 1;
 	return strlen(text) == SECRET_CHARS &&
@@ -95,7 +95,7 @@
 ogl_key_hash(struct ogl_str key, char hex[65])
 {
 	unsigned char hash[OGL_HASH_BYTES];
-	char text[KEY_TEXT_MAX];
+	char text[KEY_TEXT_BYTES];
 	bool ok = false;
 
 	if (key.p == NULL || key.n >= sizeof(text) ||
@@ -103,7 +103,7 @@
 		return false;
 	memcpy(text, key.p, key.n);
 	text[key.n] = '\0';
-	if (is_key(text)) {
+	if (is_key_text(text)) {
 		crypto_generichash(hash, sizeof(hash),
 		    (const unsigned char *)text, key.n, NULL, 0);
 		sodium_bin2hex(hex, 2 * OGL_HASH_BYTES + 1, hash, sizeof(hash));
--- a/src/settings.c
+++ b/src/settings.c
@@ -1,22 +1,23 @@
 /*
  * The settings tree in force at one version.
  *
- * All that was ever set is one sorted map from path to value and the version
- * that last changed it; what was removed stays in it as JSON null, since a
- * later edit made from before the removal must be refused.  Two tables are
- * kept beside it for what is asked on each request: teams with their settings
- * resolved, and keys by their hash.
+ * The tree is one sorted map from path to value and the version that last
+ * changed it.  A removed path stays in the map with the value JSON null, so
+ * that an edit made from a version before the removal can be refused.  Two
+ * tables hold what each request looks up: teams with their settings resolved,
+ * and keys by their hash.
  *
- * Inheritance: a team's settings are those of the team above (for the first
- * level, those set for all teams, else the schema's defaults) with its own
- * laid over.  An own limit is at most that of the team above (settings_edit.c
- * sees to it), so the nearest one set is the least along the path.  A limit
- * set for all teams is only a default: a team of the first level may exceed
- * it.  The tasks of subteams count towards the limit of the team above, too.
+ * Inheritance: a team starts from the settings of its parent team and
+ * overrides them with its own.  A team of the first level starts from the
+ * values set for all teams, else from the schema's defaults.  A team's own
+ * limit is at most its parent's (settings_edit.c checks this), so the nearest
+ * limit set is the lowest along the path.  A limit set for all teams is only a
+ * default: a team of the first level may exceed it.  The tasks of subteams
+ * count towards the parent's limit, too.
  *
- * Everything follows from the edits in log order alone, the bounds on what is
- * remembered included: two followers of one log hold the same tree, also when
- * one began from the other's dump.
+ * The state depends on nothing but the edits in log order.  That includes
+ * which removed paths and audit entries are dropped.  So two followers of one
+ * log hold the same tree, also when one of them started from the other's dump.
  */
 
 #include <sodium.h>
@@ -24,11 +25,11 @@
 
 #include "settings.h"
 
-/* Removed paths remembered.  25,000 changes a day with one in ten a removal
- * make this more than a day. */
-#define REMOVED_MAX 4096
+/* Number of removed paths kept.  With 25,000 changes a day, one in ten of them
+ * a removal, this covers more than a day. */
+#define REMOVED_PATHS_MAX 4096
 
-#define VIEW_NO_LIMIT UINT64_MAX
+#define NO_LIMIT UINT64_MAX
 
 /* ---- nodes ------------------------------------------------------------ */
 
@@ -42,7 +43,7 @@
 static void
 node_free(gpointer p)
 {
-	struct ogl_node_set *n = p;
+	struct ogl_settings_node *n = p;
 
 	json_decref(n->value);
 	g_free(n);
@@ -51,7 +52,7 @@
 static void
 audit_free(gpointer p)
 {
-	struct ogl_audit *a = p;
+	struct ogl_audit_entry *a = p;
 
 	g_free(a->who);
 	g_free(a->path);
@@ -60,17 +61,17 @@
 	g_free(a);
 }
 
-/* The table's own look-up must not tell by its time how much of a hash was
- * right either. */
+/* Constant time, so that the time of a table lookup does not tell how many
+ * bytes of a hash were right. */
 static gboolean
 hash_equal(gconstpointer a, gconstpointer b)
 {
 	return sodium_memcmp(a, b, OGL_HASH_BYTES) == 0;
 }
 
-/* A hash is even already; its first bytes serve. */
+/* The bits of a hash are uniformly distributed, so its first bytes will do. */
 static guint
-hash_of_hash(gconstpointer p)
+hash_first_bytes(gconstpointer p)
 {
 	guint h;
 
@@ -81,13 +82,13 @@
 json_t *
 ogl_settings_get(const struct ogl_settings *s, const char *path)
 {
-	const struct ogl_node_set *n = g_tree_lookup(s->nodes, path);
+	const struct ogl_settings_node *n = g_tree_lookup(s->nodes, path);
 
 	return n == NULL || json_is_null(n->value) ? NULL : n->value;
 }
 
 static GTreeNode *
-while_prefix(GTreeNode *at, const char *prefix)
+if_below(GTreeNode *at, const char *prefix)
 {
 	if (at == NULL || !g_str_has_prefix(g_tree_node_key(at), prefix))
 		return NULL;
@@ -95,15 +96,15 @@
 }
 
 GTreeNode *
-ogl_settings_below(const struct ogl_settings *s, const char *prefix)
+ogl_settings_first(const struct ogl_settings *s, const char *prefix)
 {
-	return while_prefix(g_tree_lower_bound(s->nodes, prefix), prefix);
+	return if_below(g_tree_lower_bound(s->nodes, prefix), prefix);
 }
 
 GTreeNode *
 ogl_settings_next(GTreeNode *at, const char *prefix)
 {
-	return while_prefix(g_tree_node_next(at), prefix);
+	return if_below(g_tree_node_next(at), prefix);
 }
 
 static bool
@@ -128,21 +129,20 @@
 /* ---- resolving -------------------------------------------------------- */
 
 static uint64_t
-as_limit(const json_t *v)
+limit_value(const json_t *v)
 {
-	return json_is_integer(v) ? (uint64_t)json_integer_value(v)
-				  : VIEW_NO_LIMIT;
+	return json_is_integer(v) ? (uint64_t)json_integer_value(v) : NO_LIMIT;
 }
 
 static void
-view_set(struct ogl_team_view *view, size_t field, const json_t *v)
+view_set_field(struct ogl_team_view *view, size_t field, const json_t *v)
 {
 	switch (field) {
 	case OGL_TEAM_SHARE:
 		view->share = json_number_value(v);
 		break;
 	case OGL_TEAM_LIMIT_TASKS:
-		view->limit_tasks = as_limit(v);
+		view->limit_tasks = limit_value(v);
 		break;
 	case OGL_TEAM_MAX_QUEUE_MS:
 		view->max_queue_ms = (uint32_t)json_integer_value(v);
@@ -159,18 +159,19 @@
 }
 
 json_t *
-ogl_settings_preset(const struct ogl_setting *f)
+ogl_setting_default(const struct ogl_setting *f)
 {
 	return f->preset != NULL ? json_loads(f->preset, JSON_DECODE_ANY, NULL)
 				 : NULL;
 }
 
-/* Lays over a view what is set at "teams/<team>", or for all when empty. */
+/* Overrides a view with the values set at "teams/<team>", or with those for all
+ * teams when team is empty. */
 static void
-view_own(
+view_apply_own(
     const struct ogl_settings *s, const char *team, struct ogl_team_view *view)
 {
-	char path[OGL_PATH_MAX];
+	char path[OGL_PATH_BYTES];
 
 	for (size_t i = 0; i < OGL_TEAM_SETTINGS; i++) {
 		const json_t *v;
@@ -179,55 +180,55 @@
 		    team[0] != '\0' ? "/" : "", ogl_team_settings[i].name);
 		v = ogl_settings_get(s, path);
 		if (v != NULL)
-			view_set(view, i, v);
+			view_set_field(view, i, v);
 	}
 }
 
 static void
-resolve_all(struct ogl_settings *s)
+resolve_team_defaults(struct ogl_settings *s)
 {
-	memset(&s->all, 0, sizeof(s->all));
+	memset(&s->team_defaults, 0, sizeof(s->team_defaults));
 	for (size_t i = 0; i < OGL_TEAM_SETTINGS; i++) {
-		json_t *v = ogl_settings_preset(&ogl_team_settings[i]);
+		json_t *v = ogl_setting_default(&ogl_team_settings[i]);
 
-		view_set(&s->all, i, v);
+		view_set_field(&s->team_defaults, i, v);
 		json_decref(v);
 	}
-	view_own(s, "", &s->all);
+	view_apply_own(s, "", &s->team_defaults);
 }
 
 static void
 resolve_team(struct ogl_settings *s, const char *team)
 {
-	struct ogl_team_node *t = g_hash_table_lookup(s->teams, team);
-	const struct ogl_team_node *above = NULL;
-	char parent[OGL_TEAM_MAX];
+	struct ogl_team_entry *t = g_hash_table_lookup(s->teams, team);
+	const struct ogl_team_entry *parent_entry = NULL;
+	char parent[OGL_TEAM_PATH_BYTES];
 
 	if (t == NULL)
 		return;
 	if (ogl_path_parent(team, parent))
-		above = g_hash_table_lookup(s->teams, parent);
-	t->view = above != NULL ? above->view : s->all;
+		parent_entry = g_hash_table_lookup(s->teams, parent);
+	t->view = parent_entry != NULL ? parent_entry->view : s->team_defaults;
 	t->view.exists = true;
-	view_own(s, team, &t->view);
+	view_apply_own(s, team, &t->view);
 }
 
 void
-ogl_settings_resolve(struct ogl_settings *s, const char *team)
+ogl_settings_resolve_subtree(struct ogl_settings *s, const char *team)
 {
 	char *prefix;
 	GTreeNode *at;
 
 	if (team[0] == '\0')
-		resolve_all(s);
+		resolve_team_defaults(s);
 	else
 		resolve_team(s, team);
-	/* Sorted paths put a team before what is below it. */
+	/* In path order a parent is resolved before its subteams. */
 	prefix =
 	    g_strdup_printf("teams/%s%s", team, team[0] != '\0' ? "/" : "");
-	at = ogl_settings_below(s, prefix);
+	at = ogl_settings_first(s, prefix);
 	for (; at != NULL; at = ogl_settings_next(at, prefix)) {
-		const struct ogl_node_set *n = g_tree_node_value(at);
+		const struct ogl_settings_node *n = g_tree_node_value(at);
 
 		if (json_is_object(n->value))
 			resolve_team(
@@ -238,12 +239,12 @@
 
 /* ---- applying --------------------------------------------------------- */
 
-/* Does nothing for a key that a dump left without its hash or team. */
+/* Does nothing for a key whose hash or team is missing; a dump may have one. */
 static void
 index_key(struct ogl_settings *s, const char *id)
 {
-	struct ogl_key_node *k = g_new0(struct ogl_key_node, 1);
-	char path[OGL_PATH_MAX];
+	struct ogl_key_entry *k = g_new0(struct ogl_key_entry, 1);
+	char path[OGL_PATH_BYTES];
 	const char *hex;
 	const char *team;
 
@@ -264,7 +265,7 @@
 unindex_key(struct ogl_settings *s, const char *id)
 {
 	unsigned char hash[OGL_HASH_BYTES];
-	char path[OGL_PATH_MAX];
+	char path[OGL_PATH_BYTES];
 
 	g_snprintf(path, sizeof(path), "keys/%s/hash", id);
 	if (hash_from_hex(json_string_value(ogl_settings_get(s, path)), hash))
@@ -275,10 +276,10 @@
 index_team(struct ogl_settings *s, const char *team)
 {
 	g_hash_table_replace(
-	    s->teams, g_strdup(team), g_new0(struct ogl_team_node, 1));
+	    s->teams, g_strdup(team), g_new0(struct ogl_team_entry, 1));
 }
 
-/* The hash tells a reader of the trail nothing, and need not be told. */
+/* Hides the hash of a key: it is of no use to a reader of the audit trail. */
 static json_t *
 audit_value(const struct ogl_path *p, json_t *v)
 {
@@ -291,7 +292,7 @@
 audit_add(struct ogl_settings *s, const char *path, json_t *from, json_t *to,
     const char *who, uint64_t at_ms)
 {
-	struct ogl_audit *a = g_new0(struct ogl_audit, 1);
+	struct ogl_audit_entry *a = g_new0(struct ogl_audit_entry, 1);
 	struct ogl_path p;
 
 	ogl_path_parse(path, &p);
@@ -308,22 +309,22 @@
 ogl_settings_put(
     struct ogl_settings *s, const char *path, json_t *value, uint64_t version)
 {
-	struct ogl_node_set *n = g_tree_lookup(s->nodes, path);
+	struct ogl_settings_node *n = g_tree_lookup(s->nodes, path);
 
 	if (n == NULL) {
-		n = g_new0(struct ogl_node_set, 1);
+		n = g_new0(struct ogl_settings_node, 1);
 		g_tree_insert(s->nodes, g_strdup(path), n);
 	} else {
-		s->removed -= json_is_null(n->value) ? 1 : 0;
+		s->removed_count -= json_is_null(n->value) ? 1 : 0;
 		json_decref(n->value);
 	}
-	s->removed += json_is_null(value) ? 1 : 0;
+	s->removed_count += json_is_null(value) ? 1 : 0;
 	n->value = json_incref(value);
 	n->version = version;
 }
 
 static void
-commit_one(struct ogl_settings *s, const char *path, json_t *value,
+commit_change(struct ogl_settings *s, const char *path, json_t *value,
     const Ogl__Edit *e, uint64_t at_ms)
 {
 	audit_add(s, path, ogl_settings_get(s, path), value, e->who, at_ms);
@@ -331,7 +332,7 @@
 }
 
 static void
-take_out(struct ogl_settings *s, const char *path)
+unindex_path(struct ogl_settings *s, const char *path)
 {
 	struct ogl_path p;
 
@@ -343,7 +344,7 @@
 }
 
 void
-ogl_settings_put_in(struct ogl_settings *s, const char *path)
+ogl_settings_index(struct ogl_settings *s, const char *path)
 {
 	struct ogl_path p;
 
@@ -361,23 +362,24 @@
 
 	ogl_path_parse(path, &p);
 	if (p.kind == OGL_PATH_TEAM || p.kind == OGL_PATH_TEAM_FIELD)
-		ogl_settings_resolve(s, p.team);
+		ogl_settings_resolve_subtree(s, p.team);
 }
 
 static void
-commit(struct ogl_settings *s, GTree *over, const Ogl__Edit *e, uint64_t at_ms)
+commit(
+    struct ogl_settings *s, GTree *changes, const Ogl__Edit *e, uint64_t at_ms)
 {
-	GTreeNode *first = g_tree_node_first(over);
+	GTreeNode *first = g_tree_node_first(changes);
 	GTreeNode *at;
 
 	for (at = first; at != NULL; at = g_tree_node_next(at))
-		take_out(s, g_tree_node_key(at));
+		unindex_path(s, g_tree_node_key(at));
 	for (at = first; at != NULL; at = g_tree_node_next(at))
-		commit_one(
+		commit_change(
 		    s, g_tree_node_key(at), g_tree_node_value(at), e, at_ms);
 	for (at = first; at != NULL; at = g_tree_node_next(at))
 		if (ogl_settings_get(s, g_tree_node_key(at)) != NULL)
-			ogl_settings_put_in(s, g_tree_node_key(at));
+			ogl_settings_index(s, g_tree_node_key(at));
 	for (at = first; at != NULL; at = g_tree_node_next(at))
 		resolve_path(s, g_tree_node_key(at));
 }
@@ -391,53 +393,54 @@
 	return (x > y) - (x < y);
 }
 
-/* Version up to which removals are forgotten, so that half of them stay. */
+/* The version up to which removals are dropped so that half of them stay. */
 static uint64_t
-forget_mark(const struct ogl_settings *s)
+version_to_forget(const struct ogl_settings *s)
 {
 	GArray *v = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	GTreeNode *at = g_tree_node_first(s->nodes);
-	uint64_t mark;
+	uint64_t up_to;
 
 	for (; at != NULL; at = g_tree_node_next(at)) {
-		const struct ogl_node_set *n = g_tree_node_value(at);
+		const struct ogl_settings_node *n = g_tree_node_value(at);
 
 		if (json_is_null(n->value))
 			g_array_append_val(v, n->version);
 	}
 	g_array_sort(v, compare_versions);
-	mark = g_array_index(v, uint64_t, v->len / 2);
+	up_to = g_array_index(v, uint64_t, v->len / 2);
 	g_array_free(v, TRUE);
-	return mark;
+	return up_to;
 }
 
 /*
- * Each withdrawn key leaves its path behind.  Without a bound the tree would
- * grow for as long as the cell lives, which shows first as ever larger
- * snapshots.  The oldest removals go, and `forgotten` refuses any edit made
- * from before them that names a path unknown by now.
+ * Drops the oldest removed paths.  Each withdrawn key leaves its paths in the
+ * tree, so without a bound the tree and its snapshots would grow for as long
+ * as the cell exists.  An edit made from a version before forgotten_version is
+ * refused if it names a path that is not in the tree.
  */
 static void
 forget_removed(struct ogl_settings *s)
 {
-	GPtrArray *old;
+	GPtrArray *oldest;
 	GTreeNode *at;
 
-	if (s->removed <= REMOVED_MAX)
+	if (s->removed_count <= REMOVED_PATHS_MAX)
 		return;
-	s->forgotten = forget_mark(s);
-	old = g_ptr_array_new();
+	s->forgotten_version = version_to_forget(s);
+	oldest = g_ptr_array_new();
 	for (at = g_tree_node_first(s->nodes); at != NULL;
 	     at = g_tree_node_next(at)) {
-		const struct ogl_node_set *n = g_tree_node_value(at);
+		const struct ogl_settings_node *n = g_tree_node_value(at);
 
-		if (json_is_null(n->value) && n->version <= s->forgotten)
-			g_ptr_array_add(old, g_tree_node_key(at));
+		if (json_is_null(n->value) &&
+		    n->version <= s->forgotten_version)
+			g_ptr_array_add(oldest, g_tree_node_key(at));
 	}
-	s->removed -= old->len;
-	for (guint i = 0; i < old->len; i++)
-		g_tree_remove(s->nodes, g_ptr_array_index(old, i));
-	g_ptr_array_free(old, TRUE);
+	s->removed_count -= oldest->len;
+	for (guint i = 0; i < oldest->len; i++)
+		g_tree_remove(s->nodes, g_ptr_array_index(oldest, i));
+	g_ptr_array_free(oldest, TRUE);
 }
 
 static void
@@ -493,14 +496,15 @@
 	s->nodes = g_tree_new_full(compare_paths, NULL, g_free, node_free);
 	s->teams =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	s->keys = g_hash_table_new_full(hash_of_hash, hash_equal, NULL, g_free);
+	s->keys =
+	    g_hash_table_new_full(hash_first_bytes, hash_equal, NULL, g_free);
 	g_queue_init(&s->audit);
-	resolve_all(s);
+	resolve_team_defaults(s);
 	return s;
 }
 
 static void
-clear(struct ogl_settings *s)
+free_tables(struct ogl_settings *s)
 {
 	g_tree_destroy(s->nodes);
 	g_hash_table_destroy(s->teams);
@@ -513,11 +517,11 @@
 {
 	if (s == NULL)
 		return;
-	clear(s);
+	free_tables(s);
 	g_free(s);
 }
 
-/* ---- asking ----------------------------------------------------------- */
+/* ---- queries ---------------------------------------------------------- */
 
 uint64_t
 ogl_settings_version(const struct ogl_settings *s)
@@ -529,9 +533,9 @@
 ogl_settings_team(
     const struct ogl_settings *s, const char *team, struct ogl_team_view *view)
 {
-	const struct ogl_team_node *t = g_hash_table_lookup(s->teams, team);
+	const struct ogl_team_entry *t = g_hash_table_lookup(s->teams, team);
 
-	*view = t != NULL ? t->view : s->all;
+	*view = t != NULL ? t->view : s->team_defaults;
 }
 
 void
@@ -540,11 +544,11 @@
     void *ctx)
 {
 	const char *prefix = "teams/";
-	GTreeNode *at = ogl_settings_below(s, prefix);
+	GTreeNode *at = ogl_settings_first(s, prefix);
 
 	for (; at != NULL; at = ogl_settings_next(at, prefix)) {
 		const char *team = (char *)g_tree_node_key(at) + strlen(prefix);
-		const struct ogl_team_node *t =
+		const struct ogl_team_entry *t =
 		    g_hash_table_lookup(s->teams, team);
 
 		if (t != NULL)
@@ -556,7 +560,7 @@
 ogl_settings_key(
     const struct ogl_settings *s, struct ogl_str key, struct ogl_key_view *view)
 {
-	const struct ogl_key_node *k = NULL;
+	const struct ogl_key_entry *k = NULL;
 	unsigned char hash[OGL_HASH_BYTES];
 	char hex[2 * OGL_HASH_BYTES + 1];
 
--- a/src/settings_dump.c
+++ b/src/settings_dump.c
@@ -1,12 +1,12 @@
 /*
- * The whole settings tree as text, and back.
+ * Writes the whole settings tree as JSON text and reads it back.
  *
  *     {"version":V,"forgotten":F,"nodes":[[path,value,version],...],
  *      "audit":[...]}
  *
  * Nodes are sorted by path, so equal trees give equal text.  They are written
- * straight into one buffer: built as a tree of JSON values first, 15,000 of
- * them took 50 ms, which on a node is a pause for every caller.
+ * directly into one buffer: building JSON values first took 50 ms for 15,000
+ * nodes, and every caller of the host waits meanwhile.
  */
 
 #include "json.h"
@@ -14,7 +14,7 @@
 
 /* ---- dump ------------------------------------------------------------- */
 
-/* No string that a field allows holds what JSON would have escaped. */
+/* Strings need no escaping: no field allows a character that JSON escapes. */
 static void
 append_value(GString *text, const json_t *v)
 {
@@ -36,11 +36,11 @@
 }
 
 static void
-append_version(GString *text, uint64_t version)
+append_uint64(GString *text, uint64_t n)
 {
 	char digits[24];
 
-	g_snprintf(digits, sizeof(digits), "%" G_GUINT64_FORMAT, version);
+	g_snprintf(digits, sizeof(digits), "%" G_GUINT64_FORMAT, n);
 	g_string_append(text, digits);
 }
 
@@ -48,19 +48,19 @@
 append_nodes(GString *text, const struct ogl_settings *s)
 {
 	GTreeNode *at = g_tree_node_first(s->nodes);
-	const char *before = "[\"";
+	const char *separator = "[\"";
 
 	for (; at != NULL; at = g_tree_node_next(at)) {
-		const struct ogl_node_set *n = g_tree_node_value(at);
+		const struct ogl_settings_node *n = g_tree_node_value(at);
 
-		g_string_append(text, before);
+		g_string_append(text, separator);
 		g_string_append(text, g_tree_node_key(at));
 		g_string_append(text, "\",");
 		append_value(text, n->value);
 		g_string_append_c(text, ',');
-		append_version(text, n->version);
+		append_uint64(text, n->version);
 		g_string_append_c(text, ']');
-		before = ",[\"";
+		separator = ",[\"";
 	}
 }
 
@@ -70,9 +70,9 @@
 	GString *text = g_string_new("{\"version\":");
 	char *audit = ogl_settings_audit(s, 0);
 
-	append_version(text, s->version);
+	append_uint64(text, s->version);
 	g_string_append(text, ",\"forgotten\":");
-	append_version(text, s->forgotten);
+	append_uint64(text, s->forgotten_version);
 	g_string_append(text, ",\"nodes\":[");
 	append_nodes(text, s);
 	g_string_append(text, "],\"audit\":");
@@ -84,7 +84,7 @@
 
 /* ---- load ------------------------------------------------------------- */
 
-/* Whether the tree may hold a value at a path. */
+/* Whether the path is valid and may have the value. */
 static bool
 node_allowed(const char *path, const json_t *v)
 {
@@ -104,15 +104,15 @@
 load_nodes(struct ogl_settings *s, const json_t *list)
 {
 	size_t i;
-	json_t *one;
+	json_t *item;
 
-	json_array_foreach(list, i, one)
+	json_array_foreach(list, i, item)
 	{
 		const char *path;
 		json_t *v;
 		json_int_t version;
 
-		if (json_unpack(one, "[s,o,I!]", &path, &v, &version) != 0 ||
+		if (json_unpack(item, "[s,o,I!]", &path, &v, &version) != 0 ||
 		    version < 0 || !node_allowed(path, v))
 			return false;
 		ogl_settings_put(s, path, v, (uint64_t)version);
@@ -124,11 +124,11 @@
 load_audit(struct ogl_settings *s, const json_t *list)
 {
 	size_t i;
-	json_t *one;
+	json_t *item;
 
-	json_array_foreach(list, i, one)
+	json_array_foreach(list, i, item)
 	{
-		struct ogl_audit *a;
+		struct ogl_audit_entry *a;
 		const char *who;
 		const char *path;
 		json_t *from;
@@ -136,11 +136,11 @@
 		json_int_t version;
 		json_int_t at_ms;
 
-		if (json_unpack(one, "{s:I,s:I,s:s,s:s,s:o,s:o!}", "version",
+		if (json_unpack(item, "{s:I,s:I,s:s,s:s,s:o,s:o!}", "version",
 			&version, "at_ms", &at_ms, "who", &who, "path", &path,
 			"from", &from, "to", &to) != 0)
 			return false;
-		a = g_new0(struct ogl_audit, 1);
+		a = g_new0(struct ogl_audit_entry, 1);
 		a->version = (uint64_t)version;
 		a->at_ms = (uint64_t)at_ms;
 		a->who = g_strdup(who);
@@ -153,21 +153,21 @@
 }
 
 static void
-load_index(struct ogl_settings *s)
+rebuild_tables(struct ogl_settings *s)
 {
 	GTreeNode *at = g_tree_node_first(s->nodes);
 
 	for (; at != NULL; at = g_tree_node_next(at)) {
-		const struct ogl_node_set *n = g_tree_node_value(at);
+		const struct ogl_settings_node *n = g_tree_node_value(at);
 
 		if (!json_is_null(n->value))
-			ogl_settings_put_in(s, g_tree_node_key(at));
+			ogl_settings_index(s, g_tree_node_key(at));
 	}
-	ogl_settings_resolve(s, "");
+	ogl_settings_resolve_subtree(s, "");
 }
 
 static bool
-load_whole(struct ogl_settings *s, const json_t *o)
+load_tree(struct ogl_settings *s, const json_t *o)
 {
 	json_int_t version;
 	json_int_t forgotten;
@@ -178,12 +178,12 @@
 		"forgotten", &forgotten, "nodes", &nodes, "audit", &audit) != 0)
 		return false;
 	s->version = (uint64_t)version;
-	s->forgotten = (uint64_t)forgotten;
+	s->forgotten_version = (uint64_t)forgotten;
 	if (version < 0 || forgotten < 0 || !json_is_array(nodes) ||
 	    !json_is_array(audit) || !load_nodes(s, nodes) ||
 	    !load_audit(s, audit))
 		return false;
-	load_index(s);
+	rebuild_tables(s);
 	return true;
 }
 
@@ -191,21 +191,21 @@
 ogl_settings_load(struct ogl_settings *s, struct ogl_str dump, GError **error)
 {
 	struct ogl_faults *faults = ogl_faults_new();
-	struct ogl_settings *fresh = ogl_settings_init();
+	struct ogl_settings *loaded = ogl_settings_init();
 	json_t *o = ogl_json_load(dump, "dump", faults);
-	bool ok = o != NULL && load_whole(fresh, o);
+	bool ok = o != NULL && load_tree(loaded, o);
 
 	if (!ok) {
 		g_set_error(error, OGL_ERROR, OGL_ERROR_INPUT,
 		    "settings: the dump is not one of a settings tree");
-	} else if (fresh->version > s->version) {
-		struct ogl_settings old = *s;
+	} else if (loaded->version > s->version) {
+		struct ogl_settings previous = *s;
 
-		*s = *fresh;
-		*fresh = old;
+		*s = *loaded;
+		*loaded = previous;
 	}
 	json_decref(o);
-	ogl_settings_end(fresh);
+	ogl_settings_end(loaded);
 	ogl_faults_free(faults);
 	return ok;
 }
--- a/src/settings_edit.c
+++ b/src/settings_edit.c
@@ -1,21 +1,22 @@
 /*
- * Whether an edit may be applied, and what it changes in all.
+ * Checks whether an edit may be applied and computes all changes it makes.
  *
- * An edit is worked out in a draft: a sorted map of changes laid over the
- * tree, which itself stays as it is.  An edit names a path at most once, so
- * the order of its changes means nothing, and it is judged by the tree it
- * would give: a team, its settings and its key may come in one edit, a team
- * and its subteams may go in one.
+ * An edit is checked in a draft: a sorted map of changes that overlays the
+ * tree, which is not modified.  An edit names a path at most once, so the order
+ * of its changes does not matter.  The tree that would result is checked, so
+ * one edit may create a team with its settings and its key, and one edit may
+ * remove a team with its subteams.
  *
- * Removing a team removes its own settings, removing a key both its fields;
- * the draft holds these too.
+ * Removing a team removes its own settings too, and removing a key removes both
+ * its fields.  The draft includes these implied changes.
  *
- * Races.  Two operators change the same path from the same version.  Were the
- * later one in log order just applied, the earlier would find the change
- * gone without a word.  So each path knows the version that last changed it,
- * also after it was removed, and an edit made from an older one is refused.
- * The same holds for the team or key the path lies in, for all below a team
- * that is removed, and for the team a new key is for.
+ * Conflicts: two operators may change the same path starting from the same
+ * version.  If the later one in log order were simply applied, the earlier
+ * change would be lost without notice.  So each path stores the version that
+ * last changed it, also after its removal, and an edit made from an older
+ * version is refused.  The same holds for the team or key that the path belongs
+ * to, for everything below a team that is removed, and for the team of a new
+ * key.
  */
 
 #include <string.h>
@@ -23,17 +24,18 @@
 #include "json.h"
 #include "settings.h"
 
-#define CHANGES_MAX 256 /* in one edit */
-#define VALUE_MAX 1024  /* bytes of one value */
-#define WHO_MAX 128
-#define TEAMS_MAX 4096 /* an edit that begins below it may go beyond */
+#define CHANGES_MAX 256      /* in one edit */
+#define VALUE_MAX_BYTES 1024 /* of one value */
+#define WHO_MAX_BYTES 128
+/* Checked against the tree before the edit, so one edit may exceed these. */
+#define TEAMS_MAX 4096
 #define KEYS_MAX 65536
 
-/* One change of the edit, read. */
+/* One change of the edit, parsed. */
 struct change {
-	const char *text; /* its path */
+	const char *path_text; /* as in the edit */
 	struct ogl_path path;
-	json_t *value; /* JSON null: removes */
+	json_t *value; /* JSON null: removal; NULL: malformed */
 	bool valid;
 };
 
@@ -41,22 +43,22 @@
 	const struct ogl_settings *s;
 	const Ogl__Edit *e;
 	struct ogl_faults *faults;
-	GTree *over; /* path -> json_t, JSON null removes */
+	GTree *overlay; /* path -> json_t, JSON null: removal */
 	struct change *changes;
 	size_t n;
 };
 
 static bool
-removes(const struct change *c)
+is_removal(const struct change *c)
 {
 	return json_is_null(c->value);
 }
 
-/* The value a path would have once the edit is applied, NULL for none. */
+/* The value a path has after the edit, NULL for none. */
 static json_t *
 draft_get(const struct ogl_draft *d, const char *path)
 {
-	json_t *v = g_tree_lookup(d->over, path);
+	json_t *v = g_tree_lookup(d->overlay, path);
 
 	if (v == NULL)
 		return ogl_settings_get(d->s, path);
@@ -64,9 +66,9 @@
 }
 
 static bool
-team_stands(const struct ogl_draft *d, const char *team)
+team_exists(const struct ogl_draft *d, const char *team)
 {
-	char path[OGL_PATH_MAX];
+	char path[OGL_PATH_BYTES];
 
 	g_snprintf(path, sizeof(path), "teams/%s", team);
 	return draft_get(d, path) != NULL;
@@ -75,15 +77,15 @@
 static void
 change_fault(struct ogl_draft *d, const struct change *c, const char *allowed)
 {
-	char *brief = removes(c) ? g_strdup("") : ogl_json_brief(c->value);
+	char *brief = is_removal(c) ? g_strdup("") : ogl_json_brief(c->value);
 
-	ogl_faults_add(d->faults, c->text, brief, allowed);
+	ogl_faults_add(d->faults, c->path_text, brief, allowed);
 	g_free(brief);
 }
 
-/* ---- reading the changes ---------------------------------------------- */
+/* ---- parsing the changes ---------------------------------------------- */
 
-/* Also a value that is no JSON becomes a fault at the change's own path. */
+/* A value that is not JSON becomes a fault at the path of the change. */
 static void
 read_value(struct ogl_draft *d, const Ogl__Change *from, struct change *c)
 {
@@ -91,9 +93,9 @@
 
 	if (text.n == 0) {
 		c->value = json_null();
-	} else if (text.n > VALUE_MAX) {
+	} else if (text.n > VALUE_MAX_BYTES) {
 		ogl_faults_add(d->faults, from->path, "too long",
-		    "at most " G_STRINGIFY(VALUE_MAX) " bytes");
+		    "at most " G_STRINGIFY(VALUE_MAX_BYTES) " bytes");
 	} else {
 		c->value = ogl_json_load(text, from->path, d->faults);
 		if (json_is_null(c->value)) {
@@ -105,7 +107,7 @@
 }
 
 static bool
-is_branch(enum ogl_path_kind k)
+is_container(enum ogl_path_kind k)
 {
 	return k == OGL_PATH_ROOT || k == OGL_PATH_CELL ||
 	       k == OGL_PATH_TEAMS || k == OGL_PATH_KEYS;
@@ -116,9 +118,10 @@
 {
 	char allowed[128];
 
-	c->text = from->path;
+	c->path_text = from->path;
 	read_value(d, from, c);
-	if (!ogl_path_parse(from->path, &c->path) || is_branch(c->path.kind)) {
+	if (!ogl_path_parse(from->path, &c->path) ||
+	    is_container(c->path.kind)) {
 		ogl_faults_add(d->faults, from->path, from->path,
 		    "cell/<field>, teams/<team>, teams/[<team>/]<field>, "
 		    "keys/<id> or keys/<id>/<field>");
@@ -127,7 +130,7 @@
 	if (c->value == NULL)
 		return;
 	c->valid = true;
-	if (removes(c) || c->path.field == NULL ||
+	if (is_removal(c) || c->path.field == NULL ||
 	    ogl_setting_allows(
 		c->path.field, c->value, allowed, sizeof(allowed)))
 		return;
@@ -136,65 +139,66 @@
 }
 
 static void
-lay_over(struct ogl_draft *d, const char *path, json_t *v)
+overlay_set(struct ogl_draft *d, const char *path, json_t *v)
 {
-	g_tree_replace(d->over, g_strdup(path), json_incref(v));
+	g_tree_replace(d->overlay, g_strdup(path), json_incref(v));
 }
 
-/* Removing a team or a key removes what is set in it, subteams apart. */
+/* Adds the removal of all fields of a removed team or key.  Subteams are not
+ * removed. */
 static void
-lay_removal(struct ogl_draft *d, const struct change *c)
+overlay_removal(struct ogl_draft *d, const struct change *c)
 {
-	char *prefix = g_strconcat(c->text, "/", NULL);
-	GTreeNode *at = ogl_settings_below(d->s, prefix);
+	char *prefix = g_strconcat(c->path_text, "/", NULL);
+	GTreeNode *at = ogl_settings_first(d->s, prefix);
 
 	for (; at != NULL; at = ogl_settings_next(at, prefix)) {
 		const char *path = g_tree_node_key(at);
-		const struct ogl_node_set *node = g_tree_node_value(at);
+		const struct ogl_settings_node *node = g_tree_node_value(at);
 
 		if (strchr(path + strlen(prefix), '/') == NULL &&
 		    !json_is_null(node->value) && !json_is_object(node->value))
-			lay_over(d, path, json_null());
+			overlay_set(d, path, json_null());
 	}
 	g_free(prefix);
 }
 
-/* A key's fields bring the key itself. */
+/* Setting a field of a key creates the key itself. */
 static void
-lay_key(struct ogl_draft *d, const struct change *c)
+overlay_key(struct ogl_draft *d, const struct change *c)
 {
-	char path[OGL_PATH_MAX];
+	char path[OGL_PATH_BYTES];
 	json_t *v = json_object();
 
 	g_snprintf(path, sizeof(path), "keys/%s", c->path.id);
-	if (g_tree_lookup(d->over, path) == NULL)
-		lay_over(d, path, v);
+	if (g_tree_lookup(d->overlay, path) == NULL)
+		overlay_set(d, path, v);
 	json_decref(v);
 }
 
-/* Removals first, so that what the edit sets below a team that it removes is
- * seen, and refused, instead of lost. */
+/* Implied removals come first.  A value that the edit sets in a team that it
+ * removes is then still in the overlay, and gets refused, not lost. */
 static void
-lay_changes(struct ogl_draft *d)
+overlay_changes(struct ogl_draft *d)
 {
 	for (size_t i = 0; i < d->n; i++) {
 		const struct change *c = &d->changes[i];
 
-		if (c->valid && removes(c) && c->path.field == NULL)
-			lay_removal(d, c);
+		if (c->valid && is_removal(c) && c->path.field == NULL)
+			overlay_removal(d, c);
 	}
 	for (size_t i = 0; i < d->n; i++) {
 		const struct change *c = &d->changes[i];
 
 		if (c->valid)
-			lay_over(d, c->text, c->value);
+			overlay_set(d, c->path_text, c->value);
 	}
 	for (size_t i = 0; i < d->n; i++) {
 		const struct change *c = &d->changes[i];
 
 		if (c->valid && c->path.kind == OGL_PATH_KEY_FIELD &&
-		    !removes(c))
-			lay_key(d, c);
+		    !is_removal(c))
+			overlay_key(d, c);
 	}
 }
 
@@ -207,8 +211,8 @@
 		struct change *c = &d->changes[i];
 
 		read_change(d, d->e->changes[i], c);
-		if (!g_hash_table_add(seen, (gpointer)c->text)) {
-			ogl_faults_add(d->faults, c->text, "named twice",
+		if (!g_hash_table_add(seen, (gpointer)c->path_text)) {
+			ogl_faults_add(d->faults, c->path_text, "named twice",
 			    "each path once in an edit");
 			c->valid = false;
 		}
@@ -216,25 +220,25 @@
 	g_hash_table_destroy(seen);
 }
 
-/* ---- races ------------------------------------------------------------ */
+/* ---- conflicts -------------------------------------------------------- */
 
 static uint64_t
-version_of(const struct ogl_settings *s, const char *path)
+path_version(const struct ogl_settings *s, const char *path)
 {
-	const struct ogl_node_set *node = g_tree_lookup(s->nodes, path);
+	const struct ogl_settings_node *node = g_tree_lookup(s->nodes, path);
 
-	return node != NULL ? node->version : s->forgotten;
+	return node != NULL ? node->version : s->forgotten_version;
 }
 
 static uint64_t
-version_below(const struct ogl_settings *s, const char *path)
+newest_version_below(const struct ogl_settings *s, const char *path)
 {
 	char *prefix = g_strconcat(path, "/", NULL);
-	GTreeNode *at = ogl_settings_below(s, prefix);
+	GTreeNode *at = ogl_settings_first(s, prefix);
 	uint64_t v = 0;
 
 	for (; at != NULL; at = ogl_settings_next(at, prefix)) {
-		const struct ogl_node_set *node = g_tree_node_value(at);
+		const struct ogl_settings_node *node = g_tree_node_value(at);
 
 		v = MAX(v, node->version);
 	}
@@ -242,41 +246,41 @@
 	return v;
 }
 
-/* Newest version of a team and those above it. */
+/* Newest version of a team and its ancestors. */
 static uint64_t
-version_of_team(const struct ogl_settings *s, const char *team)
+team_version(const struct ogl_settings *s, const char *team)
 {
-	char path[OGL_PATH_MAX];
-	char above[OGL_TEAM_MAX];
+	char path[OGL_PATH_BYTES];
+	char parent[OGL_TEAM_PATH_BYTES];
 	uint64_t v;
 
 	if (team[0] == '\0')
 		return 0;
 	g_snprintf(path, sizeof(path), "teams/%s", team);
-	v = version_of(s, path);
-	if (ogl_path_parent(team, above))
-		v = MAX(v, version_of_team(s, above));
+	v = path_version(s, path);
+	if (ogl_path_parent(team, parent))
+		v = MAX(v, team_version(s, parent));
 	return v;
 }
 
-/* Newest version of anything the change rests on. */
+/* Newest version of anything that the change depends on. */
 static uint64_t
-version_behind(const struct ogl_settings *s, const struct change *c)
+newest_version_needed(const struct ogl_settings *s, const struct change *c)
 {
 	const struct ogl_path *p = &c->path;
-	char path[OGL_PATH_MAX];
-	uint64_t v = version_of(s, c->text);
+	char path[OGL_PATH_BYTES];
+	uint64_t v = path_version(s, c->path_text);
 
 	if (p->kind == OGL_PATH_KEY_FIELD) {
 		g_snprintf(path, sizeof(path), "keys/%s", p->id);
-		v = MAX(v, version_of(s, path));
-		if (p->field->type == OGL_SETTING_TEAM && !removes(c))
+		v = MAX(v, path_version(s, path));
+		if (p->field->type == OGL_SETTING_TEAM && !is_removal(c))
 			v = MAX(
-			    v, version_of_team(s, json_string_value(c->value)));
+			    v, team_version(s, json_string_value(c->value)));
 	}
-	v = MAX(v, version_of_team(s, p->team));
-	if (p->field == NULL && removes(c))
-		v = MAX(v, version_below(s, c->text));
+	v = MAX(v, team_version(s, p->team));
+	if (p->field == NULL && is_removal(c))
+		v = MAX(v, newest_version_below(s, c->path_text));
 	return v;
 }
 
@@ -293,7 +297,7 @@
 
 		if (!c->valid)
 			continue;
-		v = version_behind(d->s, c);
+		v = newest_version_needed(d->s, c);
 		if (v <= d->e->base_version)
 			continue;
 		n++;
@@ -302,18 +306,18 @@
 		g_snprintf(allowed, sizeof(allowed),
 		    "an edit made from version %" G_GUINT64_FORMAT " or later",
 		    v);
-		ogl_faults_add(d->faults, c->text, value, allowed);
+		ogl_faults_add(d->faults, c->path_text, value, allowed);
 	}
 	return n;
 }
 
-/* ---- the tree the edit would give ------------------------------------- */
+/* ---- checking the resulting tree -------------------------------------- */
 
 static bool
 has_subteam(const struct ogl_draft *d, const char *path)
 {
 	char *prefix = g_strconcat(path, "/", NULL);
-	GTreeNode *at = ogl_settings_below(d->s, prefix);
+	GTreeNode *at = ogl_settings_first(d->s, prefix);
 	bool found = false;
 
 	for (; at != NULL && !found; at = ogl_settings_next(at, prefix))
@@ -331,8 +335,8 @@
 
 	g_hash_table_iter_init(&it, d->s->keys);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		const struct ogl_key_node *k = p;
-		char path[OGL_PATH_MAX];
+		const struct ogl_key_entry *k = p;
+		char path[OGL_PATH_BYTES];
 
 		g_snprintf(path, sizeof(path), "keys/%s", k->id);
 		if (strcmp(k->team, team) == 0 && draft_get(d, path) != NULL)
@@ -341,7 +345,7 @@
 	return n;
 }
 
-/* Likely a field's name was misspelt, so the fault lists them. */
+/* Probably the name of a field was misspelt, so the fault lists the fields. */
 static void
 team_value_fault(struct ogl_draft *d, const struct change *c)
 {
@@ -358,13 +362,13 @@
 static void
 check_team(struct ogl_draft *d, const struct change *c)
 {
-	char above[OGL_TEAM_MAX];
-	bool is = ogl_settings_get(d->s, c->text) != NULL;
+	char parent[OGL_TEAM_PATH_BYTES];
+	bool exists = ogl_settings_get(d->s, c->path_text) != NULL;
 
-	if (removes(c)) {
-		if (!is)
+	if (is_removal(c)) {
+		if (!exists)
 			change_fault(d, c, "a team that exists");
-		else if (has_subteam(d, c->text))
+		else if (has_subteam(d, c->path_text))
 			change_fault(d, c, "a team without subteams");
 		else if (count_keys(d, c->path.team) > 0)
 			change_fault(d, c, "a team without keys");
@@ -372,60 +376,63 @@
 	}
 	if (!json_is_object(c->value) || json_object_size(c->value) > 0)
 		team_value_fault(d, c);
-	else if (is)
+	else if (exists)
 		change_fault(d, c, "a team that does not exist yet");
 	else if (g_hash_table_size(d->s->teams) >= TEAMS_MAX)
 		change_fault(
 		    d, c, "at most " G_STRINGIFY(TEAMS_MAX) " teams in all");
-	else if (ogl_path_parent(c->path.team, above) && !team_stands(d, above))
+	else if (ogl_path_parent(c->path.team, parent) &&
+		 !team_exists(d, parent))
 		change_fault(d, c, "a team below one that exists");
 }
 
 static void
-check_set(struct ogl_draft *d, const struct change *c)
+check_field(struct ogl_draft *d, const struct change *c)
 {
-	if (removes(c) && ogl_settings_get(d->s, c->text) == NULL)
+	if (is_removal(c) && ogl_settings_get(d->s, c->path_text) == NULL)
 		change_fault(d, c, "something that is set");
-	else if (!removes(c) && c->path.team[0] != '\0' &&
-		 !team_stands(d, c->path.team))
+	else if (!is_removal(c) && c->path.team[0] != '\0' &&
+		 !team_exists(d, c->path.team))
 		change_fault(d, c, "a team that exists");
 }
 
 static void
 check_key(struct ogl_draft *d, const struct change *c)
 {
-	if (!removes(c))
+	if (!is_removal(c))
 		change_fault(d, c, "its hash and team, set by themselves");
-	else if (ogl_settings_get(d->s, c->text) == NULL)
+	else if (ogl_settings_get(d->s, c->path_text) == NULL)
 		change_fault(d, c, "a key that exists");
 }
 
-/* Whether another key, of the tree or of this edit, has the hash. */
+/* Whether another key, in the tree or in this edit, has the hash. */
 static bool
 hash_taken(const struct ogl_draft *d, const struct change *c)
 {
 	for (size_t i = 0; i < d->n; i++) {
-		const struct change *o = &d->changes[i];
+		const struct change *other = &d->changes[i];
 
-		if (o != c && o->valid && o->path.field == c->path.field &&
-		    json_equal(o->value, c->value))
+		if (other != c && other->valid &&
+		    other->path.field == c->path.field &&
+		    json_equal(other->value, c->value))
 			return true;
 	}
 	return ogl_settings_hash_known(d->s, json_string_value(c->value));
 }
 
 /*
- * A key is made whole and withdrawn whole.  Could its team or hash be
- * changed, work handed in under the key before would run for another team.
+ * A key is created with both fields and never changed, only withdrawn.  If its
+ * team or hash could change, work submitted with the key before the change
+ * would run for another team.
  */
 static void
 check_key_field(struct ogl_draft *d, const struct change *c)
 {
-	char path[OGL_PATH_MAX];
+	char path[OGL_PATH_BYTES];
 	const char *team;
 
 	g_snprintf(path, sizeof(path), "keys/%s", c->path.id);
-	if (removes(c) || ogl_settings_get(d->s, path) != NULL) {
+	if (is_removal(c) || ogl_settings_get(d->s, path) != NULL) {
 		change_fault(d, c, "a new key; an old one is only withdrawn");
 		return;
 	}
@@ -441,56 +448,57 @@
 	}
 	team = json_string_value(c->value);
 	if (c->path.field->type == OGL_SETTING_TEAM) {
-		if (team[0] != '\0' && !team_stands(d, team))
+		if (team[0] != '\0' && !team_exists(d, team))
 			change_fault(d, c, "a team that exists, or \"\"");
 	} else if (hash_taken(d, c)) {
 		change_fault(d, c, "a hash that no other key has");
 	}
 }
 
-/* Upper limit a team would have: its own, else of the nearest above. */
+/* Limit of a team after the edit: its own, else its nearest ancestor's, else
+ * that for all teams. */
 static json_t *
-limit_of(const struct ogl_draft *d, const char *team)
+effective_limit(const struct ogl_draft *d, const char *team)
 {
 	const char *field = ogl_team_settings[OGL_TEAM_LIMIT_TASKS].name;
-	char path[OGL_PATH_MAX];
-	char above[OGL_TEAM_MAX];
+	char path[OGL_PATH_BYTES];
+	char parent[OGL_TEAM_PATH_BYTES];
 	json_t *v;
 
 	g_snprintf(path, sizeof(path), "teams/%s/%s", team, field);
 	v = draft_get(d, path);
 	if (v != NULL)
 		return v;
-	if (ogl_path_parent(team, above))
-		return limit_of(d, above);
+	if (ogl_path_parent(team, parent))
+		return effective_limit(d, parent);
 	g_snprintf(path, sizeof(path), "teams/%s", field);
 	return draft_get(d, path);
 }
 
-/* A limit that no one could reach is a slip: its author believes that the
- * team may run more than the team above lets it. */
+/* Refuses a limit above the parent team's.  It would have no effect, while its
+ * author would believe that the team may run that many tasks. */
 static void
 check_limit(struct ogl_draft *d, const char *text)
 {
 	json_t *own = draft_get(d, text);
-	char above[OGL_TEAM_MAX];
-	char allowed[OGL_TEAM_MAX + 64];
+	char parent[OGL_TEAM_PATH_BYTES];
+	char allowed[OGL_TEAM_PATH_BYTES + 64];
 	struct ogl_path p;
-	json_t *most;
+	json_t *parent_limit;
 	char *brief;
 
 	if (own == NULL || !ogl_path_parse(text, &p) ||
 	    p.field != &ogl_team_settings[OGL_TEAM_LIMIT_TASKS] ||
-	    !ogl_path_parent(p.team, above))
+	    !ogl_path_parent(p.team, parent))
 		return;
-	most = limit_of(d, above);
-	if (!json_is_integer(most) ||
+	parent_limit = effective_limit(d, parent);
+	if (!json_is_integer(parent_limit) ||
 	    (json_is_integer(own) &&
-		json_integer_value(own) <= json_integer_value(most)))
+		json_integer_value(own) <= json_integer_value(parent_limit)))
 		return;
 	g_snprintf(allowed, sizeof(allowed),
 	    "at most %" JSON_INTEGER_FORMAT ", the limit of teams/%s",
-	    json_integer_value(most), above);
+	    json_integer_value(parent_limit), parent);
 	brief = ogl_json_brief(own);
 	ogl_faults_add(d->faults, text, brief, allowed);
 	g_free(brief);
@@ -500,11 +508,11 @@
 check_limits(struct ogl_draft *d)
 {
 	const char *prefix = "teams/";
-	GTreeNode *at = ogl_settings_below(d->s, prefix);
+	GTreeNode *at = ogl_settings_first(d->s, prefix);
 
 	for (; at != NULL; at = ogl_settings_next(at, prefix))
 		check_limit(d, g_tree_node_key(at));
-	at = g_tree_node_first(d->over);
+	at = g_tree_node_first(d->overlay);
 	for (; at != NULL; at = g_tree_node_next(at))
 		if (g_tree_lookup(d->s->nodes, g_tree_node_key(at)) == NULL)
 			check_limit(d, g_tree_node_key(at));
@@ -513,17 +521,17 @@
 typedef void (*check_fn)(struct ogl_draft *d, const struct change *c);
 
 static const check_fn checks[] = {
-    [OGL_PATH_CELL_FIELD] = check_set,
+    [OGL_PATH_CELL_FIELD] = check_field,
     [OGL_PATH_TEAM] = check_team,
-    [OGL_PATH_TEAM_FIELD] = check_set,
+    [OGL_PATH_TEAM_FIELD] = check_field,
     [OGL_PATH_KEY] = check_key,
     [OGL_PATH_KEY_FIELD] = check_key_field,
 };
 
 static void
-check_tree(struct ogl_draft *d)
+check_changes(struct ogl_draft *d)
 {
-	bool limits = false;
+	bool limit_changed = false;
 
 	for (size_t i = 0; i < d->n; i++) {
 		const struct change *c = &d->changes[i];
@@ -532,16 +540,16 @@
 			continue;
 		checks[c->path.kind](d, c);
 		if (c->path.field == &ogl_team_settings[OGL_TEAM_LIMIT_TASKS])
-			limits = true;
+			limit_changed = true;
 	}
-	if (limits)
+	if (limit_changed)
 		check_limits(d);
 }
 
-/* ---- the whole -------------------------------------------------------- */
+/* ---- the edit as a whole ---------------------------------------------- */
 
 static void
-check_frame(struct ogl_draft *d)
+check_edit(struct ogl_draft *d)
 {
 	char value[32];
 	char allowed[64];
@@ -552,10 +560,10 @@
 		ogl_faults_add(d->faults, "changes", value,
 		    "from 1 to " G_STRINGIFY(CHANGES_MAX) " changes");
 	}
-	if (strlen(d->e->who) > WHO_MAX ||
+	if (strlen(d->e->who) > WHO_MAX_BYTES ||
 	    !g_utf8_validate(d->e->who, -1, NULL))
 		ogl_faults_add(d->faults, "who", "too long, or no text",
-		    "at most " G_STRINGIFY(WHO_MAX) " bytes of UTF-8");
+		    "at most " G_STRINGIFY(WHO_MAX_BYTES) " bytes of UTF-8");
 	if (d->e->base_version > d->s->version) {
 		g_snprintf(value, sizeof(value), "%" G_GUINT64_FORMAT,
 		    d->e->base_version);
@@ -566,7 +574,8 @@
 	}
 }
 
-/* The error names the fault at `first`, the first of its sort. */
+/* The error names the fault at index `first` and the number of faults from it
+ * on. */
 static void
 set_error(const struct ogl_draft *d, enum ogl_error code, size_t first,
     GError **error)
@@ -598,16 +607,16 @@
     struct ogl_faults *faults, GError **error)
 {
 	struct ogl_draft *d = g_new0(struct ogl_draft, 1);
-	size_t before = ogl_faults_count(faults);
+	size_t faults_before = ogl_faults_count(faults);
 	size_t conflicts;
 
 	d->s = s;
 	d->e = e;
 	d->faults = faults;
-	d->over = g_tree_new_full(compare_paths, NULL, g_free, value_free);
-	check_frame(d);
+	d->overlay = g_tree_new_full(compare_paths, NULL, g_free, value_free);
+	check_edit(d);
 	if (e->n_changes > CHANGES_MAX)
-		goto refused; /* else all that is wrong is told at once */
+		goto refused; /* any other edit gets all its faults reported */
 	d->n = e->n_changes;
 	d->changes = g_new0(struct change, d->n);
 	read_changes(d);
@@ -617,12 +626,12 @@
 		    ogl_faults_count(faults) - conflicts, error);
 		goto failed;
 	}
-	lay_changes(d);
-	check_tree(d);
-	if (ogl_faults_count(faults) == before)
+	overlay_changes(d);
+	check_changes(d);
+	if (ogl_faults_count(faults) == faults_before)
 		return d;
 refused:
-	set_error(d, OGL_ERROR_INPUT, before, error);
+	set_error(d, OGL_ERROR_INPUT, faults_before, error);
 failed:
 	ogl_draft_end(d);
 	return NULL;
@@ -631,7 +640,7 @@
 GTree *
 ogl_draft_changes(struct ogl_draft *d)
 {
-	return d->over;
+	return d->overlay;
 }
 
 void
@@ -640,6 +649,6 @@
 	for (size_t i = 0; i < d->n; i++)
 		json_decref(d->changes[i].value);
 	g_free(d->changes);
-	g_tree_destroy(d->over);
+	g_tree_destroy(d->overlay);
 	g_free(d);
 }
--- a/src/settings_path.c
+++ b/src/settings_path.c
@@ -1,5 +1,5 @@
 /*
- * Paths of the settings tree and the values their fields allow.
+ * Paths of the settings tree, and the values that each field allows.
  */
 
 #include <string.h>
@@ -28,9 +28,9 @@
 static bool
 name_valid(const char *p, size_t n)
 {
-	char name[OGL_TEAM_NAME_MAX + 1];
+	char name[OGL_TEAM_NAME_MAX_BYTES + 1];
 
-	if (n == 0 || n > OGL_TEAM_NAME_MAX)
+	if (n == 0 || n > OGL_TEAM_NAME_MAX_BYTES)
 		return false;
 	memcpy(name, p, n);
 	name[n] = '\0';
@@ -42,12 +42,12 @@
 {
 	size_t depth = 0;
 
-	if (strlen(team) >= OGL_TEAM_MAX)
+	if (strlen(team) >= OGL_TEAM_PATH_BYTES)
 		return false;
 	for (;;) {
 		size_t n = strcspn(team, "/");
 
-		if (!name_valid(team, n) || ++depth > OGL_TEAM_DEPTH)
+		if (!name_valid(team, n) || ++depth > OGL_TEAM_MAX_DEPTH)
 			return false;
 		if (team[n] == '\0')
 			return true;
@@ -56,7 +56,7 @@
 }
 
 bool
-ogl_path_parent(const char *team, char parent[OGL_TEAM_MAX])
+ogl_path_parent(const char *team, char parent[OGL_TEAM_PATH_BYTES])
 {
 	const char *slash = strrchr(team, '/');
 
@@ -74,15 +74,15 @@
 	return p->field != NULL;
 }
 
-/* What follows "teams/": a field, a team, or a team and its field. */
+/* Parses what follows "teams/": a field, a team, or a team and its field. */
 static bool
 parse_teams(const char *rest, struct ogl_path *p)
 {
 	const char *slash = strrchr(rest, '/');
-	const char *last = slash != NULL ? slash + 1 : rest;
+	const char *last_part = slash != NULL ? slash + 1 : rest;
 	size_t n = slash != NULL ? (size_t)(slash - rest) : 0;
 
-	p->field = team_field(last);
+	p->field = team_field(last_part);
 	p->kind = p->field != NULL ? OGL_PATH_TEAM_FIELD : OGL_PATH_TEAM;
 	if (p->field == NULL)
 		n = strlen(rest);
@@ -116,7 +116,7 @@
 ogl_path_parse(const char *text, struct ogl_path *p)
 {
 	memset(p, 0, sizeof(*p));
-	if (strlen(text) >= OGL_PATH_MAX)
+	if (strlen(text) >= OGL_PATH_BYTES)
 		return false;
 	if (g_str_has_prefix(text, "cell/"))
 		return parse_cell(text + strlen("cell/"), p);
@@ -169,7 +169,7 @@
 }
 
 static bool
-allows(const struct ogl_setting *f, const json_t *v)
+value_allowed(const struct ogl_setting *f, const json_t *v)
 {
 	switch (f->type) {
 	case OGL_SETTING_INTEGER:
@@ -191,7 +191,7 @@
 ogl_setting_allows(
     const struct ogl_setting *f, const json_t *v, char *allowed, size_t n)
 {
-	if (allows(f, v))
+	if (value_allowed(f, v))
 		return true;
 	switch (f->type) {
 	case OGL_SETTING_INTEGER:
--- a/src/settings_show.c
+++ b/src/settings_show.c
@@ -1,5 +1,5 @@
 /*
- * What the settings tree tells operators: values set, what they resolve to,
+ * Views of the settings tree for operators: the values set, the resolved values
  * and the audit trail.
  */
 
@@ -7,61 +7,61 @@
 
 #include "settings.h"
 
-#define FROM_DEFAULT "default"
+#define SOURCE_DEFAULT "default"
 
 /* ---- one field -------------------------------------------------------- */
 
-/* The path, as the tree keeps it, of the nearest level that sets a team's
- * field; NULL when none does. */
+/* The path of the nearest level that sets a team's field, NULL when none does.
+ * Points to the tree's own copy of the path. */
 static const char *
-team_field_from(
+team_field_source(
     const struct ogl_settings *s, const char *team, const char *field)
 {
-	char path[OGL_PATH_MAX];
-	char above[OGL_TEAM_MAX];
-	gpointer key = NULL;
+	char path[OGL_PATH_BYTES];
+	char parent[OGL_TEAM_PATH_BYTES];
+	gpointer stored_path = NULL;
 
 	g_snprintf(path, sizeof(path), "teams/%s%s%s", team,
 	    team[0] != '\0' ? "/" : "", field);
 	if (ogl_settings_get(s, path) != NULL) {
-		g_tree_lookup_extended(s->nodes, path, &key, NULL);
-		return key;
+		g_tree_lookup_extended(s->nodes, path, &stored_path, NULL);
+		return stored_path;
 	}
 	if (team[0] == '\0')
 		return NULL;
-	if (!ogl_path_parent(team, above))
-		above[0] = '\0';
-	return team_field_from(s, above, field);
+	if (!ogl_path_parent(team, parent))
+		parent[0] = '\0';
+	return team_field_source(s, parent, field);
 }
 
 static const char *
-field_from(const struct ogl_settings *s, const struct ogl_path *p)
+field_source(const struct ogl_settings *s, const struct ogl_path *p)
 {
-	char path[OGL_PATH_MAX];
-	gpointer key = NULL;
+	char path[OGL_PATH_BYTES];
+	gpointer stored_path = NULL;
 
 	if (p->kind == OGL_PATH_TEAM_FIELD)
-		return team_field_from(s, p->team, p->field->name);
+		return team_field_source(s, p->team, p->field->name);
 	if (p->kind == OGL_PATH_CELL_FIELD)
 		g_snprintf(path, sizeof(path), "cell/%s", p->field->name);
 	else
 		g_snprintf(
 		    path, sizeof(path), "keys/%s/%s", p->id, p->field->name);
 	if (ogl_settings_get(s, path) != NULL)
-		g_tree_lookup_extended(s->nodes, path, &key, NULL);
-	return key;
+		g_tree_lookup_extended(s->nodes, path, &stored_path, NULL);
+	return stored_path;
 }
 
 json_t *
-ogl_settings_resolved(
+ogl_settings_resolve_field(
     const struct ogl_settings *s, const struct ogl_path *p, const char **from)
 {
-	const char *path = field_from(s, p);
+	const char *path = field_source(s, p);
 
-	*from = path != NULL ? path : FROM_DEFAULT;
+	*from = path != NULL ? path : SOURCE_DEFAULT;
 	if (path != NULL)
 		return json_incref(ogl_settings_get(s, path));
-	return ogl_settings_preset(p->field);
+	return ogl_setting_default(p->field);
 }
 
 int64_t
@@ -75,7 +75,7 @@
 
 	if (!ogl_path_parse(path, &p) || p.field == NULL)
 		return fallback;
-	v = ogl_settings_resolved(s, &p, &from);
+	v = ogl_settings_resolve_field(s, &p, &from);
 	if (json_is_number(v))
 		n = (int64_t)json_number_value(v);
 	else if (p.field->type == OGL_SETTING_LIMIT)
@@ -84,10 +84,10 @@
 	return n;
 }
 
-/* ---- many ------------------------------------------------------------- */
+/* ---- many fields ------------------------------------------------------ */
 
 static bool
-hidden(const char *path)
+is_hidden(const char *path)
 {
 	struct ogl_path p;
 
@@ -95,23 +95,23 @@
 	       p.field == &ogl_key_settings[OGL_KEY_HASH];
 }
 
-/* All that is set at and below a path. */
+/* All values set at and below a path, without key hashes. */
 static json_t *
-set_below(const struct ogl_settings *s, const char *path)
+collect_set(const struct ogl_settings *s, const char *path)
 {
 	json_t *o = json_object();
 	json_t *own = ogl_settings_get(s, path);
 	char *prefix =
 	    path[0] != '\0' ? g_strconcat(path, "/", NULL) : g_strdup("");
-	GTreeNode *at = ogl_settings_below(s, prefix);
+	GTreeNode *at = ogl_settings_first(s, prefix);
 
-	if (own != NULL && !hidden(path))
+	if (own != NULL && !is_hidden(path))
 		json_object_set(o, path, own);
 	for (; at != NULL; at = ogl_settings_next(at, prefix)) {
 		const char *key = g_tree_node_key(at);
-		const struct ogl_node_set *n = g_tree_node_value(at);
+		const struct ogl_settings_node *n = g_tree_node_value(at);
 
-		if (!json_is_null(n->value) && !hidden(key))
+		if (!json_is_null(n->value) && !is_hidden(key))
 			json_object_set(o, key, n->value);
 	}
 	g_free(prefix);
@@ -120,33 +120,35 @@
 
 static void
 add_resolved(const struct ogl_settings *s, struct ogl_path *p,
-    const struct ogl_setting *f, json_t *resolved, json_t *froms)
+    const struct ogl_setting *f, json_t *resolved, json_t *sources)
 {
 	const char *from;
 	json_t *v;
 
 	p->field = f;
-	v = ogl_settings_resolved(s, p, &from);
+	v = ogl_settings_resolve_field(s, p, &from);
 	if (v == NULL || f->type == OGL_SETTING_HASH) {
 		json_decref(v);
 		return;
 	}
 	json_object_set_new(resolved, f->name, v);
-	json_object_set_new(froms, f->name, json_string(from));
+	json_object_set_new(sources, f->name, json_string(from));
 }
 
 static void
 add_table(const struct ogl_settings *s, struct ogl_path *p,
-    const struct ogl_setting *table, size_t n, json_t *resolved, json_t *froms)
+    const struct ogl_setting *table, size_t n, json_t *resolved,
+    json_t *sources)
 {
 	for (size_t i = 0; i < n; i++)
-		add_resolved(s, p, &table[i], resolved, froms);
+		add_resolved(s, p, &table[i], resolved, sources);
 }
 
-/* What a path resolves to; nothing for those that stand for many. */
+/* Adds the resolved fields at a path.  The whole tree and the list of all keys
+ * have none. */
 static void
-resolve_path(const struct ogl_settings *s, const struct ogl_path *path,
-    json_t *resolved, json_t *froms)
+add_path(const struct ogl_settings *s, const struct ogl_path *path,
+    json_t *resolved, json_t *sources)
 {
 	struct ogl_path p = *path;
 
@@ -154,23 +156,23 @@
 	case OGL_PATH_CELL:
 		p.kind = OGL_PATH_CELL_FIELD;
 		add_table(s, &p, ogl_cell_settings, OGL_CELL_SETTINGS, resolved,
-		    froms);
+		    sources);
 		break;
 	case OGL_PATH_TEAMS:
 	case OGL_PATH_TEAM:
 		p.kind = OGL_PATH_TEAM_FIELD;
 		add_table(s, &p, ogl_team_settings, OGL_TEAM_SETTINGS, resolved,
-		    froms);
+		    sources);
 		break;
 	case OGL_PATH_KEY:
 		p.kind = OGL_PATH_KEY_FIELD;
-		add_table(
-		    s, &p, ogl_key_settings, OGL_KEY_SETTINGS, resolved, froms);
+		add_table(s, &p, ogl_key_settings, OGL_KEY_SETTINGS, resolved,
+		    sources);
 		break;
 	case OGL_PATH_CELL_FIELD:
 	case OGL_PATH_TEAM_FIELD:
 	case OGL_PATH_KEY_FIELD:
-		add_resolved(s, &p, path->field, resolved, froms);
+		add_resolved(s, &p, path->field, resolved, sources);
 		break;
 	default:
 		break;
@@ -178,9 +180,9 @@
 }
 
 static bool
-stands(const struct ogl_settings *s, const struct ogl_path *p)
+path_exists(const struct ogl_settings *s, const struct ogl_path *p)
 {
-	char path[OGL_PATH_MAX];
+	char path[OGL_PATH_BYTES];
 
 	if (p->team[0] != '\0')
 		return g_hash_table_contains(s->teams, p->team);
@@ -195,18 +197,18 @@
 {
 	struct ogl_path p;
 	json_t *resolved;
-	json_t *froms;
+	json_t *sources;
 	json_t *o;
 	char *text;
 
-	if (!ogl_path_parse(path, &p) || !stands(s, &p))
+	if (!ogl_path_parse(path, &p) || !path_exists(s, &p))
 		return NULL;
 	resolved = json_object();
-	froms = json_object();
-	resolve_path(s, &p, resolved, froms);
+	sources = json_object();
+	add_path(s, &p, resolved, sources);
 	o = json_pack("{s:I,s:s,s:o,s:o,s:o}", "version",
-	    (json_int_t)s->version, "path", path, "set", set_below(s, path),
-	    "resolved", resolved, "from", froms);
+	    (json_int_t)s->version, "path", path, "set", collect_set(s, path),
+	    "resolved", resolved, "from", sources);
 	text = json_dumps(o, JSON_COMPACT);
 	json_decref(o);
 	return text;
@@ -220,7 +222,7 @@
 	json_t *list = json_array();
 
 	for (const GList *at = s->audit.head; at != NULL; at = at->next) {
-		const struct ogl_audit *a = at->data;
+		const struct ogl_audit_entry *a = at->data;
 
 		if (a->version < from)
 			continue;
