--- a/src/faults.c
+++ b/src/faults.c
@@ -1,6 +1,6 @@
 /*
- * The list of faults found in some input.  Faults are kept in the order in
- * which they were found, so that the same input always gives the same list.
+ * The list of faults found in some input.  Faults stay in the order in which
+ * they were found, so that equal input gives an equal list.
  */
 
 #include "orioleglade.h"
@@ -48,12 +48,12 @@
 ogl_faults_add(struct ogl_faults *f, const char *path, const char *value,
     const char *allowed)
 {
-	struct fault *one = g_new0(struct fault, 1);
+	struct fault *entry = g_new0(struct fault, 1);
 
-	one->path = g_strdup(path != NULL ? path : "");
-	one->value = g_strdup(value != NULL ? value : "");
-	one->allowed = g_strdup(allowed != NULL ? allowed : "");
-	g_ptr_array_add(f->list, one);
+	entry->path = g_strdup(path != NULL ? path : "");
+	entry->value = g_strdup(value != NULL ? value : "");
+	entry->allowed = g_strdup(allowed != NULL ? allowed : "");
+	g_ptr_array_add(f->list, entry);
 }
 
 size_t
@@ -71,23 +71,23 @@
 const char *
 ogl_faults_path(const struct ogl_faults *f, size_t i)
 {
-	const struct fault *one = fault_at(f, i);
+	const struct fault *entry = fault_at(f, i);
 
-	return one != NULL ? one->path : NULL;
+	return entry != NULL ? entry->path : NULL;
 }
 
 const char *
 ogl_faults_value(const struct ogl_faults *f, size_t i)
 {
-	const struct fault *one = fault_at(f, i);
+	const struct fault *entry = fault_at(f, i);
 
-	return one != NULL ? one->value : NULL;
+	return entry != NULL ? entry->value : NULL;
 }
 
 const char *
 ogl_faults_allowed(const struct ogl_faults *f, size_t i)
 {
-	const struct fault *one = fault_at(f, i);
+	const struct fault *entry = fault_at(f, i);
 
-	return one != NULL ? one->allowed : NULL;
+	return entry != NULL ? entry->allowed : NULL;
 }
