--- a/src/json.c
+++ b/src/json.c
@@ -1,10 +1,10 @@
 /*
  * Messages as JSON, driven by their protobuf-c descriptors.
  *
- * Reading has two steps: jansson turns the text into a tree of values, and
- * one walk over that tree fills in the message by the offsets its descriptor
- * gives.  The walk goes on after a fault, so that one answer names them all.
- * Fields live at descriptor offsets:
+ * Reading has two steps: jansson parses the text into a tree of values, then
+ * one walk over that tree fills in the message at the offsets given by its
+ * descriptor.  The walk continues after a fault, so that one answer reports all
+ * faults.  Where a field is stored:
  *
  *     singular    the value at `offset`
  *     oneof       the value at `offset`, the field's id in the int at
@@ -13,10 +13,11 @@
  *                 size_t at `quantifier_offset`
  *
  * All memory comes from malloc (GLib's allocator is malloc), since
- * protobuf_c_message_free_unpacked gives it to free.
+ * protobuf_c_message_free_unpacked releases it with free.
  *
- * A uint64 above INT64_MAX has no JSON integer that the usual readers hold
- * exactly; it is written, and only it is read, as a string of digits.
+ * Common JSON parsers cannot hold an integer above INT64_MAX exactly.  Such a
+ * uint64 is written as a string of digits, and that form is accepted for such
+ * values only.
  */
 
 #include <inttypes.h>
@@ -24,14 +25,14 @@
 
 #include "json.h"
 
-#define BRIEF_BYTES 60 /* of a faulty value are quoted */
-#define ROOT_PATH "$"  /* path of a fault in the text as a whole */
+#define BRIEF_MAX_BYTES 60 /* of a faulty value that are quoted */
+#define ROOT_PATH "$"      /* path of faults in the whole text */
 
-/* One reading: where it stands and what it found. */
+/* State of one walk. */
 struct reader {
 	struct ogl_faults *faults;
-	GString *path; /* of the value being read */
-	unsigned depth;
+	GString *path;  /* of the current value */
+	unsigned depth; /* messages around the current value */
 };
 
 static ProtobufCMessage *read_message(
@@ -40,9 +41,9 @@
 /* ---- text to values --------------------------------------------------- */
 
 /*
- * Whether brackets outside strings nest within the bound.  The parser calls
- * itself once a level, so a text of brackets alone could otherwise use up the
- * stack of the process that reads it.
+ * Whether the nesting of brackets outside strings is within the limit.  The
+ * parser recurses once per level, so a text of nothing but brackets could
+ * otherwise overflow the stack.
  */
 static bool
 depth_ok(struct ogl_str t)
@@ -102,11 +103,12 @@
 	if (text == NULL)
 		return g_strdup("?");
 	n = strlen(text);
-	if (n <= BRIEF_BYTES) {
+	if (n <= BRIEF_MAX_BYTES) {
 		brief = g_strdup(text);
 	} else {
-		/* Never cut within a character: the answer is JSON too. */
-		n = BRIEF_BYTES;
+		/* Don't cut inside a UTF-8 character: the text is quoted in
+		 * a JSON answer. */
+		n = BRIEF_MAX_BYTES;
 		while (n > 0 && ((unsigned char)text[n] & 0xC0) == 0x80)
 			n--;
 		brief = g_strdup_printf("%.*s...", (int)n, text);
@@ -118,7 +120,7 @@
 /* ---- values to messages ----------------------------------------------- */
 
 static void
-fault(struct reader *r, const json_t *v, const char *allowed)
+add_fault(struct reader *r, const json_t *v, const char *allowed)
 {
 	char *brief = ogl_json_brief(v);
 
@@ -127,25 +129,26 @@
 	g_free(brief);
 }
 
-/* Extends the path by a field name; gives the length to go back to. */
+/* Appends a field name to the path.  Returns the previous length, for
+ * truncating the path again. */
 static size_t
-path_field(struct reader *r, const char *name)
+path_add_field(struct reader *r, const char *name)
 {
-	size_t was = r->path->len;
+	size_t old_len = r->path->len;
 
-	if (was > 0)
+	if (old_len > 0)
 		g_string_append_c(r->path, '.');
 	g_string_append(r->path, name);
-	return was;
+	return old_len;
 }
 
 static size_t
-path_index(struct reader *r, size_t i)
+path_add_index(struct reader *r, size_t i)
 {
-	size_t was = r->path->len;
+	size_t old_len = r->path->len;
 
 	g_string_append_printf(r->path, "[%zu]", i);
-	return was;
+	return old_len;
 }
 
 static bool
@@ -154,16 +157,16 @@
 	json_int_t n = json_integer_value(v);
 
 	if (!json_is_integer(v) || n < 0 || n > UINT32_MAX) {
-		fault(r, v, "integer from 0 to 4294967295");
+		add_fault(r, v, "integer from 0 to 4294967295");
 		return false;
 	}
 	*to = (uint32_t)n;
 	return true;
 }
 
-/* The string form of a uint64 that no JSON integer holds. */
+/* Reads the string form of a uint64 above INT64_MAX. */
 static bool
-read_large(const json_t *v, uint64_t *to)
+read_large_uint64(const json_t *v, uint64_t *to)
 {
 	const char *s = json_string_value(v);
 
@@ -179,9 +182,9 @@
 		*to = (uint64_t)json_integer_value(v);
 		return true;
 	}
-	if (read_large(v, to))
+	if (read_large_uint64(v, to))
 		return true;
-	fault(r, v,
+	add_fault(r, v,
 	    "integer from 0 to 9223372036854775807, larger ones as a string");
 	return false;
 }
@@ -190,7 +193,7 @@
 read_bool(struct reader *r, const json_t *v, protobuf_c_boolean *to)
 {
 	if (!json_is_boolean(v)) {
-		fault(r, v, "true or false");
+		add_fault(r, v, "true or false");
 		return false;
 	}
 	*to = json_is_true(v);
@@ -215,7 +218,7 @@
 	for (unsigned i = 0; i < d->n_values; i++)
 		g_string_append_printf(
 		    names, "%s %s", i > 0 ? "," : "", d->values[i].name);
-	fault(r, v, names->str);
+	add_fault(r, v, names->str);
 	g_string_free(names, TRUE);
 	return false;
 }
@@ -224,7 +227,7 @@
 read_string(struct reader *r, const json_t *v, char **to)
 {
 	if (!json_is_string(v)) {
-		fault(r, v, "string");
+		add_fault(r, v, "string");
 		return false;
 	}
 	*to = g_strdup(json_string_value(v));
@@ -232,8 +235,9 @@
 }
 
 /*
- * GLib's decoder skips what is no base64, which would hand on other bytes
- * than the sender meant; only text that encodes back to itself is taken.
+ * GLib's decoder skips characters that are not base64, so the result could
+ * differ from what the sender meant.  Only text that encodes back to itself is
+ * accepted.
  */
 static bool
 read_bytes(struct reader *r, const json_t *v, ProtobufCBinaryData *to)
@@ -241,19 +245,19 @@
 	const char *text = json_string_value(v);
 	guchar *data = NULL;
 	gsize n = 0;
-	char *back = NULL;
+	char *encoded = NULL;
 	bool ok = false;
 
 	if (text == NULL)
 		goto out;
 	data = g_base64_decode(text, &n);
-	back = g_base64_encode(data, n);
-	ok = strcmp(back, text) == 0;
+	encoded = g_base64_encode(data, n);
+	ok = strcmp(encoded, text) == 0;
 out:
-	g_free(back);
+	g_free(encoded);
 	if (!ok) {
 		g_free(data);
-		fault(r, v, "string of padded base64");
+		add_fault(r, v, "string of padded base64");
 		return false;
 	}
 	to->data = data;
@@ -261,7 +265,7 @@
 	return true;
 }
 
-/* Reads one value of the field's type to where `to` points. */
+/* Reads one value of the field's type into *to. */
 static bool
 read_value(struct reader *r, const ProtobufCFieldDescriptor *f, const json_t *v,
     void *to)
@@ -286,7 +290,7 @@
 		return m != NULL;
 	}
 	default:
-		fault(r, v, "nothing: the schema's type has no JSON form");
+		add_fault(r, v, "nothing: the schema's type has no JSON form");
 		return false;
 	}
 }
@@ -308,7 +312,8 @@
 	}
 }
 
-/* n counts only elements read, so that a half-read list can be freed. */
+/* The field's length counts only the elements read so far, so that the message
+ * can be freed after a fault in the list. */
 static void
 read_list(struct reader *r, const ProtobufCFieldDescriptor *f, const json_t *v,
     char *base)
@@ -319,18 +324,18 @@
 	size_t len = json_array_size(v);
 
 	if (!json_is_array(v)) {
-		fault(r, v, "list");
+		add_fault(r, v, "list");
 		return;
 	}
 	if (len == 0)
 		return;
 	*array = g_malloc0_n(len, size);
 	for (size_t i = 0; i < len; i++) {
-		size_t was = path_index(r, i);
+		size_t old_len = path_add_index(r, i);
 
 		if (read_value(r, f, json_array_get(v, i), *array + *n * size))
 			(*n)++;
-		g_string_truncate(r->path, was);
+		g_string_truncate(r->path, old_len);
 	}
 }
 
@@ -338,55 +343,56 @@
 read_field(struct reader *r, const ProtobufCFieldDescriptor *f, const json_t *v,
     char *base)
 {
-	uint32_t *which = (uint32_t *)(void *)(base + f->quantifier_offset);
+	uint32_t *oneof_case =
+	    (uint32_t *)(void *)(base + f->quantifier_offset);
 	bool oneof = (f->flags & PROTOBUF_C_FIELD_FLAG_ONEOF) != 0;
 
 	if (f->label == PROTOBUF_C_LABEL_REPEATED) {
 		read_list(r, f, v, base);
 		return;
 	}
-	if (oneof && *which != 0) {
-		fault(r, v, "only one field of its choice");
+	if (oneof && *oneof_case != 0) {
+		add_fault(r, v, "only one field of its choice");
 		return;
 	}
 	if (read_value(r, f, v, base + f->offset) && oneof)
-		*which = f->id;
+		*oneof_case = f->id;
 }
 
 static ProtobufCMessage *
 read_message(
     struct reader *r, const ProtobufCMessageDescriptor *d, const json_t *v)
 {
-	size_t faults = ogl_faults_count(r->faults);
+	size_t faults_before = ogl_faults_count(r->faults);
 	ProtobufCMessage *m;
 	const char *key;
-	json_t *sub;
+	json_t *value;
 
 	if (!json_is_object(v)) {
-		fault(r, v, "object");
+		add_fault(r, v, "object");
 		return NULL;
 	}
 	if (r->depth >= OGL_JSON_MAX_DEPTH) {
-		fault(r, v, "less nesting");
+		add_fault(r, v, "less nesting");
 		return NULL;
 	}
 	r->depth++;
 	m = g_malloc0(d->sizeof_message);
 	protobuf_c_message_init(d, m);
-	json_object_foreach((json_t *)v, key, sub)
+	json_object_foreach((json_t *)v, key, value)
 	{
 		const ProtobufCFieldDescriptor *f =
 		    protobuf_c_message_descriptor_get_field_by_name(d, key);
-		size_t was = path_field(r, key);
+		size_t old_len = path_add_field(r, key);
 
 		if (f != NULL)
-			read_field(r, f, sub, (char *)m);
+			read_field(r, f, value, (char *)m);
 		else
-			fault(r, sub, "no field of this name");
-		g_string_truncate(r->path, was);
+			add_fault(r, value, "no field of this name");
+		g_string_truncate(r->path, old_len);
 	}
 	r->depth--;
-	if (ogl_faults_count(r->faults) > faults) {
+	if (ogl_faults_count(r->faults) > faults_before) {
 		protobuf_c_message_free_unpacked(m, NULL);
 		m = NULL;
 	}
@@ -434,7 +440,8 @@
 	return v != NULL ? json_string(v->name) : json_integer(n);
 }
 
-/* jansson takes UTF-8 only; other bytes would lose the whole message. */
+/* jansson accepts only UTF-8.  Invalid bytes are replaced, since otherwise the
+ * whole message would be lost. */
 static json_t *
 write_string(const char *s)
 {
@@ -459,7 +466,7 @@
 	return v;
 }
 
-/* One value of the field's type; NULL for an unset message. */
+/* JSON of one value of the field's type; NULL for an unset message. */
 static json_t *
 write_value(const ProtobufCFieldDescriptor *f, const void *at)
 {
@@ -502,16 +509,17 @@
 	return list;
 }
 
-/* The field's JSON, or NULL when it is left out. */
+/* JSON of the field, or NULL when it is left out. */
 static json_t *
 write_field(const ProtobufCFieldDescriptor *f, const char *base)
 {
-	const uint32_t *which =
+	const uint32_t *oneof_case =
 	    (const uint32_t *)(const void *)(base + f->quantifier_offset);
 
 	if (f->label == PROTOBUF_C_LABEL_REPEATED)
 		return write_list(f, base);
-	if ((f->flags & PROTOBUF_C_FIELD_FLAG_ONEOF) != 0 && *which != f->id)
+	if ((f->flags & PROTOBUF_C_FIELD_FLAG_ONEOF) != 0 &&
+	    *oneof_case != f->id)
 		return NULL;
 	return write_value(f, base + f->offset);
 }
--- a/src/json.h
+++ b/src/json.h
@@ -9,15 +9,15 @@
 
 #include "orioleglade.h"
 
-/* Deepest nesting of objects and lists that is read. */
+/* Maximum nesting of objects and lists that the parser accepts. */
 #define OGL_JSON_MAX_DEPTH 16
 
 json_t *ogl_json_load(
     struct ogl_str text, const char *path, struct ogl_faults *faults);
-/* Any JSON value, strictly read; NULL with one fault at path when it is
- * malformed, too deep, or names a key twice.  json_decref it. */
+/* Parses any JSON value strictly.  NULL with one fault at path when the text is
+ * malformed, nested too deeply, or has a duplicate key.  json_decref it. */
 
 char *ogl_json_brief(const json_t *v);
-/* A value as short text for a fault; g_free. */
+/* JSON text of a value for a fault, shortened when it is long; g_free. */
 
 #endif
