--- a/src/message.c
+++ b/src/message.c
@@ -1,10 +1,10 @@
-/* Small helpers over generated messages that several parts share. */
+/* Helper functions for generated messages, shared by several parts. */
 
 #include <string.h>
 
 #include "message.h"
 
-/* By way of the packed form, so that it fits any message. */
+/* Packs and unpacks the message, which works for any type of message. */
 void *
 ogl_message_copy(const ProtobufCMessage *m)
 {
@@ -23,12 +23,12 @@
     const struct ogl_faults *faults)
 {
 	Ogl__ErrorView e = OGL__ERROR_VIEW__INIT;
-	size_t nf = faults != NULL ? ogl_faults_count(faults) : 0;
-	Ogl__Fault *f = g_new0(Ogl__Fault, nf + 1);
-	Ogl__Fault **list = g_new0(Ogl__Fault *, nf + 1);
+	size_t n_faults = faults != NULL ? ogl_faults_count(faults) : 0;
+	Ogl__Fault *f = g_new0(Ogl__Fault, n_faults + 1);
+	Ogl__Fault **list = g_new0(Ogl__Fault *, n_faults + 1);
 	char *text;
 
-	for (size_t i = 0; i < nf; i++) {
+	for (size_t i = 0; i < n_faults; i++) {
 		ogl__fault__init(&f[i]);
 		f[i].path = (char *)ogl_faults_path(faults, i);
 		f[i].value = (char *)ogl_faults_value(faults, i);
@@ -38,7 +38,7 @@
 	e.error = (char *)error;
 	e.verdict = (Ogl__Verdict)v;
 	e.retry_after_ms = retry_after_ms;
-	e.n_faults = nf;
+	e.n_faults = n_faults;
 	e.faults = list;
 	text = ogl_json_print(&e.base, NULL);
 	g_free(list);
