--- a/src/base.c
+++ b/src/base.c
@@ -1,6 +1,6 @@
 /*
- * Small shared things: length-counted strings, resources, verdict names and
- * the list of actions.
+ * Basic types of the library: length-counted strings, resources, verdict names
+ * and the list of actions.
  */
 
 #include <string.h>
@@ -63,7 +63,7 @@
 }
 
 static uint32_t
-sub_to_zero(uint32_t a, uint32_t b)
+sub_saturating(uint32_t a, uint32_t b)
 {
 	return a > b ? a - b : 0;
 }
@@ -71,9 +71,9 @@
 void
 ogl_res_sub(struct ogl_res *from, const struct ogl_res *r)
 {
-	from->cpu_milli = sub_to_zero(from->cpu_milli, r->cpu_milli);
-	from->mem_mb = sub_to_zero(from->mem_mb, r->mem_mb);
-	from->accel = sub_to_zero(from->accel, r->accel);
+	from->cpu_milli = sub_saturating(from->cpu_milli, r->cpu_milli);
+	from->mem_mb = sub_saturating(from->mem_mb, r->mem_mb);
+	from->accel = sub_saturating(from->accel, r->accel);
 }
 
 void
