--- a/test/test_settings.cc
+++ b/test/test_settings.cc
@@ -1,8 +1,9 @@
-// The settings tree: scripted runs with expected output, keys, and what two
-// followers of one log must have in common.
+// Tests of the settings tree: scripts with expected output, keys, and equal
+// trees of two followers of one log.
 //
-// A script holds commands and, after `< `, what they answer.  The runner runs
-// the commands and writes the script anew; both must be the same text.
+// A script has commands, each followed by its expected output in lines that
+// start with `< `.  The runner runs the commands and writes the script with the
+// actual output; the two texts must be equal.
 //
 //     edit VERSION base BASE by WHO     followed by indented `PATH VALUE`
 //     team PATH | show PATH | audit FROM | number PATH | key TEXT | teams
@@ -22,7 +23,7 @@
 using Changes = std::vector<std::pair<std::string, std::string>>;
 
 std::string
-take(char *text)
+take_text(char *text)
 {
 	std::string s = text != nullptr ? text : "nothing";
 
@@ -30,7 +31,7 @@
 	return s;
 }
 
-// An edit over borrowed strings.
+// An edit message that points to the strings stored here.
 struct Edit {
 	Edit(uint64_t base, const std::string &who, const Changes &from)
 	    : who_(who), from_(from), changes_(from.size()), list_(from.size())
@@ -70,7 +71,7 @@
 
 	std::string dump() const
 	{
-		return take(ogl_settings_dump(s));
+		return take_text(ogl_settings_dump(s));
 	}
 
 	bool load(const std::string &text)
@@ -94,9 +95,10 @@
 	struct ogl_settings *s;
 };
 
-// What the edit answers.  Also holds for every edit of every script: check and
-// apply agree, a refused edit leaves the dump as it was, and a follower that
-// starts from the dump before the edit ends with the same dump.
+// Runs an edit and returns its output.  Also checks, for each edit of each
+// script, that ogl_settings_check and ogl_settings_apply agree, that a refused
+// edit does not change the dump, and that a follower which starts from the dump
+// before the edit ends with the same dump.
 std::string
 run_edit(Tree *t, uint64_t version, const Edit &edit)
 {
@@ -106,15 +108,15 @@
 	GError *applied = nullptr;
 	std::string before = t->dump();
 	std::string out;
-	Tree late;
+	Tree follower;
 
-	EXPECT_TRUE(late.load(before));
+	EXPECT_TRUE(follower.load(before));
 	bool ok = ogl_settings_check(t->s, &edit.e, faults, &checked);
 	EXPECT_EQ(before, t->dump());
 	EXPECT_EQ(
 	    ok, ogl_settings_apply(t->s, version, &edit.e, 1000, &applied));
-	ogl_settings_apply(late.s, version, &edit.e, 1000, nullptr);
-	EXPECT_EQ(t->dump(), late.dump());
+	ogl_settings_apply(follower.s, version, &edit.e, 1000, nullptr);
+	EXPECT_EQ(t->dump(), follower.dump());
 	if (ok) {
 		EXPECT_EQ(version, ogl_settings_version(t->s));
 		out = "< ok\n";
@@ -150,44 +152,46 @@
 }
 
 void
-add_team(void *ctx, const char *team, const struct ogl_team_view *view)
+append_team(void *ctx, const char *team, const struct ogl_team_view *view)
 {
 	*static_cast<std::string *>(ctx) +=
 	    std::string("< ") + team + ": " + print_view(*view) + "\n";
 }
 
 std::string
-ask(const Tree &t, const std::string &what, const std::string &arg)
+run_query(const Tree &t, const std::string &command, const std::string &arg)
 {
 	struct ogl_team_view view;
 	struct ogl_key_view key;
 	std::string all;
 
-	if (what == "teams") {
-		ogl_settings_each_team(t.s, add_team, &all);
+	if (command == "teams") {
+		ogl_settings_each_team(t.s, append_team, &all);
 		return all;
 	}
-	if (what == "team") {
+	if (command == "team") {
 		ogl_settings_team(t.s, arg.c_str(), &view);
 		return "< " + (view.exists ? print_view(view) : "unknown") +
 		       "\n";
 	}
-	if (what == "key") {
+	if (command == "key") {
 		ogl_settings_key(t.s, ogl_str(arg.c_str()), &key);
 		if (!key.known)
 			return "< unknown\n";
 		return std::string("< ") + key.key_id + " " +
 		       (key.is_operator ? "operator" : key.team) + "\n";
 	}
-	if (what == "number")
+	if (command == "number")
 		return "< " +
 		       std::to_string(
 			   ogl_settings_number(t.s, arg.c_str(), -1)) +
 		       "\n";
-	if (what == "show")
-		return "< " + take(ogl_settings_show(t.s, arg.c_str())) + "\n";
-	if (what == "audit")
-		return "< " + take(ogl_settings_audit(t.s, std::stoull(arg))) +
+	if (command == "show")
+		return "< " + take_text(ogl_settings_show(t.s, arg.c_str())) +
+		       "\n";
+	if (command == "audit")
+		return "< " +
+		       take_text(ogl_settings_audit(t.s, std::stoull(arg))) +
 		       "\n";
 	return "< no such command\n";
 }
@@ -216,14 +220,14 @@
 			lines.push_back(line);
 	for (size_t i = 0; i < lines.size(); i++) {
 		std::istringstream words(lines[i]);
-		std::string what, arg, base, skip, who;
+		std::string command, arg, base, skip, who;
 
 		out += lines[i] + "\n";
 		if (lines[i].empty() || lines[i][0] == '#')
 			continue;
-		words >> what >> arg;
-		if (what != "edit") {
-			out += ask(t, what, arg);
+		words >> command >> arg;
+		if (command != "edit") {
+			out += run_query(t, command, arg);
 			continue;
 		}
 		words >> skip >> base >> skip >> who;
@@ -243,7 +247,7 @@
 }
 
 void
-expect_script(const char *name)
+expect_script_output(const char *name)
 {
 	std::string text =
 	    read_file(std::string(OGL_TEST_DIR "/scripts/") + name);
@@ -260,31 +264,30 @@
 
 TEST(Settings, TeamsInheritUnlessTheyOverride)
 {
-	expect_script("settings_inherit.txt");
+	expect_script_output("settings_inherit.txt");
 }
 
 // Two operators read the same version and change the same path.  If the later
-// change simply won, the first operator would see it vanish without a word;
-// so the later one in log order is refused and told what changed.
-TEST(Settings, OfTwoRacingOperatorsTheLaterIsTold)
+// change were applied, the first one would be lost without notice.  So the edit
+// that is later in log order is refused with the paths that have changed.
+TEST(Settings, LaterOfConcurrentEditsIsRefused)
 {
-	expect_script("settings_races.txt");
+	expect_script_output("settings_races.txt");
 }
 
-TEST(Settings, EveryFaultOfAnEditIsNamedAtOnce)
+TEST(Settings, AllFaultsOfAnEditAreReported)
 {
-	expect_script("settings_faults.txt");
+	expect_script_output("settings_faults.txt");
 }
 
-TEST(Settings, KeysAreMadeAndWithdrawnWhole)
+TEST(Settings, KeysAreCreatedAndWithdrawnAsAWhole)
 {
-	expect_script("settings_keys.txt");
+	expect_script_output("settings_keys.txt");
 }
 
-// A node asks the log twice for the same records when an answer is lost.  An
-// edit taken twice would be refused as a conflict with itself, or set back
-// what came after it.
-TEST(Settings, AnEditReadAgainChangesNothing)
+// A node reads the same log records twice when an answer is lost.  An edit
+// applied twice would conflict with itself, or undo later edits.
+TEST(Settings, ReappliedEditChangesNothing)
 {
 	Tree t;
 
@@ -296,23 +299,23 @@
 	EXPECT_EQ(before, t.dump());
 }
 
-// A node that restarts may be handed an old snapshot by a peer that lags.
-// Taking it would put a withdrawn key back in force.
-TEST(Settings, AnOlderDumpIsNotTaken)
+// A node that restarts may get an old snapshot from a peer that lags behind.
+// Loading it would make a withdrawn key valid again.
+TEST(Settings, OlderDumpIsIgnored)
 {
 	Tree t;
 
 	ASSERT_TRUE(t.apply(1, 0, {{"teams/x", "{}"}}));
-	std::string old = t.dump();
+	std::string older_dump = t.dump();
 	ASSERT_TRUE(t.apply(2, 1, {{"teams/x", ""}}));
-	std::string now = t.dump();
-	EXPECT_TRUE(t.load(old));
-	EXPECT_EQ(now, t.dump());
+	std::string current_dump = t.dump();
+	EXPECT_TRUE(t.load(older_dump));
+	EXPECT_EQ(current_dump, t.dump());
 }
 
-// A snapshot may come cut or changed.  A node that took half of it would let
-// keys in that the other half withdraws.
-TEST(Settings, ABrokenDumpIsRefusedWhole)
+// A snapshot may arrive truncated or damaged.  A node that loaded a part of it
+// could accept keys that the missing part withdraws.
+TEST(Settings, MalformedDumpIsRefused)
 {
 	Tree t;
 	std::string empty = t.dump();
@@ -332,10 +335,10 @@
 			   R"([["keys/k1",{},1]],"audit":[]})"));
 }
 
-// Keys come and go for years, and each leaves the path it had behind.  The
-// tree forgets the oldest; an operator who still holds a version from before
-// that is told to read again, and cannot bring such a path back by accident.
-TEST(Settings, RemovedPathsAreForgottenInTheEnd)
+// Each withdrawn key and removed team leaves its path in the tree, so the tree
+// drops the oldest removed paths.  An edit made from a version before that is a
+// conflict, so it cannot create such a path again by accident.
+TEST(Settings, OldestRemovedPathsAreDropped)
 {
 	Tree t;
 	uint64_t v = 0;
@@ -354,7 +357,7 @@
 	EXPECT_TRUE(t.apply(v + 1, v, {{"teams/t0", "{}"}}));
 }
 
-TEST(Settings, TheAuditTrailKeepsTheNewest)
+TEST(Settings, AuditTrailKeepsNewestChanges)
 {
 	Tree t;
 
@@ -362,14 +365,14 @@
 	for (uint64_t v = 1; v < 30; v++)
 		ASSERT_TRUE(
 		    t.apply(v + 1, v, {{"teams/share", std::to_string(v)}}));
-	std::string trail = take(ogl_settings_audit(t.s, 0));
+	std::string trail = take_text(ogl_settings_audit(t.s, 0));
 	EXPECT_EQ(0u, trail.find(R"([{"version":21,)")) << trail;
 	EXPECT_EQ(R"([{"version":30,"at_ms":1000,"who":"ann",)"
 		  R"("path":"teams/share","from":28,"to":29}])",
-	    take(ogl_settings_audit(t.s, 30)));
+	    take_text(ogl_settings_audit(t.s, 30)));
 }
 
-TEST(Keys, AKeyOpensForItsTeamUntilItIsWithdrawn)
+TEST(Keys, KeyIsValidForItsTeamUntilWithdrawn)
 {
 	uint8_t random[32];
 	char text[80], id[32];
@@ -401,7 +404,7 @@
 	EXPECT_FALSE(view.known);
 }
 
-TEST(Keys, OnlyAWholeKeyHasAHash)
+TEST(Keys, MalformedKeyHasNoHash)
 {
 	const std::string secret(43, 'a');
 	char hex[65];
