--- a/test/test_json.cc
+++ b/test/test_json.cc
@@ -1,4 +1,4 @@
-// The JSON form of messages and the list of faults.
+// Tests of the JSON form of messages and of the list of faults.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -11,7 +11,7 @@
 
 using Strings = std::vector<std::string>;
 
-// Parses and hands back the faults as lines `path | value | allowed`.
+// Parses a message and adds its faults as lines `path | value | allowed`.
 template <typename T>
 T *
 parse(const ProtobufCMessageDescriptor *d, const std::string &text,
@@ -55,7 +55,7 @@
 
 } // namespace
 
-TEST(Json, EveryKindOfFieldSurvivesARoundTrip)
+TEST(Json, AllFieldTypesSurviveARoundTrip)
 {
 	expect_round_trip(&ogl__record__descriptor,
 	    R"({"epoch":7,"seq":"18446744073709551615","writer":"a \"b\" ø",)"
@@ -85,7 +85,7 @@
 	ogl__submit__free_unpacked(m, nullptr);
 }
 
-TEST(Json, EveryFaultIsNamedWithItsPathAtOnce)
+TEST(Json, AllFaultsAreReportedWithTheirPaths)
 {
 	expect_faults(&ogl__submit__descriptor,
 	    R"({"kind":"urgent","tasks":4294967296,"res":{"cpu_milli":-1,)"
@@ -114,9 +114,9 @@
 	expect_faults(&ogl__submit__descriptor, "[]", {"$ | [] | object"});
 }
 
-// A caller's body may be cut, padded or hostile.  Were it read leniently, a
-// job would start with other values than its owner wrote; the caller sees the
-// refusal at once, with the place.
+// A caller's body may be truncated, padded or malicious.  If it were parsed
+// leniently, a job could start with other values than its owner wrote.  The
+// fault tells the line and column.
 TEST(Json, MalformedTextIsRefused)
 {
 	const char *bad[] = {"", "{", "{\"tasks\":1}x", "{\"tasks\":1,}",
@@ -134,9 +134,9 @@
 	}
 }
 
-// A text of a million brackets costs its sender nothing.  Without a bound the
-// reader would call itself once a bracket until its stack is gone, and one
-// caller would take the whole process down.
+// A text of a million brackets is cheap to send.  Without a limit the parser
+// would recurse once per bracket and overflow its stack, so that one caller
+// could crash the whole process.
 TEST(Json, DeepNestingIsRefused)
 {
 	expect_faults(&ogl__submit__descriptor, std::string(1000000, '['),
@@ -148,7 +148,7 @@
 	ogl__submit__free_unpacked(m, nullptr);
 }
 
-TEST(Json, LongFaultyValuesAreQuotedInPartOnWholeCharacters)
+TEST(Json, LongFaultyValuesAreCutAtCharacterBoundaries)
 {
 	std::string want = "tasks | \"";
 	std::string text = "{\"tasks\":\"";
@@ -161,10 +161,10 @@
 	    {want + "... | integer from 0 to 4294967295"});
 }
 
-// A reason or payload may come from a worker with bytes that are no UTF-8.
-// A printer that gave up on them would lose the whole answer, and its caller
-// would never learn of the job's end; only those bytes are replaced.
-TEST(Json, BytesThatAreNoTextDoNotLoseTheMessage)
+// A worker may send a reason or payload with invalid UTF-8.  If printing
+// failed, the whole answer would be lost and the caller would never learn that
+// the job ended.  Only the invalid bytes are replaced.
+TEST(Json, InvalidUtf8IsReplaced)
 {
 	Ogl__WorkerOff off = OGL__WORKER_OFF__INIT;
 	char name[] = "w\xff"
