--- a/test/test_base.cc
+++ b/test/test_base.cc
@@ -1,4 +1,4 @@
-// Strings, resources and the list of actions.
+// Tests of strings, resources and the list of actions.
 #include <gtest/gtest.h>
 
 #include "orioleglade.h"
@@ -22,7 +22,7 @@
 	EXPECT_EQ(0u, room.cpu_milli + room.mem_mb + room.accel);
 }
 
-TEST(Base, ActionsComeOutInOrder)
+TEST(Base, ActionsArePoppedInOrder)
 {
 	struct ogl_actions q;
 
