--- a/src/settings.c
+++ b/src/settings.c
@@ -393,7 +393,7 @@
 	return (x > y) - (x < y);
 }
 
-/* The version up to which removals are dropped so that half of them stay. */
+/* The version up to which removals are dropped, so that about half stay. */
 static uint64_t
 version_to_forget(const struct ogl_settings *s)
 {
