--- a/test/test_platform.cc
+++ b/test/test_platform.cc
@@ -1,6 +1,6 @@
 /*
- * The adapter's decoding and rendering, on the platform's own forms: what is
- * well formed, and what another writer may have left there.
+ * Decoding and encoding by the platform adapter, with well-formed input and
+ * with malformed input that other programs may have written.
  */
 
 #include <gtest/gtest.h>
@@ -27,16 +27,16 @@
   "maximum":{"cpu":435268,"mem_mb":1250656,"gpus":0}}]})";
 
 struct cell_config *
-config(const std::string &text)
+parse_config(const std::string &text)
 {
 	const char *why = nullptr;
 
 	return platform_config_parse(ogl_str(text.c_str()), &why);
 }
 
-TEST(PlatformConfig, IsDecodedWhole)
+TEST(PlatformConfig, DecodesAllEntries)
 {
-	struct cell_config *c = config(kConfig);
+	struct cell_config *c = parse_config(kConfig);
 	struct ogl_str rest;
 	const struct cell_queue *q;
 	const struct cell_team *t;
@@ -67,9 +67,9 @@
 	cell_config_unref(c);
 }
 
-/* A record that can't be read must leave the configuration in force as it is;
- * half of one in force would refuse keys and queues that are there. */
-TEST(PlatformConfig, IsRefusedWhenAnEntryLacksAField)
+/* A malformed record must not replace the configuration in force: a partly
+ * decoded one would refuse valid keys and queues. */
+TEST(PlatformConfig, RejectsRecordWithIncompleteEntry)
 {
 	const char *bad[] = {"", "null", "[]", "{", "{\"version\":0}",
 	    R"({"version":3,"routes":[{"name":"r"}]})",
@@ -78,21 +78,21 @@
 	    R"({"version":3,"routes":[7]})"};
 
 	for (const char *text : bad)
-		EXPECT_EQ(nullptr, config(text)) << text;
+		EXPECT_EQ(nullptr, parse_config(text)) << text;
 }
 
-TEST(PlatformSettingsKey, TellsOfTheZoneThatIsEvacuated)
+TEST(PlatformSettingsKey, ParsesEvacuatedZone)
 {
-	EXPECT_STREQ("zone-a", platform_zone_of_key("evacuate/zone-a"));
-	EXPECT_STREQ("a/b", platform_zone_of_key("evacuate/a/b"));
-	EXPECT_EQ(nullptr, platform_zone_of_key("evacuate/"));
-	EXPECT_EQ(nullptr, platform_zone_of_key("evacuate"));
-	EXPECT_EQ(nullptr, platform_zone_of_key("config"));
-	EXPECT_EQ(nullptr, platform_zone_of_key("wave/1"));
-	EXPECT_EQ(nullptr, platform_zone_of_key(""));
+	EXPECT_STREQ("zone-a", platform_evacuated_zone("evacuate/zone-a"));
+	EXPECT_STREQ("a/b", platform_evacuated_zone("evacuate/a/b"));
+	EXPECT_EQ(nullptr, platform_evacuated_zone("evacuate/"));
+	EXPECT_EQ(nullptr, platform_evacuated_zone("evacuate"));
+	EXPECT_EQ(nullptr, platform_evacuated_zone("config"));
+	EXPECT_EQ(nullptr, platform_evacuated_zone("wave/1"));
+	EXPECT_EQ(nullptr, platform_evacuated_zone(""));
 }
 
-TEST(PlatformEntry, IsDecoded)
+TEST(PlatformWorkerEntry, DecodesAllFields)
 {
 	const char text[] =
 	    R"({"service":"svc","address":"10.1.0.9:8080","zone":"a",)"
@@ -100,7 +100,8 @@
 	    R"("capacity":{"cpu":16000,"mem_mb":32768,"gpus":1},)"
 	    R"("labels":["a","r1-3"],"clock_ms":482113,"seq":4,)"
 	    R"("born":1700000000123,"drain_remaining_ms":900})";
-	struct cell_worker_entry *e = platform_entry_parse(ogl_str(text));
+	struct cell_worker_entry *e =
+	    platform_worker_entry_parse(ogl_str(text));
 
 	ASSERT_NE(nullptr, e);
 	EXPECT_STREQ("svc", e->service);
@@ -111,12 +112,13 @@
 	EXPECT_EQ(16000U, e->capacity.cpu_milli);
 	EXPECT_EQ(1U, e->capacity.accel);
 	EXPECT_EQ(900U, e->leaves_ms);
-	platform_entry_free(e);
+	platform_worker_entry_free(e);
 }
 
-/* Entries come from other writers too: fields missing, of another type, bytes
- * that are no text.  Such an entry names no worker; the others hold. */
-TEST(PlatformEntry, OfAnotherWriterNamesNoWorker)
+/* Other programs write entries too, which may lack fields, have fields of
+ * another type or not be text at all.  Such an entry is ignored, and the others
+ * stay valid. */
+TEST(PlatformWorkerEntry, RejectsMalformedEntries)
 {
 	const char *bad[] = {"", "{}", "[1]", "\xff\xfe",
 	    R"({"service":1,"address":"x","state":"ready"})",
@@ -125,12 +127,13 @@
 	    R"({"service":"s","address":["x"],"state":"ready"})"};
 
 	for (const char *text : bad)
-		EXPECT_EQ(nullptr, platform_entry_parse(ogl_str(text))) << text;
+		EXPECT_EQ(nullptr, platform_worker_entry_parse(ogl_str(text)))
+		    << text;
 }
 
-TEST(PlatformEntry, SurvivesFieldsOfOtherTypes)
+TEST(PlatformWorkerEntry, IgnoresOptionalFieldsOfOtherTypes)
 {
-	struct cell_worker_entry *e = platform_entry_parse(
+	struct cell_worker_entry *e = platform_worker_entry_parse(
 	    ogl_str(R"({"service":"s","address":"x","state":"ready",)"
 		    R"("capacity":"all","labels":[1,null,"r2-1"],)"
 		    R"("born":"now"})"));
@@ -139,10 +142,10 @@
 	EXPECT_EQ(0U, e->capacity.cpu_milli);
 	EXPECT_STREQ("r2-1", e->rack);
 	EXPECT_EQ(0U, e->born_ms);
-	platform_entry_free(e);
+	platform_worker_entry_free(e);
 }
 
-TEST(PlatformTask, NamesAreReadWhole)
+TEST(PlatformTask, ParsesOnlyCompleteNames)
 {
 	struct cell_task_name t;
 
@@ -157,7 +160,7 @@
 	EXPECT_FALSE(platform_task_parse("5c0e.0.1.17", &t));
 }
 
-TEST(PlatformJob, AllThatAStepMayAskIsDecoded)
+TEST(PlatformJob, DecodesAllFields)
 {
 	const char *why = "";
 	Ogl__CellJob *j = platform_job_parse(
@@ -194,7 +197,7 @@
 	ogl__cell_job__free_unpacked(j, nullptr);
 }
 
-TEST(PlatformJob, BadBodiesAreRefusedWithAReason)
+TEST(PlatformJob, RejectsMalformedBodiesWithReason)
 {
 	const std::string long_spec(4001, 'x');
 	const std::string bad[] = {"", "null", "{}", R"({"steps":[]})",
@@ -211,9 +214,9 @@
 	}
 }
 
-/* Steps are held to what can be planned: none may wait for itself or a later
- * one, or the job would wait for ever. */
-TEST(PlatformJob, StepsThatWaitForLaterOnesAreRefused)
+/* A step must not wait for itself or a later one, or the job would never end.
+ * Steps without tasks are rejected too. */
+TEST(PlatformJob, RejectsInvalidSteps)
 {
 	const char *bad[] = {R"({"steps":[{"count":1,"after":[0]}]})",
 	    R"({"steps":[{"count":1,"after":[1]},{"count":1}]})",
@@ -232,7 +235,7 @@
 	}
 }
 
-TEST(PlatformAnswer, SaysWhatItsStatusSays)
+TEST(PlatformAnswer, HasHttpStatusAndBody)
 {
 	struct cell_answer a = {};
 	GBytes *b;
@@ -272,7 +275,7 @@
  "limits":{"cpu_shares":0.25,"cores":2,"link_mbps":1.5},
  "news":[1,2]})";
 
-TEST(PlatformSettings, AreReadAndUnknownFieldsPassedOver)
+TEST(PlatformSettings, ReadsFieldsAndIgnoresUnknownOnes)
 {
 	struct ogl_faults *f = ogl_faults_new();
 	struct platform_settings *s =
@@ -290,7 +293,7 @@
 	ogl_faults_free(f);
 }
 
-TEST(PlatformSettings, EveryFaultIsNamedWithItsPath)
+TEST(PlatformSettings, ReportsPathOfEveryFault)
 {
 	struct ogl_faults *f = ogl_faults_new();
 	std::string found;
