--- a/cell/cell_config.c
+++ b/cell/cell_config.c
@@ -1,6 +1,6 @@
 /*
- * The longest prefix of a path is found by looking at each queue; queues and
- * teams by their names, and teams by their keys, in tables.
+ * A path is routed by a linear search over the queues for the longest prefix.
+ * Queues and teams are looked up by name, and teams by key, in hash tables.
  */
 
 #include <string.h>
@@ -14,8 +14,8 @@
 	GPtrArray *services;
 	GPtrArray *team_list;
 	GHashTable *keys; /* key -> struct cell_team, borrowed */
-	/* Name -> entry, both borrowed; made at the first look, as the builder
-	 * names entries after it has added them. */
+	/* Name -> entry, both borrowed.  Made at the first lookup, since the
+	 * builder sets the names after it has added the entries. */
 	GHashTable *queue_names;
 	GHashTable *team_names;
 };
@@ -168,7 +168,7 @@
 	return best;
 }
 
-/* Of entries of one name the first counts. */
+/* If several entries have the same name, the first is found. */
 static GHashTable *
 index_queues(const struct cell_config *c)
 {
@@ -233,21 +233,21 @@
 	const struct cell_queue *q =
 	    c != NULL ? cell_config_queue(c, def->queue) : NULL;
 	const Ogl__CellTerms *t = def->terms;
-	struct cell_queue old = {.name = def->queue, .service = def->service};
+	struct cell_queue saved = {.name = def->queue, .service = def->service};
 
 	if (q != NULL)
 		return *q;
 	if (t == NULL)
-		return old;
-	old.rank = t->rank;
-	old.attempts_max = t->attempts_max;
-	old.objective_ms = t->objective_ms;
-	old.slack = t->slack;
-	old.policy.needed = t->policy;
-	old.policy.decide_ms = t->decide_ms;
-	old.policy.worker_ms = t->worker_ms;
-	old.policy.valid_ms = t->valid_ms;
-	return old;
+		return saved;
+	saved.rank = t->rank;
+	saved.attempts_max = t->attempts_max;
+	saved.objective_ms = t->objective_ms;
+	saved.slack = t->slack;
+	saved.policy.needed = t->policy;
+	saved.policy.decide_ms = t->decide_ms;
+	saved.policy.worker_ms = t->worker_ms;
+	saved.policy.valid_ms = t->valid_ms;
+	return saved;
 }
 
 void
--- a/cell/cell_config.h
+++ b/cell/cell_config.h
@@ -1,7 +1,7 @@
 /*
- * The operator's configuration in force: queues, teams and their keys,
- * services.  Built once from a record of the settings stream, then shared
- * unchanged.
+ * A configuration of the operator: queues, teams and their keys, services.  It
+ * is built once from a record of the settings stream, then shared and no longer
+ * changed.
  */
 
 #ifndef OGL_CELL_CONFIG_H
@@ -9,37 +9,39 @@
 
 #include "ops.h"
 
-/* A queue's policy may name the workers that a step is allowed to run on. */
+/* Whether the steps of a queue's jobs may run only on workers that the advice
+ * service approves, and what its questions cost. */
 struct cell_policy {
 	bool needed;
-	double decide_ms; /* one question costs the service that much */
-	double worker_ms; /* and that much for each worker in it */
-	uint32_t valid_ms;
+	double decide_ms;  /* time the service takes for a question, */
+	double worker_ms;  /* and in addition for each worker named in it */
+	uint32_t valid_ms; /* how long its tickets are valid */
 };
 
-/* Where callers hand in jobs. */
+/* Where callers submit jobs. */
 struct cell_queue {
 	char *name;
-	char *host;   /* the Host header selects it, */
-	char *prefix; /* with the longest prefix of the path */
+	char *host;   /* a request is routed by its Host header */
+	char *prefix; /* and by the longest prefix of its path */
 	char *service;
-	uint32_t rank; /* 0 goes first and may preempt others */
+	uint32_t rank; /* priority; 0 is the highest and may preempt others */
 	uint32_t attempts_max;
-	uint32_t objective_ms; /* a job's objective beside its work */
-	double slack;          /* and as many times its work */
-	bool open;             /* no key is asked for */
+	/* A job's objective is objective_ms plus slack times its run time. */
+	uint32_t objective_ms;
+	double slack;
+	bool open; /* submitting needs no key */
 	struct cell_policy policy;
 };
 
 struct cell_team {
 	char *name;
-	double rate;        /* jobs a second it is owed */
-	struct ogl_res max; /* most it may have running; 0: no limit */
+	double rate;        /* jobs a second that it is entitled to */
+	struct ogl_res max; /* limit of what it has running; 0: none */
 };
 
 struct cell_service {
 	char *name;
-	bool standby; /* its machines are off */
+	bool standby; /* its machines are switched off */
 };
 
 struct cell_config;
@@ -52,33 +54,34 @@
 struct cell_queue *cell_config_add_queue(struct cell_config *c);
 struct cell_team *cell_config_add_team(struct cell_config *c);
 struct cell_service *cell_config_add_service(struct cell_config *c);
-/* Zeroed entries for the builder to fill with strings that c then owns. */
+/* Add a zeroed entry, which the builder fills; c takes its strings over. */
 
 void cell_config_add_key(
     struct cell_config *c, const char *key, const struct cell_team *team);
-/* The team must have been added to c. */
+/* The key is copied; the team must have been added to c. */
 
 const struct cell_queue *cell_config_route(const struct cell_config *c,
     struct ogl_str host, struct ogl_str path, struct ogl_str *rest);
-/* The queue a request is for, and what follows its prefix; NULL when there is
- * none. */
+/* The queue that a request is for, NULL if there is none.  rest is set to what
+ * follows the queue's prefix in path. */
 
 const struct cell_queue *cell_config_queue(
     struct cell_config *c, const char *name);
 const struct cell_team *cell_config_team(
     struct cell_config *c, const char *name);
-/* NULL when there is none of that name. */
+/* NULL if there is none of that name. */
 const struct cell_team *cell_config_team_of_key(
     const struct cell_config *c, struct ogl_str key);
+/* The team that the key belongs to, NULL if the key is unknown. */
 struct cell_queue cell_queue_of_job(
     struct cell_config *c, const Ogl__CellJob *def);
-/* How the job's queue treats it now or, where c lacks it, when the job was
- * submitted; borrows from both. */
+/* The job's queue in c or, if c is NULL or has no such queue, as saved in the
+ * job when it was submitted.  Its strings are borrowed from c or def. */
 
 void cell_queue_terms(const struct cell_queue *q, Ogl__CellTerms *t);
-/* What a job has to remember of its queue. */
+/* Fills t with the fields of the queue that are saved in a job. */
 
 bool cell_config_serves(const struct cell_config *c, const char *service);
-/* Whether some queue sends work to the service. */
+/* Whether any queue is for the service. */
 
 #endif
