--- a/cell/ops.h
+++ b/cell/ops.h
@@ -1,11 +1,11 @@
 /*
- * What a cell node asks of the outside: one table of functions for the store,
- * the workers, the advice service, peers and callers.  platform/ fills it for
- * the users' machines, the tests fill it with fakes.
+ * The interface of a cell node to its environment: one table of functions for
+ * the store, the workers, the advice service, peers and callers.  platform/
+ * implements it for the users' machines, the tests implement it with fakes.
  *
- * A function that takes `done` starts one exchange and returns; done is called
- * exactly once, later, never from within.  What an answer points at is
- * borrowed for that call.
+ * A function that takes `done` starts one exchange and returns.  done is called
+ * exactly once, after the function has returned.  What an answer points at is
+ * borrowed until done returns.
  */
 
 #ifndef OGL_CELL_OPS_H
@@ -14,7 +14,7 @@
 #include "cell.pb-c.h"
 #include "orioleglade.h"
 
-#define CELL_LONG_AGO (-(OGL_NEVER / 4)) /* before any time there is */
+#define CELL_LONG_AGO (-(OGL_NEVER / 4)) /* earlier than any time in use */
 #define CELL_ID_LEN 16                   /* hexadecimal digits of a job's id */
 
 struct cell_config;
@@ -22,15 +22,15 @@
 /* ---- the store: streams of keyed records ------------------------------ */
 
 enum cell_stream {
-	CELL_JOBS,     /* of a shard: jobs and how far they are */
-	CELL_CLAIMS,   /* of a shard: who claimed it, one record an epoch */
+	CELL_JOBS,     /* of a shard: jobs and their progress */
+	CELL_CLAIMS,   /* of a shard: who claimed it, one record per epoch */
 	CELL_LEAD,     /* heartbeats and resignations of all owners */
-	CELL_SETTINGS, /* the operator's: configuration */
-	CELL_WORKERS,  /* the workers' own: who is there */
+	CELL_SETTINGS, /* written by the operator: configuration, evacuations */
+	CELL_WORKERS,  /* written by the workers: an entry of each */
 	CELL_NSTREAMS
 };
 
-/* One record to write; without a value its key is dropped. */
+/* One record to write; a NULL value deletes the key. */
 struct cell_put {
 	char *key;
 	GBytes *value;
@@ -38,15 +38,16 @@
 
 struct cell_append {
 	enum cell_stream stream;
-	uint32_t shard; /* of a stream that each shard has; else 0 */
-	/* A writer's epoch below one already seen is refused; within an epoch
-	 * seq rises by one a call, and a repeat gets its first answer again. */
+	uint32_t shard; /* 0 for a stream that is not of a shard */
+	/* If fenced, the store refuses an epoch below the highest it has seen.
+	 * Within an epoch seq rises by one with each call; a repeated call gets
+	 * the answer of the first. */
 	bool fenced;
 	uint64_t epoch;
 	uint64_t seq;
-	int64_t at; /* only if the stream ends there; -1: anywhere */
+	int64_t at; /* refused unless the stream ends there; -1: no check */
 	const struct cell_put *puts;
-	size_t nputs; /* 0: only makes the epoch known */
+	size_t nputs; /* 0: only tells the store the epoch */
 	uint32_t timeout_ms;
 };
 
@@ -63,7 +64,7 @@
 	enum cell_stream stream;
 	uint32_t shard;
 	uint64_t from;
-	uint32_t wait_ms; /* the answer waits that long for a record */
+	uint32_t wait_ms; /* how long the answer waits for a record */
 	uint32_t timeout_ms;
 };
 
@@ -71,38 +72,39 @@
 struct cell_newest {
 	enum cell_stream stream;
 	uint32_t shard;
-	const char *after; /* the last key of the page before, NULL none */
+	const char *after; /* last key of the previous page, NULL none */
 	uint32_t timeout_ms;
 };
 
-/* What a worker says of itself. */
+/* A worker's entry in its stream. */
 struct cell_worker_entry {
 	char *service;
 	char *addr;
 	char *zone;
-	char *rack;    /* "" when none of the labels names one */
+	char *rack;    /* by one of the labels; "" if none names a rack */
 	char **labels; /* NULL at the end */
 	bool draining;
-	uint64_t born_ms; /* start of this life, wall clock; 0 not said */
+	uint64_t born_ms; /* start of this incarnation, Unix ms; 0 unknown */
 	struct ogl_res capacity;
-	uint32_t cold_ms;   /* how much longer it is slow after its start */
-	uint32_t leaves_ms; /* least time left while draining */
+	uint32_t cold_ms;   /* how long it is still slow after its start */
+	uint32_t leaves_ms; /* draining: least time until it ends */
 };
 
 struct cell_record {
 	uint64_t offset;
 	char *key;
 	struct ogl_str value;
-	bool dropped; /* the key is gone */
-	/* Decoded by stream; NULL when it can't be read. */
-	struct cell_config *config; /* CELL_SETTINGS, its main record */
-	const char *zone; /* CELL_SETTINGS: evacuated; taken back if dropped */
+	bool dropped; /* the key is deleted */
+	/* Decoded for the stream named; NULL for others and if malformed. */
+	struct cell_config *config; /* CELL_SETTINGS: the configuration */
+	/* CELL_SETTINGS: a zone that is evacuated or, if dropped, no longer */
+	const char *zone;
 	struct cell_worker_entry *worker; /* CELL_WORKERS */
 };
 
 struct cell_read_answer {
 	enum ogl_io io;
-	bool trimmed;   /* the records asked for are gone; first is set */
+	bool trimmed;   /* the records asked for are deleted; first is set */
 	uint64_t first; /* oldest retained offset */
 	uint64_t end;
 	const struct cell_record *records;
@@ -111,7 +113,7 @@
 
 struct cell_newest_answer {
 	enum ogl_io io;
-	bool more; /* ask again, after the last key */
+	bool more; /* there is another page, after the last key */
 	uint64_t end;
 	const struct cell_record *records;
 	size_t n;
@@ -130,56 +132,57 @@
 	CELL_END_DONE,
 	CELL_END_FAILED,
 	CELL_END_STOPPED,
-	CELL_END_LAPSED, /* its lease ran out */
+	CELL_END_LAPSED, /* its lease expired */
 	CELL_END_BROKEN, /* another member of its gang ended */
-	CELL_END_ALONE   /* the rest of its gang did not come */
+	CELL_END_ALONE   /* the rest of its gang did not start in time */
 };
 
-/* A row of either list a worker returns. */
+/* One run in a worker's answer to a hold: running or ended. */
 struct cell_row {
 	struct cell_task_name task;
 	uint64_t run;
 	const char *checkpoint; /* "" none */
-	uint32_t percent;       /* running: how far */
-	int64_t gauge;          /* running: tail in ms or processor in use */
-	uint64_t number;        /* ended: counts up within a life */
-	enum cell_end how;      /* ended */
+	uint32_t percent;       /* running: progress */
+	int64_t gauge;          /* running: tail latency in ms, or CPU in use */
+	uint64_t number;        /* ended: rises within an incarnation */
+	enum cell_end how;      /* ended: outcome */
 };
 
-/* Whom an order is for and by whose right. */
+/* The worker that a call is for, and the fencing token of its sender. */
 struct cell_target {
 	const char *addr;
 	const char *id;
 	uint64_t epoch; /* fencing token */
 };
 
+/* Renews a worker's lease and asks for its runs. */
 struct cell_hold {
 	struct cell_target to;
-	uint64_t last_seen; /* ends up to this number are noted for good */
-	uint64_t until_ms;  /* lease, on the worker's clock; 0: as it is */
-	uint32_t wait_ms;   /* the answer waits that long for an end */
+	uint64_t last_seen; /* ends up to this number are stored */
+	uint64_t until_ms;  /* lease end, worker's clock; 0: unchanged */
+	uint32_t wait_ms;   /* how long the answer waits for an end */
 	uint32_t timeout_ms;
 };
 
-/* Why a worker did not do what it was told. */
+/* Why a worker refused a call. */
 enum cell_refusal {
-	CELL_REFUSED_NOT,
+	CELL_REFUSED_NOT,    /* not refused */
 	CELL_REFUSED_FENCE,  /* it has seen a higher fencing token */
 	CELL_REFUSED_OLD,    /* the run's number is not above the last */
-	CELL_REFUSED_LATE,   /* the lease asked for is over */
-	CELL_REFUSED_ROOM,   /* it has no room */
+	CELL_REFUSED_LATE,   /* the lease asked for has already expired */
+	CELL_REFUSED_ROOM,   /* not enough room */
 	CELL_REFUSED_TICKET, /* no ticket, or one that is no longer valid */
 	CELL_REFUSED_BUSY,   /* unhealthy or overloaded */
-	CELL_REFUSED_LIFE,   /* another life than the one meant */
+	CELL_REFUSED_LIFE,   /* the call is for another incarnation */
 	CELL_REFUSED_BAD     /* malformed */
 };
 
 struct cell_hold_answer {
 	enum ogl_io io;
-	bool no_listener; /* the connection was refused: no process is there */
+	bool no_listener; /* the connection was refused: no process listens */
 	enum cell_refusal why;
-	uint64_t clock_ms;
-	uint64_t born_ms;
+	uint64_t clock_ms; /* the worker's clock */
+	uint64_t born_ms;  /* start of its incarnation, Unix ms */
 	const struct cell_row *running;
 	size_t nrunning;
 	const struct cell_row *ended;
@@ -193,7 +196,7 @@
 	uint32_t timeout_ms;
 	/* of a start only */
 	const char *spec;
-	uint64_t until_ms;
+	uint64_t until_ms; /* end of the lease, on the worker's clock */
 	const char *checkpoint;
 	const char *ticket; /* NULL none */
 	/* of a pace only */
@@ -203,18 +206,19 @@
 struct cell_order_answer {
 	enum ogl_io io;
 	enum cell_refusal why;
-	uint64_t clock_ms; /* 0 not said */
+	uint64_t clock_ms; /* the worker's clock, 0 unknown */
 };
 
 /* ---- advice ----------------------------------------------------------- */
 
 struct cell_ask {
-	const char *step; /* name of the step */
-	const char *const *workers;
+	const char *step;           /* name of the step */
+	const char *const *workers; /* ids */
 	size_t n;
 	uint32_t timeout_ms;
 };
 
+/* Approves a worker for the step. */
 struct cell_ticket {
 	const char *worker;
 	const char *ticket;
@@ -222,7 +226,7 @@
 
 struct cell_ask_answer {
 	enum ogl_io io;
-	uint32_t valid_ms;
+	uint32_t valid_ms; /* how long the tickets are valid */
 	const struct cell_ticket *tickets;
 	size_t n;
 };
@@ -236,14 +240,14 @@
 	CELL_OTHER_METHOD
 };
 
-/* A caller's request as it came in. */
+/* A caller's request as received. */
 struct cell_request {
 	enum cell_method method;
 	struct ogl_str host;
 	struct ogl_str path;
 	struct ogl_str key;
 	struct ogl_str body;
-	uint32_t budget_ms; /* how long the caller waits, 0 not said */
+	uint32_t budget_ms; /* how long the caller waits, 0 unknown */
 };
 
 enum cell_status {
@@ -254,18 +258,18 @@
 	CELL_NO_JOB,
 	CELL_BAD_METHOD,
 	CELL_OVER,  /* refused: the team is over its rate */
-	CELL_BUSY,  /* refused: come again */
-	CELL_UNSURE /* may have been accepted: ask again with the same id */
+	CELL_BUSY,  /* refused: to be retried */
+	CELL_UNSURE /* may be accepted: to be retried with the same id */
 };
 
 struct cell_answer {
 	enum cell_status status;
-	uint32_t retry_ms; /* 0 none */
+	uint32_t retry_ms; /* when to retry, 0 unknown */
 	bool has_state;
 	Ogl__CellJobState state;
 	bool has_pending;
 	uint32_t pending;
-	const char *why; /* for people; NULL none */
+	const char *why; /* a message for people; NULL none */
 };
 
 /* ---- the table -------------------------------------------------------- */
@@ -303,42 +307,42 @@
 	    void *ctx, const struct cell_ask *a, cell_ask_fn *done, void *arg);
 
 	struct cell_config *(*decode_config)(void *ctx, struct ogl_str value);
-	/* The operator's record as a configuration; NULL when it can't be
-	 * read. */
+	/* Decodes the operator's record; NULL if it is malformed. */
 	Ogl__CellJob *(*decode_job)(
 	    void *ctx, struct ogl_str body, const char **why);
-	/* A submitted body as a job, steps and spec only; NULL with the
-	 * reason when it is malformed. */
+	/* Decodes the body of a submission, which leaves id, team and queue
+	 * unset; NULL, with the reason in why, if it is malformed. */
 	void (*reply)(void *ctx, uint64_t token, const struct cell_answer *a);
+	/* Answers a caller's request. */
 
 	void (*peer_send)(void *ctx, const char *addr, GBytes *msg);
 	void (*peer_reset)(void *ctx, const char *addr);
-	/* Drops the connection to a peer; the next message opens a new one. */
+	/* Closes the connection to a peer; the next message opens a new one. */
 	bool (*peer_refused)(void *ctx, const char *addr);
-	/* Whether the last attempt to connect found nobody listening. */
+	/* Whether the last connection attempt was refused. */
 
 	void (*log)(
 	    void *ctx, const char *prefix, const char *event, const char *text);
-	/* One structured line; text is `key=value` pairs. */
+	/* Writes one log line; text has `key=value` pairs. */
 	void (*count)(void *ctx, const char *name, uint64_t by);
 	void (*observe)(void *ctx, const char *name, uint64_t ms);
-	/* Counters and latency histograms. */
+	/* Add to a counter and to a latency histogram. */
 
 	void *outside; /* passed to the functions up to decode_job */
 	void *ctx;     /* passed to those after it */
 };
 
-/* Times and bounds of a deployment; each from the settings file. */
+/* Limits of a deployment, from the settings file. */
 struct cell_limits {
-	uint32_t lease_max_ms; /* longest lease a worker grants */
-	uint32_t stop_ms;      /* a stop takes at most that long */
-	uint32_t revoke_ms;    /* a withdrawn key is dead after it */
-	uint32_t status_ms;    /* how long an ended job is remembered */
-	uint32_t visible_ms;   /* an accepted job is shown after it */
-	uint32_t rack_factor;  /* slower off the data's rack */
-	uint32_t gang_ms;      /* members wait that long for the others */
-	uint32_t notice_ms;    /* a lasting task is back after it */
-	uint32_t harm_ms;      /* a target may be missed that long */
+	uint32_t lease_max_ms; /* longest lease that a worker grants */
+	uint32_t stop_ms;      /* longest time that stopping a run takes */
+	uint32_t revoke_ms;    /* a withdrawn key is refused after it */
+	uint32_t status_ms;    /* how long the state of an ended job is kept */
+	uint32_t visible_ms;   /* an accepted job is visible after it */
+	uint32_t rack_factor;  /* slowdown of a run outside the data's rack */
+	uint32_t gang_ms;      /* how long members wait for the whole gang */
+	uint32_t notice_ms;    /* an ended lasting task runs again within it */
+	uint32_t harm_ms;      /* longest time that a target may be missed */
 };
 
 #endif
