--- a/cell/node.c
+++ b/cell/node.c
@@ -1,9 +1,9 @@
 /*
- * Each node pings the owner of each shard; a pong that does not come shows a
- * connection that has gone silent, and it is opened anew.  One of the owners may
- * ask advice through the node: the service takes one question at a time from
- * each machine, so owners must not share them.
- * Messages to oneself do not touch the network.
+ * Each node pings the owner of each shard.  When pongs stay away, it closes the
+ * connection and opens a new one.  At most one owner may ask the advice service
+ * through the node: the service takes one question at a time from each machine,
+ * so owners must not share a machine.
+ * Messages of a node to itself do not use the network.
  */
 
 #include <string.h>
@@ -12,52 +12,59 @@
 #include "plan.h"
 #include "relay_serve.h"
 
-#define TICK (40 * OGL_MS)
-/* A step is due each TICK; a longer gap means that the process did not run,
- * and others may have acted in its place. */
-#define STOOD_STILL (400 * OGL_MS)
-/* What counts as much stronger, and for how long it has to be there. */
-#define MUCH_STRONGER 1.7
-#define STRONGER_FOR (2500 * OGL_MS)
-/* What a node reads so soon after it stood still may have waited for it. */
-#define STALE_AFTER (300 * OGL_MS)
-/* Half a megabyte of jobs takes a second over such a link. */
-#define SLOW_TAKEOVER_KBPS 50000
-#define PING (250 * OGL_MS)
-/* Two pings unanswered: the owner's machine may have gone without a word. */
-#define PONG_DEAD (550 * OGL_MS)
-/* A ping unanswered for so long: the connection is not trusted any more. */
-#define PONG_MAX (900 * OGL_MS)
-/* Told of a configuration without proof; any receiver takes it for stale. */
+#define STEP_INTERVAL (40 * OGL_MS)
+/* A step is due at least every STEP_INTERVAL.  A gap longer than PAUSE_MIN
+ * means that the process did not run, and other nodes may have replaced it. */
+#define PAUSE_MIN (400 * OGL_MS)
+/* An owner gives its shard up to a node that is stronger by this factor and has
+ * been there for this time. */
+#define STRONGER_FACTOR 1.7
+#define STRONGER_TIME (2500 * OGL_MS)
+/* Orders read within this time after a pause may have been queued during it. */
+#define STALE_ORDERS_TIME (300 * OGL_MS)
+/* A link below this rate slows a takeover: half a megabyte of jobs takes a
+ * second over it. */
+#define SLOW_LINK_KBPS 50000
+#define PING_INTERVAL (250 * OGL_MS)
+/* No pong for this time, so two pings are unanswered: the owner's machine may
+ * have failed without closing its connections. */
+#define OWNER_SUSPECT_TIMEOUT (550 * OGL_MS)
+/* No pong for this time: the connection is closed and opened again. */
+#define RECONNECT_TIMEOUT (900 * OGL_MS)
+/* Greatest age reported, also for a configuration that was never confirmed;
+ * every receiver takes it for stale. */
 #define CONFIG_AGE_MAX_MS 3600000
-/* An heir is trusted while it was heard of within this time. */
-#define HEIR_FRESH (600 * OGL_MS)
-/* A stopping owner gives its shard up if the heir has not taken it by then: the
- * heir reads some pages (4 ms each, 300 on slow days) and claims.  A process has
- * 6 s to end. */
-#define HANDOVER_MAX (2200 * OGL_MS)
-/* Some shard has had no owner for so long: callers are sent elsewhere. */
-#define OWNERLESS_MAX (1500 * OGL_MS)
-
-/* What the node has to do with one shard. */
-struct part {
+/* A successor counts as alive for this time after its last ping. */
+#define SUCCESSOR_TIMEOUT (600 * OGL_MS)
+/* A stopping owner resigns if the successor has not claimed the shard within
+ * this time.  The successor reads some pages first, in 4 ms each, or 300 ms
+ * when the store is slow.  A process has 6 s to end. */
+#define HANDOVER_TIMEOUT (2200 * OGL_MS)
+/* The node is not ready for callers when a shard has had no known owner for
+ * this time. */
+#define OWNERLESS_TIMEOUT (1500 * OGL_MS)
+
+/* The node's state for one shard. */
+struct node_shard {
 	struct cell_node *node;
 	uint32_t shard;
 	struct cell_owner *owner;
 	ogl_time ping_at;
 	ogl_time pong_at; /* last pong, or the first ping to a new owner */
-	ogl_time owner_seen;
-	char *last_owner;     /* address of the last that was known */
-	ogl_time stronger_at; /* first ping of a much stronger node, 0 none */
-	ogl_time stronger_last;
-	/* as owner: who could take over, as of the pings */
-	char *heir;
-	uint32_t heir_strength;
-	uint32_t heir_uptime;
-	ogl_time heir_heard;
-	ogl_time handover_at; /* it was asked to, 0 not yet */
-	/* as heir */
-	bool claims; /* once prepared */
+	ogl_time owner_known_at; /* last time that an owner was known */
+	char *last_owner;        /* address of the last known owner */
+	/* First and last ping of a stronger node, see STRONGER_FACTOR; after a
+	 * gap of a second the next ping counts as the first. */
+	ogl_time stronger_since;
+	ogl_time stronger_heard;
+	/* as owner: the node that could best take over, by its last ping */
+	char *successor; /* its address, NULL none */
+	uint32_t successor_strength;
+	uint32_t successor_uptime_ms;
+	ogl_time successor_heard;
+	ogl_time handover_at; /* the handover was sent, 0 not yet */
+	/* as successor */
+	bool claim_pending; /* claims the shard once it has read the jobs */
 };
 
 struct cell_node {
@@ -69,24 +76,25 @@
 	struct cell_plan *plan;
 	struct cell_front *front;
 	uint32_t shards; /* 0 not known yet */
-	struct part parts[CELL_SHARDS_MAX];
-	struct cell_config *config; /* that the owners were told of */
-	uint64_t zone_changes;      /* of the zones that they were told of */
+	struct node_shard per_shard[CELL_SHARDS_MAX];
+	struct cell_config *config; /* last given to the owners */
+	/* cell_zones_changes of the zones last given to the owners */
+	uint64_t zone_changes;
 	bool stopping;
 	ogl_time now;        /* of the step or event under way */
 	ogl_time started_at; /* first step, 0 not yet */
-	ogl_time stepped_at;
-	ogl_time wake_at;     /* asked for by the last step, 0 none yet */
-	ogl_time stood_until; /* last found to have stood still, 0 never */
-	uint32_t strength;
+	ogl_time stepped_at; /* last step, 0 none yet */
+	ogl_time wake_at;    /* next step asked for by the last, 0 none yet */
+	ogl_time resumed_at; /* end of the last pause, 0 none yet */
+	uint32_t strength;   /* see ownership_strength */
 	uint32_t link_kbps;
 	struct cell_relay_serve *serve; /* calls workers for owners */
-	GQueue loop;                    /* Ogl__CellMsg as bytes, to oneself */
+	GQueue loopback; /* packed Ogl__CellMsg of the node to itself */
 };
 
 /* ---- messages --------------------------------------------------------- */
 
-/* Counters of bytes by kind of message: sent, received. */
+/* Names of the byte counters of a kind of message. */
 struct kind_names {
 	Ogl__CellMsg__BodyCase body;
 	const char *sent;
@@ -129,7 +137,8 @@
 	}
 }
 
-/* These are many, and either end of them is the owner. */
+/* Orders and their answers are frequent, and either their sender or their
+ * receiver is the owner, so they don't name it. */
 static bool
 is_order(const Ogl__CellMsg *m)
 {
@@ -155,7 +164,7 @@
 	ogl__cell_msg__pack(m, p);
 	b = g_bytes_new_take(p, len);
 	if (strcmp(to, n->addr) == 0) {
-		g_queue_push_tail(&n->loop, b);
+		g_queue_push_tail(&n->loopback, b);
 		return;
 	}
 	count_bytes(n, m, false, len);
@@ -179,43 +188,44 @@
 static void
 send_reply(void *arg, const char *to, const Ogl__CellReply *r)
 {
-	const struct part *part = arg;
+	const struct node_shard *s = arg;
 	Ogl__CellMsg m = OGL__CELL_MSG__INIT;
 
 	m.body_case = OGL__CELL_MSG__BODY_REPLY;
 	m.reply = (Ogl__CellReply *)(uintptr_t)r;
-	send_msg(part->node, part->shard, to, &m);
+	send_msg(s->node, s->shard, to, &m);
 }
 
 static void
 send_ask(void *arg, const char *to, const Ogl__CellAsk *a)
 {
-	const struct part *part = arg;
+	const struct node_shard *s = arg;
 	Ogl__CellMsg m = OGL__CELL_MSG__INIT;
 
 	m.body_case = OGL__CELL_MSG__BODY_ASK;
 	m.ask = (Ogl__CellAsk *)(uintptr_t)a;
-	send_msg(part->node, part->shard, to, &m);
+	send_msg(s->node, s->shard, to, &m);
 }
 
-/* Without an owner the message is lost; whoever needs it repeats it. */
+/* The message is dropped when the shard has no known owner; the sender repeats
+ * it until it is answered. */
 static void
-send_part(void *arg, uint32_t to_shard, const Ogl__CellPart *part)
+send_part(void *arg, uint32_t to_shard, const Ogl__CellPart *body)
 {
-	struct cell_node *n = ((const struct part *)arg)->node;
+	struct cell_node *n = ((const struct node_shard *)arg)->node;
 	const char *to = cell_lead_addr(n->lead, to_shard);
 	Ogl__CellMsg m = OGL__CELL_MSG__INIT;
 
 	if (to == NULL)
 		return;
 	m.body_case = OGL__CELL_MSG__BODY_PART;
-	m.part = (Ogl__CellPart *)(uintptr_t)part;
+	m.part = (Ogl__CellPart *)(uintptr_t)body;
 	send_msg(n, to_shard, to, &m);
 }
 
 /* ---- advice for an owner ---------------------------------------------- */
 
-struct asked {
+struct advice_call {
 	struct cell_node *node;
 	uint32_t shard;
 	char *to;
@@ -223,9 +233,9 @@
 };
 
 static void
-on_asked(void *arg, const struct cell_ask_answer *a, ogl_time now)
+on_advice(void *arg, const struct cell_ask_answer *a, ogl_time now)
 {
-	struct asked *q = arg;
+	struct advice_call *q = arg;
 	Ogl__CellMsg m = OGL__CELL_MSG__INIT;
 	Ogl__CellAdvice v = OGL__CELL_ADVICE__INIT;
 	Ogl__CellTicket *tickets = g_new(Ogl__CellTicket, a->n);
@@ -254,10 +264,10 @@
 }
 
 static void
-take_ask(struct cell_node *n, uint32_t shard, const char *from,
+handle_ask(struct cell_node *n, uint32_t shard, const char *from,
     const Ogl__CellAsk *a)
 {
-	struct asked *q = g_new(struct asked, 1);
+	struct advice_call *q = g_new(struct advice_call, 1);
 	struct cell_ask ask = {a->step, (const char *const *)(void *)a->workers,
 	    a->n_workers, a->timeout_ms};
 
@@ -265,7 +275,7 @@
 	q->shard = shard;
 	q->to = g_strdup(from);
 	q->token = a->token;
-	n->ops->ask(n->ops->outside, &ask, on_asked, q);
+	n->ops->ask(n->ops->outside, &ask, on_advice, q);
 }
 
 /* ---- calls to workers for an owner ------------------------------------ */
@@ -273,12 +283,12 @@
 static void
 send_orders(void *arg, const char *to, const Ogl__CellOrders *orders)
 {
-	const struct part *part = arg;
+	const struct node_shard *s = arg;
 	Ogl__CellMsg m = OGL__CELL_MSG__INIT;
 
 	m.body_case = OGL__CELL_MSG__BODY_ORDERS;
 	m.orders = (Ogl__CellOrders *)(uintptr_t)orders;
-	send_msg(part->node, part->shard, to, &m);
+	send_msg(s->node, s->shard, to, &m);
 }
 
 static void
@@ -294,14 +304,15 @@
 }
 
 /*
- * What waited while this process stood still is too old to be carried out: its
- * owner has given it up and may have been replaced.
+ * Orders that were queued while this process was paused are too old to be
+ * carried out: the owner has given them up and may have been replaced.
  */
 static void
-take_orders(struct cell_node *n, uint32_t shard, const char *from,
+handle_orders(struct cell_node *n, uint32_t shard, const char *from,
     const Ogl__CellOrders *orders, ogl_time now)
 {
-	bool stale = n->stood_until != 0 && now - n->stood_until < STALE_AFTER;
+	bool stale =
+	    n->resumed_at != 0 && now - n->resumed_at < STALE_ORDERS_TIME;
 
 	cell_relay_serve(n->serve, shard, from, orders, stale, now);
 }
@@ -309,76 +320,77 @@
 /* ---- incoming --------------------------------------------------------- */
 
 /*
- * A weak machine may own the shard because the strong ones were away when the
- * last owner was lost.  Once one has been back for a while, and owns none
- * itself, it gets the shard.
+ * A weak machine may own the shard because the strong ones were down when the
+ * last owner was lost.  It resigns once a strong one has been back for
+ * STRONGER_TIME and owns no shard.
  */
 static void
-weigh_peer(struct part *part, const Ogl__CellPing *p, ogl_time now)
+resign_to_stronger(struct node_shard *s, const Ogl__CellPing *p, ogl_time now)
 {
-	struct cell_node *n = part->node;
+	struct cell_node *n = s->node;
 
 	if (!p->store_ok || p->leaving || p->owned > 0 || n->strength == 0 ||
-	    p->strength < n->strength * MUCH_STRONGER)
+	    p->strength < n->strength * STRONGER_FACTOR)
 		return;
-	if (now - part->stronger_last > OGL_SEC)
-		part->stronger_at = now;
-	part->stronger_last = now;
-	if (now - part->stronger_at < STRONGER_FOR ||
-	    !cell_lead_able(n->lead, part->shard, now))
+	if (now - s->stronger_heard > OGL_SEC)
+		s->stronger_since = now;
+	s->stronger_heard = now;
+	if (now - s->stronger_since < STRONGER_TIME ||
+	    !cell_lead_able(n->lead, s->shard, now))
 		return;
-	part->stronger_at = now;
+	s->stronger_since = now;
 	n->ops->log(n->ops->ctx, "node", "gives_up", "to=stronger");
-	cell_lead_resign(n->lead, part->shard, now);
+	cell_lead_resign(n->lead, s->shard, now);
 }
 
 /*
- * Whether a node would be the better heir.  Of equally strong ones the youngest:
- * when all are restarted in turn, it is the one that will be restarted last, and
- * each change of owner costs its waiting work the advice it has.
+ * Whether a node would be a better successor than the present one.  Of equally
+ * strong nodes the one that started last is chosen: in a rolling restart it is
+ * restarted last, so the shard changes its owner less often.  Each change of
+ * owner loses the advice that the shard's waiting work has got.
  */
 static bool
-better_heir(const struct part *part, uint32_t strength, uint32_t uptime)
+better_successor(const struct node_shard *s, uint32_t strength, uint32_t uptime)
 {
-	if (strength != part->heir_strength)
-		return strength > part->heir_strength;
-	return uptime < part->heir_uptime;
+	if (strength != s->successor_strength)
+		return strength > s->successor_strength;
+	return uptime < s->successor_uptime_ms;
 }
 
-/* The node that could best own the shard next. */
+/* Updates the successor by the ping of a node. */
 static void
-weigh_heir(
-    struct part *part, const char *from, const Ogl__CellPing *p, ogl_time now)
+update_successor(struct node_shard *s, const char *from, const Ogl__CellPing *p,
+    ogl_time now)
 {
-	bool same = g_strcmp0(part->heir, from) == 0;
+	bool same = g_strcmp0(s->successor, from) == 0;
 	bool fit =
-	    p->store_ok && !p->leaving && strcmp(from, part->node->addr) != 0;
-	/* One that owns a shard already counts half. */
+	    p->store_ok && !p->leaving && strcmp(from, s->node->addr) != 0;
+	/* A node that owns a shard already counts half. */
 	uint32_t strength = p->owned > 0 ? p->strength / 2 : p->strength;
 
 	if (same && !fit) {
-		g_clear_pointer(&part->heir, g_free);
+		g_clear_pointer(&s->successor, g_free);
 		return;
 	}
 	if (!fit)
 		return;
-	if (!same && part->heir != NULL &&
-	    now - part->heir_heard < HEIR_FRESH &&
-	    !better_heir(part, strength, p->uptime_ms))
+	if (!same && s->successor != NULL &&
+	    now - s->successor_heard < SUCCESSOR_TIMEOUT &&
+	    !better_successor(s, strength, p->uptime_ms))
 		return;
 	if (!same) {
-		g_free(part->heir);
-		part->heir = g_strdup(from);
+		g_free(s->successor);
+		s->successor = g_strdup(from);
 	}
-	part->heir_strength = strength;
-	part->heir_uptime = p->uptime_ms;
-	part->heir_heard = now;
+	s->successor_strength = strength;
+	s->successor_uptime_ms = p->uptime_ms;
+	s->successor_heard = now;
 }
 
-/* What the owner knows of the configuration, for nodes that the store turns
- * away; the record itself only to one that lacks it. */
+/* Adds what this node knows of the configuration, for a node that can't read
+ * the store; the record itself is added only if that node has an older one. */
 static void
-tell_config(struct cell_node *n, const Ogl__CellPing *p, Ogl__CellPong *pong,
+add_config(struct cell_node *n, const Ogl__CellPing *p, Ogl__CellPong *pong,
     ogl_time now)
 {
 	struct cell_front_config c = cell_front_known(n->front);
@@ -394,9 +406,11 @@
 	pong->config_record.len = c.record.n;
 }
 
-/* The names are to be freed with the list, after the pong was sent. */
+/* Adds the evacuated zones, for a node that can't read the store.  Returns the
+ * list of names that pong points at; it is to be freed after the pong is
+ * sent. */
 static GPtrArray *
-tell_zones(struct cell_node *n, const Ogl__CellPing *p, Ogl__CellPong *pong)
+add_zones(struct cell_node *n, const Ogl__CellPing *p, Ogl__CellPong *pong)
 {
 	const struct cell_zones *z = cell_front_zones(n->front);
 	GPtrArray *a = cell_zones_list(z);
@@ -409,8 +423,9 @@
 	return a;
 }
 
-/* Dated back to when the ping was sent: the pong's age was right then or later,
- * whatever the way took. */
+/* The age in the pong is counted from when the ping was sent.  The peer stated
+ * it at that time or later, so it is not underestimated, however long the
+ * messages took. */
 static void
 learn_config(struct cell_node *n, const Ogl__CellPong *pong, ogl_time now)
 {
@@ -428,104 +443,103 @@
 }
 
 static void
-take_ping(
-    struct part *part, const char *from, const Ogl__CellPing *p, ogl_time now)
+handle_ping(struct node_shard *s, const char *from, const Ogl__CellPing *p,
+    ogl_time now)
 {
-	struct cell_node *n = part->node;
+	struct cell_node *n = s->node;
 	Ogl__CellMsg m = OGL__CELL_MSG__INIT;
 	Ogl__CellPong pong = OGL__CELL_PONG__INIT;
 	GPtrArray *zones;
 
 	if (p->lane)
-		cell_owner_node(part->owner, from, p->leaving, now);
+		cell_owner_node(s->owner, from, p->leaving, now);
 	if (strcmp(from, n->addr) != 0)
-		cell_owner_relay(part->owner, from, p->leaving, now);
-	weigh_peer(part, p, now);
-	weigh_heir(part, from, p, now);
+		cell_owner_relay(s->owner, from, p->leaving, now);
+	resign_to_stronger(s, p, now);
+	update_successor(s, from, p, now);
 	pong.stamp = p->stamp;
-	if (cell_lead_is_owner(n->lead, part->shard))
-		pong.owns = cell_lead_epoch(n->lead, part->shard);
-	pong.able = cell_lead_able(n->lead, part->shard, now);
-	pong.asks_first = cell_owner_asks_first(part->owner);
-	tell_config(n, p, &pong, now);
-	zones = tell_zones(n, p, &pong);
+	if (cell_lead_is_owner(n->lead, s->shard))
+		pong.owns = cell_lead_epoch(n->lead, s->shard);
+	pong.able = cell_lead_able(n->lead, s->shard, now);
+	pong.asks_first = cell_owner_asks_first(s->owner);
+	add_config(n, p, &pong, now);
+	zones = add_zones(n, p, &pong);
 	m.body_case = OGL__CELL_MSG__BODY_PONG;
 	m.pong = &pong;
-	send_msg(n, part->shard, from, &m);
+	send_msg(n, s->shard, from, &m);
 	g_ptr_array_unref(zones);
 }
 
-/* The owner may have been replaced by its own next life, or be cut off from
- * the store alone; its pongs tell so long before silence would. */
+/* The owner may have restarted, or have lost only the store: its pongs tell so
+ * much earlier than a timeout would. */
 static void
-take_pong(struct part *part, const Ogl__CellMsg *m, ogl_time now)
+handle_pong(struct node_shard *s, const Ogl__CellMsg *m, ogl_time now)
 {
-	struct cell_lead *lead = part->node->lead;
-	const char *owner = cell_lead_addr(lead, part->shard);
+	struct cell_lead *lead = s->node->lead;
+	const char *owner = cell_lead_addr(lead, s->shard);
 
-	part->pong_at = now;
-	learn_config(part->node, m->pong, now);
+	s->pong_at = now;
+	learn_config(s->node, m->pong, now);
 	if (owner == NULL || strcmp(owner, m->from) != 0)
 		return;
 	if (m->pong->owns == 0 || !m->pong->able)
-		cell_lead_doubt(lead, part->shard, m->epoch, now);
+		cell_lead_doubt(lead, s->shard, m->epoch, now);
 	else
-		cell_lead_heard(lead, part->shard, m->pong->owns, now);
-	cell_front_asks_first(
-	    part->node->front, part->shard, m->pong->asks_first);
-	cell_front_delay(part->node->front, part->shard,
-	    now - (ogl_time)m->pong->stamp, now);
+		cell_lead_heard(lead, s->shard, m->pong->owns, now);
+	cell_front_asks_first(s->node->front, s->shard, m->pong->asks_first);
+	cell_front_delay(
+	    s->node->front, s->shard, now - (ogl_time)m->pong->stamp, now);
 }
 
-/* The owner wants to end and has chosen this node. */
+/* The owner is stopping and has chosen this node as its successor. */
 static void
-take_handover(struct part *part, const Ogl__CellHandover *h, ogl_time now)
+handle_handover(struct node_shard *s, const Ogl__CellHandover *h, ogl_time now)
 {
-	struct cell_node *n = part->node;
+	struct cell_node *n = s->node;
 
-	if (n->stopping || h->epoch != cell_lead_epoch(n->lead, part->shard))
+	if (n->stopping || h->epoch != cell_lead_epoch(n->lead, s->shard))
 		return;
-	cell_owner_prepare(part->owner, h->store_ms * OGL_MS, now);
-	part->claims = true;
+	cell_owner_prepare(s->owner, h->store_ms * OGL_MS, now);
+	s->claim_pending = true;
 }
 
 static void
-take_msg(struct part *part, Ogl__CellMsg *m, ogl_time now)
+handle_msg(struct node_shard *s, Ogl__CellMsg *m, ogl_time now)
 {
-	struct cell_node *n = part->node;
+	struct cell_node *n = s->node;
 
 	if (*m->owner != '\0')
-		cell_lead_hear(n->lead, part->shard, m->epoch, m->owner, now);
+		cell_lead_hear(n->lead, s->shard, m->epoch, m->owner, now);
 	switch (m->body_case) {
 	case OGL__CELL_MSG__BODY_PING:
-		take_ping(part, m->from, m->ping, now);
+		handle_ping(s, m->from, m->ping, now);
 		break;
 	case OGL__CELL_MSG__BODY_PONG:
-		take_pong(part, m, now);
+		handle_pong(s, m, now);
 		break;
 	case OGL__CELL_MSG__BODY_CALL:
-		cell_owner_call(part->owner, m->from, m->call, now);
+		cell_owner_call(s->owner, m->from, m->call, now);
 		break;
 	case OGL__CELL_MSG__BODY_REPLY:
-		cell_front_reply(n->front, part->shard, m->reply, now);
+		cell_front_reply(n->front, s->shard, m->reply, now);
 		break;
 	case OGL__CELL_MSG__BODY_ASK:
-		take_ask(n, part->shard, m->from, m->ask);
+		handle_ask(n, s->shard, m->from, m->ask);
 		break;
 	case OGL__CELL_MSG__BODY_ADVICE:
-		cell_owner_advice(part->owner, m->advice, now);
+		cell_owner_advice(s->owner, m->advice, now);
 		break;
 	case OGL__CELL_MSG__BODY_HANDOVER:
-		take_handover(part, m->handover, now);
+		handle_handover(s, m->handover, now);
 		break;
 	case OGL__CELL_MSG__BODY_PART:
-		cell_owner_part(part->owner, m->part, now);
+		cell_owner_part(s->owner, m->part, now);
 		break;
 	case OGL__CELL_MSG__BODY_ORDERS:
-		take_orders(n, m->shard, m->from, m->orders, now);
+		handle_orders(n, m->shard, m->from, m->orders, now);
 		break;
 	case OGL__CELL_MSG__BODY_ORDER_ANSWERS:
-		cell_owner_ordered(part->owner, m->order_answers, now);
+		cell_owner_ordered(s->owner, m->order_answers, now);
 		break;
 	default:
 		n->ops->count(n->ops->ctx, "peer_unknown_messages", 1);
@@ -533,17 +547,18 @@
 	}
 }
 
-/* Others may have acted in its place while the process did not run. */
+/* Detects that the process was paused: other nodes may have taken over its
+ * shards meanwhile, so its ownership has to be confirmed again. */
 static void
-watch_standstill(struct cell_node *n, ogl_time now)
+detect_pause(struct cell_node *n, ogl_time now)
 {
 	uint32_t i;
 
-	if (n->stepped_at == 0 || now - n->stepped_at <= STOOD_STILL)
+	if (n->stepped_at == 0 || now - n->stepped_at <= PAUSE_MIN)
 		return;
-	n->stood_until = now;
+	n->resumed_at = now;
 	for (i = 0; i < n->shards; i++)
-		cell_owner_doubt(n->parts[i].owner, now);
+		cell_owner_doubt(n->per_shard[i].owner, now);
 }
 
 void
@@ -559,22 +574,22 @@
 	if (strcmp(m->from, n->addr) != 0)
 		count_bytes(n, m, true, msg.n);
 	n->now = now;
-	watch_standstill(n, now);
-	/* A node that has not read the plan yet has no part in the cell: its
-	 * peers repeat what they say. */
+	detect_pause(n, now);
+	/* A node that does not know the number of shards yet drops messages;
+	 * its peers repeat them. */
 	if (m->shard < n->shards)
-		take_msg(&n->parts[m->shard], m, now);
+		handle_msg(&n->per_shard[m->shard], m, now);
 	else
 		n->ops->count(n->ops->ctx, "peer_early_messages", 1);
 	ogl__cell_msg__free_unpacked(m, NULL);
 }
 
 static void
-run_loop(struct cell_node *n, ogl_time now)
+deliver_loopback(struct cell_node *n, ogl_time now)
 {
 	GBytes *b;
 
-	while ((b = g_queue_pop_head(&n->loop)) != NULL) {
+	while ((b = g_queue_pop_head(&n->loopback)) != NULL) {
 		gsize len;
 		const char *p = g_bytes_get_data(b, &len);
 		struct ogl_str s = {p, len};
@@ -587,24 +602,25 @@
 /* ---- pings ------------------------------------------------------------ */
 
 /*
- * Whether the shard's owner may ask advice through this node.  An owner keeps
- * its own machine, so that each shard has a way to the service however few
- * nodes there are; the others are dealt out by a hash.
+ * Whether the shard's owner may ask the advice service through this node.  A
+ * node that owns shards serves only these, so that each owner reaches the
+ * service however few nodes there are.  The others are assigned to shards by a
+ * hash.
  */
 static bool
-lends_lane(const struct part *part)
+offers_lane(const struct node_shard *s)
 {
-	const struct cell_node *n = part->node;
+	const struct cell_node *n = s->node;
 
 	if (cell_lead_owned(n->lead) > 0)
-		return cell_lead_is_owner(n->lead, part->shard);
-	return cell_shard_of_node(n->addr, n->shards) == part->shard;
+		return cell_lead_is_owner(n->lead, s->shard);
+	return cell_shard_of_node(n->addr, n->shards) == s->shard;
 }
 
 static void
-send_ping(struct part *part, const char *to, bool lane, ogl_time now)
+send_ping(struct node_shard *s, const char *to, bool lane, ogl_time now)
 {
-	struct cell_node *n = part->node;
+	struct cell_node *n = s->node;
 	Ogl__CellMsg m = OGL__CELL_MSG__INIT;
 	Ogl__CellPing p = OGL__CELL_PING__INIT;
 
@@ -619,21 +635,21 @@
 	p.cut_off = cell_front_cut_off(n->front, now);
 	m.body_case = OGL__CELL_MSG__BODY_PING;
 	m.ping = &p;
-	send_msg(n, part->shard, to, &m);
+	send_msg(n, s->shard, to, &m);
 }
 
-/* The last owner may not reach the store, and neither may nodes that ask it;
- * it learns who owns the shard now, and they by its pongs. */
+/* The last owner may be unable to read the store, and so may nodes that still
+ * ping it.  The ping tells it who owns the shard now, its pongs tell them. */
 static void
-tell_last_owner(struct part *part, const char *owner, ogl_time now)
+notify_last_owner(struct node_shard *s, const char *owner, ogl_time now)
 {
-	const char *last = part->last_owner;
+	const char *last = s->last_owner;
 
 	if (last != NULL && strcmp(last, owner) != 0 &&
-	    strcmp(last, part->node->addr) != 0)
-		send_ping(part, last, false, now);
-	g_free(part->last_owner);
-	part->last_owner = g_strdup(owner);
+	    strcmp(last, s->node->addr) != 0)
+		send_ping(s, last, false, now);
+	g_free(s->last_owner);
+	s->last_owner = g_strdup(owner);
 }
 
 /* ---- ownership -------------------------------------------------------- */
@@ -643,8 +659,8 @@
 {
 	struct cell_node *n = arg;
 
-	cell_owner_open(
-	    n->parts[shard].owner, epoch, cell_lead_store_took(n->lead), now);
+	cell_owner_open(n->per_shard[shard].owner, epoch,
+	    cell_lead_store_took(n->lead), now);
 }
 
 static void
@@ -652,22 +668,22 @@
 {
 	struct cell_node *n = arg;
 
-	cell_owner_close(n->parts[shard].owner, now);
+	cell_owner_close(n->per_shard[shard].owner, now);
 }
 
 static void
 on_changed(void *arg, uint32_t shard, const char *addr, ogl_time now)
 {
 	struct cell_node *n = arg;
-	struct part *part = &n->parts[shard];
+	struct node_shard *s = &n->per_shard[shard];
 
-	part->pong_at = now;
-	part->ping_at = now;
-	part->owner_seen = now;
-	part->claims = false;
-	part->handover_at = 0;
+	s->pong_at = now;
+	s->ping_at = now;
+	s->owner_known_at = now;
+	s->claim_pending = false;
+	s->handover_at = 0;
 	if (addr != NULL)
-		tell_last_owner(part, addr, now);
+		notify_last_owner(s, addr, now);
 	cell_front_owner(
 	    n->front, shard, addr, cell_lead_epoch(n->lead, shard), now);
 }
@@ -675,9 +691,9 @@
 static void
 on_outranked(void *arg, ogl_time now)
 {
-	struct part *part = arg;
+	struct node_shard *s = arg;
 
-	cell_lead_outranked(part->node->lead, part->shard, now);
+	cell_lead_outranked(s->node->lead, s->shard, now);
 }
 
 static void
@@ -688,18 +704,18 @@
 
 	n->shards = shards;
 	for (i = 0; i < shards; i++) {
-		struct part *part = &n->parts[i];
+		struct node_shard *s = &n->per_shard[i];
 		struct cell_owner_events e = {on_outranked, send_reply,
-		    send_ask, send_part, send_orders, part};
+		    send_ask, send_part, send_orders, s};
 		struct cell_part p = {i, shards, n->link_kbps};
 
-		part->node = n;
-		part->shard = i;
-		part->owner = cell_owner_init(n->ops, &n->limits, &e, &p);
+		s->node = n;
+		s->shard = i;
+		s->owner = cell_owner_init(n->ops, &n->limits, &e, &p);
 		if (n->config == NULL)
 			continue;
-		cell_owner_zones(part->owner, cell_front_zones(n->front), now);
-		cell_owner_config(part->owner, n->config);
+		cell_owner_zones(s->owner, cell_front_zones(n->front), now);
+		cell_owner_config(s->owner, n->config);
 	}
 	cell_front_shards(n->front, shards);
 }
@@ -716,12 +732,13 @@
 
 /* ---- the node --------------------------------------------------------- */
 
-/* How well the host could own a shard, in thousandths of a processor: one that
- * reads the jobs over a thin link is as slow as a weak one. */
+/* How well the host could own a shard, in thousandths of a processor.  A host
+ * with a slow link counts half, because it reads the jobs as slowly as a weak
+ * one. */
 static uint32_t
-fitness(const struct cell_node_config *c)
+ownership_strength(const struct cell_node_config *c)
 {
-	if (c->link_kbps > 0 && c->link_kbps < SLOW_TAKEOVER_KBPS)
+	if (c->link_kbps > 0 && c->link_kbps < SLOW_LINK_KBPS)
 		return c->strength / 2;
 	return c->strength;
 }
@@ -733,7 +750,7 @@
 	struct cell_lead_events le = {
 	    on_planned, on_won, on_lost, on_changed, n};
 	struct cell_lead_self self = {
-	    c->name, c->addr, c->boot, fitness(c), c->link_kbps};
+	    c->name, c->addr, c->boot, ownership_strength(c), c->link_kbps};
 	struct cell_plan_events pe = {on_decided, n};
 	struct cell_front_events fe = {send_call, n};
 
@@ -741,8 +758,8 @@
 	n->name = g_strdup(c->name);
 	n->addr = g_strdup(c->addr);
 	n->limits = c->limits;
-	g_queue_init(&n->loop);
-	n->strength = fitness(c);
+	g_queue_init(&n->loopback);
+	n->strength = ownership_strength(c);
 	n->link_kbps = c->link_kbps;
 	n->serve = cell_relay_serve_init(ops, send_answers, n);
 	n->lead = cell_lead_init(ops, &le, &self, c->seed);
@@ -757,15 +774,15 @@
 	uint32_t i;
 
 	for (i = 0; i < n->shards; i++) {
-		cell_owner_end(n->parts[i].owner);
-		g_free(n->parts[i].heir);
-		g_free(n->parts[i].last_owner);
+		cell_owner_end(n->per_shard[i].owner);
+		g_free(n->per_shard[i].successor);
+		g_free(n->per_shard[i].last_owner);
 	}
 	cell_front_end(n->front);
 	cell_plan_end(n->plan);
 	cell_lead_end(n->lead);
 	cell_relay_serve_end(n->serve);
-	g_queue_clear_full(&n->loop, (GDestroyNotify)g_bytes_unref);
+	g_queue_clear_full(&n->loopback, (GDestroyNotify)g_bytes_unref);
 	g_free(n->name);
 	g_free(n->addr);
 	g_free(n);
@@ -792,29 +809,29 @@
 }
 
 static void
-ping(struct part *part, ogl_time now)
+ping(struct node_shard *s, ogl_time now)
 {
-	struct cell_node *n = part->node;
-	const char *owner = cell_lead_addr(n->lead, part->shard);
+	struct cell_node *n = s->node;
+	const char *owner = cell_lead_addr(n->lead, s->shard);
 
-	if (owner == NULL || now < part->ping_at)
+	if (owner == NULL || now < s->ping_at)
 		return;
 	if (n->ops->peer_refused(n->ops->ctx, owner) ||
-	    now - part->pong_at > PONG_DEAD)
-		cell_lead_hint_dead(n->lead, part->shard, now);
+	    now - s->pong_at > OWNER_SUSPECT_TIMEOUT)
+		cell_lead_hint_dead(n->lead, s->shard, now);
 	cell_front_delay(
-	    n->front, part->shard, now - part->pong_at - PING, now);
-	if (now - part->pong_at > PONG_MAX) {
+	    n->front, s->shard, now - s->pong_at - PING_INTERVAL, now);
+	if (now - s->pong_at > RECONNECT_TIMEOUT) {
 		n->ops->count(n->ops->ctx, "peer_resets", 1);
 		n->ops->peer_reset(n->ops->ctx, owner);
-		part->pong_at = now;
+		s->pong_at = now;
 	}
-	part->ping_at = now + PING;
-	send_ping(part, owner, lends_lane(part), now);
+	s->ping_at = now + PING_INTERVAL;
+	send_ping(s, owner, offers_lane(s), now);
 }
 
 static void
-share_zones(struct cell_node *n, const struct cell_zones *z)
+distribute_zones(struct cell_node *n, const struct cell_zones *z)
 {
 	uint32_t i;
 
@@ -822,15 +839,15 @@
 		return;
 	n->zone_changes = cell_zones_changes(z);
 	for (i = 0; i < n->shards; i++)
-		cell_owner_zones(n->parts[i].owner, z, n->now);
+		cell_owner_zones(n->per_shard[i].owner, z, n->now);
 }
 
 /*
- * The owners go by the same configuration as the entry.  They get none, and
+ * Gives the owners the configuration of the front end.  They get none, and
  * start nothing, before it is known which zones are evacuated.
  */
 static void
-share_config(struct cell_node *n)
+distribute_config(struct cell_node *n)
 {
 	struct cell_config *c = cell_front_config(n->front);
 	const struct cell_zones *z = cell_front_zones(n->front);
@@ -838,75 +855,76 @@
 
 	if (c == NULL || !cell_zones_known(z))
 		return;
-	share_zones(n, z);
+	distribute_zones(n, z);
 	if (c == n->config)
 		return;
 	n->config = c;
 	for (i = 0; i < n->shards; i++)
-		cell_owner_config(n->parts[i].owner, c);
+		cell_owner_config(n->per_shard[i].owner, c);
 }
 
 /*
- * A stopping owner goes on serving until its heir has read the jobs and claimed
- * the shard.  If it resigned first, nobody would serve while others notice,
- * claim and read, which takes seconds where the store is slow.
+ * A stopping owner serves the shard until its successor has read the jobs and
+ * claimed it.  If it resigned first, the shard would not be served while others
+ * notice, claim and read, which takes seconds when the store is slow.
  */
 static void
-step_handover(struct part *part, ogl_time now)
+step_handover(struct node_shard *s, ogl_time now)
 {
-	struct cell_node *n = part->node;
+	struct cell_node *n = s->node;
 	Ogl__CellMsg m = OGL__CELL_MSG__INIT;
 	Ogl__CellHandover h = OGL__CELL_HANDOVER__INIT;
 	char text[96];
 
-	if (!n->stopping || !cell_lead_is_owner(n->lead, part->shard))
+	if (!n->stopping || !cell_lead_is_owner(n->lead, s->shard))
 		return;
-	if (part->handover_at != 0) {
-		if (now - part->handover_at > HANDOVER_MAX)
-			cell_lead_resign(n->lead, part->shard, now);
+	if (s->handover_at != 0) {
+		if (now - s->handover_at > HANDOVER_TIMEOUT)
+			cell_lead_resign(n->lead, s->shard, now);
 		return;
 	}
-	if (part->heir == NULL || now - part->heir_heard > HEIR_FRESH ||
-	    !cell_lead_able(n->lead, part->shard, now)) {
-		cell_lead_resign(n->lead, part->shard, now);
+	if (s->successor == NULL ||
+	    now - s->successor_heard > SUCCESSOR_TIMEOUT ||
+	    !cell_lead_able(n->lead, s->shard, now)) {
+		cell_lead_resign(n->lead, s->shard, now);
 		return;
 	}
-	part->handover_at = now;
+	s->handover_at = now;
 	g_snprintf(text, sizeof text, "shard=%u to=%s epoch=%" G_GUINT64_FORMAT,
-	    part->shard, part->heir, cell_lead_epoch(n->lead, part->shard));
+	    s->shard, s->successor, cell_lead_epoch(n->lead, s->shard));
 	n->ops->log(n->ops->ctx, "node", "hands_over", text);
-	h.epoch = cell_lead_epoch(n->lead, part->shard);
+	h.epoch = cell_lead_epoch(n->lead, s->shard);
 	h.store_ms =
-	    (uint32_t)(cell_lead_beat_took(n->lead, part->shard) / OGL_MS);
+	    (uint32_t)(cell_lead_beat_took(n->lead, s->shard) / OGL_MS);
 	m.body_case = OGL__CELL_MSG__BODY_HANDOVER;
 	m.handover = &h;
-	send_msg(n, part->shard, part->heir, &m);
+	send_msg(n, s->shard, s->successor, &m);
 }
 
 static void
-step_heir(struct part *part, ogl_time now)
+step_claim(struct node_shard *s, ogl_time now)
 {
-	if (!part->claims || !cell_owner_prepared(part->owner, now))
+	if (!s->claim_pending || !cell_owner_prepared(s->owner, now))
 		return;
-	part->claims = false;
-	cell_lead_claim(part->node->lead, part->shard, now);
+	s->claim_pending = false;
+	cell_lead_claim(s->node->lead, s->shard, now);
 }
 
 static void
-step_part(struct part *part, ogl_time now, ogl_time wall)
+step_shard(struct node_shard *s, ogl_time now, ogl_time wall)
 {
-	struct cell_lead *lead = part->node->lead;
-	uint32_t shard = part->shard;
+	struct cell_lead *lead = s->node->lead;
+	uint32_t shard = s->shard;
 
-	step_handover(part, now);
-	step_heir(part, now);
-	cell_owner_announced(part->owner, cell_lead_announced(lead, shard));
-	cell_owner_step(part->owner, cell_lead_confirmed(lead),
+	step_handover(s, now);
+	step_claim(s, now);
+	cell_owner_announced(s->owner, cell_lead_announced(lead, shard));
+	cell_owner_step(s->owner, cell_lead_confirmed(lead),
 	    cell_lead_may_act(lead, shard, now), now, wall);
-	if (cell_owner_wants_proof(part->owner))
+	if (cell_owner_wants_proof(s->owner))
 		cell_lead_probe(lead, now);
 	if (cell_lead_addr(lead, shard) != NULL)
-		part->owner_seen = now;
+		s->owner_known_at = now;
 }
 
 void
@@ -914,9 +932,9 @@
 {
 	uint32_t i;
 
-	watch_standstill(n, now);
+	detect_pause(n, now);
 	for (i = 0; i < n->shards; i++)
-		cell_owner_ran(n->parts[i].owner, n->wake_at, now);
+		cell_owner_ran(n->per_shard[i].owner, n->wake_at, now);
 	n->stepped_at = now;
 	if (n->started_at == 0)
 		n->started_at = now;
@@ -925,27 +943,27 @@
 		cell_plan_step(n->plan, now);
 	cell_lead_step(n->lead, now);
 	cell_front_step(n->front, now);
-	share_config(n);
+	distribute_config(n);
 	for (i = 0; i < n->shards; i++)
-		ping(&n->parts[i], now);
-	run_loop(n, now);
+		ping(&n->per_shard[i], now);
+	deliver_loopback(n, now);
 	for (i = 0; i < n->shards; i++)
-		step_part(&n->parts[i], now, wall);
+		step_shard(&n->per_shard[i], now, wall);
 	cell_relay_serve_step(n->serve, now);
-	run_loop(n, now);
+	deliver_loopback(n, now);
 	n->wake_at = MAX(now, cell_node_wake(n, now));
 }
 
 ogl_time
 cell_node_wake(const struct cell_node *n, ogl_time now)
 {
-	ogl_time at = now + TICK;
+	ogl_time at = now + STEP_INTERVAL;
 	uint32_t i;
 
-	if (!g_queue_is_empty((GQueue *)(uintptr_t)&n->loop))
+	if (!g_queue_is_empty((GQueue *)(uintptr_t)&n->loopback))
 		return now;
 	for (i = 0; i < n->shards; i++)
-		at = MIN(at, cell_owner_wake(n->parts[i].owner));
+		at = MIN(at, cell_owner_wake(n->per_shard[i].owner));
 	return MIN(at, cell_relay_serve_wake(n->serve));
 }
 
@@ -956,10 +974,10 @@
 
 	n->stopping = true;
 	for (i = 0; i < n->shards; i++)
-		n->parts[i].ping_at = now;
+		n->per_shard[i].ping_at = now;
 	cell_lead_retire(n->lead);
 	for (i = 0; i < n->shards; i++)
-		step_handover(&n->parts[i], now);
+		step_handover(&n->per_shard[i], now);
 }
 
 bool
@@ -968,15 +986,15 @@
 	return cell_front_open(n->front) == 0 && cell_lead_owned(n->lead) == 0;
 }
 
-/* Callers are sent elsewhere while a shard is ownerless for this node: others
- * may know its owner. */
+/* A node that knows no owner of some shard is not ready for callers: other
+ * nodes may know one. */
 static bool
 all_owned(const struct cell_node *n, ogl_time now)
 {
 	uint32_t i;
 
 	for (i = 0; i < n->shards; i++) {
-		if (now - n->parts[i].owner_seen >= OWNERLESS_MAX)
+		if (now - n->per_shard[i].owner_known_at >= OWNERLESS_TIMEOUT)
 			return false;
 	}
 	return n->shards > 0;
