--- a/src/random.c
+++ b/src/random.c
@@ -1,14 +1,14 @@
 /*
- * Random numbers by the published splitmix64 step, and byte hashing by the
- * published FNV-1a followed by the same mixer.  Both are fixed for ever:
- * where jobs and request ids have their home depends on them.  GLib's
- * generator and hashes may change between its versions, so they don't serve.
+ * Random numbers by splitmix64, and hashes of bytes by FNV-1a followed by
+ * splitmix64's mixing function.  Neither may ever change: the shard of a job
+ * or request id depends on them.  GLib's generator and hashes may change
+ * between its versions, so they can't be used here.
  */
 
 #include "random.h"
 
-#define GOLDEN 0x9e3779b97f4a7c15ull
-#define FNV_START 0xcbf29ce484222325ull
+#define GOLDEN_GAMMA 0x9e3779b97f4a7c15ull
+#define FNV_OFFSET_BASIS 0xcbf29ce484222325ull
 #define FNV_PRIME 0x100000001b3ull
 
 void
@@ -28,14 +28,14 @@
 uint64_t
 ogl_random_next(struct ogl_random *r)
 {
-	r->state += GOLDEN;
+	r->state += GOLDEN_GAMMA;
 	return ogl_random_mix(r->state);
 }
 
 uint64_t
 ogl_random_hash(const char *p, size_t n)
 {
-	uint64_t h = FNV_START;
+	uint64_t h = FNV_OFFSET_BASIS;
 
 	for (size_t i = 0; i < n; i++)
 		h = (h ^ (unsigned char)p[i]) * FNV_PRIME;
