--- a/src/queue_heap.c
+++ b/src/queue_heap.c
@@ -1,9 +1,9 @@
 /*
- * Heap of items with four children a node.  Each item knows its slot, so any
- * item can be taken out in O(log n).  Keys are copied into the array, so that
- * comparing touches no item; but each move writes to the item moved, which
- * with much waiting work is far from the cache.  Four children halve the moves
- * of a binary heap for a few more comparisons in one run of memory.
+ * Heap of items with four children per node.  Each item stores its index, so
+ * any item can be removed in O(log n).  Keys are copied into the array, so
+ * comparisons don't access items; but each move writes to the moved item,
+ * usually a cache miss in a long queue.  Compared with a binary heap, four
+ * children halve the moves for a few more comparisons in contiguous memory.
  */
 
 #include "queue.h"
@@ -42,7 +42,7 @@
 }
 
 static void
-put(struct ogl_queue_heap *h, size_t i, struct ogl_queue_heap_entry e)
+set_slot(struct ogl_queue_heap *h, size_t i, struct ogl_queue_heap_entry e)
 {
 	h->a[i] = e;
 	e.it->slot[h->use] = i;
@@ -52,10 +52,10 @@
 sift_up(struct ogl_queue_heap *h, size_t i, struct ogl_queue_heap_entry e)
 {
 	while (i > 0 && before(&e, &h->a[parent(i)])) {
-		put(h, i, h->a[parent(i)]);
+		set_slot(h, i, h->a[parent(i)]);
 		i = parent(i);
 	}
-	put(h, i, e);
+	set_slot(h, i, e);
 }
 
 static size_t
@@ -80,10 +80,10 @@
 
 		if (!before(&h->a[c], &e))
 			break;
-		put(h, i, h->a[c]);
+		set_slot(h, i, h->a[c]);
 		i = c;
 	}
-	put(h, i, e);
+	set_slot(h, i, e);
 }
 
 void
