--- a/src/metrics.c
+++ b/src/metrics.c
@@ -1,12 +1,12 @@
 /*
- * The node's own counters.  One list in metrics.h gives the field, the name
- * and the help of each, so that none can be counted and not shown.
+ * Prometheus text format of the node's counters.  A single list in metrics.h
+ * gives the field, name and help text of each, so every counter is exported.
  */
 
 #include "metrics.h"
 
 static void
-one(GString *to, const char *type, const char *name, const char *help,
+append_metric(GString *to, const char *type, const char *name, const char *help,
     uint64_t value)
 {
 	g_string_append_printf(to,
@@ -19,7 +19,7 @@
 ogl_metrics_text(const struct ogl_counters *c, GString *to)
 {
 #define OGL_COUNTER_TEXT(field, name, help)                                    \
-	one(to, "counter", name, help, c->field);
+	append_metric(to, "counter", name, help, c->field);
 	OGL_COUNTERS(OGL_COUNTER_TEXT)
 #undef OGL_COUNTER_TEXT
 }
@@ -28,5 +28,5 @@
 ogl_metrics_gauge(
     GString *to, const char *name, const char *help, uint64_t value)
 {
-	one(to, "gauge", name, help, value);
+	append_metric(to, "gauge", name, help, value);
 }
--- a/src/sched.c
+++ b/src/sched.c
@@ -1,12 +1,12 @@
 /*
- * The owner's scheduling: what waits goes through the queue (who goes first)
- * and the placer (where it fits), within the team limits that the shard's
- * allotments leave.
+ * Scheduling by the owner of a shard: the queue decides the order of waiting
+ * work, the placer chooses workers with enough room, and the shard's allotments
+ * set the team limits.
  *
- * Tasks of batch jobs and services queue one by one; a gang queues as one
- * piece of work for all its tasks that have not ended.  Whatever takes a
- * task off its worker ends in ogl_sched_unbind, and whatever lets tasks wait
- * again ends in ogl_sched_enqueue.
+ * Tasks of batch jobs and services are queued one by one; a gang is queued as
+ * a single item for all its tasks that have not ended.  A task is removed from
+ * its worker only by ogl_sched_unbind, and tasks are queued only by
+ * ogl_sched_enqueue.
  */
 
 #include <stdlib.h>
@@ -15,11 +15,11 @@
 #include "shard_impl.h"
 
 enum {
-	PLACE_MOST = 2000,   /* placements in one step */
-	PLACE_MISSES = 64,   /* failures in a row that end a round */
-	GANG_RESERVE_S = 60, /* how long room is kept for a waiting gang */
-	ATTEMPT_BITS = 12,   /* attempts of a task under one owner */
-	TEAM_PATH = 128
+	STEP_PLACEMENTS_MAX = 2000,  /* the rest waits for the next step */
+	CONSECUTIVE_MISSES_MAX = 64, /* then the round ends */
+	GANG_RESERVE_S = 60,         /* how long room is reserved for a gang */
+	ATTEMPT_BITS = 12,    /* low bits of an attempt; claims are above */
+	TEAM_PATH_BYTES = 128 /* with the terminating zero */
 };
 
 void
@@ -56,19 +56,19 @@
 
 /* ---- teams and limits ------------------------------------------------- */
 
-/* Calls fn with the team and each team above it. */
+/* Calls fn for the team and each of its ancestors. */
 static void
-each_level(const char *team,
-    void (*fn)(struct ogl_shard *sh, const char *level, int64_t n),
+for_team_and_ancestors(const char *team,
+    void (*fn)(struct ogl_shard *sh, const char *path, int64_t n),
     struct ogl_shard *sh, int64_t n)
 {
-	char level[TEAM_PATH];
+	char path[TEAM_PATH_BYTES];
 	char *slash;
 
-	g_strlcpy(level, team, sizeof level);
+	g_strlcpy(path, team, sizeof path);
 	for (;;) {
-		fn(sh, level, n);
-		slash = strrchr(level, '/');
+		fn(sh, path, n);
+		slash = strrchr(path, '/');
 		if (slash == NULL)
 			return;
 		*slash = '\0';
@@ -76,13 +76,13 @@
 }
 
 static void
-add_held(struct ogl_shard *sh, const char *level, int64_t n)
+add_held(struct ogl_shard *sh, const char *path, int64_t n)
 {
-	uint64_t *held = g_hash_table_lookup(sh->held, level);
+	uint64_t *held = g_hash_table_lookup(sh->held, path);
 
 	if (held == NULL) {
 		held = g_new0(uint64_t, 1);
-		g_hash_table_insert(sh->held, g_strdup(level), held);
+		g_hash_table_insert(sh->held, g_strdup(path), held);
 	}
 	*held += (uint64_t)n;
 }
@@ -95,58 +95,60 @@
 	return held != NULL ? *held : 0;
 }
 
-/* Whether n more tasks stay within every limit above the team; what lacks
- * is asked of the bank.  In limbo tasks of an earlier owner may run where no
- * worker has told of them yet, so a limited team has to wait. */
+/* Whether n more tasks stay within the limits of the team and its ancestors;
+ * asks the bank for what is missing.  While workers have yet to report what
+ * they run (limbo), tasks started by an earlier owner may be running
+ * unnoticed, so limited teams have to wait. */
 static bool
 limits_allow(struct ogl_shard *sh, const char *team, uint32_t n)
 {
-	char level[TEAM_PATH];
+	char path[TEAM_PATH_BYTES];
 	char *slash;
 	bool ok = true;
 
-	g_strlcpy(level, team, sizeof level);
+	g_strlcpy(path, team, sizeof path);
 	for (;;) {
-		uint64_t allowed = ogl_escrow_allowed(sh, level);
-		uint64_t held = ogl_sched_held(sh, level);
+		uint64_t allowed = ogl_escrow_allowed(sh, path);
+		uint64_t held = ogl_sched_held(sh, path);
 
 		if (sh->limbo && allowed != UINT64_MAX) {
 			ok = false;
 		} else if (allowed < n || held > allowed - n) {
-			ogl_escrow_want(sh, level, held + n);
+			ogl_escrow_want(sh, path, held + n);
 			ok = false;
 		}
-		slash = strrchr(level, '/');
+		slash = strrchr(path, '/');
 		if (slash == NULL)
 			return ok;
 		*slash = '\0';
 	}
 }
 
-struct over {
+struct limit_check {
 	struct ogl_shard *sh;
 	ogl_time now;
 };
 
+/* Restartable tasks first, then the newest. */
 static gint
-newest_first(gconstpointer a, gconstpointer b)
+stop_order(gconstpointer a, gconstpointer b)
 {
 	const struct ogl_tref *ra = *(struct ogl_tref *const *)a;
 	const struct ogl_tref *rb = *(struct ogl_tref *const *)b;
 	const struct ogl_task *ta = &ra->job->tasks[ra->index];
 	const struct ogl_task *tb = &rb->job->tasks[rb->index];
-	bool sa = ra->job->spec->restartable;
-	bool sb = rb->job->spec->restartable;
+	bool restartable_a = ra->job->spec->restartable;
+	bool restartable_b = rb->job->spec->restartable;
 
-	if (sa != sb)
-		return sa ? -1 : 1;
+	if (restartable_a != restartable_b)
+		return restartable_a ? -1 : 1;
 	if (ta->since != tb->since)
 		return ta->since > tb->since ? -1 : 1;
 	return ra->job->number > rb->job->number ? -1 : 1;
 }
 
 static bool
-team_below(const char *team, const char *top)
+in_subtree(const char *team, const char *top)
 {
 	size_t n = strlen(top);
 
@@ -164,8 +166,8 @@
 	if (t->phase != OGL_TASK_PLACED || t->stopping || t->ending)
 		return;
 	if (!t->sent && !t->running) {
-		/* The worker has never heard of it, so it could neither obey
-		 * a stop nor tell of an end, and the room would stay held. */
+		/* The worker was never sent the task, so it could neither
+		 * stop it nor report its end, and the room would stay held. */
 		ogl_sched_unbind(sh, j, i, true, now);
 		g_ptr_array_add(sh->requeue, j);
 		return;
@@ -173,11 +175,10 @@
 	t->stopping = true;
 	s = g_ptr_array_index(sh->sessions, t->worker);
 	ogl_session_stop_task(sh, s, j->id, i, t->attempt, mode, now);
-	sh->env->counters->preempts++;
+	sh->env->counters->task_stops++;
 }
 
-/* Stops tasks of the team until it is within what it may have; those that
- * can be started again go first, the newest of them before older ones. */
+/* Stops tasks of the team until it is within its limit, in stop_order. */
 static void
 stop_excess(
     struct ogl_shard *sh, const char *team, uint64_t excess, ogl_time now)
@@ -190,42 +191,43 @@
 		for (guint k = 0; k < s->tasks->len; k++) {
 			struct ogl_tref *r = g_ptr_array_index(s->tasks, k);
 
-			if (team_below(r->job->team, team))
+			if (in_subtree(r->job->team, team))
 				g_ptr_array_add(refs, r);
 		}
 	}
-	g_ptr_array_sort(refs, newest_first);
+	g_ptr_array_sort(refs, stop_order);
 	for (guint i = 0; i < refs->len && i < excess; i++) {
 		struct ogl_tref *r = g_ptr_array_index(refs, i);
-		bool again = r->job->spec->restartable;
+		bool restartable = r->job->spec->restartable;
 
 		ogl_sched_stop_task(sh, r->job, r->index,
-		    again ? OGL__STOP_MODE__checkpoint : OGL__STOP_MODE__stop,
+		    restartable ? OGL__STOP_MODE__checkpoint
+				: OGL__STOP_MODE__stop,
 		    now);
 	}
 	g_ptr_array_free(refs, TRUE);
 }
 
 static void
-check_team(void *ctx, const char *team, const struct ogl_team_view *view)
+enforce_limit(void *ctx, const char *team, const struct ogl_team_view *view)
 {
-	struct over *o = ctx;
-	uint64_t held = ogl_sched_held(o->sh, team);
+	struct limit_check *lc = ctx;
+	uint64_t held = ogl_sched_held(lc->sh, team);
 	uint64_t allowed;
 
 	if (view->limit_tasks == UINT64_MAX || held == 0)
 		return;
-	allowed = ogl_escrow_allowed(o->sh, team);
+	allowed = ogl_escrow_allowed(lc->sh, team);
 	if (held > allowed)
-		stop_excess(o->sh, team, held - allowed, o->now);
+		stop_excess(lc->sh, team, held - allowed, lc->now);
 }
 
 void
 ogl_sched_limits(struct ogl_shard *sh, ogl_time now)
 {
-	struct over o = {sh, now};
+	struct limit_check lc = {sh, now};
 
-	ogl_settings_each_team(sh->env->settings, check_team, &o);
+	ogl_settings_each_team(sh->env->settings, enforce_limit, &lc);
 }
 
 static void
@@ -308,15 +310,15 @@
 	return w.id;
 }
 
-/* A member ended for good without success: the others cannot do without. */
+/* A task ended for good without success; the others can't run without it. */
 static bool
-gang_broken(const struct ogl_job *j)
+gang_failed(const struct ogl_job *j)
 {
 	return j->nended > j->nsucceeded;
 }
 
 static void
-end_broken_gang(struct ogl_shard *sh, struct ogl_job *j, ogl_time now)
+end_failed_gang(struct ogl_shard *sh, struct ogl_job *j, ogl_time now)
 {
 	ogl_sched_stop_job(sh, j, OGL__STOP_MODE__stop, now);
 	for (uint32_t i = 0; i < j->ntasks; i++) {
@@ -326,8 +328,8 @@
 	}
 }
 
-/* A gang runs whole or not at all: as long as part of it is on workers while
- * another part waits, that part is stopped, and then all queue again. */
+/* A gang runs as a whole or not at all: while some of its tasks are placed and
+ * others wait, the placed ones are stopped; then all are queued together. */
 static void
 enqueue_gang(struct ogl_shard *sh, struct ogl_job *j, ogl_time now)
 {
@@ -335,8 +337,8 @@
 	uint32_t first = 0;
 	uint64_t work;
 
-	if (gang_broken(j)) {
-		end_broken_gang(sh, j, now);
+	if (gang_failed(j)) {
+		end_failed_gang(sh, j, now);
 		return;
 	}
 	if (n > 0 && j->nplaced > 0)
@@ -370,7 +372,7 @@
 }
 
 static void
-forget_work(struct ogl_shard *sh, uint64_t work)
+remove_work_ref(struct ogl_shard *sh, uint64_t work)
 {
 	int64_t key = (int64_t)work;
 
@@ -386,7 +388,7 @@
 		if (t->phase != OGL_TASK_WAITING || t->work == 0)
 			continue;
 		ogl_queue_remove(sh->queue, t->work);
-		forget_work(sh, t->work);
+		remove_work_ref(sh, t->work);
 		t->work = 0;
 	}
 	ogl_place_unreserve(sh->placer, j->number);
@@ -414,7 +416,7 @@
 	t->since = now;
 	j->nplaced++;
 	sh->nplaced++;
-	each_level(j->team, add_held, sh, 1);
+	for_team_and_ancestors(j->team, add_held, sh, 1);
 }
 
 bool
@@ -468,7 +470,7 @@
 	t->work = 0;
 	j->nplaced--;
 	sh->nplaced--;
-	each_level(j->team, add_held, sh, -1);
+	for_team_and_ancestors(j->team, add_held, sh, -1);
 	if (work != 0 && (j->spec->kind != OGL__KIND__gang || j->nplaced == 0))
 		ogl_queue_ended(sh->queue, work, ok, now);
 	sh->place_due = true;
@@ -484,17 +486,17 @@
 
 /* ---- placing ---------------------------------------------------------- */
 
-/* Attempt numbers rise for each task, also from one owner to the next, so
- * that a report on an earlier attempt is never taken for one on ours. */
+/* Attempt numbers of a task increase, also from one owner to the next, so that
+ * a report of an earlier attempt is never mistaken for one of ours. */
 static uint32_t
 new_attempt(const struct ogl_shard *sh, const struct ogl_task *t)
 {
 	return MAX(t->attempt + 1, sh->state->claims << ATTEMPT_BITS);
 }
 
-/* A task that must not run twice goes to its worker only after the log knows
- * of it.  An owner that follows us could otherwise not tell a task that was
- * never started from one that ran on a worker which has restarted since. */
+/* A task that must not run twice is sent to its worker only after its intent
+ * record is in the log.  Otherwise the next owner could not distinguish a task
+ * that was never started from one whose worker has restarted since. */
 static void
 record_intent(struct ogl_shard *sh, struct ogl_job *j, uint32_t i, ogl_time now)
 {
@@ -541,26 +543,26 @@
 start_gang(struct ogl_shard *sh, struct ogl_job *j, const struct ogl_work *w,
     ogl_time now)
 {
-	uint32_t *at = g_new(uint32_t, w->tasks);
+	uint32_t *places = g_new(uint32_t, w->tasks);
 	struct ogl_ask ask;
 	uint32_t k = 0;
 	bool ok;
 
 	ogl_sched_ask_of(j, &ask);
-	ok = ogl_place_gang(sh->placer, &ask, w->tasks, now, at);
+	ok = ogl_place_gang(sh->placer, &ask, w->tasks, now, places);
 	if (!ok) {
 		ogl_place_reserve(sh->placer, j->number, &ask, w->tasks,
 		    now + GANG_RESERVE_S * OGL_SEC, now);
-		g_free(at);
+		g_free(places);
 		return false;
 	}
 	ogl_place_unreserve(sh->placer, j->number);
 	for (uint32_t i = 0; i < j->ntasks; i++) {
 		if (j->tasks[i].phase == OGL_TASK_WAITING &&
 		    j->tasks[i].work == w->id)
-			start_on(sh, j, i, at[k++], w->id, now);
+			start_on(sh, j, i, places[k++], w->id, now);
 	}
-	g_free(at);
+	g_free(places);
 	return true;
 }
 
@@ -600,11 +602,12 @@
 	sh->place_due = false;
 	ogl_queue_again(sh->queue, now);
 	g_array_set_size(sh->missed, 0);
-	while (placed < PLACE_MOST && misses < PLACE_MISSES &&
+	while (placed < STEP_PLACEMENTS_MAX &&
+	       misses < CONSECUTIVE_MISSES_MAX &&
 	       ogl_queue_pop(sh->queue, now, &w)) {
 		if (start_work(sh, &w, now)) {
 			ogl_queue_started(sh->queue, &w, now);
-			forget_work(sh, w.id);
+			remove_work_ref(sh, w.id);
 			misses = 0;
 			placed++;
 		} else {
@@ -612,6 +615,6 @@
 			misses++;
 		}
 	}
-	if (placed == PLACE_MOST)
+	if (placed == STEP_PLACEMENTS_MAX)
 		sh->place_due = true;
 }
