--- a/src/fair.c
+++ b/src/fair.c
@@ -1,67 +1,68 @@
 /*
  * Hierarchical weighted fair sharing.
  *
- * Each node of the tree keeps a virtual time: service received divided by
- * weight.  Service is counted as it is received, resource held times time
- * held, so neither a wrong estimate nor a label, a split or a cancellation
- * changes what a team is charged.  The next piece of work goes, at each
- * level, to the child with waiting work and the least
+ * Each node of the tree has a virtual time: service received divided by
+ * weight.  Service is counted as it is received, resource held times the time
+ * held, so a team's charge depends neither on run time estimates nor on
+ * labels, and not on how work is split or cancelled.  At each level the next
+ * item comes from the child with waiting work and the smallest
  *
- *	vtime + lookahead * held / weight
+ *	vtime + lookahead * (held + deferred) / weight
  *
- * that is, the one whose virtual time would be least a moment from now if
- * all it holds kept running.  Without the lookahead a team that comes back
- * would take every place that falls free until its virtual time caught up,
- * and then hold far more than its share.
+ * that is, the child whose virtual time would be smallest after the lookahead
+ * if all it holds kept running.  Without the lookahead a team that returns
+ * would take all capacity that becomes free until its virtual time caught up,
+ * and would then hold far more than its share.
  *
- * The clock of a node is the least virtual time among its children with
- * waiting work; it never goes back.  A child that begins to wait is moved up
- * to that clock less a small credit, so an idle team saves nothing up.  When
- * a node begins to wait at all, there was room for everybody below it until
- * now; then the clock starts at the greatest virtual time and no debts are
- * kept, because what was lent cost nobody anything.
+ * The virtual clock of a node is the smallest virtual time among its children
+ * with waiting work; it never goes back.  The virtual time of a child that
+ * begins to wait is raised to that clock minus a small credit, so an idle team
+ * accumulates no claim.  When the first child of a node begins to wait, there
+ * has been room for everything below the node until now; the clock then starts
+ * at the greatest virtual time and no debts remain, because what a team
+ * received beyond its share cost the others nothing.
  *
  * A team's own work is a child named "" beside its sub-teams.
  *
- * Picking looks at each sibling with waiting work.  Virtual times move while
- * work runs, so no heap could keep their order; a tree of a hundred teams
- * costs a scan of some dozen doubles a level.
+ * Picking scans the siblings with waiting work.  Virtual times change while
+ * work runs, so a heap couldn't keep their order; with a hundred teams the
+ * scan reads a few dozen doubles per level.
  */
 
 #include <string.h>
 
 #include "fair.h"
 
-/* All in typical run times, see ogl_fair_scale. */
-#define LOOKAHEAD 1.5 /* how far ahead held resources are counted */
-#define CREDIT 0.15   /* how far behind a returning team may be */
-#define DEBT 0.5      /* how far ahead a team may get by overtaking */
-#define SCALE_FIRST 0.4
-#define SCALE_LEAST 0.05
-#define SCALE_MOST 60.0
+/* In typical run times, see ogl_fair_set_typical_run. */
+#define LOOKAHEAD_RUNS 1.5 /* how long held resources are extrapolated */
+#define CREDIT_RUNS 0.15   /* how far behind a returning team may be */
+#define DEBT_RUNS 0.5      /* how far ahead a team may get by overtaking */
+#define TYPICAL_RUN_INITIAL_SEC 0.4
+#define TYPICAL_RUN_MIN_SEC 0.05
+#define TYPICAL_RUN_MAX_SEC 60.0
 
 struct ogl_fair_node {
-	struct ogl_fair *all;
+	struct ogl_fair *fair;
 	struct ogl_fair_node *parent;
-	struct ogl_fair_node *own; /* where this team's own work goes */
-	GHashTable *by_name;       /* children */
+	struct ogl_fair_node *own; /* child "", NULL until it is needed */
+	GHashTable *by_name;       /* children by name; owns them */
 	GPtrArray *waiting;        /* children with waiting work */
 	char *name;
 	void *data;
 	double weight;
-	double vtime; /* as of `at` */
-	double held;
-	double passed; /* of work that did not fit */
-	ogl_time at;
-	size_t nwait;       /* pieces that wait in this subtree */
-	size_t at_waiting;  /* slot in parent->waiting */
-	double clock;       /* of its children */
-	double wait_weight; /* sum over `waiting` */
+	double vtime;    /* as of vtime_at */
+	double held;     /* by running work of this subtree */
+	double deferred; /* needed by its work that did not fit */
+	ogl_time vtime_at;
+	size_t nwait;         /* waiting items of this subtree */
+	size_t waiting_index; /* index in parent->waiting */
+	double vclock;        /* virtual clock of its children */
+	double wait_weight;   /* sum of weights over `waiting` */
 };
 
 struct ogl_fair {
 	struct ogl_fair_node *root;
-	double scale; /* seconds */
+	double typical_run_sec;
 };
 
 static void
@@ -81,7 +82,7 @@
 {
 	struct ogl_fair_node *c = g_new0(struct ogl_fair_node, 1);
 
-	c->all = f;
+	c->fair = f;
 	c->parent = parent;
 	c->name = g_strndup(name, n);
 	c->weight = 1.0;
@@ -98,7 +99,7 @@
 {
 	struct ogl_fair *f = g_new0(struct ogl_fair, 1);
 
-	f->scale = SCALE_FIRST;
+	f->typical_run_sec = TYPICAL_RUN_INITIAL_SEC;
 	f->root = node_new(f, NULL, "", 0);
 	return f;
 }
@@ -113,17 +114,17 @@
 }
 
 static struct ogl_fair_node *
-child(struct ogl_fair_node *n, const char *name, size_t len)
+find_or_add_child(struct ogl_fair_node *n, const char *name, size_t len)
 {
 	char *key = g_strndup(name, len);
 	struct ogl_fair_node *c = g_hash_table_lookup(n->by_name, key);
 
 	g_free(key);
-	return c != NULL ? c : node_new(n->all, n, name, len);
+	return c != NULL ? c : node_new(n->fair, n, name, len);
 }
 
 static struct ogl_fair_node *
-walk(struct ogl_fair *f, const char *team)
+find_or_add_team(struct ogl_fair *f, const char *team)
 {
 	struct ogl_fair_node *n = f->root;
 
@@ -131,7 +132,7 @@
 		size_t len = strcspn(team, "/");
 
 		if (len != 0)
-			n = child(n, team, len);
+			n = find_or_add_child(n, team, len);
 		team += len;
 		if (*team == '/')
 			team++;
@@ -142,7 +143,7 @@
 struct ogl_fair_node *
 ogl_fair_leaf(struct ogl_fair *f, const char *team)
 {
-	struct ogl_fair_node *n = walk(f, team);
+	struct ogl_fair_node *n = find_or_add_team(f, team);
 
 	if (n->own == NULL)
 		n->own = node_new(f, n, "", 0);
@@ -150,9 +151,9 @@
 }
 
 void
-ogl_fair_share(struct ogl_fair *f, const char *team, double share)
+ogl_fair_set_share(struct ogl_fair *f, const char *team, double share)
 {
-	struct ogl_fair_node *n = walk(f, team);
+	struct ogl_fair_node *n = find_or_add_team(f, team);
 
 	if (!(share > 0.0))
 		return;
@@ -162,9 +163,10 @@
 }
 
 void
-ogl_fair_scale(struct ogl_fair *f, double sec)
+ogl_fair_set_typical_run(struct ogl_fair *f, double sec)
 {
-	f->scale = CLAMP(sec, SCALE_LEAST, SCALE_MOST);
+	f->typical_run_sec =
+	    CLAMP(sec, TYPICAL_RUN_MIN_SEC, TYPICAL_RUN_MAX_SEC);
 }
 
 void *
@@ -182,21 +184,23 @@
 static void
 advance(struct ogl_fair_node *n, ogl_time now)
 {
-	if (now <= n->at)
+	if (now <= n->vtime_at)
 		return;
-	n->vtime += n->held * (double)(now - n->at) / OGL_SEC / n->weight;
-	n->at = now;
+	n->vtime += n->held * (double)(now - n->vtime_at) / OGL_SEC / n->weight;
+	n->vtime_at = now;
 }
 
-/* How fast the children's virtual times rise while all of them wait. */
+/* Average rate at which the children's virtual times rise while all of them
+ * wait. */
 static double
-pace(const struct ogl_fair_node *n)
+vtime_rate(const struct ogl_fair_node *n)
 {
 	return n->wait_weight > 0.0 ? n->held / n->wait_weight : 0.0;
 }
 
+/* Starts the clock at the greatest virtual time, which cancels all debts. */
 static void
-forget_debts(struct ogl_fair_node *n, ogl_time now)
+reset_vclock(struct ogl_fair_node *n, ogl_time now)
 {
 	GHashTableIter it;
 	gpointer c;
@@ -204,7 +208,7 @@
 	g_hash_table_iter_init(&it, n->by_name);
 	while (g_hash_table_iter_next(&it, NULL, &c)) {
 		advance(c, now);
-		n->clock = MAX(n->clock, ((struct ogl_fair_node *)c)->vtime);
+		n->vclock = MAX(n->vclock, ((struct ogl_fair_node *)c)->vtime);
 	}
 }
 
@@ -212,12 +216,13 @@
 begin_waiting(struct ogl_fair_node *p, struct ogl_fair_node *c, ogl_time now)
 {
 	if (p->waiting->len == 0)
-		forget_debts(p, now);
-	c->at_waiting = p->waiting->len;
+		reset_vclock(p, now);
+	c->waiting_index = p->waiting->len;
 	g_ptr_array_add(p->waiting, c);
 	p->wait_weight += c->weight;
 	advance(c, now);
-	c->vtime = MAX(c->vtime, p->clock - CREDIT * p->all->scale * pace(p));
+	c->vtime = MAX(c->vtime,
+	    p->vclock - CREDIT_RUNS * p->fair->typical_run_sec * vtime_rate(p));
 }
 
 static void
@@ -225,14 +230,14 @@
 {
 	struct ogl_fair_node *last = p->waiting->pdata[p->waiting->len - 1];
 
-	p->waiting->pdata[c->at_waiting] = last;
-	last->at_waiting = c->at_waiting;
+	p->waiting->pdata[c->waiting_index] = last;
+	last->waiting_index = c->waiting_index;
 	g_ptr_array_set_size(p->waiting, (gint)p->waiting->len - 1);
 	p->wait_weight = p->waiting->len != 0 ? p->wait_weight - c->weight : 0;
 }
 
 void
-ogl_fair_wait(struct ogl_fair_node *leaf, ogl_time now)
+ogl_fair_add_waiting(struct ogl_fair_node *leaf, ogl_time now)
 {
 	for (struct ogl_fair_node *n = leaf; n->parent != NULL; n = n->parent) {
 		if (n->nwait++ == 0)
@@ -241,7 +246,7 @@
 }
 
 void
-ogl_fair_unwait(struct ogl_fair_node *leaf)
+ogl_fair_remove_waiting(struct ogl_fair_node *leaf)
 {
 	for (struct ogl_fair_node *n = leaf; n->parent != NULL; n = n->parent) {
 		if (--n->nwait == 0)
@@ -250,47 +255,48 @@
 }
 
 void
-ogl_fair_hold(struct ogl_fair_node *leaf, double rate, ogl_time now)
+ogl_fair_change_held(struct ogl_fair_node *leaf, double units, ogl_time now)
 {
 	for (struct ogl_fair_node *n = leaf; n != NULL; n = n->parent) {
 		advance(n, now);
-		n->held = MAX(n->held + rate, 0.0);
+		n->held = MAX(n->held + units, 0.0);
 	}
 }
 
-/* Without this, a team with a heap of work that fits nowhere would be picked
- * for each piece of it in turn before any other team is asked, and the
- * others' work would stay out while there is room for it. */
+/* Without this, a team with much work that fits nowhere would be picked for
+ * each of its items before any other team, and the other teams' work would
+ * wait although there is room for it. */
 void
-ogl_fair_pass(struct ogl_fair_node *leaf, double rate)
+ogl_fair_change_deferred(struct ogl_fair_node *leaf, double units)
 {
 	for (struct ogl_fair_node *n = leaf; n != NULL; n = n->parent)
-		n->passed = MAX(n->passed + rate, 0.0);
+		n->deferred = MAX(n->deferred + units, 0.0);
 }
 
 static struct ogl_fair_node *
 pick_child(struct ogl_fair_node *p, ogl_time now)
 {
 	struct ogl_fair_node *best = NULL;
-	double least = 0.0;
-	double ahead = LOOKAHEAD * p->all->scale;
-	double clock = 0.0;
+	double least_key = 0.0;
+	double lookahead_sec = LOOKAHEAD_RUNS * p->fair->typical_run_sec;
+	double min_vtime = 0.0;
 
 	for (guint i = 0; i < p->waiting->len; i++) {
 		struct ogl_fair_node *c = p->waiting->pdata[i];
 		double key;
 
 		advance(c, now);
-		key = c->vtime + ahead * (c->held + c->passed) / c->weight;
-		if (best == NULL || key < least) {
+		key = c->vtime +
+		      lookahead_sec * (c->held + c->deferred) / c->weight;
+		if (best == NULL || key < least_key) {
 			best = c;
-			least = key;
+			least_key = key;
 		}
-		if (i == 0 || c->vtime < clock)
-			clock = c->vtime;
+		if (i == 0 || c->vtime < min_vtime)
+			min_vtime = c->vtime;
 	}
 	if (best != NULL)
-		p->clock = MAX(p->clock, clock);
+		p->vclock = MAX(p->vclock, min_vtime);
 	return best;
 }
 
@@ -314,9 +320,10 @@
 		if (p->waiting->len < 2)
 			continue;
 		advance(n, now);
-		lead = n->vtime - p->clock;
-		lead += LOOKAHEAD * p->all->scale * n->passed / n->weight;
-		if (lead > DEBT * p->all->scale * pace(p))
+		lead = n->vtime - p->vclock;
+		lead += LOOKAHEAD_RUNS * p->fair->typical_run_sec *
+			n->deferred / n->weight;
+		if (lead > DEBT_RUNS * p->fair->typical_run_sec * vtime_rate(p))
 			return false;
 	}
 	return true;
--- a/src/learn.c
+++ b/src/learn.c
@@ -1,29 +1,30 @@
 /*
- * Run times by sort of work, for one team.
+ * Run time estimates by class of work, for one team.
  *
- * A table of fixed size, WAYS entries a bucket; a new sort takes the place
- * of the one in its bucket that was used longest ago.  A flood of labels
- * therefore evicts the flooding team's own entries and nothing else.
+ * The table has a fixed size, with WAYS entries in each bucket; a new class
+ * replaces the least recently used one of its bucket.  A flood of labels
+ * therefore only evicts entries of the team that sends it.
  *
  * An entry keeps a decayed mean of the logarithm of the run time: run times
- * of one sort spread over orders of magnitude, and the mean of the logarithm
- * follows their middle, not the few longest.
+ * within a class vary by orders of magnitude, and the mean of the logarithm
+ * follows the typical run time rather than the few longest.
  *
- * A sort never seen is guessed to be short.  While its first piece runs the
- * guess rises with the time that piece has already taken, so a misjudged
- * sort is demoted before anything of it has ended.  New sorts that start as
- * short are rationed by a token bucket; beyond the ration a new sort is
- * guessed to take what the team's earlier new sorts took in the mean.
- * Otherwise a team could have all its work treated as short by a new label on
- * each piece.  Here it is the plain mean, the cost to be expected of a piece
- * that nothing is known of: with the middle, a team that mixes long work into
- * much short work under ever new labels would have the long work pass for
- * short.
+ * A class never seen is expected to be short.  While its first item runs, the
+ * estimate rises with the run time of that item so far, so a misjudged class is
+ * demoted before any of its items has ended.  A token bucket limits how many
+ * new classes may be expected to be short; without a token, a new class is
+ * expected to take the mean of what the first items of earlier new classes
+ * took.  Otherwise a team could have all its work treated as short by giving
+ * each item a new label.  This mean is arithmetic, the expected cost of an item
+ * that nothing is known about: with the mean of the logarithm, a team that
+ * mixes long work into much short work under ever new labels would have the
+ * long work treated as short.
  *
- * Somebody waits for a sort of work when its pieces come one after the other:
- * the next is sent soon after the last has ended, and none while one waits or
- * runs.  Work that can wait comes in heaps.  Who sends long work so in order
- * to have it pass for awaited has one piece of it in the cell at a time.
+ * A class counts as awaited when its items come one after the other: the next
+ * is pushed soon after the last has ended, and never while another one waits
+ * or runs.  Work that nobody waits for usually comes in batches.  A team that
+ * sends long work this way so that it counts as awaited gains little: it has
+ * one item of that class in the cell at a time.
  */
 
 #include <math.h>
@@ -34,37 +35,37 @@
 
 #define BUCKETS 32
 #define WAYS 4
-#define DECAY 0.125 /* weight of the newest run time */
-#define NEW_DECAY 0.002
-#define NEW_GUESS (20 * OGL_MS)
-#define NEW_TOKENS 16.0
-#define NEW_TOKEN_EVERY (4 * OGL_SEC)
-#define AWAITED_GAP (30 * OGL_SEC) /* from an end to the next of its sort */
-#define AWAITED_DECAY 0.0625
-#define AWAITED_PART 0.5 /* of the pieces come so */
-#define GUESS_MIN (1 * OGL_MS)
+#define RUN_WEIGHT 0.125           /* of the newest run time in log_run */
+#define NEW_CLASS_WEIGHT 0.002     /* of the newest class in new_class_run */
+#define NEW_ESTIMATE (20 * OGL_MS) /* of a new class that has a token */
+#define NEW_TOKENS_MAX 16.0        /* token bucket for new classes */
+#define NEW_TOKEN_INTERVAL (4 * OGL_SEC)
+#define AWAITED_GAP_MAX (30 * OGL_SEC) /* from an end to the next push */
+#define AWAITED_WEIGHT 0.0625          /* of the newest item in sequential */
+#define AWAITED_FRACTION 0.5           /* a class is awaited above this */
+#define ESTIMATE_MIN (1 * OGL_MS)
 #define SIZE_CLASS_BASE_MILLI 1000
 
 struct entry {
-	uint64_t sort;  /* 0: free */
-	double log_run; /* natural logarithm of microseconds */
-	ogl_time guess; /* its exponential */
-	ogl_time used;
-	ogl_time first_start; /* of the pieces now running; 0 none */
-	uint32_t ended;
+	uint64_t work_class; /* 0 when the entry is free */
+	double log_run;      /* mean of ln(run time in microseconds) */
+	ogl_time estimate;   /* exp(log_run) */
+	ogl_time used_at;
+	ogl_time first_start; /* of the items now running */
+	uint32_t ended_items;
 	uint32_t running;
 	uint32_t waiting;
 	ogl_time last_end;
-	float in_turn; /* decayed part that came one after the other */
-	bool rationed; /* no token was left for it */
+	float sequential; /* decayed fraction of sequential items */
+	bool rationed;    /* no token was left for the class */
 };
 
 struct ogl_learn {
-	struct entry e[BUCKETS][WAYS];
+	struct entry entries[BUCKETS][WAYS];
 	double tokens;
 	ogl_time tokens_at;
-	double new_run; /* mean of what new sorts turned out to take */
-	uint32_t new_seen;
+	double new_class_run; /* mean run time of first items of a class */
+	uint32_t new_classes_ended;
 };
 
 struct ogl_learn *
@@ -72,8 +73,8 @@
 {
 	struct ogl_learn *l = g_new0(struct ogl_learn, 1);
 
-	l->tokens = NEW_TOKENS;
-	l->new_run = (double)NEW_GUESS;
+	l->tokens = NEW_TOKENS_MAX;
+	l->new_class_run = (double)NEW_ESTIMATE;
 	return l;
 }
 
@@ -89,7 +90,7 @@
 	return sizeof(struct ogl_learn);
 }
 
-/* Powers of two of the processors asked for. */
+/* Binary logarithm of the total processors requested. */
 static uint32_t
 size_class(const struct ogl_work *w)
 {
@@ -104,30 +105,30 @@
 }
 
 uint64_t
-ogl_learn_sort(const struct ogl_work *w, uint64_t seed)
+ogl_learn_class(const struct ogl_work *w, uint64_t seed)
 {
 	unsigned char key[crypto_shorthash_KEYBYTES] = {0};
 	unsigned char hash[crypto_shorthash_BYTES];
 	uint32_t head[2] = {(uint32_t)w->kind, size_class(w)};
 	const char *label = w->label != NULL ? w->label : "";
-	uint64_t sort;
+	uint64_t work_class;
 
-	/* Keyed, so that nobody can choose labels that share a bucket. */
+	/* Keyed, so that callers can't choose labels that share a bucket. */
 	memcpy(key, &seed, sizeof(seed));
 	memcpy(key + sizeof(seed), head, sizeof(head));
 	crypto_shorthash(
 	    hash, (const unsigned char *)label, strlen(label), key);
-	memcpy(&sort, hash, sizeof(sort));
-	return sort != 0 ? sort : 1;
+	memcpy(&work_class, hash, sizeof(work_class));
+	return work_class != 0 ? work_class : 1;
 }
 
 static struct entry *
-find(struct ogl_learn *l, uint64_t sort)
+find(struct ogl_learn *l, uint64_t work_class)
 {
-	struct entry *b = l->e[sort % BUCKETS];
+	struct entry *b = l->entries[work_class % BUCKETS];
 
 	for (size_t i = 0; i < WAYS; i++) {
-		if (b[i].sort == sort)
+		if (b[i].work_class == work_class)
 			return &b[i];
 	}
 	return NULL;
@@ -136,9 +137,9 @@
 static bool
 take_token(struct ogl_learn *l, ogl_time now)
 {
-	double come = (double)(now - l->tokens_at) / NEW_TOKEN_EVERY;
+	double earned = (double)(now - l->tokens_at) / NEW_TOKEN_INTERVAL;
 
-	l->tokens = MIN(NEW_TOKENS, l->tokens + MAX(come, 0.0));
+	l->tokens = MIN(NEW_TOKENS_MAX, l->tokens + MAX(earned, 0.0));
 	l->tokens_at = now;
 	if (l->tokens < 1.0)
 		return false;
@@ -147,79 +148,82 @@
 }
 
 static struct entry *
-make(struct ogl_learn *l, uint64_t sort, ogl_time now)
+replace_entry(struct ogl_learn *l, uint64_t work_class, ogl_time now)
 {
-	struct entry *b = l->e[sort % BUCKETS];
+	struct entry *b = l->entries[work_class % BUCKETS];
 	struct entry *e = &b[0];
 
 	for (size_t i = 0; i < WAYS; i++) {
-		if (b[i].sort == 0) {
+		if (b[i].work_class == 0) {
 			e = &b[i];
 			break;
 		}
-		if (b[i].used < e->used)
+		if (b[i].used_at < e->used_at)
 			e = &b[i];
 	}
 	memset(e, 0, sizeof(*e));
-	e->sort = sort;
-	e->used = now;
+	e->work_class = work_class;
+	e->used_at = now;
 	e->rationed = !take_token(l, now);
 	return e;
 }
 
 static struct entry *
-touch(struct ogl_learn *l, uint64_t sort, ogl_time now)
+touch(struct ogl_learn *l, uint64_t work_class, ogl_time now)
 {
-	struct entry *e = find(l, sort);
+	struct entry *e = find(l, work_class);
 
 	if (e == NULL)
-		e = make(l, sort, now);
-	e->used = now;
+		e = replace_entry(l, work_class, now);
+	e->used_at = now;
 	return e;
 }
 
 ogl_time
-ogl_learn_guess(struct ogl_learn *l, uint64_t sort, ogl_time now, bool *awaited)
+ogl_learn_estimate(
+    struct ogl_learn *l, uint64_t work_class, ogl_time now, bool *awaited)
 {
-	struct entry *e = touch(l, sort, now);
-	ogl_time guess;
+	struct entry *e = touch(l, work_class, now);
+	ogl_time estimate;
 
-	if (e->ended != 0)
-		guess = e->guess;
+	if (e->ended_items != 0)
+		estimate = e->estimate;
 	else if (e->rationed)
-		guess = MAX((ogl_time)l->new_run, NEW_GUESS);
+		estimate = MAX((ogl_time)l->new_class_run, NEW_ESTIMATE);
 	else
-		guess = NEW_GUESS;
-	if (e->ended == 0 && e->running != 0)
-		guess = MAX(guess, now - e->first_start);
-	*awaited = e->in_turn > AWAITED_PART;
-	return MAX(guess, GUESS_MIN);
+		estimate = NEW_ESTIMATE;
+	if (e->ended_items == 0 && e->running != 0)
+		estimate = MAX(estimate, now - e->first_start);
+	*awaited = e->sequential > AWAITED_FRACTION;
+	return MAX(estimate, ESTIMATE_MIN);
 }
 
 void
-ogl_learn_pushed(struct ogl_learn *l, uint64_t sort, ogl_time now)
+ogl_learn_pushed(struct ogl_learn *l, uint64_t work_class, ogl_time now)
 {
-	struct entry *e = touch(l, sort, now);
-	bool in_turn = e->waiting == 0 && e->running == 0 && e->last_end != 0 &&
-		       now - e->last_end < AWAITED_GAP;
+	struct entry *e = touch(l, work_class, now);
+	bool sequential = e->waiting == 0 && e->running == 0 &&
+			  e->last_end != 0 &&
+			  now - e->last_end < AWAITED_GAP_MAX;
 
-	e->in_turn += AWAITED_DECAY * ((in_turn ? 1 : 0) - e->in_turn);
+	e->sequential +=
+	    AWAITED_WEIGHT * ((sequential ? 1 : 0) - e->sequential);
 	e->waiting++;
 }
 
 void
-ogl_learn_gone(struct ogl_learn *l, uint64_t sort)
+ogl_learn_withdrawn(struct ogl_learn *l, uint64_t work_class)
 {
-	struct entry *e = find(l, sort);
+	struct entry *e = find(l, work_class);
 
 	if (e != NULL && e->waiting != 0)
 		e->waiting--;
 }
 
 void
-ogl_learn_started(struct ogl_learn *l, uint64_t sort, ogl_time now)
+ogl_learn_started(struct ogl_learn *l, uint64_t work_class, ogl_time now)
 {
-	struct entry *e = touch(l, sort, now);
+	struct entry *e = touch(l, work_class, now);
 
 	if (e->waiting != 0)
 		e->waiting--;
@@ -228,26 +232,26 @@
 }
 
 void
-ogl_learn_ended(
-    struct ogl_learn *l, uint64_t sort, ogl_time ran, bool ok, ogl_time now)
+ogl_learn_ended(struct ogl_learn *l, uint64_t work_class, ogl_time ran, bool ok,
+    ogl_time now)
 {
-	struct entry *e = touch(l, sort, now);
-	double x = log((double)MAX(ran, GUESS_MIN));
+	struct entry *e = touch(l, work_class, now);
+	double x = log((double)MAX(ran, ESTIMATE_MIN));
 	double weight;
 
 	if (e->running != 0)
 		e->running--;
 	e->last_end = now;
-	/* One that failed at once tells nothing of how long it would take. */
-	if (!ok && e->ended != 0 && x < e->log_run)
+	/* An early failure doesn't tell how long the work would have run. */
+	if (!ok && e->ended_items != 0 && x < e->log_run)
 		return;
-	e->ended++;
-	weight = MAX(DECAY, 1.0 / e->ended);
+	e->ended_items++;
+	weight = MAX(RUN_WEIGHT, 1.0 / e->ended_items);
 	e->log_run += weight * (x - e->log_run);
-	e->guess = (ogl_time)exp(e->log_run);
-	if (e->ended == 1) {
-		l->new_seen++;
-		weight = MAX(NEW_DECAY, 1.0 / l->new_seen);
-		l->new_run += weight * ((double)ran - l->new_run);
+	e->estimate = (ogl_time)exp(e->log_run);
+	if (e->ended_items == 1) {
+		l->new_classes_ended++;
+		weight = MAX(NEW_CLASS_WEIGHT, 1.0 / l->new_classes_ended);
+		l->new_class_run += weight * ((double)ran - l->new_class_run);
 	}
 }
--- a/src/learn.h
+++ b/src/learn.h
@@ -1,5 +1,6 @@
 /*
- * What each team's sorts of work have been seen to take.
+ * Run time estimates for one team, learned per class of work: the work of one
+ * kind, size class and label.
  */
 
 #ifndef OGL_LEARN_H
@@ -12,24 +13,24 @@
 struct ogl_learn *ogl_learn_init(void);
 void ogl_learn_end(struct ogl_learn *l);
 
-uint64_t ogl_learn_sort(const struct ogl_work *w, uint64_t seed);
-/* Which sort of work it is: hash of kind, size class and label. */
+uint64_t ogl_learn_class(const struct ogl_work *w, uint64_t seed);
+/* Class of the work: a hash of kind, size class and label, keyed by seed. */
 
-ogl_time ogl_learn_guess(
-    struct ogl_learn *l, uint64_t sort, ogl_time now, bool *awaited);
-/* Run time expected, and whether somebody seems to wait for this sort.  A
- * sort never seen is expected to be short, as long as the team does not bring
- * too many new ones. */
+ogl_time ogl_learn_estimate(
+    struct ogl_learn *l, uint64_t work_class, ogl_time now, bool *awaited);
+/* Expected run time, never 0, and in *awaited whether a caller seems to be
+ * waiting for this class.  A class never seen is expected to be short, unless
+ * the team adds new classes too fast. */
 
-void ogl_learn_pushed(struct ogl_learn *l, uint64_t sort, ogl_time now);
-void ogl_learn_gone(struct ogl_learn *l, uint64_t sort);
-/* A piece began to wait, or was taken out without having started. */
+void ogl_learn_pushed(struct ogl_learn *l, uint64_t work_class, ogl_time now);
+void ogl_learn_withdrawn(struct ogl_learn *l, uint64_t work_class);
+/* An item began to wait, or was withdrawn before it started. */
 
-void ogl_learn_started(struct ogl_learn *l, uint64_t sort, ogl_time now);
-void ogl_learn_ended(
-    struct ogl_learn *l, uint64_t sort, ogl_time ran, bool ok, ogl_time now);
+void ogl_learn_started(struct ogl_learn *l, uint64_t work_class, ogl_time now);
+void ogl_learn_ended(struct ogl_learn *l, uint64_t work_class, ogl_time ran,
+    bool ok, ogl_time now);
 
 size_t ogl_learn_bytes(void);
-/* Memory of one table. */
+/* Size of one table in bytes. */
 
 #endif
--- a/src/queue.c
+++ b/src/queue.c
@@ -1,51 +1,54 @@
 /*
- * Waiting work and what became of it: one table of items by id, whatever the
- * order.  The order itself is a policy's, given as a table of function
- * pointers; `ogl_queue_learned` in queue_learned.c ships, the baselines that
- * it is measured against live in bench/.
+ * Queue of waiting and running work: a table of items by id, independent of
+ * their order.  The order is decided by a policy, a table of function
+ * pointers.  The default policy is `ogl_queue_learned` in queue_learned.c; the
+ * baselines that it is compared with are in bench/.
  *
- * An item is waiting (in the policy's order), passed over (popped, did not
- * fit, waits for ogl_queue_again), popped, or running.  Invariants: `length`
- * counts the waiting and the passed over; the age heap holds just these, so
- * the longest wait is at its top; `passed` holds the passed over.
+ * An item is waiting (in the policy's order), deferred (popped, but it did not
+ * fit; it waits for ogl_queue_again), popped, or running.  Invariants: the age
+ * heap holds exactly the waiting and the deferred items, so its size is the
+ * queue length and the longest wait is at its top; `deferred` holds exactly
+ * the deferred items.
  *
- * Each item passed over was popped once since the last ogl_queue_again, so
- * pushing all of them back there costs O(log n) for each pop made before.
+ * Each deferred item was popped once since the last ogl_queue_again, so
+ * pushing all of them again costs O(log n) for each of those pops.
  */
 
 #include <string.h>
 
 #include "queue.h"
 
-/* A worker of 16 processors and 64 GB with accelerators at eight
- * processors each: what one unit of each resource is worth. */
+/* Weights that make resources comparable, from a reference worker with 16
+ * processors, 64 GB of memory and accelerators worth eight processors each. */
 #define MEM_MB_PER_CPU 4096.0
 #define CPU_PER_ACCEL 8.0
-#define MILLI 1000.0
-#define RATE_MIN 0.001
+#define MILLI_PER_CPU 1000.0
+#define DEMAND_MIN_CPUS 0.001
 
 struct ogl_queue {
 	const struct ogl_queue_policy *policy;
-	void *p;
-	GHashTable *items; /* &item->w.id to item; owns them */
-	GHashTable *names; /* team names, interned */
-	GPtrArray *passed;
+	void *policy_state;
+	GHashTable *items;      /* &item->w.id -> item; owns the items */
+	GHashTable *team_names; /* interned team paths */
+	GPtrArray *deferred;
 	struct ogl_queue_heap age;
 	uint64_t seq;
-	struct ogl_queue_item *dropped; /* last to go; its strings are lent */
+	struct ogl_queue_item
+	    *last_dropped; /* its strings may still be in use, see drop */
 };
 
 double
-ogl_queue_rate(const struct ogl_work *w)
+ogl_queue_demand(const struct ogl_work *w)
 {
 	uint32_t n = MAX(w->tasks, 1);
 	double r;
 
 	if (w->kind == OGL__KIND__request)
 		return n;
-	r = MAX(w->res.cpu_milli / MILLI, w->res.mem_mb / MEM_MB_PER_CPU);
+	r = MAX(
+	    w->res.cpu_milli / MILLI_PER_CPU, w->res.mem_mb / MEM_MB_PER_CPU);
 	r = MAX(r, w->res.accel * CPU_PER_ACCEL);
-	return MAX(r, RATE_MIN) * n;
+	return MAX(r, DEMAND_MIN_CPUS) * n;
 }
 
 struct ogl_queue *
@@ -54,11 +57,12 @@
 	struct ogl_queue *q = g_new0(struct ogl_queue, 1);
 
 	q->policy = policy;
-	q->p = policy->init(seed);
+	q->policy_state = policy->init(seed);
 	q->items =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-	q->names = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	q->passed = g_ptr_array_new();
+	q->team_names =
+	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	q->deferred = g_ptr_array_new();
 	ogl_queue_heap_init(&q->age, OGL_HEAP_AGE);
 	return q;
 }
@@ -68,24 +72,24 @@
 {
 	if (q == NULL)
 		return;
-	q->policy->end(q->p);
+	q->policy->end(q->policy_state);
 	ogl_queue_heap_end(&q->age);
-	g_ptr_array_free(q->passed, TRUE);
+	g_ptr_array_free(q->deferred, TRUE);
 	g_hash_table_destroy(q->items);
-	g_hash_table_destroy(q->names);
-	g_free(q->dropped);
+	g_hash_table_destroy(q->team_names);
+	g_free(q->last_dropped);
 	g_free(q);
 }
 
 static const char *
 intern(struct ogl_queue *q, const char *name)
 {
-	const char *s = g_hash_table_lookup(q->names, name);
+	const char *s = g_hash_table_lookup(q->team_names, name);
 
 	if (s == NULL) {
 		char *copy = g_strdup(name);
 
-		g_hash_table_insert(q->names, copy, copy);
+		g_hash_table_insert(q->team_names, copy, copy);
 		s = copy;
 	}
 	return s;
@@ -97,27 +101,27 @@
 	return g_hash_table_lookup(q->items, &id);
 }
 
-/* A passed-over item is in no order, so its slot there is free to tell where
- * in `passed` it stands. */
+/* A deferred item is not in the policy's heap, so its slot for that heap holds
+ * its index in `deferred`. */
 static void
-passed_remove(struct ogl_queue *q, struct ogl_queue_item *it)
+deferred_remove(struct ogl_queue *q, struct ogl_queue_item *it)
 {
 	guint at = (guint)it->slot[OGL_HEAP_POLICY];
-	struct ogl_queue_item *last = q->passed->pdata[q->passed->len - 1];
+	struct ogl_queue_item *last = q->deferred->pdata[q->deferred->len - 1];
 
-	q->passed->pdata[at] = last;
+	q->deferred->pdata[at] = last;
 	last->slot[OGL_HEAP_POLICY] = at;
-	g_ptr_array_set_size(q->passed, (gint)q->passed->len - 1);
+	g_ptr_array_set_size(q->deferred, (gint)q->deferred->len - 1);
 }
 
-/* Takes an item out of the table, but keeps it until the next item goes: a
- * popped work's strings stay valid until the next call. */
+/* Removes an item from the table, but frees it only when the next one is
+ * removed: strings of popped work stay valid until the next call. */
 static void
 drop(struct ogl_queue *q, struct ogl_queue_item *it)
 {
 	g_hash_table_steal(q->items, &it->w.id);
-	g_free(q->dropped);
-	q->dropped = it;
+	g_free(q->last_dropped);
+	q->last_dropped = it;
 }
 
 static struct ogl_queue_item *
@@ -134,7 +138,7 @@
 	it->w.label = it->label;
 	it->w.tasks = MAX(w->tasks, 1);
 	it->seq = ++q->seq;
-	it->rate = ogl_queue_rate(&it->w);
+	it->rate = ogl_queue_demand(&it->w);
 	g_hash_table_insert(q->items, &it->w.id, it);
 	return it;
 }
@@ -142,15 +146,15 @@
 static void
 drop_unstarted(struct ogl_queue *q, struct ogl_queue_item *it)
 {
-	if (q->policy->gone != NULL)
-		q->policy->gone(q->p, it);
+	if (q->policy->withdrawn != NULL)
+		q->policy->withdrawn(q->policy_state, it);
 	drop(q, it);
 }
 
 void
 ogl_queue_team(struct ogl_queue *q, const char *team, double share)
 {
-	q->policy->team(q->p, intern(q, team), share);
+	q->policy->team(q->policy_state, intern(q, team), share);
 }
 
 void
@@ -165,13 +169,13 @@
 	it = item_new(q, w);
 	it->state = OGL_QUEUE_WAITING;
 	ogl_queue_heap_add(&q->age, it->w.since, it);
-	q->policy->push(q->p, it, now);
+	q->policy->push(q->policy_state, it, now);
 }
 
 bool
 ogl_queue_pop(struct ogl_queue *q, ogl_time now, struct ogl_work *w)
 {
-	struct ogl_queue_item *it = q->policy->pop(q->p, now);
+	struct ogl_queue_item *it = q->policy->pop(q->policy_state, now);
 
 	if (it == NULL)
 		return false;
@@ -188,24 +192,24 @@
 
 	if (it == NULL || it->state != OGL_QUEUE_POPPED)
 		return;
-	if (q->policy->passed != NULL)
-		q->policy->passed(q->p, it, now);
-	it->state = OGL_QUEUE_PASSED;
+	if (q->policy->deferred != NULL)
+		q->policy->deferred(q->policy_state, it, now);
+	it->state = OGL_QUEUE_DEFERRED;
 	ogl_queue_heap_add(&q->age, it->w.since, it);
-	it->slot[OGL_HEAP_POLICY] = q->passed->len;
-	g_ptr_array_add(q->passed, it);
+	it->slot[OGL_HEAP_POLICY] = q->deferred->len;
+	g_ptr_array_add(q->deferred, it);
 }
 
 void
 ogl_queue_again(struct ogl_queue *q, ogl_time now)
 {
-	for (guint i = 0; i < q->passed->len; i++) {
-		struct ogl_queue_item *it = q->passed->pdata[i];
+	for (guint i = 0; i < q->deferred->len; i++) {
+		struct ogl_queue_item *it = q->deferred->pdata[i];
 
 		it->state = OGL_QUEUE_WAITING;
-		q->policy->push(q->p, it, now);
+		q->policy->push(q->policy_state, it, now);
 	}
-	g_ptr_array_set_size(q->passed, 0);
+	g_ptr_array_set_size(q->deferred, 0);
 }
 
 bool
@@ -219,10 +223,10 @@
 		drop_unstarted(q, it);
 		return false;
 	}
-	if (it->state == OGL_QUEUE_PASSED)
-		passed_remove(q, it);
+	if (it->state == OGL_QUEUE_DEFERRED)
+		deferred_remove(q, it);
 	else
-		q->policy->unlink(q->p, it);
+		q->policy->unlink(q->policy_state, it);
 	ogl_queue_heap_del(&q->age, it);
 	drop_unstarted(q, it);
 	return true;
@@ -238,9 +242,9 @@
 	if (it == NULL) /* found running, e.g. by a new owner */
 		it = item_new(q, w);
 	it->state = OGL_QUEUE_RUNNING;
-	it->began = now;
+	it->started_at = now;
 	if (q->policy->started != NULL)
-		q->policy->started(q->p, it, now);
+		q->policy->started(q->policy_state, it, now);
 }
 
 void
@@ -251,7 +255,7 @@
 	if (it == NULL || it->state != OGL_QUEUE_RUNNING)
 		return;
 	if (q->policy->ended != NULL)
-		q->policy->ended(q->p, it, ok, now);
+		q->policy->ended(q->policy_state, it, ok, now);
 	drop(q, it);
 }
 
--- a/src/queue.h
+++ b/src/queue.h
@@ -1,6 +1,6 @@
 /*
- * Private side of the queue: the table of function pointers that makes an
- * order, and the piece of work as orders see it.
+ * Internals of the queue: the table of function pointers that implements a
+ * scheduling policy, and the queue item that policies work on.
  */
 
 #ifndef OGL_QUEUE_H
@@ -9,13 +9,14 @@
 #include "orioleglade.h"
 
 enum ogl_queue_state {
-	OGL_QUEUE_WAITING, /* held by the policy */
-	OGL_QUEUE_PASSED,  /* waits, but did not fit; in no order */
-	OGL_QUEUE_POPPED,  /* handed out, neither started nor put back */
+	OGL_QUEUE_WAITING,  /* in the policy's order */
+	OGL_QUEUE_DEFERRED, /* waits, but did not fit; in no order */
+	OGL_QUEUE_POPPED,   /* handed out, not yet started or deferred */
 	OGL_QUEUE_RUNNING
 };
 
-/* Heaps an item can be in at once; each has its own slot number there. */
+/* Heaps that an item can be in at once.  Its index in each is kept in
+ * ogl_queue_item.slot. */
 enum ogl_queue_heap_use {
 	OGL_HEAP_POLICY,
 	OGL_HEAP_AGE,
@@ -27,18 +28,18 @@
 	uint64_t seq;      /* order of pushing; breaks ties */
 	size_t slot[OGL_HEAP_USES];
 	enum ogl_queue_state state;
-	ogl_time began; /* start of running */
-	double rate;    /* dominant resource while it runs, all tasks */
+	ogl_time started_at; /* when it began to run */
+	double rate;         /* ogl_queue_demand of the work */
 
-	/* For the policy's own use. */
-	void *leaf;
-	uint64_t sort; /* hash of kind, size class and label */
-	uint32_t level;
-	bool ranked; /* level was set; it is kept when put back */
-	bool passed; /* counts against its team until it is pushed again */
-	bool aged;   /* went first because it had waited too long */
+	/* Owned by the policy. */
+	void *policy_team; /* its state for the item's team */
+	uint64_t sort;     /* hash of kind, size class and label */
+	uint32_t level;    /* of the expected run time */
+	bool ranked;       /* level is set; deferring the item keeps it */
+	bool deferred;     /* counted against its team until pushed again */
+	bool aged;         /* popped early because it had waited too long */
 
-	char label[]; /* zero-ended */
+	char label[]; /* zero-terminated */
 };
 
 struct ogl_queue_policy {
@@ -48,18 +49,18 @@
 	void (*team)(void *p, const char *team, double share);
 	void (*push)(void *p, struct ogl_queue_item *it, ogl_time now);
 	struct ogl_queue_item *(*pop)(void *p, ogl_time now);
-	/* Takes a waiting item out of the order; the caller keeps it. */
+	/* Removes a waiting item from the order; the caller still owns it. */
 	void (*unlink)(void *p, struct ogl_queue_item *it);
-	/* Each of these may be NULL.  `gone`: it will not start any more;
-	 * `passed`: it was put back and will be pushed again. */
-	void (*gone)(void *p, struct ogl_queue_item *it);
-	void (*passed)(void *p, struct ogl_queue_item *it, ogl_time now);
+	/* Each of these may be NULL.  `withdrawn`: the item will not start any
+	 * more; `deferred`: it did not fit and will be pushed again. */
+	void (*withdrawn)(void *p, struct ogl_queue_item *it);
+	void (*deferred)(void *p, struct ogl_queue_item *it, ogl_time now);
 	void (*started)(void *p, struct ogl_queue_item *it, ogl_time now);
 	void (*ended)(
 	    void *p, struct ogl_queue_item *it, bool ok, ogl_time now);
 };
 
-/* ---- heap of items, least key first ----------------------------------- */
+/* ---- heap of items, smallest key first -------------------------------- */
 
 struct ogl_queue_heap_entry {
 	int64_t key;
@@ -80,8 +81,8 @@
 void ogl_queue_heap_del(struct ogl_queue_heap *h, struct ogl_queue_item *it);
 struct ogl_queue_item *ogl_queue_heap_top(const struct ogl_queue_heap *h);
 
-double ogl_queue_rate(const struct ogl_work *w);
-/* Dominant resource of all its tasks, in processors of a reference worker;
- * slots for a short request. */
+double ogl_queue_demand(const struct ogl_work *w);
+/* Demand of all its tasks for their dominant resource, in processors of a
+ * reference worker; for a short request the number of slots. */
 
 #endif
--- a/src/queue_learned.c
+++ b/src/queue_learned.c
@@ -1,31 +1,34 @@
 /*
- * The order that ships.
+ * Default scheduling policy, based on learned run times.
  *
- * Whose turn it is comes from fair.c, what of that team's goes first from
- * learn.c.  Each team keeps a heap per level, a level being the power of two
- * of the run time expected in milliseconds; within a level the longest
- * waiting goes first.  The lowest level goes first, but a quarter of the
- * team's service may go to pieces that go first because they have waited too
- * long: no piece waits for ever and short work keeps most of the team.
- * Counting turns in place of service would hand nearly all to long pieces:
- * one turn of theirs is worth a thousand short ones.
+ * fair.c decides which team is next, learn.c estimates run times, and the
+ * shortest work of a team goes first.  Each team keeps a heap per level; the
+ * level is the binary logarithm of the expected run time in milliseconds.
+ * Within a level the longest waiting item goes first.  The lowest level goes
+ * first, except that up to a quarter of the team's service may go to items
+ * that have waited too long (aged items): nothing starves, and short work
+ * keeps most of the team's service.  The quarter is measured in service, not
+ * in turns: a turn of a long item costs as much as a thousand short ones, so
+ * by turns long items would receive nearly all service.
  *
  * Short work may overtake other teams' turns: the shortest, then longest
- * waiting, short piece of all teams goes first, as long as its team is not
- * more than a small debt ahead of its share.  The debt bounds what this costs
- * the others, whatever the team calls its work.
+ * waiting, short item of all teams goes first while its team is at most a
+ * small debt ahead of its share.  The debt bounds the cost to other teams,
+ * however a team labels its work.
  *
- * What counts as short is not a number of seconds: a request of a second is
- * long, a task of a second is short.  The service given lately, by level, is
- * split where the two sides differ most (queue_split.c).  Each team's
- * service is brought to the same sum first, so that a flood of one team moves
- * the limit by no more than any other team could.
+ * What counts as short is relative to the other work, not a fixed time: a
+ * request of one second is long, a task of one second is short.  The boundary
+ * comes from a histogram of recent service by level, split where the two sides
+ * differ most (queue_split.c).  The service of each team is normalized to the
+ * same sum, so that a flood from one team moves the boundary no more than any
+ * other team can.
  *
- * Work that somebody seems to wait for ranks as if it took half as long.
+ * Awaited work, which a caller seems to be waiting for, ranks as if it took
+ * half as long.
  *
- * An item's level is set when it is pushed and may only rise, when its sort
- * of work has meanwhile been seen to take longer; it keeps its level when it
- * is put back.
+ * An item gets its level when it is pushed and keeps it when it is deferred.
+ * Its level only rises, when its class of work has since turned out to take
+ * longer.
  */
 
 #include <math.h>
@@ -36,35 +39,38 @@
 #include "queue_split.h"
 
 #define LEVELS 24
-#define MS_A_SEC 1000.0
-#define SHORT_FIRST 6 /* highest short level before anything was seen */
-#define SHORT_EVERY OGL_SEC
-#define SERVICE_HALVE 1024 /* pieces ended, after which service is halved */
-#define AWAITED_LEVELS 1u  /* by which awaited work ranks shorter */
-#define AGED_PART 0.25
-#define AGED_PART_LONG 0.5           /* of turns that short work leaves */
-#define AGED_CREDIT_SEC 1.0          /* most that aged_debt may be negative */
-#define DEMOTE_MAX 16                /* in one pop */
-#define COUNTED_MOST (600 * OGL_SEC) /* of one piece's run, see count_by_run */
+#define MS_PER_SEC 1000.0
+#define SHORT_LEVEL_INITIAL 6 /* until there is service to split */
+#define SHORT_UPDATE_INTERVAL OGL_SEC
+#define SERVICE_HALVE_ITEMS 1024 /* ended items between halvings of service */
+#define AWAITED_BOOST_LEVELS 1u  /* by which awaited work ranks shorter */
+
+/* Most that aged items may hold, as a part of what their team holds. */
+#define AGED_FRACTION 0.25
+#define AGED_FRACTION_LONG 0.5  /* while the team has no short work waiting */
+#define AGED_CREDIT_MAX_SEC 1.0 /* aged_debt >= -this * held */
+
+#define DEMOTIONS_MAX 16                /* per pop */
+#define COUNTED_RUN_MAX (600 * OGL_SEC) /* run time counted of one item */
 
 struct team {
-	struct learned *all;
-	guint at_lane;
+	struct learned *policy;
+	guint head_index;
 	struct ogl_fair_node *leaf;
 	struct ogl_learn *learn;
 	struct ogl_queue_heap level[LEVELS];
-	uint32_t used; /* bit per level that holds something */
-	double held;
-	double aged_held;       /* part of it given for a long wait */
-	double aged_debt;       /* their service beyond AGED_PART of all */
-	ogl_time at;            /* time of aged_debt */
-	uint32_t ended;         /* since service was halved */
-	double service[LEVELS]; /* decayed, by level now known */
+	uint32_t used_levels;   /* bit per level with waiting items */
+	double held;            /* demand of the running items */
+	double aged_held;       /* part of held that is of aged items */
+	double aged_debt;       /* aged service beyond AGED_FRACTION of all */
+	ogl_time aged_debt_at;  /* time that aged_debt was updated */
+	uint32_t ended_items;   /* since service was last halved */
+	double service[LEVELS]; /* decayed, by level known at the end */
 };
 
-/* The first piece of a team's lowest level, kept apart from the team: looking
- * through all teams then reads one short run of memory. */
-struct lane {
+/* Sort key of the first item in a team's lowest level.  Kept in an array of its
+ * own, so that scanning all teams reads contiguous memory. */
+struct team_head {
 	uint32_t level; /* LEVELS when nothing waits */
 	ogl_time since;
 	uint64_t seq;
@@ -72,13 +78,13 @@
 };
 
 struct learned {
-	GArray *lanes; /* struct lane, by team->at_lane */
+	GArray *heads; /* struct team_head, by team->head_index */
 	struct ogl_fair *fair;
 	GPtrArray *teams;
-	GHashTable *by_name; /* team path, as interned by the queue */
+	GHashTable *by_name; /* interned team path -> struct team */
 	uint64_t seed;
-	uint32_t short_level; /* highest level that is short */
-	ogl_time looked;      /* when that was last worked out */
+	uint32_t short_level;      /* highest level that is short */
+	ogl_time short_updated_at; /* when short_level was last updated */
 };
 
 static void *
@@ -89,9 +95,9 @@
 	p->fair = ogl_fair_init();
 	p->teams = g_ptr_array_new();
 	p->by_name = g_hash_table_new(NULL, NULL);
-	p->lanes = g_array_new(FALSE, FALSE, sizeof(struct lane));
+	p->heads = g_array_new(FALSE, FALSE, sizeof(struct team_head));
 	p->seed = seed;
-	p->short_level = SHORT_FIRST;
+	p->short_level = SHORT_LEVEL_INITIAL;
 	return p;
 }
 
@@ -113,7 +119,7 @@
 		team_free(p->teams->pdata[i]);
 	g_ptr_array_free(p->teams, TRUE);
 	g_hash_table_destroy(p->by_name);
-	g_array_free(p->lanes, TRUE);
+	g_array_free(p->heads, TRUE);
 	ogl_fair_end(p->fair);
 	g_free(p);
 }
@@ -123,18 +129,18 @@
 {
 	struct learned *p = data;
 
-	ogl_fair_share(p->fair, team, share);
+	ogl_fair_set_share(p->fair, team, share);
 }
 
 static struct team *
 team_new(struct learned *p, struct ogl_fair_node *leaf)
 {
 	struct team *t = g_new0(struct team, 1);
-	struct lane lane = {.level = LEVELS, .team = t};
+	struct team_head head = {.level = LEVELS, .team = t};
 
-	t->all = p;
-	t->at_lane = p->lanes->len;
-	g_array_append_val(p->lanes, lane);
+	t->policy = p;
+	t->head_index = p->heads->len;
+	g_array_append_val(p->heads, head);
 	t->leaf = leaf;
 	t->learn = ogl_learn_init();
 	for (size_t i = 0; i < LEVELS; i++)
@@ -149,24 +155,24 @@
 {
 	struct team *t;
 
-	if (it->leaf != NULL)
-		return it->leaf;
+	if (it->policy_team != NULL)
+		return it->policy_team;
 	t = g_hash_table_lookup(p->by_name, it->w.team);
 	if (t == NULL) {
 		t = team_new(p, ogl_fair_leaf(p->fair, it->w.team));
 		g_hash_table_insert(p->by_name, (gpointer)it->w.team, t);
 	}
-	it->leaf = t;
-	it->sort = ogl_learn_sort(&it->w, p->seed);
+	it->policy_team = t;
+	it->sort = ogl_learn_class(&it->w, p->seed);
 	return t;
 }
 
-/* Level of the run time expected. */
+/* Level of the expected run time. */
 static uint32_t
 run_level(struct team *t, const struct ogl_queue_item *it, ogl_time now,
     bool *awaited)
 {
-	ogl_time run = ogl_learn_guess(t->learn, it->sort, now, awaited);
+	ogl_time run = ogl_learn_estimate(t->learn, it->sort, now, awaited);
 	uint32_t level = 0;
 
 	for (run /= OGL_MS; run > 1 && level < LEVELS - 1; run /= 2)
@@ -180,43 +186,44 @@
 	bool awaited;
 	uint32_t level = run_level(t, it, now, &awaited);
 
-	return awaited ? level - MIN(level, AWAITED_LEVELS) : level;
+	return awaited ? level - MIN(level, AWAITED_BOOST_LEVELS) : level;
 }
 
-/* A service runs until it is stopped, so its run time says nothing; its users
- * wait for its start.  It goes right behind short work and never overtakes. */
+/* A service runs until it is stopped, so its run time is not considered.  Its
+ * users wait for it to start, so it ranks just after short work, but it never
+ * overtakes. */
 static uint32_t
 rank_service(struct team *t, const struct ogl_queue_item *it, ogl_time now)
 {
 	(void)it;
 	(void)now;
-	return MIN(t->all->short_level + 1, LEVELS - 1);
+	return MIN(t->policy->short_level + 1, LEVELS - 1);
 }
 
-/* Lets old service count less, by pieces and not by time: a team of long
- * tasks ends few of them. */
+/* Decays older service by the number of ended items rather than by time,
+ * because a team with long tasks ends few of them. */
 static void
-fade(struct team *t)
+decay_service(struct team *t)
 {
-	if (++t->ended < SERVICE_HALVE)
+	if (++t->ended_items < SERVICE_HALVE_ITEMS)
 		return;
-	t->ended = 0;
+	t->ended_items = 0;
 	for (size_t k = 0; k < LEVELS; k++)
 		t->service[k] /= 2;
 }
 
-/* Adds to the service by level, out of which comes what is short.  One piece
- * that ran for days must not outweigh all others: everything else would then
- * pass for short. */
+/* Adds to the histogram that determines which levels are short.  The cap keeps
+ * an item that ran for days from outweighing all others, which would make
+ * everything else count as short. */
 static void
-count_by_run(struct team *t, const struct ogl_queue_item *it, ogl_time now)
+count_service(struct team *t, const struct ogl_queue_item *it, ogl_time now)
 {
-	ogl_time ran = MIN(now - it->began, COUNTED_MOST);
+	ogl_time ran = MIN(now - it->started_at, COUNTED_RUN_MAX);
 	bool awaited;
 	uint32_t level = run_level(t, it, now, &awaited);
 
 	t->service[level] += it->rate * (double)ran;
-	fade(t);
+	decay_service(t);
 }
 
 static void
@@ -227,9 +234,9 @@
 	(void)now;
 }
 
-/* What differs between kinds. */
+/* Rules that differ between kinds of work. */
 struct kind_rule {
-	ogl_time age; /* a wait longer than this is too long */
+	ogl_time wait_max; /* items that wait longer are aged */
 	uint32_t (*rank)(
 	    struct team *t, const struct ogl_queue_item *it, ogl_time now);
 	void (*count)(
@@ -237,10 +244,10 @@
 };
 
 static const struct kind_rule kind_rules[] = {
-    [OGL__KIND__batch] = {60 * OGL_SEC, rank_by_run, count_by_run},
+    [OGL__KIND__batch] = {60 * OGL_SEC, rank_by_run, count_service},
     [OGL__KIND__service] = {30 * OGL_SEC, rank_service, count_nothing},
-    [OGL__KIND__gang] = {60 * OGL_SEC, rank_by_run, count_by_run},
-    [OGL__KIND__request] = {10 * OGL_SEC, rank_by_run, count_by_run},
+    [OGL__KIND__gang] = {60 * OGL_SEC, rank_by_run, count_service},
+    [OGL__KIND__request] = {10 * OGL_SEC, rank_by_run, count_service},
 };
 
 static const struct kind_rule *
@@ -248,71 +255,72 @@
 {
 	size_t kind = (size_t)it->w.kind;
 
-	/* A message from a newer peer may carry a kind not known here. */
+	/* A message from a newer peer may have a kind unknown here. */
 	if (kind >= G_N_ELEMENTS(kind_rules))
 		kind = OGL__KIND__batch;
 	return &kind_rules[kind];
 }
 
-/* Work that was taken back goes right behind its team's short work.  It must
- * not pass for short: it would overtake the team it had to make way for. */
+/* Preempted work ranks just after its team's short work.  It must not count
+ * as short, or it would overtake the team that it was preempted for. */
 static uint32_t
-rank(struct team *t, const struct ogl_queue_item *it, ogl_time now)
+rank_item(struct team *t, const struct ogl_queue_item *it, ogl_time now)
 {
 	uint32_t level = rule_of(it)->rank(t, it, now);
 
-	return it->w.first ? MIN(level, t->all->short_level + 1) : level;
+	return it->w.first ? MIN(level, t->policy->short_level + 1) : level;
 }
 
 static void
-lane_update(struct team *t)
+update_head(struct team *t)
 {
-	struct lane *l = &g_array_index(t->all->lanes, struct lane, t->at_lane);
+	struct team_head *h =
+	    &g_array_index(t->policy->heads, struct team_head, t->head_index);
 	const struct ogl_queue_item *it;
 
-	l->level = LEVELS;
-	if (t->used == 0)
+	h->level = LEVELS;
+	if (t->used_levels == 0)
 		return;
-	l->level = (uint32_t)__builtin_ctz(t->used);
-	it = ogl_queue_heap_top(&t->level[l->level]);
-	l->since = it->w.since;
-	l->seq = it->seq;
+	h->level = (uint32_t)__builtin_ctz(t->used_levels);
+	it = ogl_queue_heap_top(&t->level[h->level]);
+	h->since = it->w.since;
+	h->seq = it->seq;
 }
 
 static void
-enter(struct team *t, struct ogl_queue_item *it)
+order_insert(struct team *t, struct ogl_queue_item *it)
 {
 	ogl_queue_heap_add(&t->level[it->level], it->w.since, it);
-	t->used |= 1u << it->level;
-	lane_update(t);
+	t->used_levels |= 1u << it->level;
+	update_head(t);
 }
 
 static void
-leave(struct team *t, struct ogl_queue_item *it)
+order_remove(struct team *t, struct ogl_queue_item *it)
 {
 	ogl_queue_heap_del(&t->level[it->level], it);
 	if (t->level[it->level].n == 0)
-		t->used &= ~(1u << it->level);
-	lane_update(t);
+		t->used_levels &= ~(1u << it->level);
+	update_head(t);
 }
 
 static void
-unpass(struct team *t, struct ogl_queue_item *it)
+undefer(struct team *t, struct ogl_queue_item *it)
 {
-	if (it->passed)
-		ogl_fair_pass(t->leaf, -it->rate);
-	it->passed = false;
+	if (it->deferred)
+		ogl_fair_change_deferred(t->leaf, -it->rate);
+	it->deferred = false;
 }
 
 static void
-learned_passed(void *data, struct ogl_queue_item *it, ogl_time now)
+learned_deferred(void *data, struct ogl_queue_item *it, ogl_time now)
 {
-	struct team *t = it->leaf;
+	struct team *t = it->policy_team;
 
 	(void)data;
 	(void)now;
-	ogl_fair_pass(t->leaf, it->rate);
-	it->passed = true;
+	ogl_fair_change_deferred(t->leaf, it->rate);
+	it->deferred = true;
 }
 
 static void
@@ -322,40 +330,40 @@
 
 	if (!it->ranked) {
 		ogl_learn_pushed(t->learn, it->sort, now);
-		it->level = rank(t, it, now);
+		it->level = rank_item(t, it, now);
 		it->ranked = true;
 	}
 	it->aged = false;
-	unpass(t, it);
-	enter(t, it);
-	ogl_fair_wait(t->leaf, now);
+	undefer(t, it);
+	order_insert(t, it);
+	ogl_fair_add_waiting(t->leaf, now);
 }
 
 static void
 learned_unlink(void *data, struct ogl_queue_item *it)
 {
-	struct team *t = it->leaf;
+	struct team *t = it->policy_team;
 
 	(void)data;
-	leave(t, it);
-	ogl_fair_unwait(t->leaf);
+	order_remove(t, it);
+	ogl_fair_remove_waiting(t->leaf);
 }
 
-/* First of the lowest level, after demoting what turned out to be longer
- * than was thought when it was pushed. */
+/* First item of the lowest level, after demoting items whose class has turned
+ * out to take longer than expected when they were pushed. */
 static struct ogl_queue_item *
 shortest(struct team *t, ogl_time now)
 {
 	for (int i = 0;; i++) {
-		uint32_t low = (uint32_t)__builtin_ctz(t->used);
+		uint32_t low = (uint32_t)__builtin_ctz(t->used_levels);
 		struct ogl_queue_item *it = ogl_queue_heap_top(&t->level[low]);
-		uint32_t level = rank(t, it, now);
+		uint32_t level = rank_item(t, it, now);
 
-		if (level <= it->level || i == DEMOTE_MAX)
+		if (level <= it->level || i == DEMOTIONS_MAX)
 			return it;
-		leave(t, it);
+		order_remove(t, it);
 		it->level = level;
-		enter(t, it);
+		order_insert(t, it);
 	}
 }
 
@@ -372,7 +380,7 @@
 {
 	struct ogl_queue_item *best = NULL;
 
-	for (uint32_t bits = t->used; bits != 0; bits &= bits - 1) {
+	for (uint32_t bits = t->used_levels; bits != 0; bits &= bits - 1) {
 		struct ogl_queue_item *it =
 		    ogl_queue_heap_top(&t->level[__builtin_ctz(bits)]);
 
@@ -382,48 +390,48 @@
 	return best;
 }
 
-/* Brings aged_debt up to `now`. */
+/* Updates aged_debt to time `now`. */
 static void
-team_advance(struct team *t, ogl_time now)
+update_aged_debt(struct team *t, ogl_time now)
 {
-	double sec = (double)MAX(now - t->at, 0) / OGL_SEC;
+	double sec = (double)MAX(now - t->aged_debt_at, 0) / OGL_SEC;
 
-	t->aged_debt += sec * (t->aged_held - AGED_PART * t->held);
-	t->aged_debt = MAX(t->aged_debt, -AGED_CREDIT_SEC * t->held);
-	t->at = MAX(t->at, now);
+	t->aged_debt += sec * (t->aged_held - AGED_FRACTION * t->held);
+	t->aged_debt = MAX(t->aged_debt, -AGED_CREDIT_MAX_SEC * t->held);
+	t->aged_debt_at = MAX(t->aged_debt_at, now);
 }
 
-/* One at a time may always go, lest a team with few places never starts any;
- * its debt then keeps the next one back. */
+/* One aged item at a time may always run while there is no debt; otherwise a
+ * team that holds little could never start any.  Its debt delays the next. */
 static bool
-may_age(struct team *t, ogl_time now)
+may_serve_aged(struct team *t, ogl_time now)
 {
-	team_advance(t, now);
+	update_aged_debt(t, now);
 	if (t->aged_debt > 0)
 		return false;
-	return t->aged_held <= 0 || t->aged_held < AGED_PART * t->held;
+	return t->aged_held <= 0 || t->aged_held < AGED_FRACTION * t->held;
 }
 
 static struct ogl_queue_item *
 team_next(struct team *t, ogl_time now)
 {
 	struct ogl_queue_item *it = shortest(t, now);
-	struct ogl_queue_item *old;
-	bool may = may_age(t, now);
+	struct ogl_queue_item *longest;
+	bool aged_allowed = may_serve_aged(t, now);
 
-	if (it->level > t->all->short_level)
-		may |= t->aged_held < AGED_PART_LONG * t->held;
-	if (!may)
+	if (it->level > t->policy->short_level)
+		aged_allowed |= t->aged_held < AGED_FRACTION_LONG * t->held;
+	if (!aged_allowed)
 		return it;
-	old = oldest(t);
-	if (now - old->w.since <= rule_of(old)->age)
+	longest = oldest(t);
+	if (now - longest->w.since <= rule_of(longest)->wait_max)
 		return it;
-	old->aged = true;
-	return old;
+	longest->aged = true;
+	return longest;
 }
 
 static bool
-goes_before(const struct lane *a, const struct lane *b)
+head_before(const struct team_head *a, const struct team_head *b)
 {
 	if (a->level != b->level)
 		return a->level < b->level;
@@ -442,64 +450,68 @@
 	return all;
 }
 
-/* Each team's service by level, all teams brought to the same sum. */
+/* Sums the service of all teams by level, each team normalized to 1. */
 static void
-gather(struct learned *p, double all[LEVELS])
+sum_normalized(struct learned *p, double service[LEVELS])
 {
 	for (guint i = 0; i < p->teams->len; i++) {
 		struct team *t = p->teams->pdata[i];
 		double own = sum(t->service);
 
 		for (size_t k = 0; own > 0 && k < LEVELS; k++)
-			all[k] += t->service[k] / own;
+			service[k] += t->service[k] / own;
 	}
 }
 
-/* Works out anew which levels are short, and how long other work runs. */
+/* Updates which levels are short, and the typical run time of long work. */
 static void
-look(struct learned *p, ogl_time now)
+update_short_level(struct learned *p, ogl_time now)
 {
-	double all[LEVELS] = {0};
+	double service[LEVELS] = {0};
 	struct ogl_queue_split split;
 
-	p->looked = now;
-	gather(p, all);
-	if (!ogl_queue_split(all, LEVELS, &split))
+	p->short_updated_at = now;
+	sum_normalized(p, service);
+	if (!ogl_queue_split(service, LEVELS, &split))
 		return;
 	p->short_level = split.short_level;
-	ogl_fair_scale(p->fair, exp2(split.high_mean) / MS_A_SEC);
+	ogl_fair_set_typical_run(
+	    p->fair, exp2(split.long_mean_level) / MS_PER_SEC);
 }
 
-/* The shortest, then longest waiting, among teams that may overtake. */
+/* First by level, then by wait, of the short items of teams that may
+ * overtake. */
 static struct ogl_queue_item *
-urgent_as_ranked(struct learned *p, ogl_time now)
+pick_overtaking_by_level(struct learned *p, ogl_time now)
 {
-	const struct lane *best = NULL;
+	const struct team_head *best = NULL;
 
-	for (guint i = 0; i < p->lanes->len; i++) {
-		const struct lane *l = &g_array_index(p->lanes, struct lane, i);
+	for (guint i = 0; i < p->heads->len; i++) {
+		const struct team_head *h =
+		    &g_array_index(p->heads, struct team_head, i);
 
-		if (l->level > p->short_level)
+		if (h->level > p->short_level)
 			continue;
-		if (best != NULL && !goes_before(l, best))
+		if (best != NULL && !head_before(h, best))
 			continue;
-		if (ogl_fair_may_overtake(l->team->leaf, now))
-			best = l;
+		if (ogl_fair_may_overtake(h->team->leaf, now))
+			best = h;
 	}
 	if (best == NULL)
 		return NULL;
 	return ogl_queue_heap_top(&best->team->level[best->level]);
 }
 
-/* Looks again when the best turned out to be longer than it was ranked. */
+/* Repeats the choice when the item chosen turned out to be longer than it was
+ * ranked. */
 static struct ogl_queue_item *
-urgent(struct learned *p, ogl_time now)
+pick_overtaking(struct learned *p, ogl_time now)
 {
 	struct ogl_queue_item *it;
 
-	for (int i = 0; i < DEMOTE_MAX; i++) {
-		it = urgent_as_ranked(p, now);
-		if (it == NULL || shortest(it->leaf, now) == it)
+	for (int i = 0; i < DEMOTIONS_MAX; i++) {
+		it = pick_overtaking_by_level(p, now);
+		if (it == NULL || shortest(it->policy_team, now) == it)
 			return it;
 	}
 	return NULL;
@@ -514,34 +526,36 @@
 
 	if (leaf == NULL)
 		return NULL;
-	if (now - p->looked >= SHORT_EVERY)
-		look(p, now);
-	it = urgent(p, now);
-	/* A team whose turn it is overtakes nobody: there, old work may go
-	 * before short work, else short work without end starves it. */
-	if (it == NULL || it->leaf == ogl_fair_data(leaf))
+	if (now - p->short_updated_at >= SHORT_UPDATE_INTERVAL)
+		update_short_level(p, now);
+	it = pick_overtaking(p, now);
+	/* The team whose turn it is doesn't overtake anyone, so its aged items
+	 * may go before its short work; otherwise endless short work would
+	 * starve them. */
+	if (it == NULL || it->policy_team == ogl_fair_data(leaf))
 		it = team_next(ogl_fair_data(leaf), now);
 	learned_unlink(p, it);
 	return it;
 }
 
 static void
-hold(struct team *t, const struct ogl_queue_item *it, double rate, ogl_time now)
+add_held(struct team *t, const struct ogl_queue_item *it, double demand,
+    ogl_time now)
 {
-	team_advance(t, now);
-	t->held = MAX(t->held + rate, 0);
+	update_aged_debt(t, now);
+	t->held = MAX(t->held + demand, 0);
 	if (it->aged)
-		t->aged_held = MAX(t->aged_held + rate, 0);
+		t->aged_held = MAX(t->aged_held + demand, 0);
 }
 
 static void
-learned_gone(void *data, struct ogl_queue_item *it)
+learned_withdrawn(void *data, struct ogl_queue_item *it)
 {
-	struct team *t = it->leaf;
+	struct team *t = it->policy_team;
 
 	(void)data;
-	unpass(t, it);
-	ogl_learn_gone(t->learn, it->sort);
+	undefer(t, it);
+	ogl_learn_withdrawn(t->learn, it->sort);
 }
 
 static void
@@ -550,20 +564,20 @@
 	struct team *t = team_of(data, it);
 
 	ogl_learn_started(t->learn, it->sort, now);
-	ogl_fair_hold(t->leaf, it->rate, now);
-	hold(t, it, it->rate, now);
+	ogl_fair_change_held(t->leaf, it->rate, now);
+	add_held(t, it, it->rate, now);
 }
 
 static void
 learned_ended(void *data, struct ogl_queue_item *it, bool ok, ogl_time now)
 {
-	struct team *t = it->leaf;
+	struct team *t = it->policy_team;
 
 	(void)data;
-	ogl_learn_ended(t->learn, it->sort, now - it->began, ok, now);
+	ogl_learn_ended(t->learn, it->sort, now - it->started_at, ok, now);
 	rule_of(it)->count(t, it, now);
-	ogl_fair_hold(t->leaf, -it->rate, now);
-	hold(t, it, -it->rate, now);
+	ogl_fair_change_held(t->leaf, -it->rate, now);
+	add_held(t, it, -it->rate, now);
 }
 
 const struct ogl_queue_policy ogl_queue_learned = {
@@ -574,8 +588,8 @@
     .push = learned_push,
     .pop = learned_pop,
     .unlink = learned_unlink,
-    .gone = learned_gone,
-    .passed = learned_passed,
+    .withdrawn = learned_withdrawn,
+    .deferred = learned_deferred,
     .started = learned_started,
     .ended = learned_ended,
 };
--- a/src/queue_split.c
+++ b/src/queue_split.c
@@ -1,15 +1,15 @@
 /*
- * Otsu's threshold over a histogram: of all splits into lower and upper
- * levels, the one with the greatest variance between both sides.  Of equal
- * splits the lowest is taken: the levels between two heaps of service then
- * count as long, and a long sort whose guess dips does not pass for short.
+ * Otsu's method on a histogram: of all splits into lower and upper levels, the
+ * one with the greatest between-class variance.  Of equal splits the lowest is
+ * chosen, so that empty levels between two peaks count as long: a long class
+ * of work whose run time estimate drops a little does not become short.
  */
 
 #include "queue_split.h"
 
-#define MARGIN 1e-9 /* splits that differ by less are equal */
+#define RELATIVE_TOLERANCE 1e-9 /* smaller differences count as equal */
 
-/* Sums over some levels. */
+/* Sums over the levels on one side of a split. */
 struct side {
 	double weight;
 	double moment;
@@ -40,20 +40,21 @@
 		add(&all, k, service[k]);
 	for (size_t k = 0; k + 1 < levels; k++) {
 		struct side high;
-		double apart, between;
+		double distance, variance;
 
 		add(&low, k, service[k]);
 		high.weight = all.weight - low.weight;
 		high.moment = all.moment - low.moment;
-		if (low.weight <= 0 || high.weight <= MARGIN * all.weight)
+		if (low.weight <= 0 ||
+		    high.weight <= RELATIVE_TOLERANCE * all.weight)
 			continue;
-		apart = mean(&high) - mean(&low);
-		between = apart * apart * low.weight * high.weight;
-		if (between <= best * (1 + MARGIN))
+		distance = mean(&high) - mean(&low);
+		variance = distance * distance * low.weight * high.weight;
+		if (variance <= best * (1 + RELATIVE_TOLERANCE))
 			continue;
-		best = between;
+		best = variance;
 		split->short_level = (uint32_t)k;
-		split->high_mean = mean(&high);
+		split->long_mean_level = mean(&high);
 	}
 	return best > 0;
 }
--- a/test/test_queue.cc
+++ b/test/test_queue.cc
@@ -1,18 +1,18 @@
-// The order of waiting work, by scripted runs with expected output.
+// Tests the order of waiting work by scripts with expected output.
 //
-// A script (test/scripts/queue_*.txt) holds one command a line; lines that
-// begin with `> ` are the output expected so far.  Commands:
+// A script (test/scripts/queue_*.txt) has one command per line; lines that
+// begin with `> ` are the expected output.  Commands:
 //
 //	team PATH SHARE            at MS
 //	push ID TEAM LABEL KIND [RUN_MS [SINCE_MS]]
 //	pop | back ID | again | remove ID | start ID | end ID [failed]
 //	length | wait
-//	cell SLOTS                 a cell to run work in
-//	burst N FIRST_ID TEAM LABEL KIND RUN_MS    `%` in LABEL is the number
-//	chain N FIRST_ID TEAM LABEL KIND RUN_MS      each when the last ended
-//	run MS                     starts and ends work until then
-//	served                     share of each team of the service so far
-//	longest TEAM LABEL         longest wait to start so far, in seconds
+//	cell SLOTS                 slots that `run` and `chain` use
+//	burst N FIRST_ID TEAM LABEL KIND RUN_MS    `%` in LABEL: 0 to N-1
+//	chain N FIRST_ID TEAM LABEL KIND RUN_MS    each pushed RUN_MS later
+//	run MS                     starts and ends work until the time MS
+//	served                     each team's part of the service so far
+//	longest TEAM LABEL         longest wait before a start, in seconds
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -35,7 +35,7 @@
 struct Work {
 	std::string team, label;
 	Ogl__Kind kind;
-	ogl_time run, since, began;
+	ogl_time run, since, started_at;
 };
 
 class Script
@@ -58,9 +58,9 @@
 	std::map<uint64_t, Work> works;
 	std::set<std::pair<ogl_time, uint64_t>> running;
 	std::map<std::string, double> service;
-	std::map<std::string, ogl_time> longest;
+	std::map<std::string, ogl_time> longest_wait;
 
-	void say(const std::string &s)
+	void print(const std::string &s)
 	{
 		out += s + "\n";
 	}
@@ -69,7 +69,7 @@
 	void start(uint64_t id);
 	void end(uint64_t id, bool ok);
 	void run(ogl_time until);
-	void settle(const Work &w);
+	void charge(const Work &w);
 	void served();
 	void queue_command(const std::string &verb, std::istringstream &in);
 	void cell_command(const std::string &verb, std::istringstream &in);
@@ -129,24 +129,24 @@
 	work.tasks = 1;
 	work.res.cpu_milli = 1000;
 	work.since = w.since;
-	w.began = now;
-	ogl_time &l = longest[w.team + " " + w.label];
+	w.started_at = now;
+	ogl_time &l = longest_wait[w.team + " " + w.label];
 	l = std::max(l, now - w.since);
 	ogl_queue_started(q, &work, now);
 	running.insert({now + w.run, id});
 }
 
 void
-Script::settle(const Work &w)
+Script::charge(const Work &w)
 {
-	service[w.team] += static_cast<double>(now - w.began);
+	service[w.team] += static_cast<double>(now - w.started_at);
 }
 
 void
 Script::end(uint64_t id, bool ok)
 {
-	settle(works[id]);
-	running.erase({works[id].began + works[id].run, id});
+	charge(works[id]);
+	running.erase({works[id].started_at + works[id].run, id});
 	ogl_queue_ended(q, id, ok, now);
 }
 
@@ -174,12 +174,12 @@
 
 	for (auto &r : running)
 		s[works[r.second].team] +=
-		    static_cast<double>(now - works[r.second].began);
+		    static_cast<double>(now - works[r.second].started_at);
 	for (auto &t : s)
 		all += t.second;
 	for (auto &t : s)
-		say(t.first + " " +
-		    std::to_string(std::lround(100 * t.second / all)) + "%");
+		print(t.first + " " +
+		      std::to_string(std::lround(100 * t.second / all)) + "%");
 }
 
 void
@@ -189,20 +189,20 @@
 	std::string word;
 
 	if (verb == "pop") {
-		say(pop(&id) ? "pop " + std::to_string(id) : "pop nothing");
+		print(pop(&id) ? "pop " + std::to_string(id) : "pop nothing");
 	} else if (verb == "again") {
 		ogl_queue_again(q, now);
 	} else if (verb == "length") {
-		say("length " + std::to_string(ogl_queue_length(q)));
+		print("length " + std::to_string(ogl_queue_length(q)));
 	} else if (verb == "wait") {
-		say("wait " + std::to_string(ogl_queue_wait_ms(q, now)));
+		print("wait " + std::to_string(ogl_queue_wait_ms(q, now)));
 	} else {
 		in >> id >> word;
 		if (verb == "back")
 			ogl_queue_back(q, id, now);
 		else if (verb == "remove")
-			say(ogl_queue_remove(q, id) ? "removed"
-						    : "not waiting");
+			print(ogl_queue_remove(q, id) ? "removed"
+						      : "not waiting");
 		else if (verb == "start")
 			start(id);
 		else if (verb == "end")
@@ -235,8 +235,9 @@
 		served();
 	} else if (verb == "longest") {
 		in >> team >> label;
-		say("longest " +
-		    std::to_string(longest[team + " " + label] / OGL_SEC));
+		print(
+		    "longest " +
+		    std::to_string(longest_wait[team + " " + label] / OGL_SEC));
 	} else if (verb == "push") {
 		in >> id >> team >> label >> kind;
 		if (in >> ms)
@@ -319,9 +320,9 @@
 INSTANTIATE_TEST_SUITE_P(Scripts, QueueScript, testing::ValuesIn(scripts()),
     [](const testing::TestParamInfo<std::string> &i) { return i.param; });
 
-// More than half of the service is short work, some is long, and a little lies
-// between.  Were the limit a fixed part of service or drawn too high, either
-// no work or long work would overtake others.
+// More than half of the service goes to short work, some to long work and a
+// little in between.  If the boundary were a fixed part of the service, or too
+// high, either no work or long work would overtake other teams.
 TEST(Queue, SplitsShortFromLongAtTheGap)
 {
 	const double service[10] = {0, 0, 40, 20, 0, 0, 0, 1, 30, 9};
@@ -331,16 +332,16 @@
 	EXPECT_FALSE(ogl_queue_split(one, 10, &split));
 	ASSERT_TRUE(ogl_queue_split(service, 10, &split));
 	EXPECT_EQ(3u, split.short_level);
-	EXPECT_NEAR(8.2, split.high_mean, 0.01);
+	EXPECT_NEAR(8.2, split.long_mean_level, 0.01);
 }
 
-// A caller that loses or repeats work, or whose pops and puts back come in an
-// order nobody thought of, must find each piece exactly once.  Random calls
-// against a plain model of what waits.
+// Random calls, compared with a simple model of the waiting work.  Every item
+// must be popped exactly once, even if the caller loses or repeats work or
+// calls in an unusual order.
 TEST(Queue, HoldsEachPieceExactlyOnce)
 {
 	struct ogl_queue *q = ogl_queue_init(&ogl_queue_learned, 5);
-	std::set<uint64_t> waiting, passed, running;
+	std::set<uint64_t> waiting, deferred, running;
 	std::map<uint64_t, ogl_time> since;
 	uint64_t state = 1, id = 0;
 	ogl_time now = OGL_SEC;
@@ -374,26 +375,27 @@
 			ASSERT_EQ(1u, waiting.erase(w.id));
 			if (draw(3) == 0) {
 				ogl_queue_back(q, w.id, now);
-				passed.insert(w.id);
+				deferred.insert(w.id);
 			} else {
 				ogl_queue_started(q, &w, now);
 				running.insert(w.id);
 			}
 		} else if (op == 8 && id != 0) {
 			uint64_t k = 1 + draw(id);
-			bool had = waiting.erase(k) + passed.erase(k) != 0;
+			bool had = waiting.erase(k) + deferred.erase(k) != 0;
 			ASSERT_EQ(had, ogl_queue_remove(q, k));
 		} else if (!running.empty()) {
 			ogl_queue_ended(q, *running.begin(), draw(2), now);
 			running.erase(running.begin());
 			ogl_queue_again(q, now);
-			waiting.insert(passed.begin(), passed.end());
-			passed.clear();
+			waiting.insert(deferred.begin(), deferred.end());
+			deferred.clear();
 		}
-		ASSERT_EQ(waiting.size() + passed.size(), ogl_queue_length(q));
+		ASSERT_EQ(
+		    waiting.size() + deferred.size(), ogl_queue_length(q));
 	}
 	ogl_time oldest = now;
-	for (const auto &set : {waiting, passed})
+	for (const auto &set : {waiting, deferred})
 		for (uint64_t k : set)
 			oldest = std::min(oldest, since[k]);
 	EXPECT_EQ(static_cast<uint64_t>((now - oldest) / OGL_MS),
