--- a/src/queue_learned.c
+++ b/src/queue_learned.c
@@ -38,9 +38,9 @@
 #include "queue.h"
 #include "queue_split.h"
 
-#define LEVELS 24
+#define LEVELS 24 /* the last holds all run times from 2^23 ms */
 #define MS_PER_SEC 1000.0
-#define SHORT_LEVEL_INITIAL 6 /* until there is service to split */
+#define SHORT_LEVEL_INITIAL 6 /* until there is service to split; < 128 ms */
 #define SHORT_UPDATE_INTERVAL OGL_SEC
 #define SERVICE_HALVE_ITEMS 1024 /* ended items between halvings of service */
 #define AWAITED_BOOST_LEVELS 1u  /* by which awaited work ranks shorter */
