--- a/src/metrics.h
+++ b/src/metrics.h
@@ -26,7 +26,7 @@
 	X(jobs, "jobs_accepted_total", "jobs recorded on the log")             \
 	X(starts, "task_starts_total", "start commands for tasks")             \
 	X(ends, "task_ends_total", "tasks that ended, whatever the outcome")   \
-	X(lapses, "task_lapses_total", "tasks lost because a lease expired")   \
+	X(lapses, "task_lapses_total", "tasks lost with their worker")         \
 	X(task_stops, "task_stops_total", "tasks told to stop")                \
 	X(lend_taken, "lent_taken_total",                                      \
 	    "tasks taken back from teams above their share")                   \
