--- a/src/metrics.h
+++ b/src/metrics.h
@@ -1,4 +1,4 @@
-/* Counters of a node and their Prometheus text form. */
+/* Counters of a node and their Prometheus text format. */
 
 #ifndef OGL_METRICS_H
 #define OGL_METRICS_H
@@ -6,7 +6,7 @@
 #include <glib.h>
 #include <stdint.h>
 
-/* One line a counter: field, metric name, help. */
+/* One entry per counter: field, metric name, help text. */
 #define OGL_COUNTERS(X)                                                        \
 	X(calls, "calls_total", "calls taken from callers and operators")      \
 	X(denied, "denied_total", "calls with an unknown or withdrawn key")    \
@@ -27,7 +27,7 @@
 	X(starts, "task_starts_total", "start commands for tasks")             \
 	X(ends, "task_ends_total", "tasks that ended, by any end")             \
 	X(lapses, "task_lapses_total", "tasks lost with their lease")          \
-	X(preempts, "task_stops_total", "tasks told to stop")                  \
+	X(task_stops, "task_stops_total", "tasks told to stop")                \
 	X(lend_taken, "lent_taken_total",                                      \
 	    "tasks taken back from teams above their share")                   \
 	X(lend_lost_ms, "lent_lost_ms_total",                                  \
@@ -54,9 +54,10 @@
 };
 
 void ogl_metrics_text(const struct ogl_counters *c, GString *to);
-/* Appends every counter with its help. */
+/* Appends every counter with its help text to `to`. */
 
 void ogl_metrics_gauge(
     GString *to, const char *name, const char *help, uint64_t value);
+/* Appends one gauge. */
 
 #endif
