--- a/src/route.c
+++ b/src/route.c
@@ -1,23 +1,25 @@
 /*
  * Routing of short requests to executors.
  *
- * A request goes to the target with the least expected time to its end among
- * a few drawn by chance.  The draw is what makes stale views harmless: nodes
+ * A request goes to the target with the least expected completion time among
+ * a few chosen at random.  Random choice keeps stale views harmless: nodes
  * that see the same idle target do not all send there at once.  The expected
- * time is the learned service time (an average that moves with each answer,
- * or the age of the oldest request there if that is longer) times the load
- * by slot: own requests in flight and what others are thought to have there.
- * Others' load is learned from refusals, which say that the target was full,
- * and fades.  A target of another zone must be clearly better.
+ * time is the learned service time (a moving average over answers, or the age
+ * of the oldest request there if that is longer) times the load per slot,
+ * which counts own requests in flight and an estimate of those of other
+ * nodes.  The estimate comes from refusals, which show that the target was
+ * full, and decays.  A target in another zone must be clearly better.
  *
- * Each target has a limit of own requests in flight, found by additive
- * increase and multiplicative decrease on refusals, never above its slots.
+ * The limit of own requests in flight on a target is found by additive
+ * increase and by multiplicative decrease on refusals.  It never exceeds the
+ * target's slots.
  *
- * Breaker: a run of failures sets a target aside for a delay that doubles,
- * then one request probes it.  At most half the targets are set aside, since
- * a failure of all has a common cause that no choice of target mends.  Whose
- * fault a failure is, is told by route_blame.c; the rate at which requests
- * leave is kept by route_drain.c.
+ * Circuit breaker: consecutive failures open a target's breaker for a delay
+ * that doubles each time, then one request probes the target.  At most half
+ * of the breakers are open, since a failure of all targets has a common cause
+ * that no choice of target avoids.  route_blame.c decides whether a failure
+ * is the target's fault; route_drain.c measures the rate at which requests
+ * complete.
  */
 
 #include <string.h>
@@ -25,52 +27,52 @@
 #include "budget.h"
 #include "route.h"
 
-#define CHOICES 4                   /* targets compared a decision */
-#define SERVICE_GAIN 0.1            /* of one answer in the average */
-#define SERVICE_FIRST 20000.0       /* us, before any answer at all */
-#define SERVICE_LIFE (10 * OGL_SEC) /* after which an average is stale */
-#define OTHER_ZONE 1.15             /* how much better another zone must be */
-#define OTHERS_FADE 0.95            /* of others' load, an answer */
-#define OTHERS_LIFE (2 * OGL_SEC)   /* after which a refusal says nothing */
-#define LIMIT_CUT 0.9               /* of the limit, a refusal */
-#define LIMIT_LEAST 2.0             /* which refusals leave */
-#define FAILS_ASIDE 5               /* in a row that set a target aside */
-#define FAILS_LIFE (5 * OGL_SEC)    /* after which they no longer deter */
-#define REFUSALS_ASIDE 8
-#define ASIDE_BASE (1 * OGL_SEC)
-#define ASIDE_DOUBLINGS 6
-#define WAIT_UNKNOWN_MS 2000 /* no target, nothing known */
+#define CANDIDATES 4                    /* targets compared for each request */
+#define SERVICE_TIME_WEIGHT 0.1         /* of one answer in the average */
+#define SERVICE_TIME_INITIAL_US 20000.0 /* before the first answer */
+#define SERVICE_TIME_EXPIRY (10 * OGL_SEC)
+#define OTHER_ZONE_PENALTY 1.15 /* factor on the expected time */
+#define OTHERS_DECAY 0.95       /* factor on others' load for each answer */
+#define OTHERS_EXPIRY (2 * OGL_SEC)
+#define LIMIT_DECREASE 0.9            /* factor on the limit for each refusal */
+#define LIMIT_MIN 2.0                 /* refusals do not lower it further */
+#define FAILURES_TO_OPEN 5            /* consecutive, open the breaker */
+#define FAILURES_EXPIRY (5 * OGL_SEC) /* of the penalty for failures */
+#define REFUSALS_TO_OPEN 8            /* consecutive, open the breaker */
+#define OPEN_DELAY_MIN (1 * OGL_SEC)
+#define OPEN_DELAY_DOUBLINGS_MAX 6
+#define WAIT_NO_TARGET_MS 2000 /* no active target and no probe due */
 #define WAIT_MAX_MS 60000
 #define WAIT_MIN_MS 20
 
-enum aside {
-	ASIDE_NOT,
-	ASIDE_WAITS,  /* until its delay is over, then it may be probed */
-	ASIDE_PROBING /* one request is out */
+enum breaker {
+	BREAKER_CLOSED,
+	BREAKER_OPEN,     /* may be probed once its delay is over */
+	BREAKER_HALF_OPEN /* one probing request is in flight */
 };
 
-struct flight {
+struct in_flight {
 	uint64_t request;
 	ogl_time since;
 };
 
 struct target {
 	char *name;
-	struct flight *flights; /* oldest first */
-	uint32_t nflights, room;
+	struct in_flight *in_flight; /* oldest first */
+	uint32_t n_in_flight, in_flight_capacity;
 	uint32_t slots;
-	double limit;   /* own requests in flight */
-	double service; /* us, moving average */
+	double limit;           /* of own requests in flight */
+	double service_time_us; /* moving average, 0 before any answer */
 	ogl_time answered_at;
 	ogl_time failed_at;
-	double others; /* others' requests there, as of the last refusal */
+	double others; /* requests of other nodes at the last refusal */
 	ogl_time others_at;
-	ogl_time aside_due;
-	uint32_t active;  /* index in the list of active, when in it */
-	uint8_t aside;    /* enum aside */
-	uint8_t fails;    /* in a row */
-	uint8_t refusals; /* in a row */
-	uint8_t strikes;  /* times set aside without an answer since */
+	ogl_time probe_at;
+	uint32_t active_index; /* in the list of active, while in it */
+	uint8_t breaker;       /* enum breaker */
+	uint8_t failures;      /* consecutive */
+	uint8_t refusals;      /* consecutive */
+	uint8_t openings;      /* of the breaker since the last answer */
 	bool known;
 	bool leaving;
 	bool own_zone;
@@ -79,18 +81,18 @@
 struct ogl_route {
 	char *own_zone;
 	struct target *targets;
-	uint32_t n, room;
-	GArray *spare;      /* uint32_t, numbers to give again */
-	GHashTable *byname; /* name -> number */
-	GArray *active;     /* uint32_t, those that may get requests */
-	uint32_t naside;    /* set aside, not leaving or gone */
-	ogl_time probe_due; /* earliest aside_due, OGL_NEVER for none */
+	uint32_t ntargets, targets_capacity;
+	GArray *free_numbers; /* uint32_t, numbers of removed targets */
+	GHashTable *by_name;  /* name -> number */
+	GArray *active;       /* uint32_t, those that may get requests */
+	uint32_t n_tripped;   /* breaker not closed, known and not leaving */
+	ogl_time next_probe;  /* earliest probe_at, OGL_NEVER for none */
 	struct ogl_blame blame;
-	double service; /* us, average over all targets */
+	double service_time_us; /* average over all targets */
 	struct ogl_budget budget;
-	bool begun; /* the budget knows the time */
+	bool budget_started;
 	struct ogl_drain drain;
-	uint64_t rnd;
+	uint64_t random_state;
 };
 
 static uint32_t
@@ -98,8 +100,8 @@
 {
 	uint64_t x;
 
-	r->rnd += 0x9e3779b97f4a7c15u;
-	x = (r->rnd ^ (r->rnd >> 30)) * 0xbf58476d1ce4e5b9u;
+	r->random_state += 0x9e3779b97f4a7c15u;
+	x = (r->random_state ^ (r->random_state >> 30)) * 0xbf58476d1ce4e5b9u;
 	x = (x ^ (x >> 27)) * 0x94d049bb133111ebu;
 	return (uint32_t)(x >> 32);
 }
@@ -107,85 +109,85 @@
 static bool
 known(const struct ogl_route *r, uint32_t t)
 {
-	return t < r->n && r->targets[t].known;
+	return t < r->ntargets && r->targets[t].known;
 }
 
-/* ---- which targets are in use ----------------------------------------- */
+/* ---- active targets and breakers -------------------------------------- */
 
 static void
 activate(struct ogl_route *r, uint32_t t)
 {
-	r->targets[t].active = r->active->len;
+	r->targets[t].active_index = r->active->len;
 	g_array_append_val(r->active, t);
 }
 
 static void
 deactivate(struct ogl_route *r, uint32_t t)
 {
-	uint32_t i = r->targets[t].active;
+	uint32_t i = r->targets[t].active_index;
 	uint32_t last = g_array_index(r->active, uint32_t, r->active->len - 1);
 
 	g_array_index(r->active, uint32_t, i) = last;
-	r->targets[last].active = i;
+	r->targets[last].active_index = i;
 	g_array_set_size(r->active, r->active->len - 1);
 }
 
 static bool
-in_use(const struct target *k)
+is_active(const struct target *k)
 {
-	return k->known && !k->leaving && k->aside == ASIDE_NOT;
+	return k->known && !k->leaving && k->breaker == BREAKER_CLOSED;
 }
 
 static void
-find_probe_due(struct ogl_route *r)
+find_next_probe(struct ogl_route *r)
 {
 	const struct target *k;
 	uint32_t i;
 
-	r->probe_due = OGL_NEVER;
-	for (i = 0; i < r->n; i++) {
+	r->next_probe = OGL_NEVER;
+	for (i = 0; i < r->ntargets; i++) {
 		k = &r->targets[i];
-		if (k->known && !k->leaving && k->aside == ASIDE_WAITS)
-			r->probe_due = MIN(r->probe_due, k->aside_due);
+		if (k->known && !k->leaving && k->breaker == BREAKER_OPEN)
+			r->next_probe = MIN(r->next_probe, k->probe_at);
 	}
 }
 
 static void
-set_state(struct ogl_route *r, uint32_t t, enum aside aside, bool leaving)
+set_state(struct ogl_route *r, uint32_t t, enum breaker breaker, bool leaving)
 {
 	struct target *k = &r->targets[t];
-	bool before = in_use(k);
+	bool was_active = is_active(k);
 
-	if (k->aside == aside && k->leaving == leaving)
+	if (k->breaker == breaker && k->leaving == leaving)
 		return;
-	r->naside -= !k->leaving && k->aside != ASIDE_NOT;
-	k->aside = (uint8_t)aside;
+	r->n_tripped -= !k->leaving && k->breaker != BREAKER_CLOSED;
+	k->breaker = (uint8_t)breaker;
 	k->leaving = leaving;
-	r->naside += !k->leaving && k->aside != ASIDE_NOT;
-	if (before && !in_use(k))
+	r->n_tripped += !k->leaving && k->breaker != BREAKER_CLOSED;
+	if (was_active && !is_active(k))
 		deactivate(r, t);
-	else if (!before && in_use(k))
+	else if (!was_active && is_active(k))
 		activate(r, t);
-	find_probe_due(r);
+	find_next_probe(r);
 }
 
 static void
-set_aside(struct ogl_route *r, uint32_t t, ogl_time now)
+open_breaker(struct ogl_route *r, uint32_t t, ogl_time now)
 {
 	struct target *k = &r->targets[t];
-	unsigned doublings = MIN(k->strikes, ASIDE_DOUBLINGS);
+	unsigned doublings = MIN(k->openings, OPEN_DELAY_DOUBLINGS_MAX);
 
-	if (k->strikes <= ASIDE_DOUBLINGS)
-		k->strikes++;
-	k->aside_due = now + ASIDE_BASE * ((ogl_time)1 << doublings);
-	set_state(r, t, ASIDE_WAITS, k->leaving);
+	if (k->openings <= OPEN_DELAY_DOUBLINGS_MAX)
+		k->openings++;
+	k->probe_at = now + OPEN_DELAY_MIN * ((ogl_time)1 << doublings);
+	set_state(r, t, BREAKER_OPEN, k->leaving);
 }
 
-/* At most half of the targets are set aside. */
+/* At most half of the breakers are open. */
 static bool
-may_set_aside(const struct ogl_route *r)
+may_open_breaker(const struct ogl_route *r)
 {
-	return r->naside < (r->active->len + r->naside) / 2;
+	return r->n_tripped < (r->active->len + r->n_tripped) / 2;
 }
 
 /* ---- targets ---------------------------------------------------------- */
@@ -195,16 +197,18 @@
 {
 	uint32_t t;
 
-	if (r->spare->len > 0) {
-		t = g_array_index(r->spare, uint32_t, r->spare->len - 1);
-		g_array_set_size(r->spare, r->spare->len - 1);
+	if (r->free_numbers->len > 0) {
+		t = g_array_index(
+		    r->free_numbers, uint32_t, r->free_numbers->len - 1);
+		g_array_set_size(r->free_numbers, r->free_numbers->len - 1);
 		return t;
 	}
-	if (r->n == r->room) {
-		r->room = r->room * 2 + 8;
-		r->targets = g_renew(struct target, r->targets, r->room);
+	if (r->ntargets == r->targets_capacity) {
+		r->targets_capacity = r->targets_capacity * 2 + 8;
+		r->targets =
+		    g_renew(struct target, r->targets, r->targets_capacity);
 	}
-	return r->n++;
+	return r->ntargets++;
 }
 
 static uint32_t
@@ -216,7 +220,7 @@
 	memset(k, 0, sizeof(*k));
 	k->name = g_strdup(name);
 	k->known = true;
-	g_hash_table_insert(r->byname, k->name, GUINT_TO_POINTER(t));
+	g_hash_table_insert(r->by_name, k->name, GUINT_TO_POINTER(t));
 	activate(r, t);
 	return t;
 }
@@ -230,7 +234,7 @@
 	uint32_t t;
 
 	(void)now;
-	if (g_hash_table_lookup_extended(r->byname, name, NULL, &v))
+	if (g_hash_table_lookup_extended(r->by_name, name, NULL, &v))
 		t = GPOINTER_TO_UINT(v);
 	else
 		t = new_target(r, name);
@@ -241,7 +245,7 @@
 		k->slots = slots;
 		k->limit = slots;
 	}
-	set_state(r, t, k->aside, leaving);
+	set_state(r, t, k->breaker, leaving);
 	return t;
 }
 
@@ -253,60 +257,66 @@
 	if (!known(r, t))
 		return;
 	k = &r->targets[t];
-	set_state(r, t, ASIDE_NOT, true);
-	g_hash_table_remove(r->byname, k->name);
+	set_state(r, t, BREAKER_CLOSED, true);
+	g_hash_table_remove(r->by_name, k->name);
 	g_free(k->name);
-	g_free(k->flights);
+	g_free(k->in_flight);
 	memset(k, 0, sizeof(*k));
-	g_array_append_val(r->spare, t);
+	g_array_append_val(r->free_numbers, t);
 }
 
-/* ---- picking ---------------------------------------------------------- */
+/* ---- selection -------------------------------------------------------- */
 
 static uint32_t
-places(const struct target *k)
+free_places(const struct target *k)
 {
 	uint32_t limit = (uint32_t)k->limit;
 
-	return limit > k->nflights ? limit - k->nflights : 0;
+	return limit > k->n_in_flight ? limit - k->n_in_flight : 0;
 }
 
-/* What is left after some time of something that fades over a life. */
+/* The part, 1 to 0, that is left of a value that decays until it expires. */
 static double
-fade(ogl_time since, ogl_time life, ogl_time now)
+decay(ogl_time since, ogl_time expiry, ogl_time now)
 {
-	double left = 1 - (double)(now - since) / (double)life;
+	double left = 1 - (double)(now - since) / (double)expiry;
 
 	return left > 0 ? left : 0;
 }
 
 /*
- * Learned service time.  A target that is not chosen teaches nothing, so its
- * average returns to that of all; else one slow spell would shut it out.
+ * Learned service time.  A target that is not chosen gives no new answers, so
+ * its average decays to the average over all targets.  Otherwise a target
+ * that was slow once would never be chosen again.
  */
 static double
-service_now(const struct ogl_route *r, const struct target *k, ogl_time now)
+current_service_time(
+    const struct ogl_route *r, const struct target *k, ogl_time now)
 {
-	double all = r->service > 0 ? r->service : SERVICE_FIRST;
+	double all = r->service_time_us > 0 ? r->service_time_us
+					    : SERVICE_TIME_INITIAL_US;
 
-	if (k->service <= 0)
+	if (k->service_time_us <= 0)
 		return all;
-	return all +
-	       (k->service - all) * fade(k->answered_at, SERVICE_LIFE, now);
+	return all + (k->service_time_us - all) *
+			 decay(k->answered_at, SERVICE_TIME_EXPIRY, now);
 }
 
-/* Expected time to the end of one more request there; less is better. */
+/* Expected time until one more request to the target completes. */
 static double
-expected(const struct ogl_route *r, const struct target *k, ogl_time now)
+expected_time(const struct ogl_route *r, const struct target *k, ogl_time now)
 {
-	double service = service_now(r, k, now);
-	double age = k->nflights > 0 ? (double)(now - k->flights[0].since) : 0;
-	double others = k->others * fade(k->others_at, OTHERS_LIFE, now);
-	double load = k->nflights + others + 1;
+	double service_time = current_service_time(r, k, now);
+	double age =
+	    k->n_in_flight > 0 ? (double)(now - k->in_flight[0].since) : 0;
+	double others = k->others * decay(k->others_at, OTHERS_EXPIRY, now);
+	double load = k->n_in_flight + others + 1;
 
-	service = MAX(service, age);
-	service *= 1 + k->fails * fade(k->failed_at, FAILS_LIFE, now);
-	return service * (1 + load / k->slots) * (k->own_zone ? 1 : OTHER_ZONE);
+	service_time = MAX(service_time, age);
+	service_time *=
+	    1 + k->failures * decay(k->failed_at, FAILURES_EXPIRY, now);
+	return service_time * (1 + load / k->slots) *
+	       (k->own_zone ? 1 : OTHER_ZONE_PENALTY);
 }
 
 static bool
@@ -321,50 +331,52 @@
 	return false;
 }
 
-/* The best of a few targets drawn by chance that have a place. */
+/* The best of a few targets with a free place, chosen at random. */
 static bool
-draw(struct ogl_route *r, const uint32_t *tried, size_t ntried, ogl_time now,
-    uint32_t *best)
+choose_random(struct ogl_route *r, const uint32_t *tried, size_t ntried,
+    ogl_time now, uint32_t *best)
 {
-	uint32_t n = r->active->len, seen = 0, i, j, t;
+	uint32_t n = r->active->len, ncandidates = 0, i, j, t;
 	double score, least = 0;
 
-	/* A partial shuffle in place: each step draws one not drawn yet. */
-	for (i = 0; i < n && seen < CHOICES; i++) {
+	/* A partial Fisher-Yates shuffle: no target is considered twice. */
+	for (i = 0; i < n && ncandidates < CANDIDATES; i++) {
 		j = i + next_random(r) % (n - i);
 		t = g_array_index(r->active, uint32_t, j);
 		g_array_index(r->active, uint32_t, j) =
 		    g_array_index(r->active, uint32_t, i);
-		r->targets[g_array_index(r->active, uint32_t, j)].active = j;
+		r->targets[g_array_index(r->active, uint32_t, j)].active_index =
+		    j;
 		g_array_index(r->active, uint32_t, i) = t;
-		r->targets[t].active = i;
-		if (places(&r->targets[t]) == 0 || was_tried(tried, ntried, t))
+		r->targets[t].active_index = i;
+		if (free_places(&r->targets[t]) == 0 ||
+		    was_tried(tried, ntried, t))
 			continue;
-		score = expected(r, &r->targets[t], now);
-		if (seen == 0 || score < least) {
+		score = expected_time(r, &r->targets[t], now);
+		if (ncandidates == 0 || score < least) {
 			least = score;
 			*best = t;
 		}
-		seen++;
+		ncandidates++;
 	}
-	return seen > 0;
+	return ncandidates > 0;
 }
 
-/* A target whose delay is over and that may be probed by this request. */
+/* Finds an open breaker whose delay is over and that the request may probe. */
 static bool
-due_for_probe(struct ogl_route *r, const uint32_t *tried, size_t ntried,
+find_probe(struct ogl_route *r, const uint32_t *tried, size_t ntried,
     ogl_time now, uint32_t *t)
 {
 	const struct target *k;
 	uint32_t i;
 
-	if (now < r->probe_due)
+	if (now < r->next_probe)
 		return false;
-	for (i = 0; i < r->n; i++) {
+	for (i = 0; i < r->ntargets; i++) {
 		k = &r->targets[i];
-		if (!k->known || k->leaving || k->aside != ASIDE_WAITS)
+		if (!k->known || k->leaving || k->breaker != BREAKER_OPEN)
 			continue;
-		if (now < k->aside_due || was_tried(tried, ntried, i))
+		if (now < k->probe_at || was_tried(tried, ntried, i))
 			continue;
 		*t = i;
 		return true;
@@ -373,54 +385,56 @@
 }
 
 static void
-fly(struct target *k, uint64_t request, ogl_time now)
+add_in_flight(struct target *k, uint64_t request, ogl_time now)
 {
-	if (k->nflights == k->room) {
-		k->room = k->room * 2 + 4;
-		k->flights = g_renew(struct flight, k->flights, k->room);
+	if (k->n_in_flight == k->in_flight_capacity) {
+		k->in_flight_capacity = k->in_flight_capacity * 2 + 4;
+		k->in_flight = g_renew(
+		    struct in_flight, k->in_flight, k->in_flight_capacity);
 	}
-	k->flights[k->nflights].request = request;
-	k->flights[k->nflights++].since = now;
+	k->in_flight[k->n_in_flight].request = request;
+	k->in_flight[k->n_in_flight++].since = now;
 }
 
 bool
 ogl_route_pick(struct ogl_route *r, uint64_t request, const uint32_t *tried,
     size_t ntried, ogl_time now, uint32_t *t)
 {
-	if (due_for_probe(r, tried, ntried, now, t)) {
-		set_state(r, *t, ASIDE_PROBING, false);
-	} else if (!draw(r, tried, ntried, now, t)) {
-		ogl_drain_short(&r->drain, now);
+	if (find_probe(r, tried, ntried, now, t)) {
+		set_state(r, *t, BREAKER_HALF_OPEN, false);
+	} else if (!choose_random(r, tried, ntried, now, t)) {
+		ogl_drain_note_full(&r->drain, now);
 		return false;
 	}
-	fly(&r->targets[*t], request, now);
+	add_in_flight(&r->targets[*t], request, now);
 	return true;
 }
 
 /* ---- answers ---------------------------------------------------------- */
 
-/* Takes a request out of a target's flights; false when it is not there. */
+/* Removes a request from those in flight on a target; false if not found. */
 static bool
-land(struct target *k, uint64_t request, ogl_time *since)
+remove_in_flight(struct target *k, uint64_t request, ogl_time *since)
 {
 	uint32_t i;
 
-	for (i = 0; i < k->nflights && k->flights[i].request != request; i++)
+	for (i = 0; i < k->n_in_flight && k->in_flight[i].request != request;
+	     i++)
 		;
-	if (i == k->nflights)
+	if (i == k->n_in_flight)
 		return false;
-	*since = k->flights[i].since;
-	k->nflights--;
-	memmove(&k->flights[i], &k->flights[i + 1],
-	    (k->nflights - i) * sizeof(*k->flights));
+	*since = k->in_flight[i].since;
+	k->n_in_flight--;
+	memmove(&k->in_flight[i], &k->in_flight[i + 1],
+	    (k->n_in_flight - i) * sizeof(*k->in_flight));
 	return true;
 }
 
 static void
-learn(double *average, double took)
+update_average(double *average, double took)
 {
 	if (*average > 0)
-		*average += SERVICE_GAIN * (took - *average);
+		*average += SERVICE_TIME_WEIGHT * (took - *average);
 	else
 		*average = took;
 }
@@ -431,20 +445,20 @@
 	struct target *k = &r->targets[t];
 	double took = MAX((double)(now - since), 1);
 
-	learn(&k->service, took);
-	learn(&r->service, took);
+	update_average(&k->service_time_us, took);
+	update_average(&r->service_time_us, took);
 	k->answered_at = now;
-	if (k->nflights + 1 >= (uint32_t)k->limit)
+	if (k->n_in_flight + 1 >= (uint32_t)k->limit)
 		k->limit = MIN(k->limit + 1 / k->limit, k->slots);
-	k->others *= OTHERS_FADE;
-	k->fails = 0;
+	k->others *= OTHERS_DECAY;
+	k->failures = 0;
 	k->refusals = 0;
-	k->strikes = 0;
+	k->openings = 0;
 	ogl_budget_success(&r->budget);
-	if (k->aside == ASIDE_PROBING) {
-		/* Back with one place; more come as answers do. */
+	if (k->breaker == BREAKER_HALF_OPEN) {
+		/* The limit starts at one and grows with the answers. */
 		k->limit = 1;
-		set_state(r, t, ASIDE_NOT, k->leaving);
+		set_state(r, t, BREAKER_CLOSED, k->leaving);
 	}
 }
 
@@ -453,59 +467,59 @@
 {
 	struct target *k = &r->targets[t];
 
-	k->limit = MIN(k->limit, k->nflights + 1) * LIMIT_CUT;
-	k->limit = MIN(MAX(k->limit, LIMIT_LEAST), k->slots);
-	k->others = k->slots > k->nflights ? k->slots - k->nflights : 0;
+	k->limit = MIN(k->limit, k->n_in_flight + 1) * LIMIT_DECREASE;
+	k->limit = MIN(MAX(k->limit, LIMIT_MIN), k->slots);
+	k->others = k->slots > k->n_in_flight ? k->slots - k->n_in_flight : 0;
 	k->others_at = now;
 	if (k->refusals < UINT8_MAX)
 		k->refusals++;
-	if (k->aside == ASIDE_PROBING ||
-	    (k->aside == ASIDE_NOT && k->nflights == 0 &&
-		k->refusals >= REFUSALS_ASIDE && may_set_aside(r)))
-		set_aside(r, t, now);
+	if (k->breaker == BREAKER_HALF_OPEN ||
+	    (k->breaker == BREAKER_CLOSED && k->n_in_flight == 0 &&
+		k->refusals >= REFUSALS_TO_OPEN && may_open_breaker(r)))
+		open_breaker(r, t, now);
 }
 
-/* A failure already counted against t was the request's own. */
+/* Takes back a counted failure of t: the request was at fault. */
 static void
-unblame(struct ogl_route *r, uint32_t t)
+take_back_failure(struct ogl_route *r, uint32_t t)
 {
 	struct target *k = &r->targets[t];
 
-	if (!known(r, t) || k->fails == 0)
+	if (!known(r, t) || k->failures == 0)
 		return;
-	k->fails--;
-	if (k->aside != ASIDE_WAITS || k->fails >= FAILS_ASIDE)
+	k->failures--;
+	if (k->breaker != BREAKER_OPEN || k->failures >= FAILURES_TO_OPEN)
 		return;
-	k->strikes -= k->strikes > 0;
-	set_state(r, t, ASIDE_NOT, k->leaving);
+	k->openings -= k->openings > 0;
+	set_state(r, t, BREAKER_CLOSED, k->leaving);
 }
 
 static void
-failed(struct ogl_route *r, uint32_t t, uint64_t request, bool unreached,
+failed(struct ogl_route *r, uint32_t t, uint64_t request, bool not_sent,
     ogl_time now)
 {
 	struct target *k = &r->targets[t];
 	bool blamed = true;
-	uint32_t before;
+	uint32_t cleared;
 
-	/* What never reached the target cannot be the request's fault. */
-	if (!unreached) {
-		while (ogl_blame_lift(&r->blame, request, t, now, &before))
-			unblame(r, before);
-		blamed = ogl_blame_note(&r->blame, request, t, now);
+	/* A request that was never sent cannot be at fault. */
+	if (!not_sent) {
+		while (ogl_blame_clear(&r->blame, request, t, now, &cleared))
+			take_back_failure(r, cleared);
+		blamed = ogl_blame_record(&r->blame, request, t, now);
 	}
-	if (k->aside == ASIDE_PROBING) {
-		set_aside(r, t, now);
+	if (k->breaker == BREAKER_HALF_OPEN) {
+		open_breaker(r, t, now);
 		return;
 	}
 	if (!blamed)
 		return;
-	if (k->fails < UINT8_MAX)
-		k->fails++;
+	if (k->failures < UINT8_MAX)
+		k->failures++;
 	k->failed_at = now;
-	if (k->aside == ASIDE_NOT && k->fails >= FAILS_ASIDE &&
-	    may_set_aside(r))
-		set_aside(r, t, now);
+	if (k->breaker == BREAKER_CLOSED && k->failures >= FAILURES_TO_OPEN &&
+	    may_open_breaker(r))
+		open_breaker(r, t, now);
 }
 
 void
@@ -514,10 +528,10 @@
 {
 	ogl_time since;
 
-	if (!known(r, t) || !land(&r->targets[t], request, &since))
+	if (!known(r, t) || !remove_in_flight(&r->targets[t], request, &since))
 		return;
 	if (io == OGL_IO_OK)
-		ogl_drain_count(&r->drain, now);
+		ogl_drain_note_completed(&r->drain, now);
 	if (io == OGL_IO_OK && http_status < 500)
 		answered(r, t, since, now);
 	else if (io == OGL_IO_REFUSED)
@@ -529,17 +543,18 @@
 bool
 ogl_route_may_retry(struct ogl_route *r, ogl_time now)
 {
-	if (!r->begun)
+	if (!r->budget_started)
 		ogl_budget_init(&r->budget, now);
-	r->begun = true;
+	r->budget_started = true;
 	return ogl_budget_take(&r->budget, now);
 }
 
-/* ---- what callers are told -------------------------------------------- */
+/* ---- waiting time and free places ------------------------------------- */
 
-/* Requests a second that the targets in use can end, by what was learned. */
+/* Requests per second that the active targets can complete, estimated from
+ * their limits and learned service times. */
 static double
-capacity(const struct ogl_route *r, ogl_time now)
+total_rate(const struct ogl_route *r, ogl_time now)
 {
 	const struct target *k;
 	double sum = 0;
@@ -547,20 +562,21 @@
 
 	for (i = 0; i < r->active->len; i++) {
 		k = &r->targets[g_array_index(r->active, uint32_t, i)];
-		sum += k->limit * OGL_SEC / service_now(r, k, now);
+		sum += k->limit * OGL_SEC / current_service_time(r, k, now);
 	}
 	return sum;
 }
 
-/* With no target in use the next probe decides. */
+/* With no active target, the earliest that a request can go is the next
+ * probe. */
 static uint64_t
 wait_for_probe(const struct ogl_route *r, ogl_time now)
 {
 	uint64_t ms;
 
-	if (r->probe_due == OGL_NEVER)
-		return WAIT_UNKNOWN_MS;
-	ms = r->probe_due > now ? (uint64_t)(r->probe_due - now) / OGL_MS : 0;
+	if (r->next_probe == OGL_NEVER)
+		return WAIT_NO_TARGET_MS;
+	ms = r->next_probe > now ? (uint64_t)(r->next_probe - now) / OGL_MS : 0;
 	return CLAMP(ms, WAIT_MIN_MS, WAIT_MAX_MS);
 }
 
@@ -576,7 +592,7 @@
 		return wait_for_probe(r, now);
 	rate = ogl_drain_rate(&r->drain, now);
 	if (rate <= 0)
-		rate = capacity(r, now);
+		rate = total_rate(r, now);
 	ms = (double)(ahead - free + 1) * 1000 / rate;
 	return ms < WAIT_MAX_MS ? (uint64_t)ms + 1 : WAIT_MAX_MS;
 }
@@ -588,13 +604,13 @@
 
 	(void)now;
 	for (i = 0; i < r->active->len; i++) {
-		sum +=
-		    places(&r->targets[g_array_index(r->active, uint32_t, i)]);
+		sum += free_places(
+		    &r->targets[g_array_index(r->active, uint32_t, i)]);
 	}
 	return sum;
 }
 
-/* ---- whole ------------------------------------------------------------ */
+/* ---- creation and destruction ----------------------------------------- */
 
 struct ogl_route *
 ogl_route_init(uint64_t seed, const char *own_zone)
@@ -602,12 +618,12 @@
 	struct ogl_route *r = g_new0(struct ogl_route, 1);
 
 	r->own_zone = g_strdup(own_zone != NULL ? own_zone : "");
-	r->spare = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+	r->free_numbers = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	r->active = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-	r->byname = g_hash_table_new(g_str_hash, g_str_equal);
-	r->probe_due = OGL_NEVER;
+	r->by_name = g_hash_table_new(g_str_hash, g_str_equal);
+	r->next_probe = OGL_NEVER;
 	ogl_drain_init(&r->drain);
-	r->rnd = seed;
+	r->random_state = seed;
 	return r;
 }
 
@@ -618,15 +634,15 @@
 
 	if (r == NULL)
 		return;
-	for (i = 0; i < r->n; i++) {
+	for (i = 0; i < r->ntargets; i++) {
 		if (!r->targets[i].known)
 			continue;
 		g_free(r->targets[i].name);
-		g_free(r->targets[i].flights);
+		g_free(r->targets[i].in_flight);
 	}
-	g_hash_table_destroy(r->byname);
+	g_hash_table_destroy(r->by_name);
 	g_array_free(r->active, TRUE);
-	g_array_free(r->spare, TRUE);
+	g_array_free(r->free_numbers, TRUE);
 	g_free(r->targets);
 	g_free(r->own_zone);
 	g_free(r);
@@ -635,10 +651,11 @@
 size_t
 ogl_route_bytes(const struct ogl_route *r)
 {
-	size_t n = sizeof(*r) + r->room * sizeof(*r->targets);
+	size_t n = sizeof(*r) + r->targets_capacity * sizeof(*r->targets);
 	uint32_t i;
 
-	for (i = 0; i < r->n; i++)
-		n += r->targets[i].room * sizeof(struct flight);
+	for (i = 0; i < r->ntargets; i++)
+		n +=
+		    r->targets[i].in_flight_capacity * sizeof(struct in_flight);
 	return n;
 }
--- a/src/route.h
+++ b/src/route.h
@@ -1,5 +1,6 @@
 /*
- * Parts of routing: who is to blame for failures, and the drain rate.
+ * Parts of routing: which failures are the target's fault, and the rate at
+ * which requests complete.
  */
 
 #ifndef OGL_ROUTE_H
@@ -9,53 +10,57 @@
 
 /* ---- blame ------------------------------------------------------------ */
 
-#define OGL_BLAME_KEPT 64 /* failed requests remembered */
+#define OGL_BLAME_ENTRIES 64 /* failed requests remembered */
 
 /* A request that failed on a target. */
 struct ogl_blame_entry {
 	uint64_t request;
-	uint32_t t;
-	bool blamed; /* the target's fault, as far as is known */
-	ogl_time at; /* 0 when empty */
+	uint32_t target;
+	bool blamed;        /* counted as the target's fault */
+	ogl_time failed_at; /* 0 if the entry is empty */
 };
 
 struct ogl_blame {
-	struct ogl_blame_entry entries[OGL_BLAME_KEPT];
+	struct ogl_blame_entry entries[OGL_BLAME_ENTRIES];
 	uint32_t next;
 };
 
-bool ogl_blame_note(
-    struct ogl_blame *b, uint64_t request, uint32_t t, ogl_time now);
-/* A request failed on target t; whether that is the target's fault. */
+bool ogl_blame_record(
+    struct ogl_blame *b, uint64_t request, uint32_t target, ogl_time now);
+/* Records that a request failed on a target.  Returns whether the failure
+ * counts as the target's fault. */
 
-bool ogl_blame_lift(struct ogl_blame *b, uint64_t request, uint32_t t,
-    ogl_time now, uint32_t *before);
-/* Gives one target other than t that was blamed for this request and is
- * blamed no more; false when there is none. */
+bool ogl_blame_clear(struct ogl_blame *b, uint64_t request, uint32_t target,
+    ogl_time now, uint32_t *cleared);
+/* Finds one other target that was blamed for the same request, clears that
+ * blame and stores the target in *cleared.  Returns false if there is none. */
 
 /* ---- drain rate ------------------------------------------------------- */
 
 struct ogl_drain {
-	ogl_time window;   /* its start */
-	uint32_t left;     /* requests that left in it */
-	double rate;       /* a second, while places were short; 0 unknown */
-	ogl_time short_at; /* when a place was last lacking */
+	ogl_time window_start;
+	uint32_t completed; /* requests completed in the window */
+	/* Requests completed per second while targets were full, 0 if
+	 * unknown. */
+	double rate;
+	ogl_time full_at; /* when a request last found all targets full */
 };
 
 void ogl_drain_init(struct ogl_drain *d);
 
-void ogl_drain_short(struct ogl_drain *d, ogl_time now);
-/* A request found no place. */
+void ogl_drain_note_full(struct ogl_drain *d, ogl_time now);
+/* Notes that a request found no target with a free place. */
 
-void ogl_drain_count(struct ogl_drain *d, ogl_time now);
-/* A request left. */
+void ogl_drain_note_completed(struct ogl_drain *d, ogl_time now);
+/* Counts a completed request. */
 
 double ogl_drain_rate(const struct ogl_drain *d, ogl_time now);
-/* Requests that leave a second, or 0 when places were not short lately. */
+/* Requests completed per second, or 0 if no request lately found all targets
+ * full. */
 
-/* ---- the whole -------------------------------------------------------- */
+/* ---- memory use ------------------------------------------------------- */
 
 size_t ogl_route_bytes(const struct ogl_route *r);
-/* Memory held, for bench and metrics. */
+/* Memory held in bytes, for benchmarks and metrics. */
 
 #endif
--- a/src/route_drain.c
+++ b/src/route_drain.c
@@ -1,54 +1,54 @@
 /*
- * The rate at which requests leave their targets.
+ * The rate at which requests complete.
  *
- * Counted by windows and averaged, newer ones weighing more.  A window in
- * which no request lacked a place tells how much was asked for, not how much
- * could be done, and is left out.
+ * Completions are counted per time window and averaged with more weight on
+ * newer windows.  If no request found all targets full in a window, its count
+ * shows the demand and not the capacity, so the window is left out.
  */
 
 #include "route.h"
 
-#define WINDOW (500 * OGL_MS)
-#define GAIN 0.4                 /* of one window in the average */
-#define SHORT_LIFE (2 * OGL_SEC) /* how long a lack of places matters */
+#define WINDOW_LENGTH (500 * OGL_MS)
+#define WINDOW_WEIGHT 0.4         /* of one window in the average */
+#define FULL_EXPIRY (2 * OGL_SEC) /* how long full targets are remembered */
 
 void
 ogl_drain_init(struct ogl_drain *d)
 {
-	d->window = 0;
-	d->left = 0;
+	d->window_start = 0;
+	d->completed = 0;
 	d->rate = 0;
-	d->short_at = -SHORT_LIFE;
+	d->full_at = -FULL_EXPIRY;
 }
 
 void
-ogl_drain_short(struct ogl_drain *d, ogl_time now)
+ogl_drain_note_full(struct ogl_drain *d, ogl_time now)
 {
-	d->short_at = now;
+	d->full_at = now;
 }
 
 void
-ogl_drain_count(struct ogl_drain *d, ogl_time now)
+ogl_drain_note_completed(struct ogl_drain *d, ogl_time now)
 {
-	ogl_time length = now - d->window;
+	ogl_time length = now - d->window_start;
 	double rate;
 
-	d->left++;
-	if (length < WINDOW)
+	d->completed++;
+	if (length < WINDOW_LENGTH)
 		return;
-	rate = (double)d->left * OGL_SEC / (double)length;
-	if (d->window > 0 && d->short_at >= d->window) {
+	rate = (double)d->completed * OGL_SEC / (double)length;
+	if (d->window_start > 0 && d->full_at >= d->window_start) {
 		if (d->rate > 0)
-			d->rate += GAIN * (rate - d->rate);
+			d->rate += WINDOW_WEIGHT * (rate - d->rate);
 		else
 			d->rate = rate;
 	}
-	d->window = now;
-	d->left = 0;
+	d->window_start = now;
+	d->completed = 0;
 }
 
 double
 ogl_drain_rate(const struct ogl_drain *d, ogl_time now)
 {
-	return now - d->short_at < SHORT_LIFE ? d->rate : 0;
+	return now - d->full_at < FULL_EXPIRY ? d->rate : 0;
 }
