--- a/src/budget.c
+++ b/src/budget.c
@@ -1,40 +1,40 @@
 /*
  * Retry budget.
  *
- * When targets are overloaded every failure that is tried again adds load,
- * more requests fail, and the overload feeds itself long after its cause has
- * gone; it shows as a load that stays high while little succeeds.  So a
- * retry must be paid for by successes: each earns a tenth of one, up to a
- * small store, and a slow trickle lets a quiet node retry at all.  At worst
- * the load grows by a tenth.
+ * When targets are overloaded, each retry adds load and makes more requests
+ * fail, so the overload outlasts its cause: load stays high while few
+ * requests succeed.  Therefore retries are paid for by successes.  Each
+ * success adds a tenth of a retry, up to a small maximum, and time adds
+ * retries at a low rate so that a node with few requests can retry at all.
+ * Retries thus increase the load by a tenth at most.
  */
 
 #include "budget.h"
 
-#define RATIO 0.1        /* retries earned a success */
-#define STORE 20.0       /* most retries saved up */
-#define TRICKLE_RATE 0.5 /* retries a second without any success */
+#define TOKENS_PER_SUCCESS 0.1
+#define TOKENS_PER_SECOND 0.5 /* added even without any success */
+#define TOKENS_MAX 20.0
 
 void
 ogl_budget_init(struct ogl_budget *b, ogl_time now)
 {
-	b->tokens = STORE / 2;
-	b->last = now;
+	b->tokens = TOKENS_MAX / 2;
+	b->refilled_at = now;
 }
 
 void
 ogl_budget_success(struct ogl_budget *b)
 {
-	b->tokens = MIN(b->tokens + RATIO, STORE);
+	b->tokens = MIN(b->tokens + TOKENS_PER_SUCCESS, TOKENS_MAX);
 }
 
 bool
 ogl_budget_take(struct ogl_budget *b, ogl_time now)
 {
-	double seconds = (double)(now - b->last) / OGL_SEC;
+	double seconds = (double)(now - b->refilled_at) / OGL_SEC;
 
-	b->last = now;
-	b->tokens = MIN(b->tokens + seconds * TRICKLE_RATE, STORE);
+	b->refilled_at = now;
+	b->tokens = MIN(b->tokens + seconds * TOKENS_PER_SECOND, TOKENS_MAX);
 	if (b->tokens < 1)
 		return false;
 	b->tokens--;
--- a/src/budget.h
+++ b/src/budget.h
@@ -1,5 +1,5 @@
 /*
- * Retry budget: retries are a bounded part of what succeeds.
+ * Retry budget: bounds the number of retries by the number of successes.
  */
 
 #ifndef OGL_BUDGET_H
@@ -8,16 +8,16 @@
 #include "orioleglade.h"
 
 struct ogl_budget {
-	double tokens; /* retries that may be made now */
-	ogl_time last; /* when the trickle was last added */
+	double tokens;        /* retries allowed now */
+	ogl_time refilled_at; /* when time last added tokens */
 };
 
 void ogl_budget_init(struct ogl_budget *b, ogl_time now);
 
 void ogl_budget_success(struct ogl_budget *b);
-/* A request succeeded; a part of a retry is earned. */
+/* Adds a fraction of a retry for a request that succeeded. */
 
 bool ogl_budget_take(struct ogl_budget *b, ogl_time now);
-/* Takes one retry; false when none is left. */
+/* Spends one retry; false if none is left. */
 
 #endif
