--- a/test/test_route.cc
+++ b/test/test_route.cc
@@ -1,4 +1,5 @@
-// Routing of short requests: choice, limits, breaker, retry budget, waits.
+// Routing of short requests: choice of target, limits, circuit breaker, retry
+// budget and waiting times.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -19,7 +20,7 @@
       protected:
 	struct ogl_route *r = ogl_route_init(5, "z1");
 	ogl_time now = 100 * OGL_SEC;
-	uint64_t last = 0;
+	uint64_t last_request = 0;
 
 	~Route() override
 	{
@@ -33,12 +34,12 @@
 		    r, name.c_str(), zone, slots, leaving, now);
 	}
 
-	// Sends one request; UINT32_MAX when there is no place.
+	// Sends one request; UINT32_MAX if no target has a free place.
 	uint32_t send()
 	{
 		uint32_t t;
 
-		return ogl_route_pick(r, ++last, nullptr, 0, now, &t)
+		return ogl_route_pick(r, ++last_request, nullptr, 0, now, &t)
 			   ? t
 			   : UINT32_MAX;
 	}
@@ -49,22 +50,22 @@
 		ogl_route_done(r, t, request, io, status, now);
 	}
 
-	// Sends one request and has it answered after so many milliseconds.
-	uint32_t whole(
+	// Sends one request and ends it after ms milliseconds.
+	uint32_t send_and_end(
 	    int ms, enum ogl_io io = OGL_IO_OK, uint32_t status = 200)
 	{
 		uint32_t t = send();
 
 		now += ms * OGL_MS;
 		if (t != UINT32_MAX)
-			done(t, last, io, status);
+			done(t, last_request, io, status);
 		return t;
 	}
 };
 
 } // namespace
 
-TEST_F(Route, FillsPlacesAndNoMore)
+TEST_F(Route, SendsNoMoreThanSlots)
 {
 	add("a", "z1", 2);
 	add("b", "z2", 2);
@@ -80,17 +81,17 @@
 	EXPECT_GT(ogl_route_wait_ms(r, 0, now), 0u);
 }
 
-TEST_F(Route, PrefersOwnZoneOnNearTiesOnly)
+TEST_F(Route, PrefersOwnZoneWhenExpectedTimesAreClose)
 {
 	uint32_t far = add("far", "z2"), near = add("near", "z1");
 
-	EXPECT_EQ(near, whole(10));
+	EXPECT_EQ(near, send_and_end(10));
 	EXPECT_EQ(near, send());
 	EXPECT_EQ(near, send());
 	EXPECT_EQ(far, send()) << "a loaded near target loses to an idle one";
 }
 
-TEST_F(Route, LeavesOutTriedAndLeavingTargets)
+TEST_F(Route, SkipsTriedLeavingAndRemovedTargets)
 {
 	uint32_t a = add("a"), b = add("b"), t;
 
@@ -104,12 +105,12 @@
 	EXPECT_EQ(a, send());
 	ogl_route_drop(r, a);
 	EXPECT_EQ(UINT32_MAX, send());
-	done(a, last - 1);
+	done(a, last_request - 1);
 }
 
-// An executor serves several nodes, so its slots may be taken by others.  It
-// refuses, and a node that kept sending would only see refusals.
-TEST_F(Route, BacksOffFromATargetThatRefuses)
+// An executor serves several nodes, so other nodes may fill its slots.  It
+// then refuses, and without a lower limit most requests would be refused.
+TEST_F(Route, LowersTheLimitOnRefusals)
 {
 	uint32_t a = add("a");
 
@@ -118,23 +119,24 @@
 	EXPECT_EQ(UINT32_MAX, send());
 	done(a, 1, OGL_IO_REFUSED, 503);
 	done(a, 2, OGL_IO_REFUSED, 503);
-	EXPECT_EQ(UINT32_MAX, send()) << "fewer places than slots now";
+	EXPECT_EQ(UINT32_MAX, send()) << "the limit is below the slots";
 	for (uint64_t i = 3; i <= 8; i++)
 		done(a, i);
 	EXPECT_LT(ogl_route_free(r, now), 8u);
 	for (int i = 0; i < 100; i++) {
-		uint64_t first = last + 1;
+		uint64_t first = last_request + 1;
 		while (send() != UINT32_MAX)
 			;
-		for (uint64_t q = first; q < last; q++)
+		for (uint64_t q = first; q < last_request; q++)
 			done(a, q);
 	}
-	EXPECT_EQ(8u, ogl_route_free(r, now)) << "answers raise it again";
+	EXPECT_EQ(8u, ogl_route_free(r, now))
+	    << "answers raise the limit again";
 }
 
-// An executor's host has died.  Each request sent there fails, and callers
-// see errors until it gets no more.
-TEST_F(Route, SetsAFailingTargetAsideAndProbesIt)
+// An executor's host has crashed.  Each request sent there fails, and callers
+// see errors until the breaker opens.
+TEST_F(Route, OpensTheBreakerOfAFailingTargetAndProbesIt)
 {
 	uint32_t bad = add("bad"), good = add("good"), t;
 	int failures = 0, probes = 0;
@@ -142,7 +144,8 @@
 	for (int i = 0; i < 2000; i++) {
 		t = send();
 		now += 20 * OGL_MS;
-		done(t, last, t == bad ? OGL_IO_NOT_SENT : OGL_IO_OK, 200);
+		done(t, last_request, t == bad ? OGL_IO_NOT_SENT : OGL_IO_OK,
+		    200);
 		failures += t == bad;
 	}
 	EXPECT_GE(failures, 5);
@@ -151,24 +154,24 @@
 		now += OGL_SEC;
 		t = send();
 		now += 20 * OGL_MS;
-		done(t, last, t == bad ? OGL_IO_LOST : OGL_IO_OK, 200);
+		done(t, last_request, t == bad ? OGL_IO_LOST : OGL_IO_OK, 200);
 		probes += t == bad;
 	}
 	EXPECT_GE(probes, 10);
-	EXPECT_LE(probes, 20) << "delays double up to a minute";
+	EXPECT_LE(probes, 20) << "delays double up to 64 s";
 	now += 100 * OGL_SEC;
-	EXPECT_EQ(bad, whole(20));
+	EXPECT_EQ(bad, send_and_end(20));
 	std::set<uint32_t> seen;
 	for (int i = 0; i < 20; i++)
-		seen.insert(whole(20));
-	EXPECT_EQ(2u, seen.size()) << "back in use after a good probe";
+		seen.insert(send_and_end(20));
+	EXPECT_EQ(2u, seen.size()) << "a successful probe closes the breaker";
 	EXPECT_EQ(1u, seen.count(good));
 }
 
-// One request makes every executor that gets it fail.  Its caller tries it
-// again and again; if the targets were blamed, it would close one after the
-// other and other callers' requests would be refused.
-TEST_F(Route, DoesNotBlameTargetsForAFailureThatFollowsTheRequest)
+// One request fails on every executor that gets it, and its caller retries it
+// again and again.  If the targets were blamed, the breakers would open one
+// after the other and other callers' requests would be refused.
+TEST_F(Route, DoesNotBlameTargetsForARequestThatFailsOnAllOfThem)
 {
 	uint32_t a = add("a"), b = add("b"), c = add("c"), t;
 
@@ -187,20 +190,20 @@
 	EXPECT_EQ((std::set<uint32_t>{a, b, c}), seen);
 }
 
-// A shared back end fails and with it every executor.  Were all set aside,
-// callers would be refused long after the back end is well again.
-TEST_F(Route, KeepsHalfTheTargetsWhenAllFail)
+// A shared back end fails, and every executor with it.  If all breakers opened,
+// callers would be refused long after the back end has recovered.
+TEST_F(Route, KeepsHalfOfTheTargetsInUseWhenAllFail)
 {
 	for (int i = 0; i < 6; i++)
 		add("t" + std::to_string(i));
 	for (int i = 0; i < 500; i++)
-		whole(1, OGL_IO_OK, 500);
+		send_and_end(1, OGL_IO_OK, 500);
 	EXPECT_GE(ogl_route_free(r, now), 24u);
 }
 
-// An executor hangs: it takes requests and answers none.  Before the first
-// timeout the only sign is the age of what was sent there.
-TEST_F(Route, AvoidsATargetThatDoesNotAnswer)
+// An executor hangs: it accepts requests and answers none.  Before the first
+// timeout the only sign is the age of the requests in flight.
+TEST_F(Route, AvoidsATargetThatHangs)
 {
 	uint32_t hung = add("hung", "z1", 64);
 	add("b", "z1", 64);
@@ -210,26 +213,26 @@
 		uint32_t t = send();
 		now += 10 * OGL_MS;
 		if (t != hung)
-			done(t, last);
+			done(t, last_request);
 		sent += t == hung;
 	}
 	EXPECT_LE(sent, 8);
 }
 
-TEST_F(Route, WaitFollowsTheDrainRate)
+TEST_F(Route, WaitingTimeFollowsTheCompletionRate)
 {
 	add("a", "z1", 4);
 	uint64_t oldest = 1;
 
 	while (send() != UINT32_MAX)
 		;
-	// Four places, one answer every 50 ms: 20 a second.
+	// Four places, one answer every 50 ms: 20 requests per second.
 	for (int i = 0; i < 200; i++) {
 		now += 50 * OGL_MS;
 		done(0, oldest);
-		oldest = last;
+		oldest = last_request;
 		send();
-		uint64_t refused = last + 1;
+		uint64_t refused = last_request + 1;
 		EXPECT_EQ(UINT32_MAX, send());
 		oldest = refused - 1;
 	}
@@ -238,9 +241,10 @@
 	EXPECT_LE(ms, 6000u);
 }
 
-// All executors are overloaded and every caller's request is tried again:
-// the retries keep them overloaded.  A budget bounds them to a tenth.
-TEST(Budget, RetriesAreABoundedPartOfSuccesses)
+// All executors are overloaded and every failed request is retried, which
+// keeps them overloaded.  The budget bounds retries to a tenth of the
+// successes.
+TEST(Budget, BoundsRetriesByTheNumberOfSuccesses)
 {
 	struct ogl_budget b;
 	int retries = 0;
@@ -254,5 +258,6 @@
 	for (retries = 0; ogl_budget_take(&b, 0);)
 		retries++;
 	EXPECT_NEAR(10, retries, 1);
-	EXPECT_TRUE(ogl_budget_take(&b, 10 * OGL_SEC)) << "quiet nodes may";
+	EXPECT_TRUE(ogl_budget_take(&b, 10 * OGL_SEC))
+	    << "time adds retries without successes";
 }
