--- a/src/lend.c
+++ b/src/lend.c
@@ -1,58 +1,65 @@
 /*
- * Taking back room that was lent.
+ * Preemption of tasks that run on lent room.
  *
- * Entitlements.  What the open workers hold (nine tenths of their room at
- * least) is poured down the tree of teams by weight; nobody is given more
- * than it holds and waits for.  All is counted in dominant resources, parts
- * of the open workers' room.  A team above its entitlement holds lent room.
+ * Entitlements.  The room that is in use on the open workers, but at least
+ * nine tenths of all their room, is distributed down the tree of teams by
+ * weight; no team gets more than what it holds plus what it waits for.  All
+ * amounts are dominant shares: the largest part, over the resources, of the
+ * open workers' room.  A team above its entitlement holds lent room.
  *
- * Taking.  For work that waited longer than a bound, of a team that has been
- * well below its entitlement for a while, and whose turn it is in the queue: if it fits into room that is free or
- * coming free, nothing is done.  Else, on each worker, tasks of teams above
- * their entitlement are gone through from the cheapest, newest first, until
- * the work fits, and those not needed are left out again; the worker where
- * least work is lost makes way.  A gang goes whole, on all its workers; a
- * service goes after all else, one of its tasks a round, so that the others
- * serve on while the placer spreads it anew.
+ * Preemption.  A piece of waiting work preempts others if it has waited longer
+ * than a bound, its turn in the queue has come, and its team has been well
+ * below its entitlement for a while.  If it fits into room that is free or
+ * about to be freed, nothing is preempted.  Otherwise, on each worker, tasks
+ * of teams above their entitlement are considered from the cheapest, newest
+ * first, until the work fits, and those that turn out not to be needed are
+ * left out again.  The worker on which least work is lost is chosen.  A gang
+ * is preempted as a whole, on all its workers.  Tasks of services come last,
+ * one per service and round, so that the others keep serving while the
+ * replacement is placed.
  *
- * Invariants.  The taker does not get above its entitlement.  A giver was
- * above its own, and lacks afterwards at most half the part of it that the
- * taker lacked before; were it to lack nothing, a team could never get in
- * between tasks larger than what each of the others is above.  So the least
- * part that any team has of its entitlement rises with each taking, and at
- * given demands teams cannot take from each other in turn.  Demands change,
- * though: a team that gave may not take for a while, and a task that was
- * taken is kept for a time that doubles with each taking, so that the newest
- * is not taken for ever.
+ * Invariants.  The team that preempts does not get above its entitlement.  A
+ * team that is preempted was above its own, and afterwards lacks at most half
+ * the part of its entitlement that the preempting team lacked before.  If it
+ * were not allowed to lack anything, a team could never get room between
+ * tasks larger than what each of the other teams has above its entitlement.
+ * So the least part that any team has of its entitlement rises with each
+ * preemption, and at constant demands teams cannot preempt each other in turn.
+ * As demands do change, a team that was preempted may not preempt for a while,
+ * and a preempted task is protected for a time that doubles with each
+ * preemption, so that the newest task is not preempted over and over.
  *
  * Modes.  Tasks are checkpointed first.  One that still holds its room long
- * after is stopped.  Throttling is left out: a throttled task keeps its
- * memory, and in placement its whole room, so nothing could start in its
- * place.  A task that may not be restarted is never taken.
+ * after is stopped.  Throttling is not used: a throttled task keeps its memory
+ * and, in placement, all its room, so nothing could start in its place.  A
+ * task that may not be restarted is never preempted.
  */
 
 #include <string.h>
 
 #include "lend.h"
 
-#define EVERY_MS 1000
-#define FULL 0.9             /* a shard that holds so much is full */
-#define SHORT 0.2            /* a team that lacks so much is short */
-#define BAND 0.05            /* a team so little short takes nothing */
-#define ROUND_MOST 0.1       /* part of all room taken in one round */
-#define ROUND_LOOKS 1000000  /* at tasks and workers, in one round */
-#define MISSES_MOST 8        /* of a team in one round */
-#define SHORT_MS 10000       /* for so long before it takes */
-#define SHORT_REGAINED 0.5   /* of what it lacked, by itself: no need */
-#define PAUSE_MS 3000        /* without a round: nothing is known */
-#define OTHERS_MOST 1        /* pieces of others passed in the queue */
-#define START_COST_S 5.0     /* what a start costs, so that fewer go */
-#define SERVICE_COST_S 1.0e6 /* services go last */
-#define GAVE_MS 30000        /* a team that gave does not take so long */
-#define OBEY_MS 15000        /* for a checkpoint, before it is stopped */
-#define KEEP_MS 120000       /* a task taken once is kept so long */
-#define KEEP_DOUBLINGS 4
-#define FORGET_MS 3600000
+#define ROUND_INTERVAL_MS 1000
+#define DISTRIBUTED_MIN 0.9 /* part of all room that is distributed at least */
+/* Parts of its entitlement: a team that lacks more than the first for long
+ * enough starts to preempt, and stops when it lacks the second or less. */
+#define LACK_START 0.2
+#define LACK_STOP 0.05
+#define LACK_MIN_MS 10000 /* lack before a team preempts */
+/* A team that regains this part of its lack by itself preempts nothing. */
+#define LACK_REGAINED 0.5
+#define ROUND_SHARE_MAX 0.1     /* part of all room preempted in one round */
+#define ROUND_STEPS_MAX 1000000 /* tasks and workers examined in one round */
+#define ROUND_FAILURES_MAX 8    /* pieces of one team that get no room */
+#define ROUND_GAP_MAX_MS 3000   /* after a longer gap observations restart */
+#define PASSED_OVER_LIMIT 1     /* pieces that may not preempt, see below */
+#define START_COST_S 5.0        /* cost of a restart: favours fewer tasks */
+#define SERVICE_COST_S 1.0e6    /* makes services the last choice */
+#define PREEMPTED_TEAM_WAIT_MS 30000 /* before it may preempt */
+#define CHECKPOINT_TIMEOUT_MS 15000  /* the task is stopped after it */
+#define PROTECTION_MS 120000         /* of a task preempted once */
+#define PROTECTION_DOUBLINGS_MAX 4
+#define PREEMPTED_EXPIRY_MS 3600000 /* of the record of a preemption */
 #define EPS 1e-9
 
 enum {
@@ -68,81 +75,81 @@
 
 struct node {
 	char *name;
-	struct node *own;    /* where the team's own work is counted */
-	GPtrArray *children; /* struct node */
+	struct node *own_leaf; /* counts the team's own work */
+	GPtrArray *children;   /* struct node */
 	double weight;
-	ogl_time gave; /* when something was last taken from it, 0 never */
-	ogl_time short_since; /* 0 when it is not */
-	double short_has;     /* what it held then */
-	bool taking;
+	ogl_time preempted_at;  /* last time, 0 for never */
+	ogl_time lacking_since; /* 0 while it lacks less than LACK_START */
+	double lacking_share;   /* held_share at lacking_since */
+	bool preempting;
 	/* In this round: */
-	struct sum held;     /* without what is stopping */
-	struct sum all_held; /* with it */
-	struct sum wanted;   /* all held, and what waits */
-	double has;
-	double demand;
-	double ent;
-	bool open;       /* while pouring */
-	uint32_t misses; /* pieces no room could be made for */
+	struct sum held;     /* without the tasks that are stopping */
+	struct sum all_held; /* with them */
+	struct sum wanted;   /* all_held and the waiting work */
+	double held_share;   /* dominant share of held */
+	double demand;       /* dominant share of wanted */
+	double entitlement;
+	bool unsatisfied;  /* during the distribution */
+	uint32_t failures; /* pieces that no room could be made for */
 };
 
-/* What goes as one: a task, or a gang. */
+/* What is preempted together: a task or a gang. */
 struct unit {
 	struct node *leaf;
 	struct sum res;
-	double size;
-	double cost;
+	double size;  /* dominant share */
+	double cost;  /* share by seconds of run time lost, and fixed costs */
 	size_t first; /* its tasks, a list through next */
-	bool may;
-	bool marked; /* taken, or on trial */
+	bool preemptible;
+	bool released; /* preempted, or on trial */
 };
 
 struct task {
 	struct ogl_lend_task t;
 	size_t unit;
-	size_t next; /* of the same unit, SIZE_MAX at the end */
-	double key;  /* cost of its unit by what it frees here */
+	size_t next;       /* of the same unit, SIZE_MAX at the end */
+	double cost_ratio; /* cost of its unit by the share freed here */
 };
 
-struct want {
+struct pending {
 	struct ogl_lend_want w;
 	struct node *leaf;
 };
 
 struct worker {
-	struct sum room; /* free or coming free */
-	size_t begin;    /* its tasks in `order` */
+	struct sum room; /* free or about to be freed */
+	size_t begin;    /* its tasks in ogl_lend.candidates */
 	size_t end;
 };
 
-struct taken {
+struct preempted {
 	uint64_t id;
-	ogl_time at;
-	uint32_t times;
+	ogl_time preempted_at;
+	uint32_t count;
 	bool stopped;
 };
 
 struct ogl_lend {
 	struct node *root;
-	GHashTable *leaves; /* team path -> struct node */
-	GHashTable *taken;  /* id -> struct taken */
-	ogl_time next;
-	ogl_time decided; /* last round */
+	GHashTable *leaves;    /* team path -> struct node */
+	GHashTable *preempted; /* id -> struct preempted */
+	ogl_time next_round;
+	ogl_time last_round;
 	/* In this round: */
 	struct sum total;
 	GArray *workers;      /* struct worker */
 	GArray *tasks;        /* struct task */
 	GArray *units;        /* struct unit */
-	GArray *wants;        /* struct want */
-	GArray *order;        /* size_t, tasks by worker and key */
-	GArray *takes;        /* struct ogl_lend_take */
-	GArray *trial;        /* size_t, units to be taken for one piece */
-	GArray *best;         /* the same, on the best worker so far */
+	GArray *pending;      /* struct pending */
+	GArray *candidates;   /* size_t, tasks by worker and cost_ratio */
+	GArray *preemptions;  /* struct ogl_lend_take */
+	GArray *trial;        /* size_t, units to preempt for one task */
+	GArray *best_trial;   /* the same, on the best worker so far */
 	GHashTable *gangs;    /* job -> unit + 1 */
-	GHashTable *services; /* jobs of services that gave a task */
-	double round;         /* taken so far */
-	double floor;         /* of givers' entitlements, now */
-	size_t looks;         /* so far */
+	GHashTable *services; /* jobs of services with a preempted task */
+	double round_share;   /* preempted so far */
+	double floor;         /* part of its entitlement that a team keeps */
+	size_t steps;         /* tasks and workers examined so far */
 };
 
 /* ---- sums ------------------------------------------------------------- */
@@ -222,7 +229,7 @@
 }
 
 static struct node *
-walk(struct ogl_lend *l, const char *team)
+node_of(struct ogl_lend *l, const char *team)
 {
 	struct node *n = l->root;
 
@@ -246,18 +253,18 @@
 
 	if (leaf != NULL)
 		return leaf;
-	n = walk(l, team);
-	if (n->own == NULL)
-		n->own = node_new(n, "", 0);
-	g_hash_table_insert(l->leaves, g_strdup(team), n->own);
-	return n->own;
+	n = node_of(l, team);
+	if (n->own_leaf == NULL)
+		n->own_leaf = node_new(n, "", 0);
+	g_hash_table_insert(l->leaves, g_strdup(team), n->own_leaf);
+	return n->own_leaf;
 }
 
 void
 ogl_lend_share(struct ogl_lend *l, const char *team, double share)
 {
 	if (share > 0.0)
-		walk(l, team)->weight = share;
+		node_of(l, team)->weight = share;
 }
 
 static void
@@ -266,12 +273,12 @@
 	struct sum none = {{0}};
 
 	n->held = n->all_held = n->wanted = none;
-	n->misses = 0;
+	n->failures = 0;
 	for (guint i = 0; i < n->children->len; i++)
 		node_reset(g_ptr_array_index(n->children, i));
 }
 
-/* Sums up the tree; gives what its leaves hold together. */
+/* Sums up the tree.  Returns the total of the shares that its leaves hold. */
 static double
 gather(const struct ogl_lend *l, struct node *n)
 {
@@ -286,15 +293,15 @@
 	}
 	if (n->children->len == 0)
 		all = dominant(l, &n->all_held);
-	n->has = dominant(l, &n->held);
+	n->held_share = dominant(l, &n->held);
 	n->demand = dominant(l, &n->wanted);
 	return all;
 }
 
-/* One pass over the children: those that want no more than their part of
- * what is left get all they want.  Whether there were any. */
+/* One pass of max-min fair distribution: children whose demand is within
+ * their part of what is left get all of it.  Returns whether there were any. */
 static bool
-satisfy(struct node *n, double *left, double *weight)
+satisfy_demands(struct node *n, double *left, double *weight)
 {
 	double part = *weight > 0 ? *left / *weight : 0;
 	bool any = false;
@@ -302,11 +309,11 @@
 	for (guint i = 0; i < n->children->len; i++) {
 		struct node *c = g_ptr_array_index(n->children, i);
 
-		if (!c->open || c->demand > part * c->weight)
+		if (!c->unsatisfied || c->demand > part * c->weight)
 			continue;
-		c->open = false;
-		c->ent = c->demand;
-		*left -= c->ent;
+		c->unsatisfied = false;
+		c->entitlement = c->demand;
+		*left -= c->entitlement;
 		*weight -= c->weight;
 		any = true;
 	}
@@ -314,28 +321,29 @@
 }
 
 static void
-pour(struct node *n, double amount)
+distribute(struct node *n, double amount)
 {
 	double left = amount;
 	double weight = 0;
 
-	n->ent = amount;
+	n->entitlement = amount;
 	for (guint i = 0; i < n->children->len; i++) {
 		struct node *c = g_ptr_array_index(n->children, i);
 
-		c->open = true;
+		c->unsatisfied = true;
 		weight += c->weight;
 	}
-	while (satisfy(n, &left, &weight))
+	while (satisfy_demands(n, &left, &weight))
 		continue;
 	for (guint i = 0; i < n->children->len; i++) {
 		struct node *c = g_ptr_array_index(n->children, i);
 
-		pour(c, c->open ? left * c->weight / weight : c->ent);
+		distribute(c, c->unsatisfied ? left * c->weight / weight
+					     : c->entitlement);
 	}
 }
 
-/* ---- life ------------------------------------------------------------- */
+/* ---- creation and destruction ----------------------------------------- */
 
 struct ogl_lend *
 ogl_lend_init(void)
@@ -345,16 +353,17 @@
 	l->root = node_new(NULL, "", 0);
 	l->leaves =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	l->taken =
+	l->preempted =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
 	l->workers = g_array_new(FALSE, FALSE, sizeof(struct worker));
 	l->tasks = g_array_new(FALSE, FALSE, sizeof(struct task));
 	l->units = g_array_new(FALSE, FALSE, sizeof(struct unit));
-	l->wants = g_array_new(FALSE, FALSE, sizeof(struct want));
-	l->order = g_array_new(FALSE, FALSE, sizeof(size_t));
-	l->takes = g_array_new(FALSE, FALSE, sizeof(struct ogl_lend_take));
+	l->pending = g_array_new(FALSE, FALSE, sizeof(struct pending));
+	l->candidates = g_array_new(FALSE, FALSE, sizeof(size_t));
+	l->preemptions =
+	    g_array_new(FALSE, FALSE, sizeof(struct ogl_lend_take));
 	l->trial = g_array_new(FALSE, FALSE, sizeof(size_t));
-	l->best = g_array_new(FALSE, FALSE, sizeof(size_t));
+	l->best_trial = g_array_new(FALSE, FALSE, sizeof(size_t));
 	l->gangs =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 	l->services =
@@ -369,33 +378,34 @@
 		return;
 	node_free(l->root);
 	g_hash_table_destroy(l->leaves);
-	g_hash_table_destroy(l->taken);
+	g_hash_table_destroy(l->preempted);
 	g_hash_table_destroy(l->gangs);
 	g_hash_table_destroy(l->services);
 	g_array_free(l->workers, TRUE);
 	g_array_free(l->tasks, TRUE);
 	g_array_free(l->units, TRUE);
-	g_array_free(l->wants, TRUE);
-	g_array_free(l->order, TRUE);
-	g_array_free(l->takes, TRUE);
+	g_array_free(l->pending, TRUE);
+	g_array_free(l->candidates, TRUE);
+	g_array_free(l->preemptions, TRUE);
 	g_array_free(l->trial, TRUE);
-	g_array_free(l->best, TRUE);
+	g_array_free(l->best_trial, TRUE);
 	g_free(l);
 }
 
 ogl_time
 ogl_lend_next(const struct ogl_lend *l)
 {
-	return l->next;
+	return l->next_round;
 }
 
-/* ---- a round is told -------------------------------------------------- */
+/* ---- input of a round ------------------------------------------------- */
 
 static gboolean
-taken_is_old(gpointer key, gpointer value, gpointer now)
+preemption_expired(gpointer key, gpointer value, gpointer now)
 {
 	(void)key;
-	return ((struct taken *)value)->at + FORGET_MS * OGL_MS <
+	return ((struct preempted *)value)->preempted_at +
+		   PREEMPTED_EXPIRY_MS * OGL_MS <
 	       *(ogl_time *)now;
 }
 
@@ -404,20 +414,20 @@
 {
 	struct sum none = {{0}};
 
-	l->next = now + EVERY_MS * OGL_MS;
+	l->next_round = now + ROUND_INTERVAL_MS * OGL_MS;
 	l->total = none;
-	l->round = 0;
-	l->looks = 0;
+	l->round_share = 0;
+	l->steps = 0;
 	node_reset(l->root);
 	g_array_set_size(l->workers, 0);
 	g_array_set_size(l->tasks, 0);
 	g_array_set_size(l->units, 0);
-	g_array_set_size(l->wants, 0);
-	g_array_set_size(l->order, 0);
-	g_array_set_size(l->takes, 0);
+	g_array_set_size(l->pending, 0);
+	g_array_set_size(l->candidates, 0);
+	g_array_set_size(l->preemptions, 0);
 	g_hash_table_remove_all(l->gangs);
 	g_hash_table_remove_all(l->services);
-	g_hash_table_foreach_remove(l->taken, taken_is_old, &now);
+	g_hash_table_foreach_remove(l->preempted, preemption_expired, &now);
 }
 
 uint32_t
@@ -453,11 +463,11 @@
 void
 ogl_lend_add_want(struct ogl_lend *l, const struct ogl_lend_want *w)
 {
-	struct want k = {.w = *w, .leaf = leaf_of(l, w->team)};
+	struct pending k = {.w = *w, .leaf = leaf_of(l, w->team)};
 	struct sum res = sum_of(&w->res);
 
 	sum_add(&k.leaf->wanted, &res, w->tasks);
-	g_array_append_val(l->wants, k);
+	g_array_append_val(l->pending, k);
 }
 
 /* ---- units ------------------------------------------------------------ */
@@ -475,21 +485,22 @@
 }
 
 static bool
-is_kept(const struct ogl_lend *l, const struct ogl_lend_task *t, ogl_time now)
+is_protected(
+    const struct ogl_lend *l, const struct ogl_lend_task *t, ogl_time now)
 {
-	const struct taken *k = g_hash_table_lookup(l->taken, &t->id);
+	const struct preempted *k = g_hash_table_lookup(l->preempted, &t->id);
 	uint32_t doublings;
 
 	if (k == NULL)
 		return false;
-	doublings = MIN(k->times - 1, KEEP_DOUBLINGS);
-	return now - t->since < (KEEP_MS << doublings) * OGL_MS;
+	doublings = MIN(k->count - 1, PROTECTION_DOUBLINGS_MAX);
+	return now - t->since < (PROTECTION_MS << doublings) * OGL_MS;
 }
 
 static size_t
 unit_of(struct ogl_lend *l, const struct ogl_lend_task *t)
 {
-	struct unit u = {.first = SIZE_MAX, .may = true};
+	struct unit u = {.first = SIZE_MAX, .preemptible = true};
 	size_t at = l->units->len;
 	gpointer known;
 	int64_t *key;
@@ -525,8 +536,9 @@
 	u->cost += size * (sec + START_COST_S);
 	if (k->t.kind == OGL__KIND__service)
 		u->cost += size * SERVICE_COST_S;
-	u->may = u->may && k->t.restartable && !k->t.stopping && size > 0 &&
-		 k->t.worker != OGL_LEND_NO_WORKER && !is_kept(l, &k->t, now);
+	u->preemptible = u->preemptible && k->t.restartable && !k->t.stopping &&
+			 size > 0 && k->t.worker != OGL_LEND_NO_WORKER &&
+			 !is_protected(l, &k->t, now);
 }
 
 static gint
@@ -538,14 +550,14 @@
 
 	if (x->t.worker != y->t.worker)
 		return x->t.worker < y->t.worker ? -1 : 1;
-	if (x->key != y->key)
-		return x->key < y->key ? -1 : 1;
+	if (x->cost_ratio != y->cost_ratio)
+		return x->cost_ratio < y->cost_ratio ? -1 : 1;
 	return x->t.id < y->t.id ? -1 : x->t.id > y->t.id;
 }
 
-/* Lines up what may be taken, worker after worker, the cheapest first. */
+/* Collects the tasks that may be preempted, by worker, the cheapest first. */
 static void
-line_up(struct ogl_lend *l, ogl_time now)
+collect_candidates(struct ogl_lend *l, ogl_time now)
 {
 	for (size_t i = 0; i < l->tasks->len; i++)
 		join_unit(l, i, now);
@@ -554,14 +566,15 @@
 		struct sum res = sum_of(&k->t.res);
 		const struct unit *u = unit_at(l, k->unit);
 
-		if (!u->may || u->leaf->has <= u->leaf->ent)
+		if (!u->preemptible ||
+		    u->leaf->held_share <= u->leaf->entitlement)
 			continue;
-		k->key = u->cost / dominant(l, &res);
-		g_array_append_val(l->order, i);
+		k->cost_ratio = u->cost / dominant(l, &res);
+		g_array_append_val(l->candidates, i);
 	}
-	g_array_sort_with_data(l->order, by_worker, l);
-	for (size_t i = l->order->len; i > 0; i--) {
-		size_t at = g_array_index(l->order, size_t, i - 1);
+	g_array_sort_with_data(l->candidates, by_worker, l);
+	for (size_t i = l->candidates->len; i > 0; i--) {
+		size_t at = g_array_index(l->candidates, size_t, i - 1);
 		struct worker *w = &g_array_index(
 		    l->workers, struct worker, task_at(l, at)->t.worker);
 
@@ -572,10 +585,10 @@
 
 /* ---- making room ------------------------------------------------------ */
 
-/* Puts the room of a unit on its workers to the free (or back, with -1) and
- * off what its team holds. */
+/* Moves the room of a unit from what its team holds to the free room of its
+ * workers; with sign -1 moves it back. */
 static void
-move_unit(struct ogl_lend *l, size_t unit, double sign)
+release_unit(struct ogl_lend *l, size_t unit, double sign)
 {
 	struct unit *u = unit_at(l, unit);
 
@@ -588,25 +601,26 @@
 		    &res, sign);
 	}
 	sum_add(&u->leaf->held, &u->res, -sign);
-	u->leaf->has = dominant(l, &u->leaf->held);
-	u->marked = sign > 0;
+	u->leaf->held_share = dominant(l, &u->leaf->held);
+	u->released = sign > 0;
 }
 
-/* Only who is above its entitlement gives, and its last gift may bring it
- * below no further than to l->floor, see serve. */
+/* Only a team above its entitlement is preempted, and the last preemption may
+ * leave it no less than the part l->floor of it, see preempt_for. */
 static bool
-may_give(const struct ogl_lend *l, const struct unit *u)
+may_be_preempted(const struct ogl_lend *l, const struct unit *u)
 {
 	struct sum rest = u->leaf->held;
 
-	if (!u->may || u->marked || u->leaf->has <= u->leaf->ent + EPS)
+	if (!u->preemptible || u->released ||
+	    u->leaf->held_share <= u->leaf->entitlement + EPS)
 		return false;
 	sum_add(&rest, &u->res, -1);
-	return dominant(l, &rest) >= u->leaf->ent * l->floor - EPS;
+	return dominant(l, &rest) >= u->leaf->entitlement * l->floor - EPS;
 }
 
 static bool
-service_gave(const struct ogl_lend *l, const struct unit *u)
+service_was_preempted(const struct ogl_lend *l, const struct unit *u)
 {
 	const struct ogl_lend_task *t = &task_at(l, u->first)->t;
 
@@ -614,30 +628,31 @@
 	       g_hash_table_contains(l->services, &t->job);
 }
 
-/* Leaves out what turned out not to be needed, the dearest first. */
+/* Drops units that turned out not to be needed, the most expensive first. */
 static void
-prune(struct ogl_lend *l, const struct worker *w, const struct sum *need)
+drop_unneeded(
+    struct ogl_lend *l, const struct worker *w, const struct sum *need)
 {
 	for (guint i = l->trial->len; i > 0; i--) {
 		size_t unit = g_array_index(l->trial, size_t, i - 1);
 
-		move_unit(l, unit, -1);
+		release_unit(l, unit, -1);
 		if (sum_fits(need, &w->room))
 			g_array_remove_index(l->trial, i - 1);
 		else
-			move_unit(l, unit, 1);
+			release_unit(l, unit, 1);
 	}
 }
 
 static void
-undo(struct ogl_lend *l, const GArray *units)
+undo_release(struct ogl_lend *l, const GArray *units)
 {
 	for (guint i = 0; i < units->len; i++)
-		move_unit(l, g_array_index(units, size_t, i), -1);
+		release_unit(l, g_array_index(units, size_t, i), -1);
 }
 
-/* What it costs to make room on one worker, the units in l->trial; below
- * zero when there is no way. */
+/* Finds the units to preempt on one worker and leaves them in l->trial.
+ * Returns their cost, or a negative number if no room can be made. */
 static double
 try_worker(struct ogl_lend *l, const struct worker *w, const struct sum *need)
 {
@@ -645,26 +660,26 @@
 
 	g_array_set_size(l->trial, 0);
 	for (size_t i = w->begin; i < w->end; i++) {
-		size_t at = g_array_index(l->order, size_t, i);
+		size_t at = g_array_index(l->candidates, size_t, i);
 		size_t unit = task_at(l, at)->unit;
 
-		l->looks++;
-		if (!may_give(l, unit_at(l, unit)) ||
-		    service_gave(l, unit_at(l, unit)))
+		l->steps++;
+		if (!may_be_preempted(l, unit_at(l, unit)) ||
+		    service_was_preempted(l, unit_at(l, unit)))
 			continue;
-		move_unit(l, unit, 1);
+		release_unit(l, unit, 1);
 		g_array_append_val(l->trial, unit);
 		if (sum_fits(need, &w->room))
 			break;
 	}
 	if (sum_fits(need, &w->room)) {
-		prune(l, w, need);
+		drop_unneeded(l, w, need);
 		cost = 0;
 		for (guint i = 0; i < l->trial->len; i++)
 			cost += unit_at(l, g_array_index(l->trial, size_t, i))
 				    ->cost;
 	}
-	undo(l, l->trial);
+	undo_release(l, l->trial);
 	return cost;
 }
 
@@ -689,36 +704,36 @@
 	for (guint i = 0; i < l->workers->len; i++) {
 		struct worker *w = &g_array_index(l->workers, struct worker, i);
 		double cost = w->begin < w->end ? try_worker(l, w, need) : -1;
-		GArray *swap = l->best;
+		GArray *swap = l->best_trial;
 
 		if (cost < 0 || (best != NULL && cost >= least))
 			continue;
 		best = w;
 		least = cost;
-		l->best = l->trial;
+		l->best_trial = l->trial;
 		l->trial = swap;
 	}
 	return best;
 }
 
-/* Finds room for one task, in `plan` what has to go for it. */
+/* Finds room for one task and adds the units to preempt for it to plan. */
 static bool
 make_room(struct ogl_lend *l, const struct sum *need, GArray *plan)
 {
 	struct worker *w;
 
-	l->looks += l->workers->len;
-	if (l->looks > ROUND_LOOKS)
+	l->steps += l->workers->len;
+	if (l->steps > ROUND_STEPS_MAX)
 		return false;
 	w = worker_with_room(l, need);
 	if (w == NULL) {
 		w = cheapest_worker(l, need);
 		if (w == NULL)
 			return false;
-		for (guint i = 0; i < l->best->len; i++) {
-			size_t unit = g_array_index(l->best, size_t, i);
+		for (guint i = 0; i < l->best_trial->len; i++) {
+			size_t unit = g_array_index(l->best_trial, size_t, i);
 
-			move_unit(l, unit, 1);
+			release_unit(l, unit, 1);
 			g_array_append_val(plan, unit);
 		}
 	}
@@ -726,38 +741,38 @@
 	return true;
 }
 
-/* ---- taking ----------------------------------------------------------- */
+/* ---- preemption ------------------------------------------------------- */
 
 static void
-note_taken(struct ogl_lend *l, uint64_t id, ogl_time now)
+record_preemption(struct ogl_lend *l, uint64_t id, ogl_time now)
 {
-	struct taken *k = g_hash_table_lookup(l->taken, &id);
+	struct preempted *k = g_hash_table_lookup(l->preempted, &id);
 
 	if (k == NULL) {
-		k = g_new0(struct taken, 1);
+		k = g_new0(struct preempted, 1);
 		k->id = id;
-		g_hash_table_insert(l->taken, &k->id, k);
+		g_hash_table_insert(l->preempted, &k->id, k);
 	}
-	k->at = now;
-	k->times++;
+	k->preempted_at = now;
+	k->count++;
 	k->stopped = false;
 }
 
 static void
-take_unit(struct ogl_lend *l, size_t unit, ogl_time now)
+preempt_unit(struct ogl_lend *l, size_t unit, ogl_time now)
 {
 	struct unit *u = unit_at(l, unit);
 	int64_t *job;
 
-	u->leaf->gave = now;
-	l->round += u->size;
+	u->leaf->preempted_at = now;
+	l->round_share += u->size;
 	for (size_t i = u->first; i != SIZE_MAX; i = task_at(l, i)->next) {
 		const struct ogl_lend_task *t = &task_at(l, i)->t;
 		struct ogl_lend_take k = {
 		    i, OGL__STOP_MODE__checkpoint, MAX(now - t->since, 0)};
 
-		g_array_append_val(l->takes, k);
-		note_taken(l, t->id, now);
+		g_array_append_val(l->preemptions, k);
+		record_preemption(l, t->id, now);
 		if (t->kind != OGL__KIND__service)
 			continue;
 		job = g_new(int64_t, 1);
@@ -776,9 +791,9 @@
 	return size;
 }
 
-/* Makes room for one piece of work, all its tasks or none. */
+/* Makes room for one piece of work: for all its tasks or for none. */
 static void
-serve(struct ogl_lend *l, const struct want *k, ogl_time now)
+preempt_for(struct ogl_lend *l, const struct pending *k, ogl_time now)
 {
 	GArray *room = g_array_copy(l->workers);
 	GArray *plan = g_array_new(FALSE, FALSE, sizeof(size_t));
@@ -787,58 +802,59 @@
 	bool ok = true;
 
 	sum_add(&after, &need, k->w.tasks);
-	if (k->leaf->misses >= MISSES_MOST ||
-	    dominant(l, &after) > k->leaf->ent + EPS)
+	if (k->leaf->failures >= ROUND_FAILURES_MAX ||
+	    dominant(l, &after) > k->leaf->entitlement + EPS)
 		goto out;
-	l->floor = (1 + k->leaf->has / k->leaf->ent) / 2;
+	l->floor = (1 + k->leaf->held_share / k->leaf->entitlement) / 2;
 	for (uint32_t i = 0; ok && i < k->w.tasks; i++)
 		ok = make_room(l, &need, plan);
-	if (ok && l->round > 0 && plan->len > 0)
-		ok = l->round + plan_size(l, plan) <= ROUND_MOST;
+	if (ok && l->round_share > 0 && plan->len > 0)
+		ok = l->round_share + plan_size(l, plan) <= ROUND_SHARE_MAX;
 	if (!ok) {
-		undo(l, plan);
+		undo_release(l, plan);
 		memcpy(l->workers->data, room->data,
 		    room->len * sizeof(struct worker));
-		k->leaf->misses++;
+		k->leaf->failures++;
 		goto out;
 	}
 	for (guint i = 0; i < plan->len; i++)
-		take_unit(l, g_array_index(plan, size_t, i), now);
+		preempt_unit(l, g_array_index(plan, size_t, i), now);
 	k->leaf->held = after;
-	k->leaf->has = dominant(l, &after);
+	k->leaf->held_share = dominant(l, &after);
 out:
 	g_array_free(plan, TRUE);
 	g_array_free(room, TRUE);
 }
 
-/* A team that lacks a good part of its entitlement takes until it has nearly
- * all; one that gets it back by itself soon enough takes nothing.  Tasks end
- * at random: without this, most of what is taken would only smooth the ups
- * and downs of teams that have their share over any half minute. */
+/* A team that lacks a good part of its entitlement preempts until it has
+ * nearly all; a team that regains it by itself soon enough preempts nothing.
+ * As tasks end at random, most preemptions would otherwise only smooth the
+ * variation of teams that get their share on average over half a minute. */
 static void
-watch_leaf(struct node *n, ogl_time now)
+update_lack(struct node *n, ogl_time now)
 {
-	double regained = (n->has - n->short_has) / (n->ent - n->short_has);
+	double regained_part = (n->held_share - n->lacking_share) /
+			       (n->entitlement - n->lacking_share);
 
-	if (n->has >= n->ent * (1 - BAND)) {
-		n->short_since = 0;
-		n->taking = false;
-	} else if (n->taking) {
+	if (n->held_share >= n->entitlement * (1 - LACK_STOP)) {
+		n->lacking_since = 0;
+		n->preempting = false;
+	} else if (n->preempting) {
 		return;
-	} else if (n->has >= n->ent * (1 - SHORT)) {
-		n->short_since = 0;
-	} else if (n->short_since == 0 || regained >= SHORT_REGAINED) {
-		n->short_since = now;
-		n->short_has = n->has;
-	} else if (now - n->short_since >= SHORT_MS * OGL_MS) {
-		n->taking = true;
+	} else if (n->held_share >= n->entitlement * (1 - LACK_START)) {
+		n->lacking_since = 0;
+	} else if (n->lacking_since == 0 || regained_part >= LACK_REGAINED) {
+		n->lacking_since = now;
+		n->lacking_share = n->held_share;
+	} else if (now - n->lacking_since >= LACK_MIN_MS * OGL_MS) {
+		n->preempting = true;
 	}
 }
 
 static void
-watch(struct ogl_lend *l, ogl_time now)
+update_lacks(struct ogl_lend *l, ogl_time now)
 {
-	bool paused = now - l->decided > PAUSE_MS * OGL_MS;
+	bool paused = now - l->last_round > ROUND_GAP_MAX_MS * OGL_MS;
 	GHashTableIter it;
 	void *v;
 
@@ -847,98 +863,106 @@
 		struct node *n = v;
 
 		if (paused) {
-			n->short_since = 0;
-			n->taking = false;
+			n->lacking_since = 0;
+			n->preempting = false;
 		}
-		watch_leaf(n, now);
+		update_lack(n, now);
 	}
-	l->decided = now;
+	l->last_round = now;
 }
 
 static bool
-may_take(const struct want *k, ogl_time now)
+may_preempt_for(const struct pending *k, ogl_time now)
 {
 	const struct node *leaf = k->leaf;
 
-	return leaf->taking && now - k->w.since > OGL_LEND_BOUND_MS * OGL_MS &&
-	       (leaf->gave == 0 || now - leaf->gave > GAVE_MS * OGL_MS);
+	return leaf->preempting &&
+	       now - k->w.since > OGL_LEND_BOUND_MS * OGL_MS &&
+	       (leaf->preempted_at == 0 ||
+		   now - leaf->preempted_at > PREEMPTED_TEAM_WAIT_MS * OGL_MS);
 }
 
 static gint
 by_turn(gconstpointer a, gconstpointer b)
 {
-	const struct want *x = a, *y = b;
+	const struct pending *x = a, *y = b;
 
 	return x->w.turn < y->w.turn ? -1 : x->w.turn > y->w.turn;
 }
 
-/* Leaves only the work that may move others, in the order of turns.  What
- * falls free goes to whose turn it is: behind several pieces of teams that
- * may not take, room would be freed for those teams. */
+/* Leaves only the work that may preempt, in the order of turns.  Freed room
+ * goes to the work whose turn comes first.  So work behind PASSED_OVER_LIMIT
+ * pieces that may not preempt is left out: it would free room for them. */
 static void
-choose_wants(struct ogl_lend *l, ogl_time now)
+select_pending(struct ogl_lend *l, ogl_time now)
 {
-	guint n = 0, kept = 0, others = 0;
+	guint n = 0, kept = 0, passed_over = 0;
 
-	for (guint i = 0; i < l->wants->len; i++) {
-		struct want *k = &g_array_index(l->wants, struct want, i);
+	for (guint i = 0; i < l->pending->len; i++) {
+		struct pending *k =
+		    &g_array_index(l->pending, struct pending, i);
 
 		if (k->w.turn != 0)
-			g_array_index(l->wants, struct want, n++) = *k;
+			g_array_index(l->pending, struct pending, n++) = *k;
 	}
-	g_array_set_size(l->wants, n);
-	g_array_sort(l->wants, by_turn);
-	for (guint i = 0; i < n && others < OTHERS_MOST; i++) {
-		struct want *k = &g_array_index(l->wants, struct want, i);
-
-		if (may_take(k, now))
-			g_array_index(l->wants, struct want, kept++) = *k;
+	g_array_set_size(l->pending, n);
+	g_array_sort(l->pending, by_turn);
+	for (guint i = 0; i < n && passed_over < PASSED_OVER_LIMIT; i++) {
+		struct pending *k =
+		    &g_array_index(l->pending, struct pending, i);
+
+		if (may_preempt_for(k, now))
+			g_array_index(l->pending, struct pending, kept++) = *k;
 		else
-			others++;
+			passed_over++;
 	}
-	g_array_set_size(l->wants, kept);
+	g_array_set_size(l->pending, kept);
 }
 
-/* A worker that does not obey a checkpoint would keep the room for ever. */
+/* A worker that does not act on a checkpoint would keep the room for ever. */
 static void
-stop_disobedient(struct ogl_lend *l, ogl_time now)
+stop_overdue(struct ogl_lend *l, ogl_time now)
 {
 	for (size_t i = 0; i < l->tasks->len; i++) {
 		const struct ogl_lend_task *t = &task_at(l, i)->t;
-		struct taken *k = g_hash_table_lookup(l->taken, &t->id);
+		struct preempted *k = g_hash_table_lookup(l->preempted, &t->id);
 		struct ogl_lend_take stop = {i, OGL__STOP_MODE__stop, 0};
 
 		if (k == NULL || !t->stopping || k->stopped ||
-		    now - k->at < OBEY_MS * OGL_MS || t->since > k->at)
+		    now - k->preempted_at < CHECKPOINT_TIMEOUT_MS * OGL_MS ||
+		    t->since > k->preempted_at)
 			continue;
 		k->stopped = true;
-		g_array_append_val(l->takes, stop);
+		g_array_append_val(l->preemptions, stop);
 	}
 }
 
 size_t
 ogl_lend_decide(
-    struct ogl_lend *l, ogl_time now, const struct ogl_lend_take **takes)
+    struct ogl_lend *l, ogl_time now, const struct ogl_lend_take **preemptions)
 {
 	double all = gather(l, l->root);
 
-	pour(l->root, MAX(all, FULL));
-	watch(l, now);
-	stop_disobedient(l, now);
-	choose_wants(l, now);
-	if (l->wants->len > 0)
-		line_up(l, now);
-	for (guint i = 0; i < l->wants->len; i++) {
-		if (l->round >= ROUND_MOST || l->looks > ROUND_LOOKS)
+	distribute(l->root, MAX(all, DISTRIBUTED_MIN));
+	update_lacks(l, now);
+	stop_overdue(l, now);
+	select_pending(l, now);
+	if (l->pending->len > 0)
+		collect_candidates(l, now);
+	for (guint i = 0; i < l->pending->len; i++) {
+		if (l->round_share >= ROUND_SHARE_MAX ||
+		    l->steps > ROUND_STEPS_MAX)
 			break;
-		serve(l, &g_array_index(l->wants, struct want, i), now);
+		preempt_for(
+		    l, &g_array_index(l->pending, struct pending, i), now);
 	}
-	*takes = (const struct ogl_lend_take *)(void *)l->takes->data;
-	return l->takes->len;
+	*preemptions =
+	    (const struct ogl_lend_take *)(void *)l->preemptions->data;
+	return l->preemptions->len;
 }
 
 bool
 ogl_lend_was_taken(const struct ogl_lend *l, uint64_t id)
 {
-	return g_hash_table_contains(l->taken, &id);
+	return g_hash_table_contains(l->preempted, &id);
 }
