--- a/src/escrow.c
+++ b/src/escrow.c
@@ -1,24 +1,26 @@
 /*
- * Team limits across shards without a message per start.
+ * Team limits across shards without a message for each start.
  *
- * A team's upper limit is split into parts, in millionths, one a shard; the
- * parts never add up to more than a million.  An owner starts tasks of the
- * team only within its part of the limit now in force, so the fleet as a
+ * A team's upper limit is split into parts, in millionths (ppm), one for each
+ * shard; the parts never add up to more than a million.  An owner starts tasks
+ * of the team only within its part of the limit in force, so the fleet as a
  * whole stays within the limit however many owners start at once.  As parts
- * are fractions, a changed limit changes every holder's allowance without
- * any message.
+ * are fractions, a changed limit changes every holder's allowance without any
+ * message.
  *
- * The owner of one shard, chosen by the team's name, is the team's bank.  A
- * holder that could use more asks it.  The bank gives what is free; for what
- * is not, it asks the other holders to shrink to what they use, and counts a
- * part as smaller only when its holder has said so.  A larger part is given
- * only after the new split has taken effect on the bank's log, so that a new
- * bank, which starts from the log, can never give the same part twice.
+ * The owner of one shard, chosen by a hash of the team's name, is the team's
+ * coordinator.  A holder that could use more asks it.  The coordinator grants
+ * what is free; for the rest it asks the other holders to shrink to what they
+ * use, and counts a part as smaller only after its holder has said so.  A
+ * larger part is granted only after the new split has taken effect on the
+ * coordinator's log, so that a new coordinator, which starts from the log, can
+ * never grant the same part twice.
  *
- * A new owner of a holder's shard does not know its part and starts nothing
- * of a limited team until the bank has told it.  Answers carry (bank epoch,
- * seq); an older one that arrives late is passed over, since the part it
- * names may have been given to somebody else meanwhile.
+ * A new owner of a holder's shard does not know its part and starts nothing of
+ * a limited team until the coordinator has sent it.  Answers carry the
+ * coordinator's epoch and a sequence number; an older one that arrives late is
+ * ignored, since the part it names may have been granted to another holder
+ * meanwhile.
  */
 
 #include <stdlib.h>
@@ -27,48 +29,51 @@
 #include "shard_impl.h"
 
 enum {
-	WHOLE = 1000000,
-	ASK_EVERY_MS = 200,     /* per team, while it wants more; doubled */
-	ASK_MOST_MS = 1600,     /* up to this while nothing more is got */
-	RETRY_MS = 1000,        /* try to start again what an ask was for */
-	RECLAIM_EVERY_MS = 400, /* per team */
-	WANT_MS = 4 * RETRY_MS, /* a want not repeated for so long is over */
-	TURN_MS = 10000,        /* the oldest want goes first so long at most */
+	WHOLE_PPM = 1000000,
+	/* The interval between two asks of a holder for more of a team's limit
+	 * doubles while no more is granted. */
+	ASK_INTERVAL_MIN_MS = 200,
+	ASK_INTERVAL_MAX_MS = 1600,
+	START_RETRY_MS = 1000,                /* after an ask */
+	RECLAIM_INTERVAL_MS = 400,            /* per team */
+	WANT_TIMEOUT_MS = 4 * START_RETRY_MS, /* unless the want is repeated */
+	TURN_MAX_MS = 10000, /* how long the oldest want is served first */
 	TICK_MS = 100
 };
 
-/* A team as a holder sees it. */
+/* A team's part of the limit as its holder knows it. */
 struct holding {
 	char *team;
-	bool known;
+	bool known; /* the coordinator has sent the part */
 	uint32_t ppm;
-	uint64_t want; /* tasks it could use, 0 satisfied */
+	uint64_t want; /* tasks it could use, 0 if it has enough */
 	ogl_time next_ask;
-	uint32_t ask_ms;     /* between two asks */
-	ogl_time retry_at;   /* 0: nothing asked for */
-	uint64_t bank_epoch; /* newest answer taken */
-	uint64_t bank_seq;
+	uint32_t ask_interval_ms;
+	ogl_time retry_at;          /* 0: nothing asked for */
+	uint64_t coordinator_epoch; /* of the newest answer, with its seq */
+	uint64_t coordinator_seq;
 };
 
-/* A team as its bank sees it. */
-struct account {
+/* The split of a team's limit as its coordinator knows it.  Arrays are indexed
+ * by shard. */
+struct split {
 	char *team;
-	uint32_t *ppm;   /* by shard, in effect now */
-	uint32_t *want;  /* by shard, as last asked */
-	ogl_time *since; /* by shard, when its turn to want began, 0 none */
-	ogl_time *heard; /* by shard, when it last wanted */
-	uint64_t *epoch; /* by shard, newest owner heard */
-	uint64_t *asked; /* by shard, seq of the reclaim out, 0 none */
-	bool recording;  /* a new split is on its way to the log */
-	bool dirty;      /* ppm differs from what is on its way */
+	uint32_t *ppm;         /* in effect now */
+	uint32_t *want_ppm;    /* as last asked */
+	ogl_time *want_since;  /* start of the want's turn, 0 without a want */
+	ogl_time *wanted_at;   /* when it last asked */
+	uint64_t *owner_epoch; /* newest owner heard from */
+	uint64_t *reclaim_seq; /* of the unanswered reclaim, 0 for none */
+	bool recording;        /* a new split is being appended to the log */
+	bool dirty;            /* ppm differs from what is being appended */
 	ogl_time next_reclaim;
 };
 
 struct ogl_escrow {
 	GHashTable *holdings; /* team -> struct holding */
-	GHashTable *accounts; /* team -> struct account */
+	GHashTable *splits;   /* team -> struct split */
 	uint64_t seq;
-	ogl_time next;
+	ogl_time next_tick;
 };
 
 static void
@@ -81,18 +86,18 @@
 }
 
 static void
-account_free(void *v)
+split_free(void *v)
 {
-	struct account *a = v;
+	struct split *s = v;
 
-	g_free(a->team);
-	g_free(a->ppm);
-	g_free(a->want);
-	g_free(a->since);
-	g_free(a->heard);
-	g_free(a->epoch);
-	g_free(a->asked);
-	g_free(a);
+	g_free(s->team);
+	g_free(s->ppm);
+	g_free(s->want_ppm);
+	g_free(s->want_since);
+	g_free(s->wanted_at);
+	g_free(s->owner_epoch);
+	g_free(s->reclaim_seq);
+	g_free(s);
 }
 
 void
@@ -102,9 +107,9 @@
 
 	e->holdings =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, holding_free);
-	e->accounts =
-	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, account_free);
-	e->next = now;
+	e->splits =
+	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, split_free);
+	e->next_tick = now;
 	sh->escrow = e;
 }
 
@@ -114,12 +119,12 @@
 	if (sh->escrow == NULL)
 		return;
 	g_hash_table_destroy(sh->escrow->holdings);
-	g_hash_table_destroy(sh->escrow->accounts);
+	g_hash_table_destroy(sh->escrow->splits);
 	g_clear_pointer(&sh->escrow, g_free);
 }
 
 static uint32_t
-bank_of(const struct ogl_shard *sh, const char *team)
+coordinator_of(const struct ogl_shard *sh, const char *team)
 {
 	return (uint32_t)(ogl_random_hash(team, strlen(team)) %
 			  sh->env->cfg->shards);
@@ -134,13 +139,13 @@
 	return v.exists ? v.limit_tasks : UINT64_MAX;
 }
 
-/* Fewest millionths whose part of the limit is at least so many tasks. */
+/* The smallest part, in ppm, that allows so many tasks of the limit. */
 static uint32_t
 ppm_for(uint64_t tasks, uint64_t limit)
 {
 	if (limit == 0 || tasks >= limit)
-		return WHOLE;
-	return (uint32_t)((tasks * WHOLE + limit - 1) / limit);
+		return WHOLE_PPM;
+	return (uint32_t)((tasks * WHOLE_PPM + limit - 1) / limit);
 }
 
 /* ---- holder ----------------------------------------------------------- */
@@ -168,8 +173,9 @@
 		return UINT64_MAX;
 	h = g_hash_table_lookup(sh->escrow->holdings, team);
 	if (h == NULL || !h->known)
-		return ogl_sched_held(sh, team); /* nothing new until told */
-	return limit * h->ppm / WHOLE;
+		/* Nothing is started until the part is known. */
+		return ogl_sched_held(sh, team);
+	return limit * h->ppm / WHOLE_PPM;
 }
 
 void
@@ -182,7 +188,7 @@
 	h = holding_get(sh, team);
 	if (tasks > h->want)
 		h->want = tasks;
-	sh->escrow->next = MIN(sh->escrow->next, h->next_ask);
+	sh->escrow->next_tick = MIN(sh->escrow->next_tick, h->next_ask);
 }
 
 static void
@@ -197,23 +203,24 @@
 	a.epoch = sh->state->epoch;
 	a.team = h->team;
 	a.known = h->known;
-	/* A part told while an older split was on its way to the log may be
-	 * smaller than what runs here by a part told before it.  What runs
-	 * is not free to be given away, whatever we were told last. */
+	/* A part received while an older split was being appended may be
+	 * smaller than what already runs here under a part received earlier.
+	 * The part that running tasks use must not be granted to others. */
 	a.held_ppm = MAX(h->ppm, used);
 	a.used_ppm = used;
 	a.want_ppm = ppm_for(h->want, limit);
 	a.seq = seq;
 	msg.body_case = OGL__PEER_MSG__BODY_ALLOT_ASK;
 	msg.allot_ask = &a;
-	sh->env->ops->send(sh->env->ctx, bank_of(sh, h->team), &msg);
+	sh->env->ops->send(sh->env->ctx, coordinator_of(sh, h->team), &msg);
 }
 
 /* An ask, the reclaim that follows from it or the answer may be lost, or the
- * bank may change its owner and forget.  Nothing else might ever try to start
- * the waiting work again, so this does, and asks anew if it still lacks. */
+ * coordinator may be replaced and forget the ask.  Nothing else may ever try
+ * to start the waiting work again, so this does; if the part is still too
+ * small, that leads to a new ask. */
 static void
-try_anew(struct ogl_shard *sh, struct holding *h, ogl_time now)
+retry_start(struct ogl_shard *sh, struct holding *h, ogl_time now)
 {
 	if (h->retry_at == 0 || now < h->retry_at)
 		return;
@@ -231,20 +238,22 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct holding *h = v;
 
-		try_anew(sh, h, now);
+		retry_start(sh, h, now);
 		if (h->want == 0 || now < h->next_ask)
 			continue;
-		h->retry_at = now + RETRY_MS * OGL_MS;
-		h->ask_ms = CLAMP(2 * h->ask_ms, ASK_EVERY_MS, ASK_MOST_MS);
-		h->next_ask = now + h->ask_ms * OGL_MS;
+		h->retry_at = now + START_RETRY_MS * OGL_MS;
+		h->ask_interval_ms = CLAMP(2 * h->ask_interval_ms,
+		    ASK_INTERVAL_MIN_MS, ASK_INTERVAL_MAX_MS);
+		h->next_ask = now + h->ask_interval_ms * OGL_MS;
 		send_ask(sh, h, 0);
-		h->want = 0; /* wanted again at the next failure to start */
+		h->want = 0; /* set again when a start fails next */
 	}
 }
 
-/* Shrinks to what the bank names, never below what runs here. */
+/* Shrinks to the part that the coordinator names, but not below what running
+ * tasks use. */
 static void
-obey_reclaim(struct ogl_shard *sh, struct holding *h, const Ogl__AllotGive *g)
+apply_reclaim(struct ogl_shard *sh, struct holding *h, const Ogl__AllotGive *g)
 {
 	uint64_t limit = limit_of(sh, h->team);
 	uint32_t used = ppm_for(ogl_sched_held(sh, h->team), limit);
@@ -255,142 +264,143 @@
 }
 
 static void
-take_give(struct ogl_shard *sh, const Ogl__AllotGive *g)
+receive_give(struct ogl_shard *sh, const Ogl__AllotGive *g)
 {
 	struct holding *h;
 
 	h = holding_get(sh, g->team);
 	if (g->epoch != sh->state->epoch) {
-		/* The bank speaks to an earlier owner, or knows of none.  With
-		 * nothing to start we would never ask it, and it could never
-		 * get back what we don't use: so let it know of us. */
+		/* The coordinator addresses an earlier owner, or knows none.
+		 * An owner with nothing to start never asks, and the
+		 * coordinator could never reclaim the part that it does not
+		 * use.  So it tells the coordinator its epoch. */
 		if (g->reclaim && g->epoch < sh->state->epoch)
 			send_ask(sh, h, 0);
 		return;
 	}
-	if (g->bank_epoch < h->bank_epoch ||
-	    (g->bank_epoch == h->bank_epoch && g->seq <= h->bank_seq))
+	if (g->bank_epoch < h->coordinator_epoch ||
+	    (g->bank_epoch == h->coordinator_epoch &&
+		g->seq <= h->coordinator_seq))
 		return;
-	h->bank_epoch = g->bank_epoch;
-	h->bank_seq = g->seq;
+	h->coordinator_epoch = g->bank_epoch;
+	h->coordinator_seq = g->seq;
 	if (g->reclaim) {
-		obey_reclaim(sh, h, g);
+		apply_reclaim(sh, h, g);
 		return;
 	}
 	if (!h->known || h->ppm < g->ppm) {
 		sh->place_due = true;
-		h->ask_ms = 0;
+		h->ask_interval_ms = 0;
 	}
 	h->known = true;
 	h->ppm = g->ppm;
 }
 
-/* ---- bank ------------------------------------------------------------- */
+/* ---- coordinator ------------------------------------------------------ */
 
-static struct account *
-account_get(struct ogl_shard *sh, const char *team)
+static struct split *
+split_get(struct ogl_shard *sh, const char *team)
 {
 	uint32_t n = sh->env->cfg->shards;
-	struct account *a = g_hash_table_lookup(sh->escrow->accounts, team);
+	struct split *s = g_hash_table_lookup(sh->escrow->splits, team);
 	const Ogl__Allot *rec;
 
-	if (a != NULL)
-		return a;
-	a = g_new0(struct account, 1);
-	a->team = g_strdup(team);
-	a->ppm = g_new0(uint32_t, n);
-	a->want = g_new0(uint32_t, n);
-	a->since = g_new0(ogl_time, n);
-	a->heard = g_new0(ogl_time, n);
-	a->epoch = g_new0(uint64_t, n);
-	a->asked = g_new0(uint64_t, n);
+	if (s != NULL)
+		return s;
+	s = g_new0(struct split, 1);
+	s->team = g_strdup(team);
+	s->ppm = g_new0(uint32_t, n);
+	s->want_ppm = g_new0(uint32_t, n);
+	s->want_since = g_new0(ogl_time, n);
+	s->wanted_at = g_new0(ogl_time, n);
+	s->owner_epoch = g_new0(uint64_t, n);
+	s->reclaim_seq = g_new0(uint64_t, n);
 	rec = g_hash_table_lookup(sh->state->allots, team);
 	for (uint32_t i = 0; i < n; i++) {
 		if (rec == NULL)
-			a->ppm[i] = WHOLE / n;
+			s->ppm[i] = WHOLE_PPM / n;
 		else
-			a->ppm[i] = i < rec->n_ppm ? rec->ppm[i] : 0;
+			s->ppm[i] = i < rec->n_ppm ? rec->ppm[i] : 0;
 	}
-	g_hash_table_insert(sh->escrow->accounts, a->team, a);
-	return a;
+	g_hash_table_insert(sh->escrow->splits, s->team, s);
+	return s;
 }
 
-/* What the log says of a shard's part: all that may be told to a holder. */
+/* A shard's part according to the log; no more may be sent to the holder. */
 static uint32_t
-durable_ppm(const struct ogl_shard *sh, const struct account *a, uint32_t i)
+durable_ppm(const struct ogl_shard *sh, const struct split *s, uint32_t i)
 {
-	const Ogl__Allot *rec = g_hash_table_lookup(sh->state->allots, a->team);
+	const Ogl__Allot *rec = g_hash_table_lookup(sh->state->allots, s->team);
 
 	if (rec == NULL)
-		return WHOLE / sh->env->cfg->shards;
+		return WHOLE_PPM / sh->env->cfg->shards;
 	return i < rec->n_ppm ? rec->ppm[i] : 0;
 }
 
 static void
-send_give(struct ogl_shard *sh, struct account *a, uint32_t shard, uint32_t ppm,
+send_give(struct ogl_shard *sh, struct split *s, uint32_t shard, uint32_t ppm,
     bool reclaim)
 {
 	Ogl__PeerMsg msg = OGL__PEER_MSG__INIT;
 	Ogl__AllotGive g = OGL__ALLOT_GIVE__INIT;
 
 	g.shard = shard;
-	g.epoch = a->epoch[shard];
-	g.team = a->team;
+	g.epoch = s->owner_epoch[shard];
+	g.team = s->team;
 	g.ppm = ppm;
 	g.seq = ++sh->escrow->seq;
 	g.bank_epoch = sh->state->epoch;
 	g.bank = sh->index;
 	g.reclaim = reclaim;
-	/* A part told after a reclaim undoes the shrinking, so the answer to
-	 * that reclaim, when it comes, no longer counts.  Otherwise the part
-	 * would be with the holder and free to be given away. */
-	a->asked[shard] = reclaim ? g.seq : 0;
+	/* A part sent after a reclaim undoes the shrinking, so the answer to
+	 * that reclaim no longer counts.  Otherwise the same part would be
+	 * with the holder and free to be granted to others. */
+	s->reclaim_seq[shard] = reclaim ? g.seq : 0;
 	msg.body_case = OGL__PEER_MSG__BODY_ALLOT_GIVE;
 	msg.allot_give = &g;
 	sh->env->ops->send(sh->env->ctx, shard, &msg);
 }
 
-/* Tells a holder its part.  A reclaim still out to it is void by that: the
- * holder may shrink, say so, and then grow again to what this message says,
- * and were its word on the reclaim still taken, the same part would go to
- * somebody else as well. */
+/* Sends a holder its part.  This cancels an unanswered reclaim: the holder may
+ * shrink, answer, and then grow again to the part in this message.  If its
+ * answer still counted, another holder would be granted the same part. */
 static void
-tell(struct ogl_shard *sh, struct account *a, uint32_t shard)
+send_part(struct ogl_shard *sh, struct split *s, uint32_t shard)
 {
-	a->asked[shard] = 0;
+	s->reclaim_seq[shard] = 0;
 	send_give(
-	    sh, a, shard, MIN(a->ppm[shard], durable_ppm(sh, a, shard)), false);
+	    sh, s, shard, MIN(s->ppm[shard], durable_ppm(sh, s, shard)), false);
 }
 
 static uint32_t
-free_ppm(const struct ogl_shard *sh, const struct account *a)
+free_ppm(const struct ogl_shard *sh, const struct split *s)
 {
 	uint32_t sum = 0;
 
 	for (uint32_t i = 0; i < sh->env->cfg->shards; i++)
-		sum += a->ppm[i];
-	return sum < WHOLE ? WHOLE - sum : 0;
+		sum += s->ppm[i];
+	return sum < WHOLE_PPM ? WHOLE_PPM - sum : 0;
 }
 
 static void
-record_split(struct ogl_shard *sh, struct account *a, ogl_time now)
+record_split(struct ogl_shard *sh, struct split *s, ogl_time now)
 {
 	uint32_t n = sh->env->cfg->shards;
 	Ogl__Record *r;
 
-	if (a->recording) {
-		a->dirty = true;
+	if (s->recording) {
+		s->dirty = true;
 		return;
 	}
-	a->recording = true;
-	a->dirty = false;
+	s->recording = true;
+	s->dirty = false;
 	r = ogl_shard_record(sh, now);
 	r->body_case = OGL__RECORD__BODY_ALLOT;
 	r->allot = malloc(sizeof *r->allot);
 	ogl__allot__init(r->allot);
-	r->allot->team = strdup(a->team);
+	r->allot->team = strdup(s->team);
 	r->allot->ppm = calloc(n + 1, sizeof(uint32_t));
-	memcpy(r->allot->ppm, a->ppm, n * sizeof(uint32_t));
+	memcpy(r->allot->ppm, s->ppm, n * sizeof(uint32_t));
 	r->allot->n_ppm = n;
 	ogl_shard_append(sh, r, now);
 }
@@ -398,174 +408,174 @@
 void
 ogl_escrow_recorded(struct ogl_shard *sh, const Ogl__Allot *rec, ogl_time now)
 {
-	struct account *a =
-	    g_hash_table_lookup(sh->escrow->accounts, rec->team);
+	struct split *s = g_hash_table_lookup(sh->escrow->splits, rec->team);
 
-	if (a == NULL)
+	if (s == NULL)
 		return;
-	a->recording = false;
+	s->recording = false;
 	for (uint32_t i = 0; i < sh->env->cfg->shards; i++) {
-		if (a->epoch[i] != 0)
-			tell(sh, a, i);
+		if (s->owner_epoch[i] != 0)
+			send_part(sh, s, i);
 	}
-	if (a->dirty)
-		record_split(sh, a, now);
+	if (s->dirty)
+		record_split(sh, s, now);
 }
 
-/* Whether shard i waits for more and its turn comes before shard k's. */
+/* Whether shard i wants more and its turn comes before shard k's. */
 static bool
-goes_before(const struct account *a, uint32_t i, uint32_t k)
+goes_before(const struct split *s, uint32_t i, uint32_t k)
 {
-	if (a->since[i] == 0 || i == k)
+	if (s->want_since[i] == 0 || i == k)
 		return false;
-	if (a->since[i] != a->since[k])
-		return a->since[k] == 0 || a->since[i] < a->since[k];
+	if (s->want_since[i] != s->want_since[k])
+		return s->want_since[k] == 0 ||
+		       s->want_since[i] < s->want_since[k];
 	return i < k;
 }
 
-/* Asks the others to give up what they don't use; but not those that gather
- * for a start of their own and came first, or two gangs that both wait would
- * take the same part from each other for ever. */
+/* Asks the other holders to give up what they don't use, except those that
+ * want more themselves and come before the asker.  Otherwise two gangs that
+ * both wait would take the same part from each other for ever. */
 static void
-reclaim(struct ogl_shard *sh, struct account *a, uint32_t asker, uint32_t need,
+reclaim(struct ogl_shard *sh, struct split *s, uint32_t asker, uint32_t need,
     ogl_time now)
 {
 	uint32_t n = sh->env->cfg->shards;
 
-	if (now < a->next_reclaim || n < 2)
+	if (now < s->next_reclaim || n < 2)
 		return;
-	a->next_reclaim = now + RECLAIM_EVERY_MS * OGL_MS;
+	s->next_reclaim = now + RECLAIM_INTERVAL_MS * OGL_MS;
 	for (uint32_t i = 0; i < n; i++) {
 		uint32_t part = need / (n - 1) + 1;
 
-		if (i == asker || a->ppm[i] == 0 || goes_before(a, i, asker))
+		if (i == asker || s->ppm[i] == 0 || goes_before(s, i, asker))
 			continue;
 		send_give(
-		    sh, a, i, a->ppm[i] > part ? a->ppm[i] - part : 0, true);
+		    sh, s, i, s->ppm[i] > part ? s->ppm[i] - part : 0, true);
 	}
 }
 
 static void
-set_want(struct account *a, uint32_t i, uint32_t want, ogl_time now)
+set_want(struct split *s, uint32_t i, uint32_t want, ogl_time now)
 {
-	a->want[i] = want > a->ppm[i] ? want : 0;
-	if (a->want[i] == 0)
-		a->since[i] = 0;
-	else if (a->since[i] == 0)
-		a->since[i] = now;
-	a->heard[i] = now;
+	s->want_ppm[i] = want > s->ppm[i] ? want : 0;
+	if (s->want_ppm[i] == 0)
+		s->want_since[i] = 0;
+	else if (s->want_since[i] == 0)
+		s->want_since[i] = now;
+	s->wanted_at[i] = now;
 }
 
-/* Gives a shard what is free of what it wants. */
+/* Grants a shard as much of its want as is free and reclaims the rest. */
 static void
-serve(struct ogl_shard *sh, struct account *a, uint32_t shard, ogl_time now)
+grant_want(struct ogl_shard *sh, struct split *s, uint32_t shard, ogl_time now)
 {
 	uint32_t need, grant;
 
-	if (a->want[shard] <= a->ppm[shard]) {
-		set_want(a, shard, 0, now);
+	if (s->want_ppm[shard] <= s->ppm[shard]) {
+		set_want(s, shard, 0, now);
 		return;
 	}
-	need = a->want[shard] - a->ppm[shard];
-	grant = MIN(need, free_ppm(sh, a));
+	need = s->want_ppm[shard] - s->ppm[shard];
+	grant = MIN(need, free_ppm(sh, s));
 	if (grant > 0) {
-		a->ppm[shard] += grant;
-		record_split(sh, a, now);
+		s->ppm[shard] += grant;
+		record_split(sh, s, now);
 	}
 	if (grant < need)
-		reclaim(sh, a, shard, need - grant, now);
+		reclaim(sh, s, shard, need - grant, now);
 }
 
-/* A holder that has started, or no longer has, what it wanted more for does
- * not say so.  Were its want kept, it would be given again each time what it
- * had just given back.  Nor does a want that can't be met stand before the
- * others for ever. */
+/* Drops wants that were not repeated: a holder does not report that it has
+ * started the work, or no longer has it, and with its want kept would be
+ * granted again and again what it had just given back.  Also ends the turn of
+ * a want that can't be met, so that it does not block the others for ever. */
 static void
-review_wants(const struct ogl_shard *sh, struct account *a, ogl_time now)
+review_wants(const struct ogl_shard *sh, struct split *s, ogl_time now)
 {
 	for (uint32_t i = 0; i < sh->env->cfg->shards; i++) {
-		if (a->since[i] == 0)
+		if (s->want_since[i] == 0)
 			continue;
-		if (now - a->heard[i] > WANT_MS * OGL_MS)
-			set_want(a, i, 0, now);
-		else if (now - a->since[i] > TURN_MS * OGL_MS)
-			a->since[i] = now;
+		if (now - s->wanted_at[i] > WANT_TIMEOUT_MS * OGL_MS)
+			set_want(s, i, 0, now);
+		else if (now - s->want_since[i] > TURN_MAX_MS * OGL_MS)
+			s->want_since[i] = now;
 	}
 }
 
 /* Serves every want, the oldest first. */
 static void
-serve_all(struct ogl_shard *sh, struct account *a, ogl_time now)
+grant_wants(struct ogl_shard *sh, struct split *s, ogl_time now)
 {
 	uint32_t n = sh->env->cfg->shards;
 	uint32_t wants = 0;
 	bool *served = g_new0(bool, n);
 
-	review_wants(sh, a, now);
+	review_wants(sh, s, now);
 	for (uint32_t i = 0; i < n; i++)
-		wants += a->since[i] != 0 ? 1 : 0;
+		wants += s->want_since[i] != 0 ? 1 : 0;
 	for (; wants > 0; wants--) {
 		uint32_t first = n;
 
 		for (uint32_t i = 0; i < n; i++) {
-			if (a->since[i] != 0 && !served[i] &&
-			    (first == n || goes_before(a, i, first)))
+			if (s->want_since[i] != 0 && !served[i] &&
+			    (first == n || goes_before(s, i, first)))
 				first = i;
 		}
 		served[first] = true;
-		serve(sh, a, first, now);
+		grant_want(sh, s, first, now);
 	}
 	g_free(served);
 }
 
 static void
-take_ask(struct ogl_shard *sh, const Ogl__AllotAsk *q, ogl_time now)
+receive_ask(struct ogl_shard *sh, const Ogl__AllotAsk *q, ogl_time now)
 {
-	struct account *a;
+	struct split *s;
 
 	if (q->shard >= sh->env->cfg->shards ||
-	    bank_of(sh, q->team) != sh->index)
+	    coordinator_of(sh, q->team) != sh->index)
 		return;
-	a = account_get(sh, q->team);
-	if (q->epoch < a->epoch[q->shard])
-		return; /* from an owner that is no more */
-	a->epoch[q->shard] = q->epoch;
+	s = split_get(sh, q->team);
+	if (q->epoch < s->owner_epoch[q->shard])
+		return; /* from an earlier owner */
+	s->owner_epoch[q->shard] = q->epoch;
 	if (q->seq == 0) {
-		set_want(a, q->shard, q->want_ppm, now);
-		serve_all(sh, a, now);
-		tell(sh, a, q->shard);
+		set_want(s, q->shard, q->want_ppm, now);
+		grant_wants(sh, s, now);
+		send_part(sh, s, q->shard);
 		return;
 	}
-	if (q->seq != a->asked[q->shard])
+	if (q->seq != s->reclaim_seq[q->shard])
 		return;
-	a->asked[q->shard] = 0;
-	if (q->known && q->held_ppm < a->ppm[q->shard])
-		a->ppm[q->shard] = q->held_ppm;
+	s->reclaim_seq[q->shard] = 0;
+	if (q->known && q->held_ppm < s->ppm[q->shard])
+		s->ppm[q->shard] = q->held_ppm;
 	else if (!q->known)
-		tell(sh, a, q->shard);
-	serve_all(sh, a, now);
+		send_part(sh, s, q->shard);
+	grant_wants(sh, s, now);
 }
 
 void
 ogl_escrow_msg(struct ogl_shard *sh, const Ogl__PeerMsg *msg, ogl_time now)
 {
 	if (msg->body_case == OGL__PEER_MSG__BODY_ALLOT_ASK)
-		take_ask(sh, msg->allot_ask, now);
+		receive_ask(sh, msg->allot_ask, now);
 	else if (msg->body_case == OGL__PEER_MSG__BODY_ALLOT_GIVE)
-		take_give(sh, msg->allot_give);
+		receive_give(sh, msg->allot_give);
 }
 
 void
 ogl_escrow_tick(struct ogl_shard *sh, ogl_time now)
 {
-	if (now < sh->escrow->next)
+	if (now < sh->escrow->next_tick)
 		return;
-	sh->escrow->next = now + TICK_MS * OGL_MS;
+	sh->escrow->next_tick = now + TICK_MS * OGL_MS;
 	ask_for_more(sh, now);
 }
 
 ogl_time
 ogl_escrow_next(const struct ogl_shard *sh)
 {
-	return sh->escrow->next;
+	return sh->escrow->next_tick;
 }
