--- a/src/calls.c
+++ b/src/calls.c
@@ -1,14 +1,15 @@
 /*
- * Calls: what callers and operators ask of a node, and what nodes pass on to
+ * Calls: what callers and operators ask of a node, and what nodes forward to
  * each other.
  *
- * A call's key is looked up first; it names the team.  Then a table says,
- * by method and path, whether the call is answered here (operators' views),
- * by the executors (short requests), by the owner of one shard (jobs, short
- * requests with an id) or by the owners of all (lists).  For the latter two
- * the call is passed on; every passed call is harmless to repeat, since
- * submissions carry an id (the caller's or one made here), so a lost message
- * or a change of owner is met by sending again until the call's time is up.
+ * A call's key is looked up first; it names the team.  Then a table says, by
+ * method and path, whether the call is answered here (operators' views), by
+ * the executors (short requests), by the owner of one shard (jobs, short
+ * requests with an id) or by the owners of all shards (lists).  In the last
+ * two cases the call is forwarded.  Every forwarded call may be repeated
+ * without harm, since submissions carry an id (the caller's or one made here).
+ * So after a lost message or a change of owner the call is sent again until
+ * its deadline.
  */
 
 #include <jansson.h>
@@ -17,29 +18,31 @@
 #include "node_impl.h"
 
 enum {
-	CALL_MS = 10000,   /* time for a call that names none */
-	RESEND_MS = 700,   /* a passed call without answer goes again */
-	NO_OWNER_MS = 100, /* look again for an owner */
-	GATHER_MS = 2000,  /* a list waits so long for missing shards */
-	STALE_RETRY_MS = 1000,
-	STOP_RETRY_MS = 100,
-	TEAM_MAX = 128,
-	ID_MAX = 128 /* bytes of a request id */
+	CALL_TIMEOUT_MS = 10000,  /* the longest and the default */
+	RESEND_MS = 700,          /* of a forwarded call without an answer */
+	NO_OWNER_RETRY_MS = 100,  /* until the owner is looked up again */
+	GATHER_TIMEOUT_MS = 2000, /* a list is then sent without the rest */
+	STALE_RETRY_MS = 1000,    /* told to callers while settings are stale */
+	STOP_RETRY_MS = 100,      /* told to callers while shutting down */
+	TEAM_MAX_BYTES = 128,
+	ID_MAX_BYTES = 128 /* of a request id */
 };
 
 #define ID_ALLOWED "at most 128 bytes of UTF-8 without '|'"
-#define REMOTE_WAITER ((uint64_t)1 << 63) /* a peer's call, not ours */
+
+/* Set in the waiter numbers of calls that a peer forwarded. */
+#define REMOTE_WAITER ((uint64_t)1 << 63)
 
 enum call_kind {
-	CALL_REQUEST, /* short, without an id to be remembered */
+	CALL_REQUEST, /* a short request whose id need not be remembered */
 	CALL_SHARD,   /* for the owner of one shard */
-	CALL_GATHER,  /* for the owners of all */
-	CALL_LOCAL    /* an edit under way */
+	CALL_GATHER,  /* for the owners of all shards */
+	CALL_LOCAL    /* answered here, possibly after an edit */
 };
 
 struct call {
 	uint64_t id;    /* number within this node */
-	uint64_t token; /* the adapter's */
+	uint64_t token; /* of the HTTP adapter, for the reply */
 	enum call_kind kind;
 	char *method;
 	char *path;
@@ -48,32 +51,34 @@
 	char *work_kind;
 	GBytes *body;
 	uint32_t shard;
-	uint32_t tried;   /* shards that said the job can never run */
-	uint32_t home;    /* shard of the caller's own id */
-	bool own_id;      /* goes by way of its home */
-	bool referred;    /* c->shard is where home referred it to */
-	uint32_t suggest; /* shard + 1 */
-	uint32_t refused_by;
-	bool any_shard;      /* another shard may take it */
-	uint32_t unanswered; /* times passed on without an answer yet */
-	bool at_home;        /* our own shard holds it as a waiter */
+	uint32_t nrefused; /* shards that can never run the job */
+	/* The home of a job is the shard that the caller's id belongs to.  It
+	 * remembers the id and refers the job to the shard that runs it. */
+	uint32_t home_shard;
+	bool has_caller_id;
+	bool referred;       /* shard is the one that the home referred to */
+	uint32_t suggest;    /* for the home to refer to: shard + 1, 0: none */
+	uint32_t refused_by; /* shard + 1, 0: none */
+	bool any_shard;      /* without a caller's id: any may take the job */
+	uint32_t unanswered; /* times sent to an owner without an answer */
+	bool waits_locally;  /* a shard of this node holds it as a waiter */
 	ogl_time deadline;
 	ogl_time next_send;
-	json_t *rows;      /* gathered so far */
-	GByteArray *heard; /* by shard: 1 answered */
-	uint32_t missing;
+	json_t *rows;         /* gathered so far */
+	GByteArray *answered; /* by shard: 1 if it has answered */
+	uint32_t nmissing;    /* shards that have not answered */
 };
 
-/* A call some peer passed to us. */
-struct remote {
+/* A call that a peer forwarded to this node. */
+struct remote_call {
 	uint64_t waiter;
 	char *peer;
-	uint64_t call;
+	uint64_t call_id; /* number within the peer */
 	uint32_t shard;
-	ogl_time until;
+	ogl_time expires_at;
 };
 
-/* A short request sent on behalf of a shard. */
+/* A short request sent to an executor on behalf of a shard. */
 struct dispatched {
 	uint64_t cookie;
 	uint32_t shard;
@@ -81,12 +86,12 @@
 };
 
 struct ogl_calls {
-	GHashTable *live;       /* id -> struct call */
-	GHashTable *by_token;   /* token -> struct call */
-	GHashTable *remotes;    /* waiter -> struct remote */
-	GHashTable *dispatched; /* cookie -> struct dispatched */
-	uint64_t next;
-	uint64_t next_auto;
+	GHashTable *live;         /* id -> struct call */
+	GHashTable *by_token;     /* token -> struct call */
+	GHashTable *remote_calls; /* waiter -> struct remote_call */
+	GHashTable *dispatched;   /* cookie -> struct dispatched */
+	uint64_t last_id;         /* of calls, waiters and cookies */
+	uint64_t last_auto_id;    /* in the request ids made here */
 	ogl_time next_tick;
 };
 
@@ -103,15 +108,15 @@
 	g_bytes_unref(c->body);
 	if (c->rows != NULL)
 		json_decref(c->rows);
-	if (c->heard != NULL)
-		g_byte_array_free(c->heard, TRUE);
+	if (c->answered != NULL)
+		g_byte_array_free(c->answered, TRUE);
 	g_free(c);
 }
 
 static void
-remote_free(void *v)
+remote_call_free(void *v)
 {
-	struct remote *r = v;
+	struct remote_call *r = v;
 
 	g_free(r->peer);
 	g_free(r);
@@ -131,14 +136,16 @@
 {
 	struct ogl_calls *c = g_new0(struct ogl_calls, 1);
 
-	/* Not from nought: a peer's answer to a call of the process that was
-	 * here before must not pass for the answer to one of ours. */
-	c->next = ogl_random_mix(ogl_random_next(&n->rnd) ^ n->cfg.boot) >> 2;
+	/* Starts at a random number, so that a peer's answer to a call of an
+	 * earlier process at this address is not taken for the answer to a
+	 * call of this one. */
+	c->last_id =
+	    ogl_random_mix(ogl_random_next(&n->rnd) ^ n->cfg.boot) >> 2;
 	c->live =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, call_free);
 	c->by_token = g_hash_table_new(g_int64_hash, g_int64_equal);
-	c->remotes = g_hash_table_new_full(
-	    g_int64_hash, g_int64_equal, NULL, remote_free);
+	c->remote_calls = g_hash_table_new_full(
+	    g_int64_hash, g_int64_equal, NULL, remote_call_free);
 	c->dispatched = g_hash_table_new_full(
 	    g_int64_hash, g_int64_equal, NULL, dispatched_free);
 	return c;
@@ -149,7 +156,7 @@
 {
 	g_hash_table_destroy(c->by_token);
 	g_hash_table_destroy(c->live);
-	g_hash_table_destroy(c->remotes);
+	g_hash_table_destroy(c->remote_calls);
 	g_hash_table_destroy(c->dispatched);
 	g_free(c);
 }
@@ -210,7 +217,7 @@
 	call_done(n, c);
 }
 
-/* ---- passing on ------------------------------------------------------- */
+/* ---- forwarding ------------------------------------------------------- */
 
 static void
 ask_local(struct ogl_node *n, const struct call *c, uint32_t shard)
@@ -260,10 +267,10 @@
 	n->counters.forwarded++;
 }
 
-/* Passes the call to the shard's owner; false when none is known.  The call
- * may have been answered, and freed, when this returns. */
+/* Sends the call to the shard's owner, local or remote; false if none is
+ * known.  The call may have been answered and freed when this returns. */
 static bool
-pass_on(struct ogl_node *n, struct call *c, uint32_t shard)
+send_to_owner(struct ogl_node *n, struct call *c, uint32_t shard)
 {
 	const struct ogl_owner *o = &n->owners[shard];
 	const struct ogl_peer *p;
@@ -279,23 +286,23 @@
 	return true;
 }
 
-/* Our own shard keeps the waiter and answers for certain, so it is asked
- * once; a peer's answer may be lost, so it is asked again. */
+/* A shard of this node keeps the waiter and is certain to answer, so it is
+ * asked once.  A peer's answer may be lost, so a peer is asked again. */
 static void
 send_shard(struct ogl_node *n, struct call *c)
 {
 	bool local = ogl_shard_role(n->shards[c->shard]) == OGL_ROLE_OWNER;
 
 	c->next_send = n->now + RESEND_MS * OGL_MS;
-	if (local && c->at_home)
+	if (local && c->waits_locally)
 		return;
 	if (!local && n->owners[c->shard].name == NULL) {
-		c->next_send = n->now + NO_OWNER_MS * OGL_MS;
+		c->next_send = n->now + NO_OWNER_RETRY_MS * OGL_MS;
 		return;
 	}
-	c->at_home = local;
+	c->waits_locally = local;
 	c->unanswered++;
-	pass_on(n, c, c->shard);
+	send_to_owner(n, c, c->shard);
 }
 
 static void
@@ -307,7 +314,7 @@
 
 	json_object_set(top, name, c->rows);
 	json_object_set_new(
-	    top, "shards_missing", json_integer((json_int_t)c->missing));
+	    top, "shards_missing", json_integer((json_int_t)c->nmissing));
 	text = json_dumps(top, JSON_COMPACT);
 	reply_text(n, c->token, 200, OGL_RAN, 0, text);
 	json_decref(top);
@@ -321,32 +328,32 @@
 
 	c->next_send = n->now + RESEND_MS * OGL_MS;
 	for (uint32_t i = 0; i < n->cfg.shards; i++) {
-		if (!c->heard->data[i])
-			pass_on(n, c, i);
+		if (!c->answered->data[i])
+			send_to_owner(n, c, i);
 		if (!g_hash_table_contains(n->calls->live, &id))
-			return; /* the last answer came from ourselves */
+			return; /* answered by a shard of this node */
 	}
 }
 
-/* Rows of one shard: a list, or an object that holds one. */
+/* Adds the rows of one shard: a list, or an object that holds one. */
 static void
-take_rows(struct ogl_node *n, struct call *c, uint32_t shard, GBytes *body)
+add_rows(struct ogl_node *n, struct call *c, uint32_t shard, GBytes *body)
 {
 	gsize len;
 	const char *text = g_bytes_get_data(body, &len);
 	json_t *j = json_loadb(text, len, 0, NULL);
 	json_t *list = json_is_object(j) ? json_object_get(j, "jobs") : j;
 
-	if (c->heard->data[shard]) {
+	if (c->answered->data[shard]) {
 		json_decref(j);
 		return;
 	}
-	c->heard->data[shard] = 1;
-	c->missing--;
+	c->answered->data[shard] = 1;
+	c->nmissing--;
 	if (json_is_array(list))
 		json_array_extend(c->rows, list);
 	json_decref(j);
-	if (c->missing == 0)
+	if (c->nmissing == 0)
 		finish_gather(n, c);
 }
 
@@ -362,7 +369,7 @@
 	return (uint32_t)(h % n->cfg.shards);
 }
 
-/* "s<shard>-..." ; false when it is no job's name. */
+/* Reads the shard from a job id, "s<shard>-..."; false if it is not one. */
 static bool
 shard_of_job(const struct ogl_node *n, const char *id, uint32_t *shard)
 {
@@ -378,9 +385,9 @@
 	return true;
 }
 
-/* The first shard from this one on that is known to have an owner. */
+/* The first shard, counted from this one, that has a known owner. */
 static uint32_t
-any_owned(const struct ogl_node *n, uint32_t from)
+next_owned(const struct ogl_node *n, uint32_t from)
 {
 	for (uint32_t i = 0; i < n->cfg.shards; i++) {
 		uint32_t shard = (from + i) % n->cfg.shards;
@@ -391,8 +398,8 @@
 	return from;
 }
 
-/* The freer of two shards picked at random: spreads jobs without anybody
- * knowing the load of all. */
+/* The one of two random shards that has more free processors.  This spreads
+ * jobs without any node knowing the load of all shards. */
 static uint32_t
 pick_shard(struct ogl_node *n)
 {
@@ -402,7 +409,7 @@
 	const struct ogl_owner *ob = &n->owners[b];
 
 	if (oa->name == NULL && ob->name == NULL)
-		return any_owned(n, a);
+		return next_owned(n, a);
 	if ((oa->name != NULL) != (ob->name != NULL))
 		return oa->name != NULL ? a : b;
 	return ob->free_cpu > oa->free_cpu ? b : a;
@@ -410,15 +417,15 @@
 
 /* ---- answers ---------------------------------------------------------- */
 
-/* Asks the same or another shard again after a while. */
+/* Schedules the next send, to the same or another shard, after wait_ms. */
 static void
-ask_again(struct ogl_node *n, struct call *c, uint64_t wait_ms)
+schedule_send(struct ogl_node *n, struct call *c, uint64_t wait_ms)
 {
-	c->at_home = false;
+	c->waits_locally = false;
 	c->next_send = n->now + (ogl_time)wait_ms * OGL_MS;
 }
 
-/* The home of the caller's id says which shard is to take the job. */
+/* Follows the home shard's referral to the shard that is to take the job. */
 static void
 follow_referral(struct ogl_node *n, struct call *c, GBytes *body)
 {
@@ -433,40 +440,42 @@
 		return;
 	c->referred = true;
 	c->shard = (uint32_t)shard;
-	ask_again(n, c, 0);
+	schedule_send(n, c, 0);
 }
 
-/* A shard can never run the job: its home is asked to refer it to the next. */
+/* After a shard that can never run the job, the home is asked to refer it to
+ * the next one. */
 static void
-back_home(struct ogl_node *n, struct call *c)
+return_home(struct ogl_node *n, struct call *c)
 {
 	c->refused_by = c->shard + 1;
 	c->suggest = (c->shard + 1) % n->cfg.shards + 1;
 	c->referred = false;
-	c->shard = c->home;
-	ask_again(n, c, 0);
+	c->shard = c->home_shard;
+	schedule_send(n, c, 0);
 }
 
-/* One copy of the call was refused while another, sent before or after it,
- * has not been answered.  That one may meet the owner when it can serve
- * again, and "not run" would then be a lie. */
+/* Whether one copy of the call was refused while another, sent before or after
+ * it, has no answer yet.  That one may still reach an owner that runs it, so
+ * "not run" would be wrong. */
 static bool
-copy_is_out(const struct call *c, uint32_t status, enum ogl_verdict v)
+copy_is_unanswered(const struct call *c, uint32_t status, enum ogl_verdict v)
 {
 	return status >= 400 && v == OGL_NOT_RUN && c->unanswered > 0 &&
 	       strcmp(c->method, "GET") != 0;
 }
 
-/* A shard's word on a call of ours.  What failed for want of an owner is
- * asked again: every passed call may be repeated.  A job that one shard can
- * never run may fit another.  Everything else is the answer. */
+/* Handles a shard's answer to a call of this node.  A call that failed because
+ * the shard has no owner is sent again, as every forwarded call may be
+ * repeated.  A job that one shard can never run is sent to another.  Anything
+ * else is the reply to the caller. */
 static void
-take_answer(struct ogl_node *n, struct call *c, uint32_t shard, uint32_t status,
-    enum ogl_verdict v, uint64_t retry_ms, GBytes *body)
+handle_answer(struct ogl_node *n, struct call *c, uint32_t shard,
+    uint32_t status, enum ogl_verdict v, uint64_t retry_ms, GBytes *body)
 {
 	if (c->kind == CALL_GATHER) {
 		if (status == 200)
-			take_rows(n, c, shard, body);
+			add_rows(n, c, shard, body);
 		return;
 	}
 	if (shard != c->shard)
@@ -475,23 +484,24 @@
 		c->unanswered--;
 	if (status == 503 && retry_ms > 0 && retry_ms < RESEND_MS &&
 	    c->deadline - n->now > RESEND_MS * OGL_MS) {
-		ask_again(n, c, retry_ms);
+		schedule_send(n, c, retry_ms);
 		return;
 	}
 	if (status == OGL_STATUS_REFERRED) {
 		follow_referral(n, c, body);
 		return;
 	}
-	if (status == 422 && c->own_id && ++c->tried < n->cfg.shards) {
-		back_home(n, c);
+	if (status == 422 && c->has_caller_id &&
+	    ++c->nrefused < n->cfg.shards) {
+		return_home(n, c);
 		return;
 	}
-	if (status == 422 && c->any_shard && ++c->tried < n->cfg.shards) {
+	if (status == 422 && c->any_shard && ++c->nrefused < n->cfg.shards) {
 		c->shard = (c->shard + 1) % n->cfg.shards;
-		ask_again(n, c, 0);
+		schedule_send(n, c, 0);
 		return;
 	}
-	if (copy_is_out(c, status, v)) {
+	if (copy_is_unanswered(c, status, v)) {
 		call_error(n, c, status, OGL_MAY_HAVE_RUN, retry_ms,
 		    "another copy of it may be under way; ask again under "
 		    "the same id");
@@ -506,7 +516,8 @@
 answer_remote(struct ogl_node *n, uint64_t waiter, uint32_t status,
     enum ogl_verdict v, uint64_t retry_ms, GBytes *body)
 {
-	struct remote *r = g_hash_table_lookup(n->calls->remotes, &waiter);
+	struct remote_call *r =
+	    g_hash_table_lookup(n->calls->remote_calls, &waiter);
 	const struct ogl_peer *p;
 	Ogl__PeerMsg msg = OGL__PEER_MSG__INIT;
 	Ogl__ForwardReply f = OGL__FORWARD_REPLY__INIT;
@@ -516,7 +527,7 @@
 		return;
 	p = ogl_member_find(n->member, r->peer);
 	if (p != NULL) {
-		f.call = r->call;
+		f.call = r->call_id;
 		f.shard = r->shard;
 		f.status = status;
 		f.verdict = (Ogl__Verdict)v;
@@ -527,7 +538,7 @@
 		msg.forward_reply = &f;
 		ogl_member_send(n->member, p->fact->addr, &msg, n->out);
 	}
-	g_hash_table_remove(n->calls->remotes, &waiter);
+	g_hash_table_remove(n->calls->remote_calls, &waiter);
 }
 
 void
@@ -542,26 +553,26 @@
 	}
 	c = g_hash_table_lookup(n->calls->live, &waiter);
 	if (c != NULL)
-		take_answer(n, c, shard, status, v, retry_after_ms, body);
+		handle_answer(n, c, shard, status, v, retry_after_ms, body);
 }
 
 void
 ogl_calls_forward(
     struct ogl_node *n, const struct ogl_peer *from, const Ogl__Forward *f)
 {
-	uint64_t budget_ms = MIN(f->budget_ms, CALL_MS);
+	uint64_t budget_ms = MIN(f->budget_ms, CALL_TIMEOUT_MS);
 	struct ogl_ask_call q = {0};
-	struct remote *r;
+	struct remote_call *r;
 
 	if (f->shard >= n->cfg.shards)
 		return;
-	r = g_new0(struct remote, 1);
-	r->waiter = ++n->calls->next | REMOTE_WAITER;
+	r = g_new0(struct remote_call, 1);
+	r->waiter = ++n->calls->last_id | REMOTE_WAITER;
 	r->peer = g_strdup(from->fact->name);
-	r->call = f->call;
+	r->call_id = f->call;
 	r->shard = f->shard;
-	r->until = n->now + (ogl_time)budget_ms * OGL_MS + OGL_SEC;
-	g_hash_table_insert(n->calls->remotes, &r->waiter, r);
+	r->expires_at = n->now + (ogl_time)budget_ms * OGL_MS + OGL_SEC;
+	g_hash_table_insert(n->calls->remote_calls, &r->waiter, r);
 	q.waiter = r->waiter;
 	q.method = ogl_str(f->method);
 	q.path = ogl_str(f->path);
@@ -587,13 +598,13 @@
 	(void)from;
 	if (r->shard >= n->cfg.shards || !ogl_answer_is_sane(r->status) ||
 	    r->verdict > OGL__VERDICT__may_have_run)
-		return; /* damaged: as good as lost, and asked for again */
+		return; /* malformed: treated as lost, so the call is resent */
 	if (c == NULL) {
 		n->counters.late_answers++;
 		return;
 	}
 	body = g_bytes_new(r->body.data, r->body.len);
-	take_answer(n, c, r->shard, r->status, (enum ogl_verdict)r->verdict,
+	handle_answer(n, c, r->shard, r->status, (enum ogl_verdict)r->verdict,
 	    r->retry_after_ms, body);
 	g_bytes_unref(body);
 }
@@ -607,7 +618,7 @@
 	struct dispatched *d = g_new0(struct dispatched, 1);
 	struct ogl_str s;
 
-	d->cookie = ++n->calls->next;
+	d->cookie = ++n->calls->last_id;
 	d->shard = shard;
 	d->id = g_strdup(id);
 	g_hash_table_insert(n->calls->dispatched, &d->cookie, d);
@@ -637,7 +648,7 @@
 	g_hash_table_remove(n->calls->dispatched, &cookie);
 }
 
-/* ---- taking a call ---------------------------------------------------- */
+/* ---- incoming calls --------------------------------------------------- */
 
 static struct call *
 call_new(struct ogl_node *n, const struct ogl_event *ev, const char *team,
@@ -646,7 +657,7 @@
 	struct call *c = g_new0(struct call, 1);
 	uint64_t ms = ev->u.call.budget_ms;
 
-	c->id = ++n->calls->next;
+	c->id = ++n->calls->last_id;
 	c->token = ev->token;
 	c->method = ogl_str_dup(ev->u.call.method);
 	c->path = g_strdup(path);
@@ -654,8 +665,9 @@
 	c->request_id = ogl_str_dup(ev->u.call.request_id);
 	c->work_kind = ogl_str_dup(ev->u.call.work_kind);
 	c->body = g_bytes_new(ev->u.call.body.p, ev->u.call.body.n);
-	c->deadline =
-	    n->now + (ogl_time)(ms > 0 ? MIN(ms, CALL_MS) : CALL_MS) * OGL_MS;
+	c->deadline = n->now + (ogl_time)(ms > 0 ? MIN(ms, CALL_TIMEOUT_MS)
+						 : CALL_TIMEOUT_MS) *
+				   OGL_MS;
 	g_hash_table_insert(n->calls->live, &c->id, c);
 	g_hash_table_insert(n->calls->by_token, &c->token, c);
 	return c;
@@ -691,19 +703,19 @@
 	    ev->u.call.idempotent, ev->u.call.budget_ms, n->now);
 }
 
-/* An id that is no text would be told from others in memory, but not once it
- * went through JSON, and two callers' jobs would pass for one. */
+/* Ids must be valid UTF-8: others are distinct in memory, but may become equal
+ * in JSON, and the jobs of two callers would be taken for one. */
 static bool
-id_is_sane(struct ogl_str id)
+id_is_valid(struct ogl_str id)
 {
 	if (id.n == 0)
 		return true;
-	return id.n <= ID_MAX && memchr(id.p, '|', id.n) == NULL &&
+	return id.n <= ID_MAX_BYTES && memchr(id.p, '|', id.n) == NULL &&
 	       g_utf8_validate(id.p, (gssize)id.n, NULL);
 }
 
 static bool
-submit_is_sane(const Ogl__Submit *s, struct ogl_faults *f)
+submit_is_valid(const Ogl__Submit *s, struct ogl_faults *f)
 {
 	char text[32];
 
@@ -717,7 +729,7 @@
 		    "processors (cpu_milli) or memory (mem_mb) above 0");
 	if (strlen(s->payload) > 4096)
 		ogl_faults_add(f, "payload", "", "at most 4096 bytes");
-	if (!id_is_sane(ogl_str(s->request_id)))
+	if (!id_is_valid(ogl_str(s->request_id)))
 		ogl_faults_add(f, "request_id", s->request_id, ID_ALLOWED);
 	return ogl_faults_count(f) == 0;
 }
@@ -730,10 +742,10 @@
 	s->request_id = id;
 }
 
-/* A submission without an id gets one here, so that passing it on twice
- * gives one job. */
+/* The body to forward.  A submission without an id gets one here, so that
+ * sending it twice creates one job. */
 static GBytes *
-with_id(struct ogl_node *n, Ogl__Submit *s)
+body_with_id(struct ogl_node *n, Ogl__Submit *s)
 {
 	char *text;
 	size_t len;
@@ -741,7 +753,7 @@
 	if (s->request_id[0] == '\0')
 		set_id(s, g_strdup_printf("auto-%s-%" G_GUINT64_FORMAT
 					  "-%" G_GUINT64_FORMAT,
-			      n->name, n->cfg.boot, ++n->calls->next_auto));
+			      n->name, n->cfg.boot, ++n->calls->last_auto_id));
 	text = ogl_json_print(&s->base, &len);
 	return g_bytes_new_take(text, len);
 }
@@ -753,7 +765,7 @@
 	struct ogl_faults *f = ogl_faults_new();
 	Ogl__Submit *s = (Ogl__Submit *)ogl_json_parse(
 	    &ogl__submit__descriptor, ev->u.call.body, f);
-	bool own_id;
+	bool has_caller_id;
 	struct call *c;
 
 	(void)arg;
@@ -761,22 +773,23 @@
 	    ev->u.call.request_id.n > 0)
 		set_id(s,
 		    strndup(ev->u.call.request_id.p, ev->u.call.request_id.n));
-	if (s == NULL || !submit_is_sane(s, f)) {
+	if (s == NULL || !submit_is_valid(s, f)) {
 		n->counters.bad_input++;
 		reply_text(n, ev->token, 422, OGL_NOT_RUN, 0,
 		    ogl_error_text("the job is not valid", OGL_NOT_RUN, 0, f));
 		goto out;
 	}
-	own_id = s->request_id[0] != '\0';
+	has_caller_id = s->request_id[0] != '\0';
 	c = call_new(n, ev, team, path);
 	c->kind = CALL_SHARD;
-	c->any_shard = !own_id;
-	c->own_id = own_id;
+	c->any_shard = !has_caller_id;
+	c->has_caller_id = has_caller_id;
 	g_bytes_unref(c->body);
-	c->body = with_id(n, s);
-	c->shard = own_id ? shard_of_id(n, team, s->request_id) : pick_shard(n);
-	c->home = c->shard;
-	c->suggest = own_id ? pick_shard(n) + 1 : 0;
+	c->body = body_with_id(n, s);
+	c->shard =
+	    has_caller_id ? shard_of_id(n, team, s->request_id) : pick_shard(n);
+	c->home_shard = c->shard;
+	c->suggest = has_caller_id ? pick_shard(n) + 1 : 0;
 	send_shard(n, c);
 out:
 	if (s != NULL)
@@ -809,12 +822,12 @@
 
 	(void)arg;
 	c->kind = CALL_GATHER;
-	c->deadline = MIN(c->deadline, n->now + GATHER_MS * OGL_MS);
+	c->deadline = MIN(c->deadline, n->now + GATHER_TIMEOUT_MS * OGL_MS);
 	c->rows = json_array();
-	c->missing = n->cfg.shards;
-	c->heard = g_byte_array_new();
-	g_byte_array_set_size(c->heard, n->cfg.shards);
-	memset(c->heard->data, 0, n->cfg.shards);
+	c->nmissing = n->cfg.shards;
+	c->answered = g_byte_array_new();
+	g_byte_array_set_size(c->answered, n->cfg.shards);
+	memset(c->answered->data, 0, n->cfg.shards);
 	send_gather(n, c);
 }
 
@@ -824,13 +837,14 @@
 	RIGHT_OPERATOR
 };
 
-/* One row a call; a path that ends in '/' takes the rest as argument. */
+/* One row for each call.  If path ends in '/', the rest of the call's path is
+ * the argument. */
 struct call_row {
 	const char *method;
 	const char *path;
 	enum right right;
-	call_fn fn;   /* passed on or queued */
-	ogl_op_fn op; /* or answered here */
+	call_fn fn;   /* for calls that are forwarded or queued, or NULL */
+	ogl_op_fn op; /* for calls that are answered here, or NULL */
 };
 
 static const struct call_row call_table[] = {
@@ -867,7 +881,8 @@
 	return true;
 }
 
-/* The row of a call; *other_method tells a known path from an unknown. */
+/* The row of a call, or NULL; *other_method is then set if the path is known
+ * with another method. */
 static const struct call_row *
 find_row(struct ogl_str method, const char *path, const char **arg,
     bool *other_method)
@@ -894,10 +909,11 @@
 	       g_ascii_strcasecmp(hex, n->cfg.operator_hash) == 0;
 }
 
-/* Whose key it is; false after a refusal has been answered. */
+/* Checks the key and stores its team, "" for an operator.  Replies and returns
+ * false if the call is refused. */
 static bool
 check_key(struct ogl_node *n, const struct ogl_event *ev, enum right right,
-    char team[TEAM_MAX])
+    char team[TEAM_MAX_BYTES])
 {
 	struct ogl_key_view view = {0};
 	bool op = is_first_operator(n, ev->u.call.key);
@@ -921,18 +937,19 @@
 		return false;
 	}
 	if (!op)
-		g_strlcpy(team, view.team, TEAM_MAX);
+		g_strlcpy(team, view.team, TEAM_MAX_BYTES);
 	return true;
 }
 
-/* The id in the header; false after a refusal has been answered. */
+/* Checks the id in the header.  Replies and returns false if the call is
+ * refused. */
 static bool
 check_id(struct ogl_node *n, const struct ogl_event *ev)
 {
 	struct ogl_faults *f;
 	char *id;
 
-	if (id_is_sane(ev->u.call.request_id))
+	if (id_is_valid(ev->u.call.request_id))
 		return true;
 	f = ogl_faults_new();
 	id = ogl_str_dup(ev->u.call.request_id);
@@ -966,7 +983,7 @@
 	char *path = ogl_str_dup(ev->u.call.path);
 	char *query = strchr(path, '?');
 	const struct call_row *row;
-	char team[TEAM_MAX];
+	char team[TEAM_MAX_BYTES];
 	const char *arg;
 	bool other;
 
@@ -1060,7 +1077,7 @@
 call_tick(struct ogl_node *n, struct call *c)
 {
 	if (c->kind == CALL_REQUEST)
-		return; /* its own module watches the time */
+		return; /* the requests module keeps its deadline */
 	if (n->now >= c->deadline) {
 		call_timeout(n, c);
 		return;
@@ -1074,10 +1091,10 @@
 }
 
 static gboolean
-remote_is_old(gpointer key, gpointer value, gpointer now)
+remote_call_expired(gpointer key, gpointer value, gpointer now)
 {
 	(void)key;
-	return ((struct remote *)value)->until < *(ogl_time *)now;
+	return ((struct remote_call *)value)->expires_at < *(ogl_time *)now;
 }
 
 void
@@ -1102,7 +1119,8 @@
 	for (guint i = 0; i < due->len; i++)
 		call_tick(n, g_ptr_array_index(due, i));
 	g_ptr_array_free(due, TRUE);
-	g_hash_table_foreach_remove(cs->remotes, remote_is_old, &n->now);
+	g_hash_table_foreach_remove(
+	    cs->remote_calls, remote_call_expired, &n->now);
 }
 
 ogl_time
