--- a/src/opcalls.c
+++ b/src/opcalls.c
@@ -1,4 +1,4 @@
-/* Operators' calls: the settings tree, keys, audit trail and views. */
+/* Operators' calls: the settings tree, keys, the audit trail and views. */
 
 #include <jansson.h>
 #include <stdlib.h>
@@ -7,7 +7,7 @@
 #include "node_impl.h"
 
 enum {
-	RETRY_LOG_MS = 1000
+	LOG_RETRY_MS = 1000 /* told to callers if the log is unreachable */
 };
 
 static void
@@ -20,7 +20,8 @@
 	r->body = ogl_error_text(error, OGL_NOT_RUN, retry_ms, faults);
 }
 
-/* The value of a name in the call's query, NULL when absent; g_free. */
+/* The value of a parameter of the call's query, NULL if it is absent.  The
+ * result is freed with g_free. */
 static char *
 query_value(const struct ogl_event *ev, const char *name)
 {
@@ -62,7 +63,8 @@
 	g_free(path);
 }
 
-/* Checks an edit and sends it to the log; leaves r open on success. */
+/* Checks an edit and sends it to the log.  On success r keeps status 0 and
+ * ogl_calls_edited replies later. */
 static void
 send_edit(
     struct ogl_node *n, Ogl__Edit *e, uint64_t waiter, struct ogl_op_reply *r)
@@ -77,14 +79,14 @@
 		    0, error != NULL ? error->message : "not allowed", f);
 		n->counters.bad_input++;
 	} else if (!ogl_follow_edit(n->follow, e, waiter, n->now)) {
-		refuse(r, 503, RETRY_LOG_MS,
+		refuse(r, 503, LOG_RETRY_MS,
 		    "the log can't be reached, so nothing is changed", NULL);
 	}
 	g_clear_error(&error);
 	ogl_faults_free(f);
 }
 
-/* Whom the audit trail names: the key that was shown. */
+/* Sets whom the audit trail names: the id of the caller's key. */
 static void
 set_who(struct ogl_node *n, const struct ogl_event *ev, Ogl__Edit *e)
 {
@@ -118,7 +120,8 @@
 
 /* ---- keys ------------------------------------------------------------- */
 
-/* The "team" of a body like {"team":"x"}; NULL with r filled in. */
+/* The "team" of a body like {"team":"x"}.  On error returns NULL and fills in
+ * r. */
 static char *
 team_of_body(const struct ogl_event *ev, struct ogl_op_reply *r)
 {
@@ -144,7 +147,7 @@
 	uint8_t random[32];
 	char key[80], id[32];
 	Ogl__Edit *e = NULL;
-	int64_t *slot;
+	int64_t *map_key;
 
 	(void)arg;
 	if (team == NULL)
@@ -158,9 +161,9 @@
 	set_who(n, ev, e);
 	send_edit(n, e, waiter, r);
 	if (r->status == 0) {
-		slot = g_new(int64_t, 1);
-		*slot = (int64_t)waiter;
-		g_hash_table_insert(n->key_texts, slot,
+		map_key = g_new(int64_t, 1);
+		*map_key = (int64_t)waiter;
+		g_hash_table_insert(n->key_texts, map_key,
 		    g_strdup_printf("{\"key\":\"%s\",\"id\":\"%s\"}", key, id));
 	}
 	ogl__edit__free_unpacked(e, NULL);
@@ -173,11 +176,11 @@
 ogl_op_key_text(struct ogl_node *n, uint64_t waiter)
 {
 	int64_t key = (int64_t)waiter;
-	gpointer slot = NULL, text = NULL;
+	gpointer map_key = NULL, text = NULL;
 
-	if (!g_hash_table_steal_extended(n->key_texts, &key, &slot, &text))
+	if (!g_hash_table_steal_extended(n->key_texts, &key, &map_key, &text))
 		return NULL;
-	g_free(slot);
+	g_free(map_key);
 	return text;
 }
 
@@ -224,7 +227,7 @@
 /* ---- views ------------------------------------------------------------ */
 
 static void
-give(struct ogl_op_reply *r, json_t *top)
+reply_json(struct ogl_op_reply *r, json_t *top)
 {
 	r->status = 200;
 	r->body = json_dumps(top, JSON_COMPACT);
@@ -252,8 +255,8 @@
 			"addr", h->addr, "zone", h->zone, "rack", h->rack,
 			"leaving", h->leaving, "listed", h->listed));
 	}
-	give(r, json_pack("{s:o,s:I}", "hosts", list, "list_age_ms",
-		    (json_int_t)((n->now - n->hosts_at) / OGL_MS)));
+	reply_json(r, json_pack("{s:o,s:I}", "hosts", list, "list_age_ms",
+			  (json_int_t)((n->now - n->hosts_at) / OGL_MS)));
 }
 
 static void
@@ -278,7 +281,8 @@
 	(void)arg;
 	(void)waiter;
 	ogl_member_each(n->member, member_row, list);
-	give(r, json_pack("{s:s,s:o}", "asked", n->name, "members", list));
+	reply_json(
+	    r, json_pack("{s:s,s:o}", "asked", n->name, "members", list));
 }
 
 void
@@ -295,7 +299,7 @@
 		if (ogl_shard_role(n->shards[i]) == OGL_ROLE_OWNER)
 			json_array_append_new(owned, json_integer(i));
 	}
-	give(
+	reply_json(
 	    r, json_pack("{s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:o,s:I,s:I,s:I}",
 		   "name", n->name, "zone", n->zone, "version", OGL_VERSION,
 		   "ready", ogl_node_ready(n, n->now), "settings_version",
