--- a/test/test_lend.cc
+++ b/test/test_lend.cc
@@ -1,4 +1,4 @@
-/* Lent room comes back: whose tasks make way, how many, and when none do. */
+/* Preemption of tasks on lent room: which tasks, how many, and when none. */
 
 #include <gtest/gtest.h>
 
@@ -18,8 +18,8 @@
 
 const ogl_time START = 1000000 * OGL_SEC;
 
-/* A small cell, stepped second by second: what waits starts as in the queue,
- * the team with the least held by weight first. */
+/* A small cell, stepped second by second.  Waiting tasks start in the order of
+ * the queue: first those of the team that holds least by its weight. */
 class Lend : public ::testing::Test
 {
       protected:
@@ -29,10 +29,10 @@
 		Ogl__Kind kind = OGL__KIND__batch;
 		uint32_t cpus = 1, tasks = 1;
 		bool restartable = true;
-		int worker = -1; /* waits */
+		int worker = -1; /* -1 while it waits */
 		ogl_time since = START;
 		bool stopping = false;
-		bool obeys = true;
+		bool acts_on_checkpoint = true;
 	};
 
 	ogl_lend *lend = ogl_lend_init();
@@ -41,7 +41,7 @@
 	std::vector<task> tasks;
 	std::map<std::string, double> share;
 	std::vector<Ogl__StopMode> modes;
-	std::vector<uint64_t> taken;
+	std::vector<uint64_t> preempted;
 	uint64_t ids = 0;
 
 	void TearDown() override
@@ -71,7 +71,7 @@
 		free_cpus[(size_t)worker] -= t.cpus;
 	}
 
-	void fill(const std::string &team)
+	void fill_with(const std::string &team)
 	{
 		for (int w = 0; w < 4; w++)
 			while (free_cpus[(size_t)w] > 0)
@@ -83,7 +83,7 @@
 		return {cpus * 1000, cpus * 1024, 0};
 	}
 
-	void tell()
+	void add_state()
 	{
 		ogl_lend_begin(lend, now);
 		for (uint32_t f : free_cpus) {
@@ -100,16 +100,16 @@
 				ogl_lend_add_task(lend, &k);
 		}
 		uint32_t turn = 0;
-		std::vector<const task *> line;
+		std::vector<const task *> queued;
 		for (const task &t : tasks)
 			if (t.worker < 0)
-				line.push_back(&t);
-		std::stable_sort(line.begin(), line.end(),
+				queued.push_back(&t);
+		std::stable_sort(queued.begin(), queued.end(),
 		    [this](const task *x, const task *y) {
 			    return held(x->team) / weight(x->team) <
 				   held(y->team) / weight(y->team);
 		    });
-		for (const task *t : line) {
+		for (const task *t : queued) {
 			ogl_lend_want w = {t->team.c_str(), res(t->cpus),
 			    t->tasks, ++turn, t->since};
 
@@ -117,16 +117,16 @@
 		}
 	}
 
-	/* Rounds until something is taken, nothing starting meanwhile. */
+	/* Runs up to n rounds until a task is preempted; no task starts. */
 	size_t decide_for(int n)
 	{
-		size_t took = 0;
+		size_t preempted_now = 0;
 
-		for (; took == 0 && n > 0; n--) {
+		for (; preempted_now == 0 && n > 0; n--) {
 			now += OGL_SEC;
-			took = decide();
+			preempted_now = decide();
 		}
-		return took;
+		return preempted_now;
 	}
 
 	size_t decide()
@@ -134,7 +134,7 @@
 		const ogl_lend_take *takes;
 		std::vector<size_t> placed;
 
-		tell();
+		add_state();
 		for (size_t i = 0; i < tasks.size(); i++)
 			if (tasks[i].worker >= 0)
 				placed.push_back(i);
@@ -144,10 +144,10 @@
 
 			EXPECT_TRUE(t.restartable);
 			t.stopping = true;
-			taken.push_back(t.id);
+			preempted.push_back(t.id);
 			modes.push_back(takes[i].mode);
 			if (takes[i].mode == OGL__STOP_MODE__stop)
-				t.obeys = true;
+				t.acts_on_checkpoint = true;
 		}
 		return n;
 	}
@@ -195,11 +195,11 @@
 		}
 	}
 
-	void second()
+	void step_second()
 	{
 		now += OGL_SEC;
 		for (task &t : tasks) {
-			if (!t.stopping || !t.obeys)
+			if (!t.stopping || !t.acts_on_checkpoint)
 				continue;
 			free_cpus[(size_t)t.worker] += t.cpus;
 			t.worker = -1;
@@ -209,52 +209,52 @@
 		decide();
 	}
 
-	void seconds(int n)
+	void step_seconds(int n)
 	{
 		while (n-- > 0)
-			second();
+			step_second();
 	}
 
-	void weigh(const std::string &team, double w)
+	void set_weight(const std::string &team, double w)
 	{
 		share[team] = w;
 		ogl_lend_share(lend, team.c_str(), w);
 	}
 };
 
-TEST_F(Lend, AReturningTeamGetsItsShareSoon)
+TEST_F(Lend, PreemptsUntilATeamHasItsShare)
 {
-	fill("a");
+	fill_with("a");
 	now += 100 * OGL_SEC;
 	add("b", 20);
-	seconds(5);
-	EXPECT_EQ(taken.size(), 0u) << "b has hardly waited";
-	seconds(20);
+	step_seconds(5);
+	EXPECT_EQ(preempted.size(), 0u) << "b has not waited long enough";
+	step_seconds(20);
 	EXPECT_EQ(held("b"), 8);
 	EXPECT_EQ(held("a"), 8);
-	EXPECT_EQ(taken.size(), 8u);
+	EXPECT_EQ(preempted.size(), 8u);
 	for (Ogl__StopMode m : modes)
 		EXPECT_EQ(m, OGL__STOP_MODE__checkpoint);
 }
 
-TEST_F(Lend, WeightsCountOverTheTree)
+TEST_F(Lend, WeightsApplyOnEachLevelOfTheTree)
 {
-	weigh("north", 3);
-	weigh("south", 1);
-	weigh("south/x", 3);
-	weigh("south/y", 1);
+	set_weight("north", 3);
+	set_weight("south", 1);
+	set_weight("south/x", 3);
+	set_weight("south/y", 1);
 	share = {{"north", 12}, {"south/x", 3}, {"south/y", 1}};
-	fill("south/x");
+	fill_with("south/x");
 	now += 100 * OGL_SEC;
 	add("north", 20);
 	add("south/y", 20);
-	seconds(30);
+	step_seconds(30);
 	EXPECT_EQ(held("north"), 12);
 	EXPECT_EQ(held("south/x"), 3);
 	EXPECT_EQ(held("south/y"), 1);
 }
 
-TEST_F(Lend, NothingIsTakenWhileThereIsRoom)
+TEST_F(Lend, PreemptsNothingWhileThereIsRoom)
 {
 	add("a", 4, 0);
 	add("a", 4, 1);
@@ -264,7 +264,7 @@
 	EXPECT_EQ(decide_for(20), 0u);
 }
 
-TEST_F(Lend, NothingIsTakenFromATeamWithinItsShare)
+TEST_F(Lend, PreemptsNothingFromATeamWithinItsShare)
 {
 	add("a", 4, 0);
 	add("a", 4, 1);
@@ -279,13 +279,13 @@
 	EXPECT_EQ(decide_for(20), 1u);
 }
 
-TEST_F(Lend, WhatIsNotRestartableStays)
+TEST_F(Lend, DoesNotPreemptTasksThatMayNotRestart)
 {
-	fill("a");
+	fill_with("a");
 	for (task &t : tasks)
 		t.restartable = t.worker == 3;
 	add("b", 20);
-	seconds(60);
+	step_seconds(60);
 	EXPECT_EQ(held("b"), 4);
 	for (const task &t : tasks) {
 		if (!t.restartable) {
@@ -294,21 +294,21 @@
 	}
 }
 
-TEST_F(Lend, TheNewestGoesFirst)
+TEST_F(Lend, PreemptsTheNewestTaskFirst)
 {
-	fill("a");
+	fill_with("a");
 	for (task &t : tasks)
 		t.since = now + (ogl_time)t.id * OGL_SEC;
 	std::swap(tasks[3].since, tasks[15].since);
 	now += 100 * OGL_SEC;
 	add("b").since = START;
 	ASSERT_EQ(decide_for(20), 1u);
-	EXPECT_EQ(taken[0], tasks[3].id);
+	EXPECT_EQ(preempted[0], tasks[3].id);
 }
 
-TEST_F(Lend, AServiceGoesLastAndOneTaskAtATime)
+TEST_F(Lend, PreemptsServicesLastAndOneTaskAtATime)
 {
-	fill("a");
+	fill_with("a");
 	for (task &t : tasks) {
 		if (t.worker == 0)
 			continue;
@@ -319,18 +319,18 @@
 	add("b", 20);
 	size_t most = 0;
 	for (int i = 0; i < 40; i++) {
-		size_t before = taken.size();
+		size_t before = preempted.size();
 
-		second();
-		most = std::max(most, taken.size() - before);
+		step_second();
+		most = std::max(most, preempted.size() - before);
 	}
 	EXPECT_EQ(held("b"), 8);
 	EXPECT_EQ(most, 1u);
 	for (size_t i = 0; i < 4; i++)
-		EXPECT_LE(taken[i], 4u) << "batch first";
+		EXPECT_LE(preempted[i], 4u) << "batch first";
 }
 
-TEST_F(Lend, AGangGoesWholeOrNotAtAll)
+TEST_F(Lend, PreemptsAGangAsAWhole)
 {
 	for (int w = 0; w < 4; w++) {
 		task &t = add("a", 1, w);
@@ -338,7 +338,7 @@
 		t.kind = OGL__KIND__gang;
 		t.job = 77;
 	}
-	fill("a");
+	fill_with("a");
 	for (task &t : tasks)
 		t.restartable = t.kind == OGL__KIND__gang;
 	now += 100 * OGL_SEC;
@@ -347,9 +347,9 @@
 	EXPECT_EQ(decide_for(20), 4u);
 }
 
-TEST_F(Lend, AGangThatWaitsIsCountedWhole)
+TEST_F(Lend, CountsAWaitingGangAsAWhole)
 {
-	fill("a");
+	fill_with("a");
 	now += 100 * OGL_SEC;
 	task &big = add("b");
 	big.tasks = 9; /* above b's share of 8 */
@@ -360,22 +360,23 @@
 	EXPECT_EQ(decide_for(20), 8u);
 }
 
-TEST_F(Lend, TeamsDoNotTakeFromEachOtherInTurn)
+TEST_F(Lend, TeamsDoNotPreemptEachOtherInTurn)
 {
-	/* Two teams always want more than there is, and a third comes and
-	 * goes every twenty seconds.  Were room taken on every change, tasks
-	 * would be stopped all the time and nobody's would ever end. */
-	fill("a");
+	/* Two teams always want more than there is, and a third one's work
+	 * comes and goes every twenty seconds.  If every change caused a
+	 * preemption, tasks would be stopped all the time and none would ever
+	 * end. */
+	fill_with("a");
 	add("a", 20);
 	add("b", 20);
-	seconds(60);
-	size_t settled = taken.size();
+	step_seconds(60);
+	size_t settled = preempted.size();
 	EXPECT_EQ(settled, 8u);
-	seconds(600);
-	EXPECT_EQ(taken.size(), settled);
+	step_seconds(600);
+	EXPECT_EQ(preempted.size(), settled);
 	for (int i = 0; i < 15; i++) {
 		add("c", 4);
-		seconds(20);
+		step_seconds(20);
 		for (task &t : tasks) {
 			if (t.team != "c")
 				continue;
@@ -386,29 +387,29 @@
 		tasks.erase(std::remove_if(tasks.begin(), tasks.end(),
 				[](const task &t) { return t.team == "c"; }),
 		    tasks.end());
-		seconds(20);
+		step_seconds(20);
 	}
 	std::map<uint64_t, int> times;
-	for (size_t i = settled; i < taken.size(); i++)
-		times[taken[i]]++;
+	for (size_t i = settled; i < preempted.size(); i++)
+		times[preempted[i]]++;
 	for (const auto &t : times)
 		EXPECT_LE(t.second, 3) << "task " << t.first;
-	EXPECT_LE(taken.size(), settled + 15 * 5);
+	EXPECT_LE(preempted.size(), settled + 15 * 5);
 }
 
-TEST_F(Lend, AWorkerThatIgnoresACheckpointIsToldToStop)
+TEST_F(Lend, StopsATaskWhoseCheckpointTimesOut)
 {
 	/* A worker hangs while it saves a task's state.  Without a stop the
-	 * room would never fall free and the returning team wait on. */
-	fill("a");
+	 * room would never be freed and the other team would keep waiting. */
+	fill_with("a");
 	for (task &t : tasks)
-		t.obeys = false;
+		t.acts_on_checkpoint = false;
 	now += 100 * OGL_SEC;
 	add("b", 1);
-	seconds(15);
+	step_seconds(15);
 	ASSERT_EQ(modes.size(), 1u);
 	EXPECT_EQ(modes[0], OGL__STOP_MODE__checkpoint);
-	seconds(25);
+	step_seconds(25);
 	EXPECT_EQ(held("b"), 1);
 	EXPECT_EQ(modes.size(), 2u);
 	EXPECT_EQ(modes.back(), OGL__STOP_MODE__stop);
@@ -422,7 +423,7 @@
 	fake_cluster *c = nullptr;
 	std::map<std::string, std::string> keys;
 
-	void up()
+	void start_cell()
 	{
 		static const fake_cluster_config cfg = {
 		    5, 3, 4, 1, 1, 3, {4000, 16384, 0}, nullptr};
@@ -475,12 +476,12 @@
 	}
 };
 
-TEST_F(LendCell, AReturningTeamIsServedWhileTasksOfAQuarterHourRun)
+TEST_F(LendCell, PreemptsLongTasksForATeamBelowItsShare)
 {
-	/* One team fills an idle cell with tasks of a quarter of an hour.
-	 * Another that is entitled to half of it comes back: it would have to
-	 * wait until the first of these end. */
-	ASSERT_NO_FATAL_FAILURE(up());
+	/* One team fills an idle cell with tasks of 15 minutes.  Another that
+	 * is entitled to half of the cell submits work.  Without preemption it
+	 * would have to wait until the first of these tasks end. */
+	ASSERT_NO_FATAL_FAILURE(start_cell());
 	submit("a", 40, true);
 	fake_cluster_run(c, 30 * OGL_SEC);
 	EXPECT_EQ(fake_cluster_team_running(c, "a"), 16u);
@@ -493,9 +494,9 @@
 	EXPECT_EQ(metric("lent_taken_total"), "8");
 }
 
-TEST_F(LendCell, TasksThatMayNotRunTwiceAreLeftAlone)
+TEST_F(LendCell, DoesNotPreemptTasksThatMayNotRunTwice)
 {
-	ASSERT_NO_FATAL_FAILURE(up());
+	ASSERT_NO_FATAL_FAILURE(start_cell());
 	submit("a", 40, false);
 	fake_cluster_run(c, 30 * OGL_SEC);
 	submit("b", 40, true);
@@ -504,9 +505,9 @@
 	EXPECT_EQ(metric("lent_taken_total"), "0");
 }
 
-TEST_F(LendCell, NothingIsTakenForWorkThatItsLimitHoldsBack)
+TEST_F(LendCell, PreemptsNothingForWorkOverItsTeamsLimit)
 {
-	ASSERT_NO_FATAL_FAILURE(up());
+	ASSERT_NO_FATAL_FAILURE(start_cell());
 	ASSERT_TRUE(fake_cluster_set(c, 0, "teams/b/limit_tasks", "3"));
 	submit("a", 40, true);
 	fake_cluster_run(c, 30 * OGL_SEC);
