--- a/test/test_bad_input.cc
+++ b/test/test_bad_input.cc
@@ -1,7 +1,7 @@
-// The real daemon, with the stand-ins of platform and executor, is sent what
-// broken, careless and hostile callers send, and answers from a target that
-// are cut short, crossed or late.  All the while another team's caller sends
-// ordinary requests, each of which must be answered as if it were alone.
+// The real daemon, with stand-ins for the platform and an executor, receives
+// malformed and hostile input from callers, and truncated, mixed-up, lost and
+// late answers from the executor.  Meanwhile another team's caller sends
+// ordinary requests, each of which must be answered correctly.
 #include <gtest/gtest.h>
 
 #include <arpa/inet.h>
@@ -27,15 +27,16 @@
 namespace
 {
 
-const int kWaits = 400; // of 50 ms, until something must have happened
-const int kSlow = 20;   // slow senders
+const int kWaitIntervalUs = 50000;
+const int kWaitsMax = 400; // 20 s in all
+const int kSlowSenders = 20;
 const size_t kMiB = 1024 * 1024;
-// Pages that the allocator keeps are no leak; a daemon that kept what the
-// tests send would grow by several times as much.
+// Allows for pages that the allocator keeps.  A daemon that leaked the input of
+// a test would grow by several times as much.
 const long kGrowthMaxKb = 24 * 1024;
 
 std::string
-Slurp(const std::string &path)
+ReadFile(const std::string &path)
 {
 	std::ifstream in(path);
 	std::stringstream s;
@@ -45,17 +46,17 @@
 }
 
 bool
-Within(const std::function<bool()> &fn)
+WaitUntil(const std::function<bool()> &fn)
 {
-	for (int i = 0; i < kWaits; i++) {
+	for (int i = 0; i < kWaitsMax; i++) {
 		if (fn())
 			return true;
-		usleep(50000);
+		usleep(kWaitIntervalUs);
 	}
 	return false;
 }
 
-// A program with its output in a file.
+// A child process with its output in a file.
 struct Program {
 	pid_t pid = -1;
 	std::string out;
@@ -79,13 +80,13 @@
 				 argv.data(), environ));
 		posix_spawn_file_actions_destroy(&fa);
 	}
-	// The number that follows a text in the output.
+	// Waits for a text in the output and returns the port number after it.
 	uint16_t Port(const char *after) const
 	{
 		uint16_t port = 0;
 
-		EXPECT_TRUE(Within([&] {
-			std::string s = Slurp(out);
+		EXPECT_TRUE(WaitUntil([&] {
+			std::string s = ReadFile(out);
 			size_t at = s.find(after);
 
 			if (at == std::string::npos ||
@@ -93,7 +94,7 @@
 				return false;
 			port = (uint16_t)atoi(s.c_str() + at + strlen(after));
 			return true;
-		})) << Slurp(out);
+		})) << ReadFile(out);
 		return port;
 	}
 	int Stop()
@@ -110,7 +111,7 @@
 	long RssKb() const
 	{
 		std::string s =
-		    Slurp("/proc/" + std::to_string(pid) + "/status");
+		    ReadFile("/proc/" + std::to_string(pid) + "/status");
 		size_t at = s.find("VmRSS:");
 
 		return at == std::string::npos ? -1 : atol(s.c_str() + at + 6);
@@ -120,7 +121,7 @@
 // ---- sockets ----------------------------------------------------------------
 
 int
-Dial(uint16_t port)
+Connect(uint16_t port)
 {
 	sockaddr_in sa{};
 	timeval tv{20, 0};
@@ -137,9 +138,9 @@
 	return fd;
 }
 
-// Sends as much as the other side takes.
+// Sends s, or as much of it as the peer accepts.
 void
-Put(int fd, const std::string &s)
+SendAll(int fd, const std::string &s)
 {
 	size_t at = 0;
 	ssize_t n;
@@ -150,7 +151,7 @@
 }
 
 std::string
-Rest(int fd)
+ReceiveAll(int fd)
 {
 	std::string s;
 	char buf[8192];
@@ -161,24 +162,25 @@
 	return s;
 }
 
-// Everything that comes back for these bytes, until the connection ends.
+// Sends bytes on a new connection and returns all that is received until it is
+// closed.
 std::string
-Raw(uint16_t port, const std::string &text)
+SendRaw(uint16_t port, const std::string &text)
 {
-	int fd = Dial(port);
+	int fd = Connect(port);
 	std::string s;
 
 	if (fd < 0)
 		return "";
-	Put(fd, text);
-	s = Rest(fd);
+	SendAll(fd, text);
+	s = ReceiveAll(fd);
 	close(fd);
 	return s;
 }
 
 std::string
-Head(const std::string &method, const std::string &path, const std::string &key,
-    const std::string &headers = "")
+RequestHead(const std::string &method, const std::string &path,
+    const std::string &key, const std::string &headers = "")
 {
 	std::string s = method + " " + path + " HTTP/1.1\r\nHost: n\r\n";
 
@@ -188,17 +190,17 @@
 }
 
 std::string
-Whole(const std::string &method, const std::string &path,
+RequestText(const std::string &method, const std::string &path,
     const std::string &key, const std::string &body,
     const std::string &headers = "Connection: close\r\n")
 {
-	return Head(method, path, key, headers) +
+	return RequestHead(method, path, key, headers) +
 	       "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
 	       body;
 }
 
 bool
-Has(const std::string &text, const std::string &part)
+Contains(const std::string &text, const std::string &part)
 {
 	return text.find(part) != std::string::npos;
 }
@@ -223,15 +225,15 @@
 	return hex;
 }
 
-// A refusal: its status, with the verdict both as header and in a body that
-// says what is wrong.
+// Expects a refusal with this status, the verdict both in a header and in the
+// body, and an error text.
 void
 ExpectRefused(const std::string &answer, int status)
 {
 	EXPECT_EQ(Status(answer), status) << answer;
-	EXPECT_TRUE(Has(answer, "Ogl-Verdict: not_run")) << answer;
-	EXPECT_TRUE(Has(answer, "\"error\":\"")) << answer;
-	EXPECT_TRUE(Has(answer, "\"verdict\":\"not_run\"")) << answer;
+	EXPECT_TRUE(Contains(answer, "Ogl-Verdict: not_run")) << answer;
+	EXPECT_TRUE(Contains(answer, "\"error\":\"")) << answer;
+	EXPECT_TRUE(Contains(answer, "\"verdict\":\"not_run\"")) << answer;
 }
 
 // ---- the cell ---------------------------------------------------------------
@@ -242,28 +244,28 @@
 	static std::string dir;
 	static Program platform, executor, node;
 	static uint16_t http, exec_port;
-	static std::string op, victim, other;
+	static std::string operator_key, team_key, bystander_key;
 	static std::vector<int> slow;
 	static std::atomic<bool> end;
-	static std::thread dribbler;
-	static std::atomic<int> slow_open;
+	static std::thread slow_sender;
+	static std::atomic<int> slow_connected;
 
 	std::thread bystander;
-	std::atomic<bool> quit{false};
-	std::atomic<int> good{0};
-	std::string bad; // the bystander's first bad answer
+	std::atomic<bool> stop_bystander{false};
+	std::atomic<int> answered{0};
+	std::string bad; // the bystander's first wrong answer
 
 	static std::string Ask(const std::string &method,
 	    const std::string &path, const std::string &key,
 	    const std::string &body = "", const std::string &headers = "")
 	{
-		return Raw(http, Whole(method, path, key, body,
-				     "Connection: close\r\n" + headers));
+		return SendRaw(http, RequestText(method, path, key, body,
+					 "Connection: close\r\n" + headers));
 	}
 	static std::string Key(const std::string &team)
 	{
-		std::string s =
-		    Ask("POST", "/v1/keys", op, "{\"team\":\"" + team + "\"}");
+		std::string s = Ask("POST", "/v1/keys", operator_key,
+		    "{\"team\":\"" + team + "\"}");
 		size_t at = s.find("\"key\":\"");
 
 		EXPECT_EQ(Status(s), 201) << s;
@@ -290,37 +292,37 @@
 	{
 		char name[] = "/tmp/ogl-bad-input-XXXXXX";
 
-		// Freed blocks that the sanitizer keeps would pass for growth.
+		// Freed blocks that the sanitizer keeps would count as growth.
 		setenv("ASAN_OPTIONS", "quarantine_size_mb=1", 0);
 		dir = mkdtemp(name);
 		executor.Start(dir, "ogl-standin-executor", {});
 		exec_port = executor.Port("port ");
-		Settings(KeyHash(&op));
+		Settings(KeyHash(&operator_key));
 		node.Start(dir, "orioleglade", {"-s", dir + "/node.json"});
 		http = node.Port("callers on port ");
-		ASSERT_TRUE(Within([] {
+		ASSERT_TRUE(WaitUntil([] {
 			return Status(Ask("GET", "/readyz", "")) == 200;
-		})) << Slurp(node.out);
+		})) << ReadFile(node.out);
 		ASSERT_EQ(
-		    200, Status(Ask("POST", "/v1/settings", op,
+		    200, Status(Ask("POST", "/v1/settings", operator_key,
 			     R"({"base_version":0,"changes":[)"
 			     R"({"path":"teams/victim","value":"{}"},)"
 			     R"({"path":"teams/other","value":"{}"}]})")));
-		victim = Key("victim");
-		other = Key("other");
-		for (int i = 0; i < kSlow; i++)
-			slow.push_back(Dial(http));
-		slow_open = kSlow;
-		dribbler = std::thread(Dribble);
+		team_key = Key("victim");
+		bystander_key = Key("other");
+		for (int i = 0; i < kSlowSenders; i++)
+			slow.push_back(Connect(http));
+		slow_connected = kSlowSenders;
+		slow_sender = std::thread(SendSlowly);
 	}
-	// Callers that send a byte now and then, until they are cut off.
-	static void Dribble()
+	// Sends a byte per caller every 100 ms until the daemon disconnects.
+	static void SendSlowly()
 	{
-		std::string text = Whole(
-		    "POST", "/v1/requests", victim, std::string(9999, 'x'));
+		std::string text = RequestText(
+		    "POST", "/v1/requests", team_key, std::string(9999, 'x'));
 		size_t at = 0;
 
-		while (slow_open > 0 && !end) {
+		while (slow_connected > 0 && !end) {
 			for (int &fd : slow) {
 				char c;
 
@@ -330,7 +332,7 @@
 				    send(fd, &text[at], 1, MSG_NOSIGNAL) < 0) {
 					close(fd);
 					fd = -1;
-					slow_open--;
+					slow_connected--;
 				}
 			}
 			at = std::min(at + 1, text.size() - 1);
@@ -340,13 +342,13 @@
 	static void TearDownTestSuite()
 	{
 		end = true;
-		if (dribbler.joinable())
-			dribbler.join();
+		if (slow_sender.joinable())
+			slow_sender.join();
 		for (int fd : slow) {
 			if (fd >= 0)
 				close(fd);
 		}
-		EXPECT_EQ(0, node.Stop()) << Slurp(node.out);
+		EXPECT_EQ(0, node.Stop()) << ReadFile(node.out);
 		platform.Stop();
 		executor.Stop();
 		EXPECT_EQ(0, system(("rm -rf " + dir).c_str()));
@@ -354,44 +356,45 @@
 
 	void SetUp() override
 	{
-		bystander = std::thread([this] { Stand(); });
+		bystander = std::thread([this] { SendOrdinaryRequests(); });
 	}
-	void Stand()
+	void SendOrdinaryRequests()
 	{
-		for (int i = 0; !quit || i == 0; i++) {
+		for (int i = 0; !stop_bystander || i == 0; i++) {
 			std::string body = "run_ms=1 " + std::to_string(i);
-			std::string s = Ask("POST", "/v1/requests", other, body,
-			    "Ogl-Kind: k\r\n");
+			std::string s = Ask("POST", "/v1/requests",
+			    bystander_key, body, "Ogl-Kind: k\r\n");
 
-			if (Status(s) == 200 && Has(s, "Ogl-Verdict: ran") &&
-			    Has(s, "other|k|" + body))
-				good++;
+			if (Status(s) == 200 &&
+			    Contains(s, "Ogl-Verdict: ran") &&
+			    Contains(s, "other|k|" + body))
+				answered++;
 			else if (bad.empty())
 				bad = "no answer" + s;
 		}
 	}
-	void Leave()
+	void StopBystander()
 	{
-		quit = true;
+		stop_bystander = true;
 		if (bystander.joinable())
 			bystander.join();
 	}
 	void TearDown() override
 	{
-		Leave();
+		StopBystander();
 		EXPECT_EQ(bad, "");
-		EXPECT_GT(good, 0);
+		EXPECT_GT(answered, 0);
 	}
-	// Has the executor spoil what it answers next.
-	static void Script(const std::string &fault)
+	// Sets the fault of the next answers of the executor.
+	static void SetFault(const std::string &fault)
 	{
-		EXPECT_EQ(200,
-		    Status(Raw(exec_port, Whole("POST", "/ctl", "", fault))));
+		EXPECT_EQ(200, Status(SendRaw(exec_port,
+				   RequestText("POST", "/ctl", "", fault))));
 	}
 	static std::string Request(
 	    const std::string &body, const std::string &headers = "")
 	{
-		return Ask("POST", "/v1/requests", victim, body,
+		return Ask("POST", "/v1/requests", team_key, body,
 		    "Ogl-Kind: k\r\n" + headers);
 	}
 	static void ExpectRan(const std::string &body)
@@ -399,46 +402,49 @@
 		std::string s = Request(body);
 
 		EXPECT_EQ(Status(s), 200) << s;
-		EXPECT_TRUE(Has(s, "Ogl-Verdict: ran")) << s;
-		EXPECT_TRUE(Has(s, "victim|k|" + body)) << s;
+		EXPECT_TRUE(Contains(s, "Ogl-Verdict: ran")) << s;
+		EXPECT_TRUE(Contains(s, "victim|k|" + body)) << s;
 	}
 };
 
 std::string BadInput::dir;
 Program BadInput::platform, BadInput::executor, BadInput::node;
 uint16_t BadInput::http, BadInput::exec_port;
-std::string BadInput::op, BadInput::victim, BadInput::other;
+std::string BadInput::operator_key, BadInput::team_key, BadInput::bystander_key;
 std::vector<int> BadInput::slow;
 std::atomic<bool> BadInput::end{false};
-std::thread BadInput::dribbler;
-std::atomic<int> BadInput::slow_open{0};
+std::thread BadInput::slow_sender;
+std::atomic<int> BadInput::slow_connected{0};
 
-// A key may be missing, mistyped, or right for something else.
+// A key may be missing, mistyped, or valid for other calls only.
 TEST_F(BadInput, WrongKey)
 {
 	ExpectRefused(Ask("POST", "/v1/requests", ""), 401);
 	ExpectRefused(Ask("POST", "/v1/requests", "x"), 401);
-	ExpectRefused(Ask("POST", "/v1/jobs", victim + "x"), 401);
+	ExpectRefused(Ask("POST", "/v1/jobs", team_key + "x"), 401);
 	ExpectRefused(Ask("GET", "/v1/status", std::string(4000, 'k')), 401);
-	ExpectRefused(Ask("GET", "/v1/settings", victim), 403);
-	ExpectRefused(Ask("POST", "/v1/keys", victim, "{\"team\":\"\"}"), 403);
-	ExpectRefused(Ask("POST", "/v1/requests", op, "x"), 403);
+	ExpectRefused(Ask("GET", "/v1/settings", team_key), 403);
+	ExpectRefused(
+	    Ask("POST", "/v1/keys", team_key, "{\"team\":\"\"}"), 403);
+	ExpectRefused(Ask("POST", "/v1/requests", operator_key, "x"), 403);
 }
 
 TEST_F(BadInput, UnknownPathMethodAndId)
 {
-	ExpectRefused(Ask("GET", "/", victim), 404);
-	ExpectRefused(Ask("GET", "/v1/jobs/a/b", victim), 404);
-	ExpectRefused(Ask("GET", "/v1/" + std::string(3000, 'p'), victim), 404);
-	ExpectRefused(Ask("PUT", "/v1/jobs", victim, "{}"), 405);
-	ExpectRefused(Ask("BREW", "/v1/jobs", victim), 405);
-	ExpectRefused(Ask("DELETE", "/v1/requests", victim), 405);
-	ExpectRefused(Ask("GET", "/v1/jobs/none", victim), 404);
-	ExpectRefused(Ask("GET", "/v1/jobs/s0-1-1", victim), 404);
-	ExpectRefused(Ask("GET", "/v1/jobs/s99999999999-1", victim), 404);
-	ExpectRefused(Ask("DELETE", "/v1/jobs/s0-1-1", victim), 404);
-	ExpectRefused(Ask("DELETE", "/v1/keys/none", op), 404);
-	ExpectRefused(Ask("GET", "/v1/settings?path=teams/none", op), 404);
+	ExpectRefused(Ask("GET", "/", team_key), 404);
+	ExpectRefused(Ask("GET", "/v1/jobs/a/b", team_key), 404);
+	ExpectRefused(
+	    Ask("GET", "/v1/" + std::string(3000, 'p'), team_key), 404);
+	ExpectRefused(Ask("PUT", "/v1/jobs", team_key, "{}"), 405);
+	ExpectRefused(Ask("BREW", "/v1/jobs", team_key), 405);
+	ExpectRefused(Ask("DELETE", "/v1/requests", team_key), 405);
+	ExpectRefused(Ask("GET", "/v1/jobs/none", team_key), 404);
+	ExpectRefused(Ask("GET", "/v1/jobs/s0-1-1", team_key), 404);
+	ExpectRefused(Ask("GET", "/v1/jobs/s99999999999-1", team_key), 404);
+	ExpectRefused(Ask("DELETE", "/v1/jobs/s0-1-1", team_key), 404);
+	ExpectRefused(Ask("DELETE", "/v1/keys/none", operator_key), 404);
+	ExpectRefused(
+	    Ask("GET", "/v1/settings?path=teams/none", operator_key), 404);
 }
 
 TEST_F(BadInput, MalformedJson)
@@ -447,7 +453,7 @@
 
 	for (const char *path : {"/v1/jobs", "/v1/settings", "/v1/keys"}) {
 		const std::string &key =
-		    strcmp(path, "/v1/jobs") == 0 ? victim : op;
+		    strcmp(path, "/v1/jobs") == 0 ? team_key : operator_key;
 
 		for (const std::string &body :
 		    {std::string(""), std::string("{"), std::string("[1]"),
@@ -456,20 +462,21 @@
 			std::string("\0\0\0", 3), deep})
 			ExpectRefused(Ask("POST", path, key, body), 422);
 	}
-	std::string s = Ask("POST", "/v1/jobs", victim,
+	std::string s = Ask("POST", "/v1/jobs", team_key,
 	    R"({"kind":"odd","tasks":-1,"colour":1,"run_ms":"x"})");
 	ExpectRefused(s, 422);
 	for (const char *path : {"kind", "tasks", "colour", "run_ms"})
-		EXPECT_TRUE(Has(s, "\"path\":\"" + std::string(path))) << s;
+		EXPECT_TRUE(Contains(s, "\"path\":\"" + std::string(path)))
+		    << s;
 }
 
-// An operator makes several mistakes in one edit.  Were only the first told,
-// each try would show one more; were part of the edit taken, the tree in
-// force would be one that nobody wrote.
-TEST_F(BadInput, SettingsEditWithManyFaultsChangesNothing)
+// An operator makes several mistakes in one edit.  All of them must be reported
+// at once, and no part of the edit may take effect: otherwise the settings in
+// force would be a mix that nobody wrote.
+TEST_F(BadInput, SettingsEditWithSeveralFaultsChangesNothing)
 {
-	std::string before = Ask("GET", "/v1/settings", op);
-	std::string s = Ask("POST", "/v1/settings", op,
+	std::string before = Ask("GET", "/v1/settings", operator_key);
+	std::string s = Ask("POST", "/v1/settings", operator_key,
 	    R"({"base_version":9,"changes":[)"
 	    R"({"path":"teams/victim/share","value":"0"},)"
 	    R"({"path":"teams/victim/colour","value":"1"},)"
@@ -482,9 +489,10 @@
 	for (const char *path :
 	    {"base_version", "teams/victim/share", "teams/victim/colour",
 		"teams/none", "cell/audit_keep", "Teams"})
-		EXPECT_TRUE(Has(s, "\"path\":\"" + std::string(path))) << s;
+		EXPECT_TRUE(Contains(s, "\"path\":\"" + std::string(path)))
+		    << s;
 	EXPECT_EQ(before.substr(before.find("\r\n\r\n")), [&] {
-		std::string after = Ask("GET", "/v1/settings", op);
+		std::string after = Ask("GET", "/v1/settings", operator_key);
 		return after.substr(after.find("\r\n\r\n"));
 	}());
 }
@@ -493,24 +501,25 @@
 {
 	std::string chunk =
 	    "100000\r\n" + std::string(kMiB, 'x') + "\r\n"; // hex for 1 MiB
-	std::string head =
-	    Head("POST", "/v1/requests", victim, "Connection: close\r\n");
+	std::string head = RequestHead(
+	    "POST", "/v1/requests", team_key, "Connection: close\r\n");
 	long before = node.RssKb();
 
 	for (int i = 0; i < 20; i++) {
 		ExpectRefused(Request(std::string(2 * kMiB, 'x')), 413);
-		ExpectRefused(Raw(http, head +
-					    "Transfer-Encoding: chunked\r\n"
-					    "\r\n" +
-					    chunk + chunk + "0\r\n\r\n"),
+		ExpectRefused(SendRaw(http, head +
+						"Transfer-Encoding: chunked\r\n"
+						"\r\n" +
+						chunk + chunk + "0\r\n\r\n"),
 		    413);
 	}
 	ExpectRefused(
-	    Raw(http, head + "Content-Length: 99999999999999\r\n\r\n"), 413);
+	    SendRaw(http, head + "Content-Length: 99999999999999\r\n\r\n"),
+	    413);
 	EXPECT_LT(node.RssKb() - before, kGrowthMaxKb);
 }
 
-// A team's own bound is below that of the node.
+// A team's limit on the body size is below that of the node.
 TEST_F(BadInput, BodyOverTheTeamsLimit)
 {
 	std::string small;
@@ -518,7 +527,7 @@
 
 	ExpectRefused(Request(std::string(kMiB / 2, 'x')), 413);
 	ASSERT_EQ(
-	    200, Status(Ask("POST", "/v1/settings", op,
+	    200, Status(Ask("POST", "/v1/settings", operator_key,
 		     R"({"base_version":1,"changes":[)"
 		     R"({"path":"teams/small","value":"{}"},)"
 		     R"({"path":"teams/small/max_body","value":"20"}]})")));
@@ -541,40 +550,43 @@
 		std::string h = "Idempotency-Key: " + id + "\r\n";
 
 		ExpectRefused(Request("x", h), 422);
-		ExpectRefused(Ask("POST", "/v1/jobs", victim,
+		ExpectRefused(Ask("POST", "/v1/jobs", team_key,
 				  R"({"tasks":1,"res":{"cpu_milli":1}})", h),
 		    422);
 	}
 	EXPECT_EQ(431,
 	    Status(Request("x", "X: " + std::string(65536, 'h') + "\r\n")));
-	EXPECT_EQ(400, Status(Raw(http, "\x16\x03\x01 what is this\r\n\r\n")));
+	EXPECT_EQ(
+	    400, Status(SendRaw(http, "\x16\x03\x01 what is this\r\n\r\n")));
 }
 
-// Callers die or give up at any byte.
-TEST_F(BadInput, HalfRequests)
+// Callers disconnect after any number of bytes.
+TEST_F(BadInput, TruncatedRequests)
 {
-	std::string text =
-	    Whole("POST", "/v1/requests", victim, std::string(5000, 'x'));
+	std::string text = RequestText(
+	    "POST", "/v1/requests", team_key, std::string(5000, 'x'));
 	long before = node.RssKb();
 
 	for (size_t cut = 1; cut < text.size(); cut += 23) {
-		int fd = Dial(http);
+		int fd = Connect(http);
 
 		ASSERT_GE(fd, 0);
-		Put(fd, text.substr(0, cut));
+		SendAll(fd, text.substr(0, cut));
 		close(fd);
 	}
 	EXPECT_LT(node.RssKb() - before, kGrowthMaxKb);
 	ExpectRan("run_ms=1 after");
 }
 
-TEST_F(BadInput, PipelinedRequestsAreAnsweredInOrder)
+TEST_F(BadInput, AnswersPipelinedRequestsInOrder)
 {
-	std::string s = Raw(
-	    http, Whole("POST", "/v1/requests", victim, "run_ms=30 first", "") +
-		      Whole("GET", "/nowhere", victim, "", "") +
-		      Whole("POST", "/v1/requests", "wrong", "second", "") +
-		      Whole("POST", "/v1/requests", victim, "run_ms=1 third"));
+	std::string s = SendRaw(http,
+	    RequestText(
+		"POST", "/v1/requests", team_key, "run_ms=30 first", "") +
+		RequestText("GET", "/nowhere", team_key, "", "") +
+		RequestText("POST", "/v1/requests", "wrong", "second", "") +
+		RequestText(
+		    "POST", "/v1/requests", team_key, "run_ms=1 third"));
 	size_t first = s.find("run_ms=30 first");
 	size_t third = s.find("run_ms=1 third");
 	size_t nowhere = s.find("HTTP/1.1 404");
@@ -584,40 +596,42 @@
 	EXPECT_LT(first, nowhere);
 	EXPECT_LT(nowhere, denied);
 	EXPECT_LT(denied, third);
-	EXPECT_FALSE(Has(s, "second"));
+	EXPECT_FALSE(Contains(s, "second"));
 }
 
-// A target dies while it answers, or mixes up answers, or takes too long.
-// The request has run there by then, and nobody can know how far, so its
-// caller must hear just that, never a part of an answer or another's.
-TEST_F(BadInput, AnswersCutCrossedLostAndLate)
+// A target crashes while it answers, mixes up answers or takes too long.  The
+// request may have run there, so its caller must get that verdict and never a
+// part of an answer or the answer to another request.
+TEST_F(BadInput, TruncatedMixedUpLostAndLateAnswers)
 {
-	Leave(); // it would take some of the spoilt answers
+	StopBystander(); // it would get some of the faulty answers
 	for (const char *fault : {"cut", "cross", "lose"}) {
-		Script("{\"" + std::string(fault) + "\":1}");
+		SetFault("{\"" + std::string(fault) + "\":1}");
 		std::string s = Request("run_ms=1 spoilt");
 
 		EXPECT_EQ(Status(s), 504) << fault << s;
-		EXPECT_TRUE(Has(s, "Ogl-Verdict: may_have_run")) << s;
-		EXPECT_TRUE(Has(s, "\"verdict\":\"may_have_run\"")) << s;
-		EXPECT_FALSE(Has(s, "spoilt")) << s;
+		EXPECT_TRUE(Contains(s, "Ogl-Verdict: may_have_run")) << s;
+		EXPECT_TRUE(Contains(s, "\"verdict\":\"may_have_run\"")) << s;
+		EXPECT_FALSE(Contains(s, "spoilt")) << s;
 		ExpectRan("run_ms=1 next");
 	}
-	Script("{\"late_ms\":1500}");
+	SetFault("{\"late_ms\":1500}");
 	std::string s = Request("run_ms=1 spoilt", "Ogl-Timeout-Ms: 200\r\n");
 	EXPECT_EQ(Status(s), 504) << s;
-	EXPECT_TRUE(Has(s, "Ogl-Verdict: may_have_run")) << s;
-	Script("{\"late_ms\":0}");
+	EXPECT_TRUE(Contains(s, "Ogl-Verdict: may_have_run")) << s;
+	SetFault("{\"late_ms\":0}");
 	for (int i = 0; i < 50; i++)
 		ExpectRan("run_ms=1 next" + std::to_string(i));
 }
 
-// A byte now and then would hold a connection, and what was sent, for ever.
-TEST_F(BadInput, SlowSendersAreCutOff)
+// Callers that send a byte now and then would otherwise hold a connection and
+// its buffers for ever.
+TEST_F(BadInput, DisconnectsSlowSenders)
 {
-	EXPECT_TRUE(Within([] { return slow_open == 0; }));
-	EXPECT_TRUE(Has(Ask("GET", "/metrics", ""),
-	    "ogl_http_in_too_slow_total " + std::to_string(kSlow) + "\n"));
+	EXPECT_TRUE(WaitUntil([] { return slow_connected == 0; }));
+	EXPECT_TRUE(Contains(Ask("GET", "/metrics", ""),
+	    "ogl_http_in_too_slow_total " + std::to_string(kSlowSenders) +
+		"\n"));
 }
 
 } // namespace
