--- a/src/escrow.c
+++ b/src/escrow.c
@@ -503,7 +503,7 @@
 	}
 }
 
-/* Serves every want, the oldest first. */
+/* Grants wants as far as possible, the oldest first. */
 static void
 grant_wants(struct ogl_shard *sh, struct split *s, ogl_time now)
 {
