--- a/cell/load.c
+++ b/cell/load.c
@@ -1,68 +1,73 @@
 /*
- * An owner that is given more than its processor carries falls behind in all
- * it does at once: holds on workers run out, answers to the other nodes come
- * late, one of them takes the cell over and meets the same load.  Callers see
- * no job accepted anywhere until the load falls by itself.
+ * An overloaded owner falls behind in everything at once: leases on workers
+ * expire, answers to other nodes come late, and another node takes the cell
+ * over and meets the same load.  No job is then accepted anywhere until the
+ * load falls by itself.
  *
- * It is noticed by how late the process runs: a moment counts as late when it
- * comes LATE after the one asked for.  One alone is a pause of the machine;
- * two within TWICE are load.  Then a growing part of the new jobs is refused
- * at once, with when to come back, which costs next to nothing; the part
- * falls slowly once the process has run on time for STEADY.  What was accepted
- * is so still served on time, and ownership stays where it is.
+ * Overload is detected by how late the process runs: a wakeup is late when it
+ * comes more than LATE_AFTER after the time asked for.  One late wakeup is a
+ * pause of the machine; two within LATE_PAIR_WINDOW are overload.  Then a
+ * growing fraction of the new jobs is refused at once with a retry time, which
+ * costs next to nothing.  The fraction falls slowly once the process has run
+ * on time for RECOVERY_DELAY.  Accepted jobs are still served on time, and
+ * ownership does not move.
  */
 
 #include "load.h"
 
 /* An eighth of the silence after which other nodes take over. */
-#define LATE (100 * OGL_MS)
-#define TWICE OGL_SEC
-#define STEADY (300 * OGL_MS)
-/* A second of lateness refuses nearly all; the way back takes ten seconds, as
- * a faster one swings to and fro. */
-#define RISE_A_SECOND 1.2
-#define FALL_A_SECOND 0.1
-#define PART_MAX 0.95
-/* What one late moment counts for at most: a pause says little about load. */
+#define LATE_AFTER (100 * OGL_MS)
+#define LATE_PAIR_WINDOW OGL_SEC
+#define RECOVERY_DELAY (300 * OGL_MS)
+/* After a second of lateness nearly all new jobs are refused.  Recovery takes
+ * ten seconds, since a faster one oscillates. */
+#define RISE_PER_SECOND 1.2
+#define FALL_PER_SECOND 0.1
+#define REFUSED_FRACTION_MAX 0.95
+/* Upper bound on the time that one late wakeup counts for, since a long pause
+ * of the machine says little about load. */
 #define ELAPSED_MAX (250 * OGL_MS)
 
 void
-cell_load_step(struct cell_load *l, ogl_time wanted, ogl_time now)
+cell_load_step(struct cell_load *l, ogl_time due, ogl_time now)
 {
 	ogl_time gap = now - l->stepped_at;
 	double elapsed =
 	    (double)(gap < ELAPSED_MAX ? gap : ELAPSED_MAX) / (double)OGL_SEC;
 
 	l->stepped_at = now;
-	if (wanted != 0 && now - wanted > LATE) {
-		if (l->late_at != 0 && now - l->late_at < TWICE)
-			l->part += RISE_A_SECOND * elapsed;
-		if (l->part > PART_MAX)
-			l->part = PART_MAX;
-		l->late_at = now;
+	if (due != 0 && now - due > LATE_AFTER) {
+		if (l->last_late_at != 0 &&
+		    now - l->last_late_at < LATE_PAIR_WINDOW)
+			l->refused_fraction += RISE_PER_SECOND * elapsed;
+		if (l->refused_fraction > REFUSED_FRACTION_MAX)
+			l->refused_fraction = REFUSED_FRACTION_MAX;
+		l->last_late_at = now;
 		return;
 	}
-	if (now - l->late_at <= STEADY)
+	if (now - l->last_late_at <= RECOVERY_DELAY)
 		return;
-	l->part -= (l->fall > 0 ? l->fall : FALL_A_SECOND) * elapsed;
-	if (l->part < 0)
-		l->part = 0;
+	l->refused_fraction -=
+	    (l->fall_per_second > 0 ? l->fall_per_second : FALL_PER_SECOND) *
+	    elapsed;
+	if (l->refused_fraction < 0)
+		l->refused_fraction = 0;
 }
 
 bool
-cell_load_takes(struct cell_load *l)
+cell_load_admit(struct cell_load *l)
 {
-	if (l->part <= 0)
+	if (l->refused_fraction <= 0)
 		return true;
-	l->credit += 1 - l->part;
-	if (l->credit < 1)
+	l->admit_credit += 1 - l->refused_fraction;
+	if (l->admit_credit < 1)
 		return false;
-	l->credit -= 1;
+	l->admit_credit -= 1;
 	return true;
 }
 
 bool
-cell_load_full(const struct cell_load *l)
+cell_load_refusing(const struct cell_load *l)
 {
-	return l->part > 0;
+	return l->refused_fraction > 0;
 }
--- a/cell/load.h
+++ b/cell/load.h
@@ -1,5 +1,5 @@
 /*
- * How much new work the owner of the cell takes on.
+ * Load shedding: which part of the new jobs an overloaded owner refuses.
  */
 
 #ifndef OGL_CELL_LOAD_H
@@ -11,19 +11,19 @@
 
 struct cell_load {
 	ogl_time stepped_at;
-	ogl_time late_at; /* last moment that came late, 0 none */
-	double part;      /* of the new jobs that is refused, 0 none */
-	double credit;    /* of a job to be taken */
-	double fall;      /* of part, a second; 0: the usual */
+	ogl_time last_late_at;   /* last wakeup that came late, 0 none */
+	double refused_fraction; /* of the new jobs, 0 none */
+	double admit_credit;     /* a job is admitted once this reaches 1 */
+	double fall_per_second;  /* of refused_fraction, 0 the default */
 };
 
-void cell_load_step(struct cell_load *l, ogl_time wanted, ogl_time now);
-/* The process runs now; it had asked to run at `wanted` at the latest, 0 when
- * it had not asked yet. */
+void cell_load_step(struct cell_load *l, ogl_time due, ogl_time now);
+/* The process runs at `now` and had asked to run at `due` at the latest; due
+ * is 0 if it has not asked yet. */
 
-bool cell_load_takes(struct cell_load *l);
-/* Whether the next new job is taken. */
-bool cell_load_full(const struct cell_load *l);
-/* Whether some are refused. */
+bool cell_load_admit(struct cell_load *l);
+/* Whether the next new job is admitted; to be called once for each job. */
+bool cell_load_refusing(const struct cell_load *l);
+/* Whether some of the new jobs are refused. */
 
 #endif
--- a/cell/owner.c
+++ b/cell/owner.c
@@ -44,7 +44,7 @@
  * a while, that is not the team's doing. */
 #define RATE_SLACK 2.0
 /* A queue before the link is gone soon after it is no longer fed. */
-#define LINK_LOAD_FALL_A_SECOND 0.4
+#define LINK_REFUSAL_FALL_PER_SECOND 0.4
 
 enum phase {
 	PHASE_CLOSED,
@@ -1064,7 +1064,7 @@
 	o->relay = cell_relay_init(ops, part->link_kbps, &ye);
 	o->worker_ops = *ops;
 	cell_relay_fill(o->relay, &o->worker_ops);
-	o->link_load.fall = LINK_LOAD_FALL_A_SECOND;
+	o->link_load.fall_per_second = LINK_REFUSAL_FALL_PER_SECOND;
 	o->jobs =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
 	o->admission = cell_admission_init();
@@ -1298,7 +1298,8 @@
 static bool
 any_load(const struct cell_owner *o)
 {
-	return cell_load_full(&o->load) || cell_load_full(&o->link_load);
+	return cell_load_refusing(&o->load) ||
+	       cell_load_refusing(&o->link_load);
 }
 
 static void
@@ -1327,9 +1328,9 @@
 		return "store_failing";
 	if (cell_admission_was_refused(o->admission, from, c->token))
 		return "refused_before";
-	if (!c->admitted && !cell_load_takes(&o->load))
+	if (!c->admitted && !cell_load_admit(&o->load))
 		return "load";
-	if (!c->admitted && !cell_load_takes(&o->link_load))
+	if (!c->admitted && !cell_load_admit(&o->link_load))
 		return "link_load";
 	return NULL;
 }
@@ -1782,10 +1783,10 @@
 step_load(struct cell_owner *o, struct cell_load *l, const char *of,
     ogl_time wanted, ogl_time now)
 {
-	bool full = cell_load_full(l);
+	bool full = cell_load_refusing(l);
 
 	cell_load_step(l, wanted, now);
-	if (full != cell_load_full(l) && o->phase == PHASE_SERVING)
+	if (full != cell_load_refusing(l) && o->phase == PHASE_SERVING)
 		log_load(o, of, full, now - wanted);
 }
 
