--- a/cell/admission.c
+++ b/cell/admission.c
@@ -1,8 +1,9 @@
 /*
- * A refusal stands: a repeat of the same call may still be on its way, and taken
- * up it would bring to life a job whose caller was told that it never runs.
+ * A refusal is final.  A repeat of the refused call may still be on its way;
+ * accepting it would run a job whose caller was told that it never runs.
  *
- * Rates are token buckets, one a team, that hold a second's jobs or more.
+ * Rates are token buckets, one per team, that hold the jobs of a second or
+ * more.
  */
 
 #include <glib.h>
@@ -10,7 +11,7 @@
 #include "admission.h"
 
 /* Longer than any repeat of a call can be on its way. */
-#define REFUSAL_KEPT (10 * OGL_SEC)
+#define REFUSAL_RETENTION (10 * OGL_SEC)
 
 struct bucket {
 	double tokens;
@@ -43,14 +44,15 @@
 }
 
 static struct bucket *
-bucket_of(struct cell_admission *a, const char *team, double most, ogl_time now)
+bucket_of(
+    struct cell_admission *a, const char *team, double burst, ogl_time now)
 {
 	struct bucket *b = g_hash_table_lookup(a->buckets, team);
 
 	if (b != NULL)
 		return b;
 	b = g_new0(struct bucket, 1);
-	b->tokens = most;
+	b->tokens = burst;
 	b->at = now;
 	g_hash_table_insert(a->buckets, g_strdup(team), b);
 	return b;
@@ -58,15 +60,15 @@
 
 bool
 cell_admission_within_rate(struct cell_admission *a, const char *team,
-    double rate, double most, ogl_time now)
+    double rate, double burst, ogl_time now)
 {
 	struct bucket *b;
 
 	if (rate <= 0)
 		return true;
-	b = bucket_of(a, team, most, now);
+	b = bucket_of(a, team, burst, now);
 	b->tokens += rate * (double)(now - b->at) / OGL_SEC;
-	b->tokens = MIN(b->tokens, most);
+	b->tokens = MIN(b->tokens, burst);
 	b->at = now;
 	if (b->tokens < 1)
 		return false;
@@ -108,7 +110,7 @@
 	const ogl_time *now = ctx;
 
 	(void)key;
-	return *now - *at > REFUSAL_KEPT;
+	return *now - *at > REFUSAL_RETENTION;
 }
 
 void
--- a/test/test_cell_admission.cc
+++ b/test/test_cell_admission.cc
@@ -1,4 +1,4 @@
-/* Which new jobs an owner takes. */
+/* Rate limits of teams, and repeats of refused calls. */
 
 #include <gtest/gtest.h>
 
@@ -22,7 +22,7 @@
 		cell_admission_end(a_);
 	}
 
-	int within(const char *team, int jobs, ogl_time now)
+	int count_admitted(const char *team, int jobs, ogl_time now)
 	{
 		int n = 0;
 
@@ -34,21 +34,21 @@
 	struct cell_admission *a_ = nullptr;
 };
 
-TEST_F(Admission, ATeamKeepsToItsRate)
+TEST_F(Admission, TeamRateIsLimited)
 {
-	EXPECT_EQ(4, within("a", 9, OGL_SEC));
-	EXPECT_EQ(0, within("a", 9, OGL_SEC + 100 * OGL_MS));
-	EXPECT_EQ(2, within("a", 9, OGL_SEC + 600 * OGL_MS));
-	EXPECT_EQ(4, within("a", 9, 9 * OGL_SEC));
-	EXPECT_EQ(4, within("b", 9, 9 * OGL_SEC));
+	EXPECT_EQ(4, count_admitted("a", 9, OGL_SEC));
+	EXPECT_EQ(0, count_admitted("a", 9, OGL_SEC + 100 * OGL_MS));
+	EXPECT_EQ(2, count_admitted("a", 9, OGL_SEC + 600 * OGL_MS));
+	EXPECT_EQ(4, count_admitted("a", 9, 9 * OGL_SEC));
+	EXPECT_EQ(4, count_admitted("b", 9, 9 * OGL_SEC));
 	EXPECT_TRUE(cell_admission_within_rate(a_, "open", 0, 0, OGL_SEC));
 }
 
 /*
- * A caller was told "not accepted, never runs"; a repeat of the call by its
- * entry arrives late.  Were it taken up, the job would run all the same.
+ * Guards against running a job whose caller was told that it never runs: the
+ * front repeats the call, and the repeat arrives after the refusal.
  */
-TEST_F(Admission, ARepeatOfARefusedCallIsKnown)
+TEST_F(Admission, RefusedCallIsRememberedForItsRepeats)
 {
 	cell_admission_refuse(a_, "n1", 7, OGL_SEC);
 	cell_admission_sweep(a_, 10 * OGL_SEC);
