--- a/cell/held.c
+++ b/cell/held.c
@@ -1,8 +1,8 @@
 /*
- * A start without an answer is tried elsewhere after a stop, so the record may
- * name one task under two workers.  Each task therefore counts the workers that
- * hold it back; when the last one is heard of it falls due.  Nobody may be heard
- * of any more: then it falls due with the end of the longest lease.
+ * A task whose start got no answer is stopped and then started on another
+ * worker, so the record may name it under two workers.  Each task therefore
+ * counts the workers that hold it back, and falls due once the last of them has
+ * answered or, if they never answer, at the end of the longest lease.
  */
 
 #include <string.h>
@@ -10,26 +10,26 @@
 #include "held.h"
 
 struct cell_held {
-	cell_stage_fn *stage;
+	cell_stage_lookup_fn *find_stage;
 	void *arg;
 	GHashTable *workers; /* id -> GArray of struct cell_task_name */
 };
 
 static void
-names_free(void *p)
+tasks_free(void *p)
 {
 	g_array_unref(p);
 }
 
 struct cell_held *
-cell_held_init(cell_stage_fn *stage, void *arg)
+cell_held_init(cell_stage_lookup_fn *find_stage, void *arg)
 {
 	struct cell_held *h = g_new0(struct cell_held, 1);
 
-	h->stage = stage;
+	h->find_stage = find_stage;
 	h->arg = arg;
 	h->workers =
-	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, names_free);
+	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, tasks_free);
 	return h;
 }
 
@@ -47,7 +47,7 @@
 }
 
 static void
-hold_task(struct cell_held *h, GArray *names, const Ogl__CellKnownTask *t,
+hold_task(struct cell_held *h, GArray *tasks, const Ogl__CellKnownTask *t,
     ogl_time until)
 {
 	struct cell_task_name name = {
@@ -55,39 +55,39 @@
 	struct cell_stage *st;
 
 	g_strlcpy(name.id, t->id, sizeof name.id);
-	st = h->stage(h->arg, &name);
+	st = h->find_stage(h->arg, &name);
 	if (st == NULL)
 		return;
 	cell_stage_hold(st, name.index, until);
-	g_array_append_val(names, name);
+	g_array_append_val(tasks, name);
 }
 
 void
 cell_held_add(struct cell_held *h, const Ogl__CellKnown *k, ogl_time until)
 {
-	GArray *names;
+	GArray *tasks;
 	size_t i;
 
 	if (k->n_tasks == 0)
 		return;
-	names = g_array_new(FALSE, FALSE, sizeof(struct cell_task_name));
+	tasks = g_array_new(FALSE, FALSE, sizeof(struct cell_task_name));
 	for (i = 0; i < k->n_tasks; i++)
-		hold_task(h, names, k->tasks[i], until);
-	g_hash_table_replace(h->workers, g_strdup(k->id), names);
+		hold_task(h, tasks, k->tasks[i], until);
+	g_hash_table_replace(h->workers, g_strdup(k->id), tasks);
 }
 
 void
 cell_held_release(struct cell_held *h, const char *worker, ogl_time now)
 {
-	GArray *names = g_hash_table_lookup(h->workers, worker);
+	GArray *tasks = g_hash_table_lookup(h->workers, worker);
 	guint i;
 
-	if (names == NULL)
+	if (tasks == NULL)
 		return;
-	for (i = 0; i < names->len; i++) {
+	for (i = 0; i < tasks->len; i++) {
 		const struct cell_task_name *name =
-		    &g_array_index(names, struct cell_task_name, i);
-		struct cell_stage *st = h->stage(h->arg, name);
+		    &g_array_index(tasks, struct cell_task_name, i);
+		struct cell_stage *st = h->find_stage(h->arg, name);
 
 		if (st != NULL)
 			cell_stage_release(st, name->index, now);
--- a/cell/held.h
+++ b/cell/held.h
@@ -1,6 +1,6 @@
 /*
- * Tasks that a new owner holds back, since they may run on a worker that had
- * gone silent before the takeover.
+ * Tasks that a new owner does not start yet, since they may be running on a
+ * worker that had stopped answering before the takeover.
  */
 
 #ifndef OGL_CELL_HELD_H
@@ -10,21 +10,23 @@
 
 struct cell_held;
 
-typedef struct cell_stage *cell_stage_fn(
+typedef struct cell_stage *cell_stage_lookup_fn(
     void *arg, const struct cell_task_name *name);
-/* The stage of a task whose job is not over, else NULL. */
+/* Returns the stage of the task, or NULL if its job has ended. */
 
-struct cell_held *cell_held_init(cell_stage_fn *stage, void *arg);
+struct cell_held *cell_held_init(cell_stage_lookup_fn *find_stage, void *arg);
 void cell_held_end(struct cell_held *h);
 
 void cell_held_add(
     struct cell_held *h, const Ogl__CellKnown *k, ogl_time until);
-/* Holds back the tasks that the record names until that time at the latest. */
+/* Holds back the tasks that the worker's record names, until then at the
+ * latest. */
 
 void cell_held_release(struct cell_held *h, const char *worker, ogl_time now);
-/* The worker has told what it runs, or has ended: what is not known to run there
- * may start, unless another worker holds it back too. */
+/* The worker has reported what it runs, or has ended: its other tasks may be
+ * started, unless another worker holds them back too. */
 
 void cell_held_clear(struct cell_held *h);
+/* Forgets all held tasks; their stages are not touched. */
 
 #endif
