--- a/cell/front.c
+++ b/cell/front.c
@@ -1,25 +1,28 @@
 /*
- * A call is answered here when the configuration settles it, else passed on:
+ * A call that the configuration alone decides is answered here.  Any other call
+ * is passed on to a shard's owner and is in one of two states:
  *
- *	WAITING  no owner is known: kept a short while, then refused as not
- *	         accepted, which is true since nobody was told of it
- *	SENT     the owner has it, or may have; repeated if no answer comes, to
- *	         whoever owns the cell by then: a job's id makes it one job
+ *	WAITING  not sent: no owner is known, or too many calls to it are under
+ *	         way.  Kept for OWNER_TIMEOUT, then refused as not accepted,
+ *	         which is certain since no owner was told of it.
+ *	SENT     the owner has it or may have it.  Repeated while no answer
+ *	         comes, to the owner of the time; a job's id makes the repeats
+ *	         one job.
  *
- * A call given up after it was sent may have been accepted, and is answered
- * so.
+ * A call given up after it was sent may have been accepted, so its caller is
+ * told that the outcome is unknown.
  *
- * A submission goes to the shard where the job belongs.  Of other calls only
- * the id is known, while a job may lie at the rack of its data: they are asked
- * of the shard that the id points to and, where that has no such job, of the
- * others in turn.  A count of waiting jobs is asked of all and added up.
+ * A submission goes to the shard where the job belongs.  Other calls hold only
+ * the id, and a job may be placed by the rack of its data instead.  They go to
+ * the shard that the id points to and, if it has no such job, to the other
+ * shards in turn.  A count of waiting jobs is asked of all shards and summed.
  *
- * The settings stream is read with a wait all the time.  An answered read
- * proves that as of its sending no other configuration was in force; without
- * such proof for too long every key is refused, since it may have been
- * withdrawn.  A node that the store turns away goes by the proofs of the owner,
- * which come with its pongs: the store turns single machines away for 9 s and
- * more, and each request to them was refused, to be late at another node.
+ * The settings stream is read by long polls without a pause.  An answered read
+ * proves that no other configuration was in force when it was sent.  Without
+ * such a proof for too long every key is refused, since it may have been
+ * withdrawn.  A node that can't read the store uses the owner's proofs, which
+ * come with its pongs: the store refuses single machines for 9 s and more, and
+ * each request to such a node would be refused and reach another node late.
  */
 
 #include <string.h>
@@ -30,39 +33,42 @@
 
 #define READ_WAIT_MS 800
 #define READ_TIMEOUT_MS 2200
-#define READ_RETRY (150 * OGL_MS)
-/* Part of revoke_ms after which keys are no longer trusted.  The rest covers
- * the way of the request and this process standing still between its look at
- * the clock and the answer. */
-#define FRESH_PART 0.7
-/* A call waits that long for an owner to be found. */
-#define OWNER_WAIT (900 * OGL_MS)
-/* An owner answers in some 15 ms; store and network may hold it up. */
-#define REPEAT (450 * OGL_MS)
-#define REPEAT_DOUBLINGS 2
-/* The answer still has its way to the caller. */
+#define RETRY_DELAY (150 * OGL_MS)
+/* Fraction of revoke_ms after which keys are no longer trusted.  The rest
+ * covers the way of the request, and a pause of this process between its
+ * reading of the clock and the answer. */
+#define FRESH_FRACTION 0.7
+/* Limits how long a call waits unsent: for an owner to become known, or for the
+ * owner's window to allow it. */
+#define OWNER_TIMEOUT (900 * OGL_MS)
+/* Time without an answer until the first repeat; it doubles with each of the
+ * next REPEAT_DOUBLINGS_MAX.  An owner answers in some 15 ms, but store and
+ * network may delay the answer. */
+#define REPEAT_DELAY (450 * OGL_MS)
+#define REPEAT_DOUBLINGS_MAX 2
+/* Left of a caller's deadline for the way of the answer. */
 #define REPLY_MARGIN (150 * OGL_MS)
-#define BUDGET_DEFAULT_MS 3000
-#define RETRY_MS 600
-/* The settings are read with a wait of 0.8 s, so a last proof older than this
- * means a read that failed. */
+#define CALL_BUDGET_DEFAULT_MS 3000
+#define CALLER_RETRY_MS 600
+/* A read of the settings waits 0.8 s at most (READ_WAIT_MS), so a last good
+ * read that is older than this means that a read has failed. */
 #define CUT_OFF_AFTER (1300 * OGL_MS)
 
-struct pending {
+struct pending_call {
 	uint64_t token;
 	Ogl__CellCall call;
-	Ogl__CellJob *job; /* owned; what call.job points at */
+	Ogl__CellJob *job; /* owned; call.job points at it or is NULL */
 	char *id;
 	char *team;
 	char *queue;
-	uint32_t shard; /* that is asked now */
-	uint32_t left;  /* shards to ask after it */
-	uint32_t found; /* waiting jobs counted so far */
+	uint32_t shard;       /* that is asked now */
+	uint32_t shards_left; /* shards to ask after it */
+	uint32_t jobs_found;  /* waiting jobs of the shards asked before */
 	bool sent;
-	bool in_window;    /* counted as under way to the owner */
-	uint64_t admitted; /* epoch whose owner has asked for the job, 0 none */
-	uint64_t sent_epoch; /* highest of the shard that it was sent to */
-	bool refused;        /* and that owner refused it */
+	bool in_window;          /* counted in the window of its shard */
+	uint64_t admitted_epoch; /* whose owner asked for the job, 0 none */
+	uint64_t sent_epoch; /* highest epoch of the shard it was sent under */
+	bool refused;        /* by the owner that it was sent to last */
 	ogl_time began;
 	unsigned repeats; /* to the owner that it was sent to last */
 	ogl_time repeat_at;
@@ -71,14 +77,15 @@
 
 /* Who owns a shard. */
 struct shard_owner {
-	char *addr;     /* NULL: nobody that is known */
-	uint64_t epoch; /* that it owns the shard in */
+	char *addr;     /* NULL: none is known */
+	uint64_t epoch; /* of its ownership */
 	struct cell_window window;
-	/* It refuses some new jobs.  What it would refuse is not sent to it. */
+	/* The owner refuses some new jobs, so a job is sent only after the
+	 * owner has asked for it. */
 	bool asks_first;
 };
 
-/* A reading of the newest record of each key, page by page. */
+/* State of reading the newest record of each key, page by page. */
 struct listing {
 	char *after;      /* last key of the last page, NULL before the first */
 	uint64_t end;     /* of the stream at the first page */
@@ -92,26 +99,26 @@
 	struct cell_front_events events;
 	uint32_t shards; /* 0 not known yet */
 	struct shard_owner owners[CELL_SHARDS_MAX];
-	GHashTable *calls; /* token -> struct pending */
+	GHashTable *calls; /* token -> struct pending_call */
 
 	struct cell_config *config;
-	GBytes *record; /* that the configuration was read from */
+	GBytes *record; /* that config was decoded from */
 	struct cell_zones *zones;
 	struct listing listing;
-	bool loaded;
-	bool reading;
-	uint64_t next;
-	ogl_time read_at;
-	ogl_time read_sent;
-	ogl_time read_ok;     /* answer to the last good read */
-	ogl_time fresh_as_of; /* the configuration was certainly the newest */
+	bool loaded;  /* a listing is complete; the stream is followed */
+	bool reading; /* a read is under way */
+	uint64_t next_offset;  /* offset to read from */
+	ogl_time next_read_at; /* no read is sent before this time */
+	ogl_time read_sent_at; /* time of sending the last read */
+	ogl_time last_read_ok; /* time of the last good answer */
+	ogl_time fresh_as_of;  /* config was certainly the newest then */
 	bool stale_logged;
 };
 
 static void
-pending_free(void *v)
+pending_call_free(void *v)
 {
-	struct pending *p = v;
+	struct pending_call *p = v;
 
 	if (p->job != NULL)
 		ogl__cell_job__free_unpacked(p->job, NULL);
@@ -131,11 +138,11 @@
 	f->limits = limits;
 	f->events = *events;
 	f->calls = g_hash_table_new_full(
-	    g_int64_hash, g_int64_equal, NULL, pending_free);
+	    g_int64_hash, g_int64_equal, NULL, pending_call_free);
 	f->record = g_bytes_new(NULL, 0);
 	f->zones = cell_zones_init();
 	f->listing.zones = g_ptr_array_new_with_free_func(g_free);
-	f->read_ok = CELL_LONG_AGO;
+	f->last_read_ok = CELL_LONG_AGO;
 	f->fresh_as_of = CELL_LONG_AGO;
 	return f;
 }
@@ -171,7 +178,8 @@
 bool
 cell_front_fresh(const struct cell_front *f, ogl_time now)
 {
-	ogl_time max = (ogl_time)(f->limits->revoke_ms * FRESH_PART) * OGL_MS;
+	ogl_time max =
+	    (ogl_time)(f->limits->revoke_ms * FRESH_FRACTION) * OGL_MS;
 
 	return f->config != NULL && now - f->fresh_as_of < max;
 }
@@ -182,10 +190,10 @@
 	return g_hash_table_size(f->calls);
 }
 
-/* ---- following the settings ------------------------------------------- */
+/* ---- reading the settings stream -------------------------------------- */
 
 static void
-take_config(struct cell_front *f, struct cell_config *c, struct ogl_str record)
+apply_config(struct cell_front *f, struct cell_config *c, struct ogl_str record)
 {
 	char text[64];
 
@@ -203,7 +211,7 @@
 }
 
 static void
-take_zone(struct cell_front *f, const struct cell_record *r)
+apply_zone_record(struct cell_front *f, const struct cell_record *r)
 {
 	char text[160];
 
@@ -216,20 +224,20 @@
 }
 
 static void
-take_records(struct cell_front *f, const struct cell_record *records, size_t n)
+apply_records(struct cell_front *f, const struct cell_record *records, size_t n)
 {
 	size_t i;
 
 	for (i = 0; i < n; i++) {
 		if (records[i].config != NULL)
-			take_config(f, records[i].config, records[i].value);
+			apply_config(f, records[i].config, records[i].value);
 		if (records[i].zone != NULL)
-			take_zone(f, &records[i]);
+			apply_zone_record(f, &records[i]);
 	}
 }
 
-/* The listing holds all zones that are evacuated: others are not any more,
- * although the record that says so may be gone. */
+/* The listing holds every evacuated zone.  A zone that is not on it has been
+ * taken back, although the record that says so may be gone. */
 static void
 replace_zones(
     struct cell_front *f, char *const *names, size_t n, uint64_t known_to)
@@ -252,9 +260,9 @@
 static void
 read_succeeded(struct cell_front *f, ogl_time now)
 {
-	f->read_ok = now;
-	f->fresh_as_of = MAX(f->fresh_as_of, f->read_sent);
-	f->read_at = now;
+	f->last_read_ok = now;
+	f->fresh_as_of = MAX(f->fresh_as_of, f->read_sent_at);
+	f->next_read_at = now;
 }
 
 struct cell_front_config
@@ -274,7 +282,7 @@
 bool
 cell_front_cut_off(const struct cell_front *f, ogl_time now)
 {
-	return now - f->read_ok > CUT_OFF_AFTER;
+	return now - f->last_read_ok > CUT_OFF_AFTER;
 }
 
 void
@@ -288,10 +296,10 @@
 	if (c->record.n > 0) {
 		config = f->ops->decode_config(f->ops->outside, c->record);
 		if (config != NULL)
-			take_config(f, config, c->record);
+			apply_config(f, config, c->record);
 		cell_config_unref(config);
 	}
-	/* Of another version it proves nothing about the one held here. */
+	/* A proof for another version says nothing about the one held here. */
 	if (f->config != NULL && c->version == cell_config_version(f->config))
 		f->fresh_as_of = MAX(f->fresh_as_of, c->as_of);
 }
@@ -315,17 +323,18 @@
 
 /* ---- a listing of the settings, page by page --------------------------- */
 
-/* Records that come while it is read are read once more from its start on. */
+/* Afterwards the stream is read from its end as of the first page, so that no
+ * record added during the listing is missed. */
 static void
 listing_begin(struct cell_front *f, uint64_t end)
 {
 	f->listing.end = end;
-	f->listing.sent = f->read_sent;
+	f->listing.sent = f->read_sent_at;
 	g_ptr_array_set_size(f->listing.zones, 0);
 }
 
 static void
-listing_take(struct cell_front *f, const struct cell_newest_answer *a)
+listing_add_page(struct cell_front *f, const struct cell_newest_answer *a)
 {
 	size_t i;
 
@@ -333,7 +342,7 @@
 		const struct cell_record *r = &a->records[i];
 
 		if (r->config != NULL)
-			take_config(f, r->config, r->value);
+			apply_config(f, r->config, r->value);
 		if (r->zone != NULL && !r->dropped)
 			g_ptr_array_add(f->listing.zones, g_strdup(r->zone));
 	}
@@ -352,8 +361,8 @@
 	replace_zones(
 	    f, (char *const *)zones->pdata, zones->len - 1, f->listing.end);
 	f->loaded = true;
-	f->next = f->listing.end;
-	f->read_sent = f->listing.sent;
+	f->next_offset = f->listing.end;
+	f->read_sent_at = f->listing.sent;
 }
 
 static void
@@ -363,13 +372,13 @@
 
 	f->reading = false;
 	if (a->io != OGL_IO_OK) {
-		f->read_at = now + READ_RETRY;
+		f->next_read_at = now + RETRY_DELAY;
 		return;
 	}
 	if (f->listing.after == NULL)
 		listing_begin(f, a->end);
-	listing_take(f, a);
-	f->read_at = now;
+	listing_add_page(f, a);
+	f->next_read_at = now;
 	if (a->more && f->listing.after != NULL)
 		return;
 	listing_finish(f);
@@ -383,37 +392,38 @@
 
 	f->reading = false;
 	if (a->io != OGL_IO_OK) {
-		f->read_at = now + READ_RETRY;
+		f->next_read_at = now + RETRY_DELAY;
 		return;
 	}
-	f->read_at = now;
+	f->next_read_at = now;
 	if (a->trimmed) {
 		f->loaded = false;
 		return;
 	}
-	take_records(f, a->records, a->n);
+	apply_records(f, a->records, a->n);
 	if (a->n > 0)
-		f->next = a->records[a->n - 1].offset + 1;
-	/* A page cut short proves nothing of what comes after it. */
-	if (f->next >= a->end)
+		f->next_offset = a->records[a->n - 1].offset + 1;
+	/* A page that does not reach the end of the stream proves nothing about
+	 * later records. */
+	if (f->next_offset >= a->end)
 		read_succeeded(f, now);
 }
 
 static void
-read_on(struct cell_front *f, ogl_time now)
+read_settings(struct cell_front *f, ogl_time now)
 {
 	struct cell_read r = {.stream = CELL_SETTINGS,
-	    .from = f->next,
+	    .from = f->next_offset,
 	    .wait_ms = READ_WAIT_MS,
 	    .timeout_ms = READ_TIMEOUT_MS};
 	struct cell_newest q = {.stream = CELL_SETTINGS,
 	    .after = f->listing.after,
 	    .timeout_ms = READ_TIMEOUT_MS};
 
-	if (f->reading || now < f->read_at)
+	if (f->reading || now < f->next_read_at)
 		return;
 	f->reading = true;
-	f->read_sent = now;
+	f->read_sent_at = now;
 	if (f->loaded)
 		f->ops->read(f->ops->outside, &r, on_read, f);
 	else
@@ -423,13 +433,13 @@
 /* ---- answers ---------------------------------------------------------- */
 
 static const struct shard_owner *
-owner_of(const struct cell_front *f, const struct pending *p)
+owner_of(const struct cell_front *f, const struct pending_call *p)
 {
 	return &f->owners[p->shard];
 }
 
 static void
-log_call(struct cell_front *f, const struct pending *p, const char *event,
+log_call(struct cell_front *f, const struct pending_call *p, const char *event,
     const char *more)
 {
 	const char *owner = owner_of(f, p)->addr;
@@ -470,10 +480,10 @@
 	answer(f, token, status, retry_ms, why);
 }
 
-/* ---- passing on ------------------------------------------------------- */
+/* ---- sending calls to owners ------------------------------------------ */
 
 static void
-pass_on(struct cell_front *f, struct pending *p, ogl_time now)
+send_call(struct cell_front *f, struct pending_call *p, ogl_time now)
 {
 	const struct shard_owner *o = owner_of(f, p);
 
@@ -481,23 +491,25 @@
 	p->repeats = p->call.epoch == o->epoch ? p->repeats + 1 : 0;
 	p->sent_epoch = MAX(p->sent_epoch, o->epoch);
 	p->call.epoch = o->epoch;
-	p->call.admitted = p->admitted == o->epoch;
+	p->call.admitted = p->admitted_epoch == o->epoch;
 	p->call.job = !o->asks_first || p->call.admitted ? p->job : NULL;
 	p->refused = false;
-	p->repeat_at = now + (REPEAT << MIN(p->repeats, REPEAT_DOUBLINGS));
+	p->repeat_at =
+	    now + (REPEAT_DELAY << MIN(p->repeats, REPEAT_DOUBLINGS_MAX));
 	p->call.budget_ms = (uint32_t)((p->deadline - now) / OGL_MS);
 	f->events.send(f->events.arg, p->shard, o->addr, &p->call);
 }
 
 static struct cell_window *
-window_of(struct cell_front *f, const struct pending *p)
+window_of(struct cell_front *f, const struct pending_call *p)
 {
 	return &f->owners[p->shard].window;
 }
 
-/* Unless too many calls to its owner are under way. */
+/* Sends the call unless no owner is known or too many calls to it are under
+ * way. */
 static void
-try_pass_on(struct cell_front *f, struct pending *p, ogl_time now)
+try_send_call(struct cell_front *f, struct pending_call *p, ogl_time now)
 {
 	struct cell_window *w = window_of(f, p);
 
@@ -509,22 +521,22 @@
 		cell_window_sent(w);
 		p->in_window = true;
 	}
-	pass_on(f, p, now);
+	send_call(f, p, now);
 }
 
-/* The call is no longer under way to the owner of its shard. */
+/* The call no longer counts as under way to the owner of its shard. */
 static void
-leave_window(struct cell_front *f, struct pending *p)
+leave_window(struct cell_front *f, struct pending_call *p)
 {
 	if (p->in_window)
 		cell_window_ended(window_of(f, p));
 	p->in_window = false;
 }
 
-/* What an answer of the shard's present owner says of it. */
+/* Adjusts the window by an answer of the shard's present owner. */
 static void
-note_answer(struct cell_front *f, struct pending *p, const Ogl__CellReply *r,
-    ogl_time now)
+update_window(struct cell_front *f, struct pending_call *p,
+    const Ogl__CellReply *r, ogl_time now)
 {
 	leave_window(f, p);
 	if (r->epoch != owner_of(f, p)->epoch)
@@ -536,33 +548,34 @@
 }
 
 static uint32_t
-shard_of_call(const struct cell_front *f, const struct pending *p)
+shard_of_call(const struct cell_front *f, const struct pending_call *p)
 {
 	return f->shards > 0 ? cell_shard_of_job(p->id, p->job, f->shards) : 0;
 }
 
-/* Everything that comes before its shard's owner is known waits. */
+/* While the number of shards is not known, a call is kept under shard 0, which
+ * has no owner then. */
 static void
-choose_shard(const struct cell_front *f, struct pending *p)
+choose_shard(const struct cell_front *f, struct pending_call *p)
 {
 	p->shard = shard_of_call(f, p);
-	p->left = 0;
+	p->shards_left = 0;
 	if (f->shards > 0 && p->job == NULL)
-		p->left = f->shards - 1;
+		p->shards_left = f->shards - 1;
 }
 
-/* The next shard to ask; false when all were. */
+/* Asks the next shard; false when all have been asked. */
 static bool
-ask_next(struct cell_front *f, struct pending *p, ogl_time now)
+ask_next_shard(struct cell_front *f, struct pending_call *p, ogl_time now)
 {
-	if (p->left == 0)
+	if (p->shards_left == 0)
 		return false;
-	p->left--;
+	p->shards_left--;
 	leave_window(f, p);
 	p->shard = (p->shard + 1) % f->shards;
 	p->sent_epoch = 0;
 	p->repeat_at = now;
-	try_pass_on(f, p, now);
+	try_send_call(f, p, now);
 	return true;
 }
 
@@ -592,7 +605,7 @@
 	o->epoch = epoch;
 	g_hash_table_iter_init(&it, f->calls);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		struct pending *p = v;
+		struct pending_call *p = v;
 
 		if (p->shard != shard)
 			continue;
@@ -602,7 +615,7 @@
 }
 
 static Ogl__CellCallKind
-kind_of(enum cell_method m)
+call_kind(enum cell_method m)
 {
 	switch (m) {
 	case CELL_POST:
@@ -638,24 +651,26 @@
 }
 
 static void
-begin(struct cell_front *f, uint64_t token, const struct cell_request *r,
+begin_call(struct cell_front *f, uint64_t token, const struct cell_request *r,
     const struct cell_queue *q, const char *team, struct ogl_str rest,
     ogl_time now)
 {
-	uint32_t budget = r->budget_ms > 0 ? r->budget_ms : BUDGET_DEFAULT_MS;
-	struct pending *p;
+	uint32_t budget =
+	    r->budget_ms > 0 ? r->budget_ms : CALL_BUDGET_DEFAULT_MS;
+	struct pending_call *p;
 	const char *why = "malformed body";
 	Ogl__CellJob *job = NULL;
 	char *id;
 
 	/*
-	 * The last try of a caller that has waited nearly to its end.  Passed
-	 * on, it would be given up in the same moment, with the owner free to
-	 * take the job up all the same: its caller would be told that nobody
-	 * knows, and could not try again.  Not passed on it is surely not run.
+	 * A caller's last attempt may leave less time than the answer takes.
+	 * Sent, the call would be given up at once while the owner might still
+	 * accept the job: its caller would be told that the outcome is unknown,
+	 * and could not retry.  Not sent, the job certainly does not run.
 	 */
 	if (budget * OGL_MS <= REPLY_MARGIN) {
-		refuse(f, r, token, CELL_BUSY, RETRY_MS, "no time is left");
+		refuse(
+		    f, r, token, CELL_BUSY, CALLER_RETRY_MS, "no time is left");
 		return;
 	}
 	id = ogl_str_dup(rest);
@@ -667,7 +682,7 @@
 			return;
 		}
 	}
-	p = g_new0(struct pending, 1);
+	p = g_new0(struct pending_call, 1);
 	p->token = token;
 	p->id = id;
 	p->team = g_strdup(team);
@@ -678,7 +693,7 @@
 	ogl__cell_call__init(&p->call);
 	p->call.token = token;
 	p->call.kind = rest.n == 0 ? OGL__CELL_CALL_KIND__cell_pending
-				   : kind_of(r->method);
+				   : call_kind(r->method);
 	p->call.id = p->id;
 	p->call.team = p->team;
 	p->call.queue = p->queue;
@@ -686,12 +701,13 @@
 	g_hash_table_insert(f->calls, &p->token, p);
 	choose_shard(f, p);
 	p->repeat_at = now;
-	try_pass_on(f, p, now);
+	try_send_call(f, p, now);
 }
 
 /*
- * The order in which faults are looked for: a request on no queue needs no
- * key, and a node that can't know the keys says so before it judges one.
+ * The order of the checks matters: a node whose configuration may be out of
+ * date says so before it judges a key, and a request that matches no queue is
+ * refused for that whatever its key.
  */
 void
 cell_front_call(struct cell_front *f, uint64_t token,
@@ -702,12 +718,12 @@
 	struct ogl_str rest = {"", 0};
 
 	if (f->config == NULL) {
-		refuse(
-		    f, r, token, CELL_BUSY, RETRY_MS, "no configuration yet");
+		refuse(f, r, token, CELL_BUSY, CALLER_RETRY_MS,
+		    "no configuration yet");
 		return;
 	}
 	if (!cell_front_fresh(f, now)) {
-		refuse(f, r, token, CELL_BUSY, RETRY_MS,
+		refuse(f, r, token, CELL_BUSY, CALLER_RETRY_MS,
 		    "the configuration may be out of date");
 		return;
 	}
@@ -732,13 +748,13 @@
 		    "a job's id has 16 hexadecimal digits");
 		return;
 	}
-	begin(f, token, r, q, team != NULL ? team->name : "", rest, now);
+	begin_call(f, token, r, q, team != NULL ? team->name : "", rest, now);
 }
 
 void
 cell_front_gone(struct cell_front *f, uint64_t token)
 {
-	struct pending *p = g_hash_table_lookup(f->calls, &token);
+	struct pending_call *p = g_hash_table_lookup(f->calls, &token);
 
 	if (p != NULL)
 		leave_window(f, p);
@@ -748,30 +764,31 @@
 /* ---- the owner's answers ---------------------------------------------- */
 
 static void
-answer_ok(struct cell_front *f, struct pending *p, const Ogl__CellReply *r)
+answer_ok(struct cell_front *f, struct pending_call *p, const Ogl__CellReply *r)
 {
 	struct cell_answer a = {.status = CELL_OK};
 
 	a.has_state = p->call.kind == OGL__CELL_CALL_KIND__cell_state;
 	a.state = r->state;
 	a.has_pending = p->call.kind == OGL__CELL_CALL_KIND__cell_pending;
-	a.pending = p->found + r->pending;
+	a.pending = p->jobs_found + r->pending;
 	f->ops->count(f->ops->ctx, "calls_ok", 1);
 	f->ops->reply(f->ops->ctx, p->token, &a);
 }
 
-/* Whether the answer settles nothing yet: another shard is asked. */
+/* Asks another shard if the answer is not final; returns whether it did. */
 static bool
-goes_on(struct cell_front *f, struct pending *p, const Ogl__CellReply *r,
-    ogl_time now)
+ask_another_shard(struct cell_front *f, struct pending_call *p,
+    const Ogl__CellReply *r, ogl_time now)
 {
 	if (r->outcome == OGL__CELL_OUTCOME__cell_absent)
-		return ask_next(f, p, now);
+		return ask_next_shard(f, p, now);
 	if (r->outcome != OGL__CELL_OUTCOME__cell_ok ||
-	    p->call.kind != OGL__CELL_CALL_KIND__cell_pending || p->left == 0)
+	    p->call.kind != OGL__CELL_CALL_KIND__cell_pending ||
+	    p->shards_left == 0)
 		return false;
-	p->found += r->pending;
-	return ask_next(f, p, now);
+	p->jobs_found += r->pending;
+	return ask_next_shard(f, p, now);
 }
 
 void
@@ -791,24 +808,24 @@
 cell_front_reply(
     struct cell_front *f, uint32_t shard, const Ogl__CellReply *r, ogl_time now)
 {
-	struct pending *p = g_hash_table_lookup(f->calls, &r->token);
+	struct pending_call *p = g_hash_table_lookup(f->calls, &r->token);
 
-	/* A shard asked before may answer a repeat once more. */
+	/* A shard asked earlier may answer a repeated call once more. */
 	if (p == NULL || p->shard != shard)
 		return;
-	note_answer(f, p, r, now);
-	if (goes_on(f, p, r, now))
+	update_window(f, p, r, now);
+	if (ask_another_shard(f, p, r, now))
 		return;
 	switch (r->outcome) {
 	case OGL__CELL_OUTCOME__cell_not_owner:
-		/* It may have been told of a job and have lost the cell before
-		 * it was stored: whoever owns it next is asked. */
-		p->repeat_at = now + READ_RETRY;
+		/* The owner may have received the job and lost the shard before
+		 * the job was stored, so its next owner is asked. */
+		p->repeat_at = now + RETRY_DELAY;
 		return;
 	case OGL__CELL_OUTCOME__cell_send_job:
-		p->admitted = r->epoch;
+		p->admitted_epoch = r->epoch;
 		p->repeat_at = now;
-		try_pass_on(f, p, now);
+		try_send_call(f, p, now);
 		return;
 	case OGL__CELL_OUTCOME__cell_ok:
 		if (p->call.kind != OGL__CELL_CALL_KIND__cell_state)
@@ -825,18 +842,19 @@
 		break;
 	case OGL__CELL_OUTCOME__cell_busy:
 		/*
-		 * Each copy is for the owner of one epoch alone.  What earlier
-		 * owners had not stored by the time of this one's fence never
-		 * will be, so a refusal of the last epoch asked is certain;
-		 * one of an earlier epoch is not.
+		 * Each copy of the call is valid for the owner of one epoch.
+		 * What earlier owners had not stored when this owner's fence
+		 * was set is never stored, so a refusal under the highest epoch
+		 * asked is final; one under an earlier epoch is not.
 		 */
 		if (r->epoch < p->sent_epoch)
 			return;
-		/* The cell changes hands: its next owner can take the job. */
+		/* The shard has a new owner or none: the next one may still
+		 * accept the job. */
 		if (owner_of(f, p)->addr == NULL ||
 		    owner_of(f, p)->epoch != r->epoch) {
 			p->refused = true;
-			p->repeat_at = now + READ_RETRY;
+			p->repeat_at = now + RETRY_DELAY;
 			return;
 		}
 		log_call(f, p, "call_answered", "outcome=busy");
@@ -851,31 +869,33 @@
 	g_hash_table_remove(f->calls, &p->token);
 }
 
-/* ---- what falls due --------------------------------------------------- */
+/* ---- periodic work ---------------------------------------------------- */
 
-/* Whether the call is given up; its answer is then on its way. */
+/* Gives the call up if it has waited too long; returns whether it did, after
+ * having answered it. */
 static bool
-give_up(struct cell_front *f, struct pending *p, ogl_time now)
+give_up(struct cell_front *f, struct pending_call *p, ogl_time now)
 {
-	bool told = p->sent && !p->refused;
-	bool ownerless = owner_of(f, p)->addr == NULL;
+	bool may_be_accepted = p->sent && !p->refused;
+	bool no_owner = owner_of(f, p)->addr == NULL;
 
-	if (!told && ownerless && now - p->began > OWNER_WAIT) {
+	if (!may_be_accepted && no_owner && now - p->began > OWNER_TIMEOUT) {
 		log_call(f, p, "call_given_up", "why=no_owner");
-		answer(f, p->token, CELL_BUSY, RETRY_MS, "no owner is known");
+		answer(f, p->token, CELL_BUSY, CALLER_RETRY_MS,
+		    "no owner is known");
 		return true;
 	}
-	if (!p->sent && !ownerless && now - p->began > OWNER_WAIT) {
+	if (!p->sent && !no_owner && now - p->began > OWNER_TIMEOUT) {
 		log_call(f, p, "call_given_up", "why=owner_behind");
-		answer(f, p->token, CELL_BUSY, RETRY_MS,
+		answer(f, p->token, CELL_BUSY, CALLER_RETRY_MS,
 		    "the owner is behind with its calls");
 		return true;
 	}
 	if (now < p->deadline)
 		return false;
 	log_call(f, p, "call_given_up", "why=deadline");
-	answer(f, p->token, told ? CELL_UNSURE : CELL_BUSY, RETRY_MS,
-	    "no answer in time");
+	answer(f, p->token, may_be_accepted ? CELL_UNSURE : CELL_BUSY,
+	    CALLER_RETRY_MS, "no answer in time");
 	return true;
 }
 
@@ -887,7 +907,7 @@
 
 	g_hash_table_iter_init(&it, f->calls);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		struct pending *p = v;
+		struct pending_call *p = v;
 
 		if (give_up(f, p, now)) {
 			leave_window(f, p);
@@ -895,7 +915,7 @@
 			continue;
 		}
 		if (now >= p->repeat_at)
-			try_pass_on(f, p, now);
+			try_send_call(f, p, now);
 	}
 }
 
@@ -904,7 +924,7 @@
 {
 	bool fresh = cell_front_fresh(f, now);
 
-	read_on(f, now);
+	read_settings(f, now);
 	step_calls(f, now);
 	if (f->config != NULL && fresh == f->stale_logged) {
 		f->stale_logged = !fresh;
--- a/cell/front.h
+++ b/cell/front.h
@@ -1,7 +1,7 @@
 /*
- * The entry: looks at callers' requests, refuses what the configuration does
- * not allow, passes the rest on to the shards' owners and gives their answers
- * back.
+ * The front end of a node: checks callers' requests, refuses what the
+ * configuration does not allow, passes the rest on to the owners of the shards
+ * and returns their answers.
  */
 
 #ifndef OGL_CELL_FRONT_H
@@ -25,60 +25,66 @@
 void cell_front_end(struct cell_front *f);
 
 void cell_front_shards(struct cell_front *f, uint32_t shards);
-/* The number of shards is known; to be told once, before any owner. */
+/* Sets the number of shards; to be called once, before any owner is set. */
 void cell_front_owner(struct cell_front *f, uint32_t shard, const char *addr,
     uint64_t epoch, ogl_time now);
-/* Who owns the shard; NULL: nobody, as far as is known. */
+/* Sets the owner of the shard and its epoch; addr is NULL when none is known.
+ */
 
 void cell_front_call(struct cell_front *f, uint64_t token,
     const struct cell_request *r, ogl_time now);
-/* One request; ops->reply is called once with its token. */
+/* Takes one request; ops->reply is called once with its token. */
 void cell_front_gone(struct cell_front *f, uint64_t token);
-/* Its caller has left. */
+/* The caller has gone: its call is forgotten and not answered. */
 
 void cell_front_asks_first(
     struct cell_front *f, uint32_t shard, bool asks_first);
-/* Whether the shard's owner wants to be asked before it is sent a job. */
+/* Whether the shard's owner is to be asked before it is sent a job, since it
+ * refuses some. */
 
 void cell_front_delay(
     struct cell_front *f, uint32_t shard, ogl_time delay, ogl_time now);
-/* What a message to the shard's owner and back takes, or has taken without
- * coming back. */
+/* Reports the round-trip time of a message to the shard's owner, or how long
+ * one has been without an answer. */
 
 void cell_front_reply(struct cell_front *f, uint32_t shard,
     const Ogl__CellReply *r, ogl_time now);
-/* The answer of the shard's owner. */
+/* Takes the answer of the shard's owner to a call. */
 
 void cell_front_step(struct cell_front *f, ogl_time now);
-/* Follows the settings, repeats and gives up calls. */
+/* Reads the settings stream, repeats calls without an answer and gives up those
+ * that have waited too long.  To be called regularly. */
 
 struct cell_config *cell_front_config(const struct cell_front *f);
-/* In force; NULL before the first. */
+/* The configuration in force, NULL before the first. */
 bool cell_front_fresh(const struct cell_front *f, ogl_time now);
-/* Whether a key withdrawn long enough ago is certainly known to be. */
+/* Whether the configuration is recent enough that a key withdrawn revoke_ms ago
+ * is certainly known to be withdrawn. */
 
 /* What a node knows of the configuration. */
 struct cell_front_config {
 	uint64_t version; /* 0 none */
-	ogl_time as_of;   /* when it was certainly the newest */
+	ogl_time as_of;   /* last time it was certainly the newest */
 	struct ogl_str record;
 };
 
 struct cell_front_config cell_front_known(const struct cell_front *f);
 bool cell_front_cut_off(const struct cell_front *f, ogl_time now);
-/* Whether the last reads of the settings failed. */
+/* Whether the settings could not be read lately. */
 void cell_front_learn(
     struct cell_front *f, const struct cell_front_config *c, ogl_time now);
-/* What a peer knows, as_of on this node's clock; the record is empty when the
+/* Takes the configuration that a peer knows, for a node that can't read the
+ * settings itself.  as_of is on this node's clock; the record is empty if the
  * peer did not send it. */
 
 const struct cell_zones *cell_front_zones(const struct cell_front *f);
-/* Evacuated zones; lives as long as the front. */
+/* The evacuated zones; valid as long as the front. */
 void cell_front_learn_zones(struct cell_front *f, char *const *names, size_t n,
     uint64_t known_to, ogl_time now);
-/* The list of a peer, for a node that can't read the settings itself. */
+/* Takes a peer's list of the evacuated zones as of all records below known_to,
+ * for a node that can't read the settings itself. */
 
 size_t cell_front_open(const struct cell_front *f);
-/* Calls not answered yet. */
+/* Number of calls not answered yet. */
 
 #endif
