--- a/test/test_cell_front.cc
+++ b/test/test_cell_front.cc
@@ -1,4 +1,4 @@
-/* Calls that a node passes on to a shard's owner, driven message by message. */
+/* Calls that a node passes on to a shard's owner, one message at a time. */
 
 #include <gtest/gtest.h>
 
@@ -12,7 +12,7 @@
 namespace
 {
 
-struct Passed {
+struct SentCall {
 	uint64_t token;
 	bool job;
 	bool admitted;
@@ -30,14 +30,14 @@
 			auto *t = static_cast<Front *>(ctx);
 
 			t->after_ = q->after != nullptr ? q->after : "";
-			t->newest_ = done;
+			t->newest_done_ = done;
 			t->arg_ = arg;
 		};
 		ops_.read = [](void *ctx, const struct cell_read *,
 				cell_read_fn *done, void *arg) {
 			auto *t = static_cast<Front *>(ctx);
 
-			t->read_ = done;
+			t->read_done_ = done;
 			t->arg_ = arg;
 		};
 		ops_.decode_job = decode_job;
@@ -76,22 +76,24 @@
 		a.n = 1;
 		a.end = 1;
 		cell_front_step(front_, now_);
-		newest_(arg_, &a, now_);
+		newest_done_(arg_, &a, now_);
 		cell_config_unref(c);
 	}
 
-	/* A read finds that its records are gone; a listing follows. */
-	void forget()
+	/* A read finds that its records have been trimmed, so a listing is
+	 * asked for. */
+	void trim_records()
 	{
 		struct cell_read_answer a = {};
 
 		a.trimmed = true;
-		read_(arg_, &a, now_);
+		read_done_(arg_, &a, now_);
 		step(1);
 	}
 
-	/* One page of a listing, with the record of an evacuated zone. */
-	void list_zone(const char *zone, bool more, uint64_t end)
+	/* One page of a listing, with the record of an evacuated zone; "" for a
+	 * page without records. */
+	void answer_listing(const char *zone, bool more, uint64_t end)
 	{
 		std::string key = std::string("zone ") + zone;
 		struct cell_newest_answer a = {};
@@ -104,12 +106,12 @@
 		a.n = zone[0] != '\0' ? 1 : 0;
 		a.more = more;
 		a.end = end;
-		newest_(arg_, &a, now_);
+		newest_done_(arg_, &a, now_);
 		step(1);
 	}
 
-	/* A record about a zone is read. */
-	void read_zone(const char *zone, bool evacuated, uint64_t offset)
+	/* A read returns a record about a zone. */
+	void answer_read(const char *zone, bool evacuated, uint64_t offset)
 	{
 		struct cell_read_answer a = {};
 		struct cell_record r = {};
@@ -122,7 +124,7 @@
 		a.records = &r;
 		a.n = 1;
 		a.end = offset + 1;
-		read_(arg_, &a, now_);
+		read_done_(arg_, &a, now_);
 		step(1);
 	}
 
@@ -131,7 +133,7 @@
 		return cell_zones_evacuated(cell_front_zones(front_), zone);
 	}
 
-	/* Hands in a job; ids are told apart by the token. */
+	/* Submits a job, whose id is the token in hexadecimal. */
 	void submit(uint64_t token)
 	{
 		char path[64];
@@ -184,7 +186,7 @@
 	static void on_send(
 	    void *arg, uint32_t, const char *, const Ogl__CellCall *c)
 	{
-		static_cast<Front *>(arg)->passed_.push_back(
+		static_cast<Front *>(arg)->sent_.push_back(
 		    {c->token, c->job != nullptr, c->admitted != 0});
 	}
 
@@ -196,47 +198,48 @@
 	struct cell_ops ops_ = {};
 	struct cell_limits limits_ = {};
 	struct cell_front *front_ = nullptr;
-	std::vector<Passed> passed_;
+	std::vector<SentCall> sent_;
 	std::vector<enum cell_status> answers_;
-	cell_newest_fn *newest_ = nullptr;
-	cell_read_fn *read_ = nullptr;
-	std::string after_; /* key that the last listing goes on from */
+	cell_newest_fn *newest_done_ = nullptr;
+	cell_read_fn *read_done_ = nullptr;
+	std::string after_; /* last key of the page before, "" at the first */
 	void *arg_ = nullptr;
 	ogl_time now_ = 100 * OGL_SEC;
 };
 
-/* Guards against a new owner whose link is filled by all calls that waited. */
-TEST_F(Front, OneCallIsPassedOnUntilANewOwnerServes)
+/* Guards against filling a new owner's link with all waiting calls at once. */
+TEST_F(Front, OnlyOneCallIsSentUntilNewOwnerServes)
 {
 	for (uint64_t t = 1; t <= 20; t++)
 		submit(t);
 	cell_front_owner(front_, 0, "owner", 7, now_);
 	step(0);
-	ASSERT_EQ(1u, passed_.size());
-	answer(passed_[0].token, OGL__CELL_OUTCOME__cell_not_owner);
+	ASSERT_EQ(1u, sent_.size());
+	answer(sent_[0].token, OGL__CELL_OUTCOME__cell_not_owner);
 	step(100);
-	EXPECT_EQ(1u, passed_.size());
+	EXPECT_EQ(1u, sent_.size());
 	step(60);
-	ASSERT_EQ(2u, passed_.size());
-	answer(passed_[1].token, OGL__CELL_OUTCOME__cell_ok);
+	ASSERT_EQ(2u, sent_.size());
+	answer(sent_[1].token, OGL__CELL_OUTCOME__cell_ok);
 	step(1);
-	EXPECT_EQ(6u, passed_.size());
+	EXPECT_EQ(6u, sent_.size());
 }
 
-/* Guards against callers held to their deadline by calls that never leave. */
-TEST_F(Front, ACallThatNeverLeftIsRefusedAsNotAccepted)
+/* Guards against callers that wait until their deadline for calls that are
+ * never sent. */
+TEST_F(Front, CallNeverSentIsRefusedAsNotAccepted)
 {
 	cell_front_owner(front_, 0, "owner", 7, now_);
 	submit(1);
 	submit(2);
-	ASSERT_EQ(1u, passed_.size());
+	ASSERT_EQ(1u, sent_.size());
 	step(950);
 	ASSERT_EQ(1u, answers_.size());
 	EXPECT_EQ(CELL_BUSY, answers_[0]);
 }
 
-/* A call that was sent may have been accepted. */
-TEST_F(Front, ACallThatWasSentIsNotRefused)
+/* Guards against a refusal of a call that the owner may have accepted. */
+TEST_F(Front, CallSentWithoutAnswerIsUnsure)
 {
 	cell_front_owner(front_, 0, "owner", 7, now_);
 	submit(1);
@@ -248,64 +251,65 @@
 }
 
 /* Guards against jobs sent to an owner that is about to refuse them. */
-TEST_F(Front, AnOverloadedOwnerIsAskedBeforeItIsSentAJob)
+TEST_F(Front, OverloadedOwnerIsAskedBeforeJobIsSent)
 {
 	cell_front_owner(front_, 0, "owner", 7, now_);
 	cell_front_asks_first(front_, 0, true);
 	submit(1);
-	ASSERT_EQ(1u, passed_.size());
-	EXPECT_FALSE(passed_[0].job);
+	ASSERT_EQ(1u, sent_.size());
+	EXPECT_FALSE(sent_[0].job);
 	answer(1, OGL__CELL_OUTCOME__cell_send_job);
-	ASSERT_EQ(2u, passed_.size());
-	EXPECT_TRUE(passed_[1].job);
-	EXPECT_TRUE(passed_[1].admitted);
+	ASSERT_EQ(2u, sent_.size());
+	EXPECT_TRUE(sent_[1].job);
+	EXPECT_TRUE(sent_[1].admitted);
 	answer(1, OGL__CELL_OUTCOME__cell_ok);
 	ASSERT_EQ(1u, answers_.size());
 	EXPECT_EQ(CELL_OK, answers_[0]);
 }
 
 /* Guards against a repeat of a lost call that is given up too early. */
-TEST_F(Front, ACallWithoutAnAnswerIsRepeatedLessAndLess)
+TEST_F(Front, CallWithoutAnswerIsRepeatedWithBackoff)
 {
 	cell_front_owner(front_, 0, "owner", 7, now_);
 	submit(1);
 	step(460);
-	EXPECT_EQ(2u, passed_.size());
+	EXPECT_EQ(2u, sent_.size());
 	step(460);
-	EXPECT_EQ(2u, passed_.size());
+	EXPECT_EQ(2u, sent_.size());
 	step(460);
-	EXPECT_EQ(3u, passed_.size());
+	EXPECT_EQ(3u, sent_.size());
 }
 
-/* Guards against a zone left out for being on a later page of the listing. */
+/* Guards against a zone that is left out since it is on a later page. */
 TEST_F(Front, EvacuatedZonesAreListedPageByPage)
 {
 	step(1);
-	forget();
+	trim_records();
 	EXPECT_EQ("", after_);
-	list_zone("a", true, 9);
+	answer_listing("a", true, 9);
 	EXPECT_EQ("zone a", after_);
 	EXPECT_FALSE(evacuated("a"));
-	list_zone("b", false, 10);
+	answer_listing("b", false, 10);
 	EXPECT_TRUE(evacuated("a"));
 	EXPECT_TRUE(evacuated("b"));
 	EXPECT_EQ(9u, cell_zones_known_to(cell_front_zones(front_)));
 }
 
-/* Guards against a zone unused for good: the record that took it back is gone
- * before it was read. */
-TEST_F(Front, AZoneThatIsListedNoMoreIsTakenBack)
+/* Guards against a zone that stays unused: the record that takes it back is
+ * trimmed before it is read. */
+TEST_F(Front, ZoneMissingFromListingIsTakenBack)
 {
 	step(1);
-	read_zone("a", true, 1);
+	answer_read("a", true, 1);
 	EXPECT_TRUE(evacuated("a"));
-	forget();
-	list_zone("", false, 5);
+	trim_records();
+	answer_listing("", false, 5);
 	EXPECT_FALSE(evacuated("a"));
 }
 
-/* Guards against starts in a zone by a node that can't read of it. */
-TEST_F(Front, ACutOffNodeLearnsOfZonesFromAPeer)
+/* Guards against starts in an evacuated zone by a node that can't read the
+ * settings. */
+TEST_F(Front, NodeWithoutStoreTakesZonesFromPeer)
 {
 	char a[] = "a", b[] = "b";
 	char *names[] = {a, b};
@@ -319,10 +323,10 @@
 	cell_front_learn_zones(front_, names + 1, 1, 3, now_);
 	EXPECT_TRUE(evacuated("a"));
 	EXPECT_FALSE(evacuated("b"));
-	/* What it reads later may be older than that. */
-	read_zone("a", false, 2);
+	/* A record that is read later may be older than the peer's list. */
+	answer_read("a", false, 2);
 	EXPECT_TRUE(evacuated("a"));
-	read_zone("a", false, 4);
+	answer_read("a", false, 4);
 	EXPECT_FALSE(evacuated("a"));
 }
 
