--- a/cell/owner.c
+++ b/cell/owner.c
@@ -1,16 +1,17 @@
 /*
- * The jobs come from the store when the shard is taken over (loader.c), the
+ * Jobs are read from the store when the shard is taken over (loader.c), and
  * workers from the platform's list (roster.c).
  *
- * A job of an earlier owner may have tasks running that nobody has told us of
- * yet.  Its tasks are started only once every worker has shown its lists under
- * our epoch, or cannot run anything any more (settled); jobs accepted since
- * are started at once.
+ * A job accepted by an earlier owner may have tasks running that no worker has
+ * reported to this owner yet.  Its tasks are started only once the owner is
+ * settled: every worker has sent its lists under this epoch, or can no longer
+ * run anything.  Jobs accepted by this owner are started at once.
  *
- * An end that a worker lists is dealt with at once, is stored with the job's
- * progress, and only then is acknowledged to the worker: until it is stored, a
- * successor must find it in the worker's list, or the task would run again.
- * For the same reason a job is shown as over only once that is stored.
+ * The end of a run that a worker lists is applied at once, stored with the
+ * job's progress, and only then acknowledged to the worker: until it is stored,
+ * a successor must find it in the worker's list, or the task would run again.
+ * For the same reason callers are told that a job is over only once its end is
+ * stored.
  */
 
 #include <string.h>
@@ -29,21 +30,23 @@
 #include "straggler.h"
 
 /* Ended jobs are kept this much longer than callers are promised. */
-#define KEEP_MARGIN_MS 20000
-#define SWEEP (500 * OGL_MS)
-/* Run numbers of an epoch; no task is started so often in one. */
-#define RUNS_AN_EPOCH 1024
-/* A gang of which some members were found running and others not is stopped
- * if it is not whole after this time. */
-#define GANG_REPAIR (600 * OGL_MS)
-#define STRAGGLERS (200 * OGL_MS)
+#define ENDED_JOB_MARGIN_MS 20000
+#define SWEEP_INTERVAL (500 * OGL_MS)
+/* Run numbers reserved for each epoch; no task is started that often in one. */
+#define RUNS_PER_EPOCH 1024
+/* A gang of which only some members run is stopped if it is still incomplete
+ * after this time. */
+#define GANG_REPAIR_DELAY (600 * OGL_MS)
+#define STRAGGLER_INTERVAL (200 * OGL_MS)
 #define BUSY_RETRY_MS 500
-/* An ownership that the store confirmed longer ago may have ended since. */
-#define PROOF_AGE_MAX (1500 * OGL_MS)
-/* A team's jobs fall on shards by chance; where one gets more than its part for
- * a while, that is not the team's doing. */
-#define RATE_SLACK 2.0
-/* A queue before the link is gone soon after it is no longer fed. */
+/* Ownership that the store confirmed longer ago may have ended since. */
+#define CONFIRMATION_AGE_MAX (1500 * OGL_MS)
+/* Jobs that a team may submit at once to one of several shards, in seconds of
+ * its rate there.  Jobs fall on shards at random, so one shard may get more
+ * than an even part for a while without the team exceeding its rate. */
+#define SHARD_BURST_SECONDS 2.0
+/* Faster than for the processor: the queue of the link empties soon after
+ * nothing is added to it any more. */
 #define LINK_REFUSAL_FALL_PER_SECOND 0.4
 
 enum phase {
@@ -52,18 +55,19 @@
 	PHASE_SERVING
 };
 
-/* A call that waits for the store. */
-struct waiting {
+/* A call that is answered once the store has answered. */
+struct waiting_call {
 	struct cell_owner *owner;
 	char *to;
 	uint64_t token;
 	char id[CELL_ID_LEN + 1];
 };
 
-/* Ends of a worker that wait to be stored, or a job's end. */
-struct noting {
+/* Argument of a callback for the ends of a worker's runs, or for a job, once
+ * the store has answered. */
+struct store_wait {
 	struct cell_owner *owner;
-	char *name;
+	char *name;    /* of the worker or the job */
 	uint64_t life; /* of the worker */
 };
 
@@ -76,7 +80,7 @@
 	enum phase phase;
 	uint64_t epoch;
 	bool announced;
-	ogl_time store_took; /* for the claim */
+	ogl_time store_took; /* time that the store took for the claim */
 	struct cell_loader *loader;
 	struct cell_roster *roster;
 	GHashTable *jobs; /* id -> struct cell_job */
@@ -89,24 +93,24 @@
 	struct cell_sched *sched;
 	struct cell_advice *advice;
 	struct cell_escrow *escrow;
-	uint64_t records; /* of the workers, in this process */
+	uint64_t worker_records; /* written by this process */
 	bool settled;
-	bool holds_tasks; /* some may run on workers not heard of yet */
+	bool holds_tasks; /* tasks may be held back for silent workers */
 	ogl_time opened_at;
-	ogl_time confirmed; /* ownership, by the store */
+	ogl_time confirmed; /* the store confirmed ownership as of then */
 	ogl_time wall;
 
 	struct cell_load load;      /* of the processor */
 	struct cell_load link_load; /* of the node's link */
-	bool run_pass;              /* something came free or came in */
-	ogl_time sweep_at;
-	ogl_time stragglers_at;
+	bool pass_needed;           /* the scheduler may have work */
+	ogl_time next_sweep_at;
+	ogl_time next_straggler_check;
 };
 
 static void job_changed(
     struct cell_owner *o, struct cell_job *j, bool urgent, ogl_time now);
 
-/* ---- small things ----------------------------------------------------- */
+/* ---- helpers ---------------------------------------------------------- */
 
 static void
 log_job(struct cell_owner *o, const struct cell_job *j, const char *event,
@@ -139,7 +143,7 @@
 	return g_hash_table_lookup(o->jobs, id);
 }
 
-/* The stage of a task whose job is not over. */
+/* The stage of a task, NULL if its job is over or not known. */
 static struct cell_stage *
 open_stage(void *arg, const struct cell_task_name *name)
 {
@@ -158,9 +162,9 @@
 
 /* ---- stages ----------------------------------------------------------- */
 
-/* Lists whatever of an occurrence may run now. */
+/* Gives the scheduler the stages of an occurrence that may run now. */
 static void
-list_stages(
+add_ready_stages(
     struct cell_owner *o, struct cell_job *j, struct cell_occurrence *oc)
 {
 	size_t i;
@@ -171,7 +175,7 @@
 		if (cell_stage_waiting(st) > 0 && cell_stage_ready(st))
 			cell_sched_add(o->sched, st);
 	}
-	o->run_pass = true;
+	o->pass_needed = true;
 }
 
 static ogl_time
@@ -181,9 +185,9 @@
 	       OGL_MS;
 }
 
-/* Begins the occurrences that are due and lists what may run. */
+/* Begins the occurrences that are due. */
 static void
-begin_due(struct cell_owner *o, struct cell_job *j)
+begin_due_occurrences(struct cell_owner *o, struct cell_job *j)
 {
 	uint32_t n = MAX(j->def->repeats, 1);
 	uint32_t k;
@@ -195,7 +199,7 @@
 			continue;
 		if (j->def->repeats > 0 && due > o->wall)
 			break;
-		list_stages(o, j, cell_job_begin(j, k, due));
+		add_ready_stages(o, j, cell_job_begin(j, k, due));
 	}
 }
 
@@ -204,7 +208,7 @@
 static void
 on_end_stored(void *arg, uint64_t tag, enum cell_fate fate, ogl_time now)
 {
-	struct noting *n = arg;
+	struct store_wait *n = arg;
 	struct cell_job *j;
 
 	(void)tag;
@@ -219,10 +223,10 @@
 }
 
 static void
-note_after(
+call_after_store(
     struct cell_owner *o, const char *name, cell_stored_fn *fn, uint64_t tag)
 {
-	struct noting *n = g_new0(struct noting, 1);
+	struct store_wait *n = g_new0(struct store_wait, 1);
 
 	n->owner = o;
 	n->name = g_strdup(name);
@@ -230,12 +234,12 @@
 }
 
 /*
- * After a takeover tasks of which nothing is known yet may run on a worker
- * that is silent; until all have answered they count against their team, or
- * its limit would be passed by as much.
+ * After a takeover, tasks may be running on workers that have not answered yet.
+ * Until all have, such tasks count against their team's limit, which would
+ * otherwise be exceeded by as much.
  */
 static void
-suppose_running(struct cell_owner *o, struct cell_stage *st)
+assume_running(struct cell_owner *o, struct cell_stage *st)
 {
 	struct ogl_res need = cell_stage_need(st);
 	uint32_t i;
@@ -251,7 +255,7 @@
 }
 
 static void
-suppose_not(struct cell_owner *o, struct cell_stage *st, struct cell_task *t)
+clear_assumed(struct cell_owner *o, struct cell_stage *st, struct cell_task *t)
 {
 	struct ogl_res need = cell_stage_need(st);
 
@@ -262,28 +266,29 @@
 }
 
 static void
-suppose_stage_not(struct cell_owner *o, struct cell_stage *st)
+clear_assumed_stage(struct cell_owner *o, struct cell_stage *st)
 {
 	uint32_t i;
 
 	for (i = 0; i < st->ntasks; i++)
-		suppose_not(o, st, &st->tasks[i]);
+		clear_assumed(o, st, &st->tasks[i]);
 }
 
-/* But for tasks held back, which may still run. */
+/* Tasks held back still count, since they may be running. */
 static void
-suppose_settled(struct cell_owner *o, struct cell_stage *st, ogl_time now)
+clear_assumed_unless_held(
+    struct cell_owner *o, struct cell_stage *st, ogl_time now)
 {
 	uint32_t i;
 
 	for (i = 0; i < st->ntasks; i++) {
 		if (now >= cell_stage_keeper(st, i)->due)
-			suppose_not(o, st, &st->tasks[i]);
+			clear_assumed(o, st, &st->tasks[i]);
 	}
 }
 
 static void
-disown(struct cell_owner *o, struct cell_run *r, ogl_time now)
+abandon_run(struct cell_owner *o, struct cell_run *r, ogl_time now)
 {
 	if (r == NULL)
 		return;
@@ -298,10 +303,10 @@
 	uint32_t i;
 
 	cell_sched_remove(st);
-	suppose_stage_not(o, st);
+	clear_assumed_stage(o, st);
 	for (i = 0; i < st->ntasks; i++) {
-		disown(o, st->tasks[i].active, now);
-		disown(o, st->tasks[i].copy, now);
+		abandon_run(o, st->tasks[i].active, now);
+		abandon_run(o, st->tasks[i].copy, now);
 		st->tasks[i].active = NULL;
 		st->tasks[i].copy = NULL;
 	}
@@ -350,7 +355,7 @@
 	j->drop_def = true;
 	cell_relay_forget(o->relay, j->id);
 	job_changed(o, j, true, now);
-	note_after(o, j->id, on_end_stored, 0);
+	call_after_store(o, j->id, on_end_stored, 0);
 }
 
 /* ---- progress --------------------------------------------------------- */
@@ -372,7 +377,7 @@
 		    o, j, OGL__CELL_JOB_STATE__cell_completed, "all_done", now);
 }
 
-/* May end the occurrence and the job with it: st is not to be used after. */
+/* May end the occurrence and its job: st must not be used afterwards. */
 static void
 stage_progress(struct cell_owner *o, struct cell_stage *st, ogl_time now)
 {
@@ -389,7 +394,7 @@
 	if (oc->nstages_done == j->def->n_steps)
 		occurrence_done(o, j, oc, now);
 	else
-		list_stages(o, j, oc);
+		add_ready_stages(o, j, oc);
 }
 
 static void
@@ -402,7 +407,7 @@
 }
 
 static void
-detach(struct cell_stage *st, struct cell_task *t, struct cell_run *r)
+detach_run(struct cell_stage *st, struct cell_task *t, struct cell_run *r)
 {
 	if (t->copy == r) {
 		t->copy = NULL;
@@ -416,7 +421,8 @@
 		st->nactive--;
 }
 
-/* One member's end stands for the gang; what else runs is let end. */
+/* A gang is done as soon as one of its members is.  The other members are left
+ * to end by themselves. */
 static void
 gang_done(struct cell_stage *st)
 {
@@ -427,7 +433,7 @@
 
 		task_done(st, t);
 		if (t->active != NULL) {
-			/* It has ended too, its worker just has not said. */
+			/* It has ended too; its worker has not reported it. */
 			t->active->stage = NULL;
 			t->active = NULL;
 			st->nactive--;
@@ -436,12 +442,12 @@
 }
 
 static void
-copy_done(struct cell_owner *o, struct cell_stage *st, struct cell_task *t,
+stop_other_run(struct cell_owner *o, struct cell_stage *st, struct cell_task *t,
     ogl_time now)
 {
 	if (t->active == NULL)
 		return;
-	disown(o, t->active, now);
+	abandon_run(o, t->active, now);
 	t->active = NULL;
 	st->nactive--;
 }
@@ -464,9 +470,9 @@
 		    "attempts_spent", now);
 }
 
-/* What an end means for its task; the job may be over after it. */
+/* Applies the end of a run to its task.  The job may be over afterwards. */
 static void
-count_end(struct cell_owner *o, struct cell_stage *st, uint32_t index,
+apply_end(struct cell_owner *o, struct cell_stage *st, uint32_t index,
     uint64_t run, enum cell_end how, const char *checkpoint,
     struct cell_worker *w, ogl_time now)
 {
@@ -475,7 +481,7 @@
 
 	if (t->done)
 		return;
-	suppose_not(o, st, t);
+	clear_assumed(o, st, t);
 	cell_task_save(cell_stage_keeper(st, index), checkpoint);
 	job_changed(o, j, true, now);
 	if (how == CELL_END_DONE && !st->def->lasting) {
@@ -484,7 +490,7 @@
 		if (st->def->gang)
 			gang_done(st);
 		else
-			copy_done(o, st, t, now);
+			stop_other_run(o, st, t, now);
 	} else if (how == CELL_END_FAILED) {
 		cell_worker_result(w, j->id, false, now);
 		task_failed(o, st, index, run, w->id, now);
@@ -493,7 +499,7 @@
 		stage_progress(o, st, now);
 }
 
-/* ---- what the fleet tells --------------------------------------------- */
+/* ---- events of the fleet ---------------------------------------------- */
 
 static const char *
 end_name(enum cell_end how)
@@ -517,12 +523,12 @@
 	log_run(o, r, "run_ended", more, now);
 	if (st == NULL)
 		return;
-	/* Of one that an earlier owner started the beginning is not known. */
+	/* If an earlier owner started the run, its start time is not known. */
 	if (how == CELL_END_DONE && r->ordered)
 		cell_job_took(
 		    st->job, st->step, (double)(now - r->began) / OGL_MS);
-	detach(st, &st->tasks[r->name.index], r);
-	count_end(o, st, r->name.index, r->number, how,
+	detach_run(st, &st->tasks[r->name.index], r);
+	apply_end(o, st, r->name.index, r->number, how,
 	    checkpoint != NULL && *checkpoint != '\0' ? checkpoint
 						      : r->checkpoint,
 	    r->worker, now);
@@ -541,7 +547,7 @@
 	o->ops->count(o->ops->ctx, "starts_refused", 1);
 	if (st == NULL)
 		return;
-	detach(st, &st->tasks[r->name.index], r);
+	detach_run(st, &st->tasks[r->name.index], r);
 	if (why == CELL_REFUSED_TICKET || why == CELL_REFUSED_LIFE) {
 		g = cell_stage_good(st, r->worker->serial);
 		if (g != NULL)
@@ -549,7 +555,7 @@
 	}
 	if (why == CELL_REFUSED_BUSY)
 		r->worker->aside_until = now + OGL_SEC;
-	/* The members of a gang that did start wait for the others in vain. */
+	/* The members that did start would wait for this one forever. */
 	if (st->def->gang) {
 		uint32_t i;
 
@@ -564,7 +570,7 @@
 }
 
 static void
-on_up(void *arg, struct cell_run *r, ogl_time now)
+on_run_up(void *arg, struct cell_run *r, ogl_time now)
 {
 	struct cell_owner *o = arg;
 	struct cell_job *j;
@@ -581,9 +587,9 @@
 	job_changed(o, j, false, now);
 }
 
-/* Whether a run that was found is one that the job wants. */
+/* The stage that has a use for a run found on a worker, NULL if none has. */
 static struct cell_stage *
-wanted(struct cell_owner *o, const struct cell_row *row)
+find_stage_for_run(struct cell_owner *o, const struct cell_row *row)
 {
 	struct cell_stage *st = open_stage(o, &row->task);
 	struct cell_task *t;
@@ -601,7 +607,7 @@
     void *arg, struct cell_worker *w, const struct cell_row *row, ogl_time now)
 {
 	struct cell_owner *o = arg;
-	struct cell_stage *st = wanted(o, row);
+	struct cell_stage *st = find_stage_for_run(o, row);
 	struct cell_task *t;
 
 	if (st == NULL) {
@@ -613,11 +619,11 @@
 	t->active =
 	    cell_fleet_adopt(o->fleet, w, st, row, rank_of(o, st->job), now);
 	st->nactive++;
-	suppose_not(o, st, t);
+	clear_assumed(o, st, t);
 	log_run(o, t->active, "run_adopted", "", now);
 	if (cell_stage_waiting(st) == 0)
 		cell_sched_remove(st);
-	on_up(o, t->active, now);
+	on_run_up(o, t->active, now);
 }
 
 static void
@@ -640,14 +646,14 @@
 	    row->task.occurrence, row->task.step, row->task.index, row->run,
 	    w->id, end_name(row->how));
 	log_job(o, j, "end_found", more);
-	count_end(o, st, row->task.index, row->run, row->how, row->checkpoint,
+	apply_end(o, st, row->task.index, row->run, row->how, row->checkpoint,
 	    w, now);
 }
 
 static void
 on_ends_stored(void *arg, uint64_t tag, enum cell_fate fate, ogl_time now)
 {
-	struct noting *n = arg;
+	struct store_wait *n = arg;
 	struct cell_worker *w;
 
 	(void)now;
@@ -664,7 +670,7 @@
 on_ends_taken(void *arg, struct cell_worker *w, ogl_time now)
 {
 	struct cell_owner *o = arg;
-	struct noting *n = g_new0(struct noting, 1);
+	struct store_wait *n = g_new0(struct store_wait, 1);
 
 	(void)now;
 	n->owner = o;
@@ -679,7 +685,7 @@
 	struct cell_owner *o = arg;
 
 	cell_held_release(o->held, w->id, now);
-	o->run_pass = true;
+	o->pass_needed = true;
 }
 
 static void
@@ -691,25 +697,25 @@
 }
 
 static void
-on_room(void *arg, ogl_time now)
+on_room_freed(void *arg, ogl_time now)
 {
 	struct cell_owner *o = arg;
 
 	(void)now;
-	o->run_pass = true;
+	o->pass_needed = true;
 }
 
-/* ---- what the scheduler asks ------------------------------------------ */
+/* ---- callbacks of the scheduler --------------------------------------- */
 
 /*
- * Run numbers of an epoch lie above all of earlier epochs, so that they rise
- * although an earlier owner may have started runs that were never stored.
+ * Run numbers of an epoch are above those of all earlier epochs, so that they
+ * rise even if an earlier owner started runs that were never stored.
  */
 static uint64_t
 next_run(void *arg, const struct cell_stage *st)
 {
 	struct cell_owner *o = arg;
-	uint64_t run = (o->epoch - 1) * RUNS_AN_EPOCH;
+	uint64_t run = (o->epoch - 1) * RUNS_PER_EPOCH;
 	uint32_t i;
 
 	for (i = 0; i < st->ntasks; i++) {
@@ -724,20 +730,20 @@
 {
 	struct cell_owner *o = arg;
 
-	suppose_not(o, st, &st->tasks[index]);
+	clear_assumed(o, st, &st->tasks[index]);
 	log_run(o, st->tasks[index].active, "run_started", "", now);
 	job_changed(o, st->job, false, now);
 }
 
 static void
-on_lost(void *arg, ogl_time now)
+on_stream_lost(void *arg, ogl_time now)
 {
 	struct cell_owner *o = arg;
 
 	o->events.outranked(o->events.arg, now);
 }
 
-/* ---- what advice asks ------------------------------------------------- */
+/* ---- callbacks of advice ---------------------------------------------- */
 
 static void
 send_ask(void *arg, const char *addr, const Ogl__CellAsk *ask)
@@ -765,16 +771,16 @@
 }
 
 static void
-on_advice(void *arg, struct cell_stage *s, ogl_time now)
+on_advice_answer(void *arg, struct cell_stage *s, ogl_time now)
 {
 	struct cell_owner *o = arg;
 
 	(void)s;
 	(void)now;
-	o->run_pass = true;
+	o->pass_needed = true;
 }
 
-/* ---- what escrow asks ------------------------------------------------- */
+/* ---- callbacks of escrow ---------------------------------------------- */
 
 static void
 send_part(void *arg, uint32_t to_shard, const Ogl__CellPart *m)
@@ -797,14 +803,14 @@
 	const struct cell_team *t =
 	    o->config != NULL ? cell_config_team(o->config, team) : NULL;
 	struct ogl_res used = cell_fleet_team_used(o->fleet, team);
-	double most;
+	double largest;
 
 	if (t == NULL)
 		return 0;
-	most = fraction(used.cpu_milli, t->max.cpu_milli);
-	most = MAX(most, fraction(used.mem_mb, t->max.mem_mb));
-	most = MAX(most, fraction(used.accel, t->max.accel));
-	return (uint32_t)(MIN(most, 1.0) * CELL_PART_WHOLE);
+	largest = fraction(used.cpu_milli, t->max.cpu_milli);
+	largest = MAX(largest, fraction(used.mem_mb, t->max.mem_mb));
+	largest = MAX(largest, fraction(used.accel, t->max.accel));
+	return (uint32_t)(MIN(largest, 1.0) * CELL_PART_WHOLE);
 }
 
 static void
@@ -813,10 +819,10 @@
 	struct cell_owner *o = arg;
 
 	(void)now;
-	o->run_pass = true;
+	o->pass_needed = true;
 }
 
-/* ---- what the relay asks ---------------------------------------------- */
+/* ---- callbacks of the relay ------------------------------------------- */
 
 static void
 send_orders(void *arg, const char *to, const Ogl__CellOrders *m)
@@ -828,9 +834,9 @@
 
 /* ---- taking over ------------------------------------------------------ */
 
-/* Pages may bring a job's two records in either order. */
+/* Makes a job from its two records, which pages may bring in either order. */
 static void
-load_job(struct cell_owner *o, Ogl__CellJob *def, const Ogl__CellProgress *p,
+restore_job(struct cell_owner *o, Ogl__CellJob *def, const Ogl__CellProgress *p,
     ogl_time now)
 {
 	ogl_time age = o->wall - (ogl_time)def->accepted_ms * OGL_MS;
@@ -838,7 +844,7 @@
 
 	if (p != NULL && cell_job_over(p->state)) {
 		ogl__cell_job__free_unpacked(def, NULL);
-		return; /* it ended just before; the progress record stays */
+		return; /* it has ended: see restore_ended_jobs */
 	}
 	j = cell_job_new(def, now - MAX(age, 0));
 	j->stored = true;
@@ -848,26 +854,26 @@
 }
 
 static void
-load_jobs(struct cell_owner *o, const struct cell_loaded *l, ogl_time now)
+restore_jobs(struct cell_owner *o, const struct cell_loaded *l, ogl_time now)
 {
 	GHashTableIter it;
 	gpointer id, def;
 
 	g_hash_table_iter_init(&it, l->defs);
 	while (g_hash_table_iter_next(&it, &id, &def)) {
-		load_job(o, def, g_hash_table_lookup(l->progress, id), now);
+		restore_job(o, def, g_hash_table_lookup(l->progress, id), now);
 		g_hash_table_iter_steal(&it);
 		g_free(id);
 	}
 }
 
 /*
- * The platform's list may lack workers for a while: entries lapse while the
- * store is away, and come back seconds after it.  What runs there is not to be
- * started elsewhere meanwhile.
+ * The platform's list may lack workers for a while: their entries expire while
+ * the store is unavailable, and reappear seconds after it is back.  Tasks that
+ * run on such workers must not be started elsewhere meanwhile.
  */
 static void
-load_worker(void *arg, const Ogl__CellKnown *k, ogl_time now)
+expect_worker(void *arg, const Ogl__CellKnown *k, ogl_time now)
 {
 	struct cell_owner *o = arg;
 
@@ -875,17 +881,17 @@
 	cell_held_add(o->held, k, cell_fleet_lapse(o->fleet));
 }
 
-/* Waits for a record of the workers to be stored. */
-struct named {
+/* A record of the workers that is being stored. */
+struct workers_record {
 	struct cell_owner *owner;
-	GPtrArray *ids; /* of those that may be given work from then on */
+	GPtrArray *ids; /* workers that may be given work once it is stored */
 	uint64_t number;
 };
 
 static void
 on_workers_stored(void *arg, uint64_t tag, enum cell_fate fate, ogl_time now)
 {
-	struct named *n = arg;
+	struct workers_record *n = arg;
 	guint i;
 
 	(void)tag;
@@ -897,27 +903,27 @@
 }
 
 /*
- * Tells a successor which workers to call.  A worker gets no work before that
- * is stored: a successor that does not know of it would take its tasks for not
- * running and start them elsewhere.
+ * Stores for a successor which workers to call.  A worker is given no work
+ * before it is in a stored record: a successor that does not know of the worker
+ * would take its tasks for not running and start them elsewhere.
  */
 static void
 store_workers(struct cell_owner *o, ogl_time now)
 {
-	struct named *n = g_new0(struct named, 1);
+	struct workers_record *n = g_new0(struct workers_record, 1);
 	GBytes *record;
 
 	n->owner = o;
 	n->ids = g_ptr_array_new_with_free_func(g_free);
-	n->number = ++o->records;
+	n->number = ++o->worker_records;
 	record = cell_known_pack(o->fleet, n->number, n->ids, now);
 	cell_journal_put(o->journal, CELL_WORKERS_KEY, record, now);
 	cell_journal_after(o->journal, on_workers_stored, n, 0);
 }
 
-/* Jobs that had ended have only their progress left. */
+/* Only the progress record of a job that has ended is left. */
 static void
-load_ended(struct cell_owner *o, GHashTable *progress)
+restore_ended_jobs(struct cell_owner *o, GHashTable *progress)
 {
 	GHashTableIter it;
 	gpointer id, p;
@@ -935,19 +941,20 @@
 	}
 }
 
-/* A stage may have been all done when the last owner was lost. */
+/* All tasks of a stage or an occurrence may have been done when the previous
+ * owner was lost. */
 static void
 resume_job(struct cell_owner *o, struct cell_job *j, ogl_time now)
 {
 	guint i;
 	size_t k;
 
-	begin_due(o, j);
+	begin_due_occurrences(o, j);
 	for (i = 0; i < j->occurrences->len; i++) {
 		struct cell_occurrence *oc = j->occurrences->pdata[i];
 
 		for (k = 0; k < j->def->n_steps; k++) {
-			suppose_running(o, &oc->stages[k]);
+			assume_running(o, &oc->stages[k]);
 			if (oc->stages[k].ndone == oc->stages[k].ntasks)
 				oc->nstages_done++;
 		}
@@ -968,9 +975,9 @@
 	guint open;
 	char text[128];
 
-	load_jobs(o, l, now);
+	restore_jobs(o, l, now);
 	open = g_hash_table_size(o->jobs);
-	load_ended(o, l->progress);
+	restore_ended_jobs(o, l->progress);
 	o->phase = PHASE_SERVING;
 	cell_journal_open(o->journal, o->epoch, o->store_took);
 	cell_relay_open(o->relay, o->epoch);
@@ -985,7 +992,7 @@
 			resume_job(o, j, now);
 	}
 	g_list_free(all);
-	if (!cell_known_unpack(l->workers, load_worker, o, now))
+	if (!cell_known_unpack(l->workers, expect_worker, o, now))
 		o->ops->log(o->ops->ctx, "owner", "record_unreadable",
 		    CELL_WORKERS_KEY);
 	g_snprintf(text, sizeof text,
@@ -1017,7 +1024,7 @@
 		cell_fleet_entry(o->fleet, id, e, now);
 }
 
-/* A whole list does not name what it no longer holds. */
+/* Workers that are not on a complete list have been removed from it. */
 static void
 on_roster(void *arg, GHashTable *named, ogl_time now)
 {
@@ -1032,7 +1039,7 @@
 	g_list_free(ids);
 }
 
-/* ---- beginning and end ------------------------------------------------ */
+/* ---- setup and teardown ----------------------------------------------- */
 
 static void
 job_free(void *p)
@@ -1045,40 +1052,43 @@
     const struct cell_owner_events *events, const struct cell_part *part)
 {
 	struct cell_owner *o = g_new0(struct cell_owner, 1);
-	struct cell_fleet_events fe = {on_ended, on_refused, on_found,
-	    on_found_end, on_up, on_ends_taken, on_answered, on_fleet_outranked,
-	    on_room, o};
-	struct cell_advice_events ae = {
-	    send_ask, stage_of, worker_of, on_advice, o};
-	struct cell_sched_parts sp = {
+	struct cell_fleet_events fleet_events = {on_ended, on_refused, on_found,
+	    on_found_end, on_run_up, on_ends_taken, on_answered,
+	    on_fleet_outranked, on_room_freed, o};
+	struct cell_advice_events advice_events = {
+	    send_ask, stage_of, worker_of, on_advice_answer, o};
+	struct cell_sched_parts sched_parts = {
 	    .ops = ops, .next_run = next_run, .started = on_started, .arg = o};
-	struct cell_loader_events le = {on_loader_outranked, on_loaded, o};
-	struct cell_roster_events re = {on_entry, on_roster, o};
-	struct cell_escrow_events ee = {send_part, team_part, on_part, o};
-	struct cell_relay_events ye = {send_orders, o};
+	struct cell_loader_events loader_events = {
+	    on_loader_outranked, on_loaded, o};
+	struct cell_roster_events roster_events = {on_entry, on_roster, o};
+	struct cell_escrow_events escrow_events = {
+	    send_part, team_part, on_part, o};
+	struct cell_relay_events relay_events = {send_orders, o};
 
 	o->ops = ops;
 	o->part = *part;
 	o->limits = limits;
 	o->events = *events;
-	o->relay = cell_relay_init(ops, part->link_kbps, &ye);
+	o->relay = cell_relay_init(ops, part->link_kbps, &relay_events);
 	o->worker_ops = *ops;
 	cell_relay_fill(o->relay, &o->worker_ops);
 	o->link_load.fall_per_second = LINK_REFUSAL_FALL_PER_SECOND;
 	o->jobs =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
 	o->admission = cell_admission_init();
-	o->journal = cell_journal_init(ops, part->shard, on_lost, o);
-	o->fleet = cell_fleet_init(&o->worker_ops, limits, &fe);
+	o->journal = cell_journal_init(ops, part->shard, on_stream_lost, o);
+	o->fleet = cell_fleet_init(&o->worker_ops, limits, &fleet_events);
 	o->held = cell_held_init(open_stage, o);
-	o->advice = cell_advice_init(ops, &ae);
-	o->loader = cell_loader_init(ops, part->shard, part->link_kbps, &le);
-	o->roster = cell_roster_init(&o->worker_ops, &re);
-	o->escrow = cell_escrow_init(part->shard, part->shards, &ee);
-	sp.escrow = o->escrow;
-	sp.fleet = o->fleet;
-	sp.advice = o->advice;
-	o->sched = cell_sched_init(&sp);
+	o->advice = cell_advice_init(ops, &advice_events);
+	o->loader =
+	    cell_loader_init(ops, part->shard, part->link_kbps, &loader_events);
+	o->roster = cell_roster_init(&o->worker_ops, &roster_events);
+	o->escrow = cell_escrow_init(part->shard, part->shards, &escrow_events);
+	sched_parts.escrow = o->escrow;
+	sched_parts.fleet = o->fleet;
+	sched_parts.advice = o->advice;
+	o->sched = cell_sched_init(&sched_parts);
 	return o;
 }
 
@@ -1153,14 +1163,14 @@
 	cell_config_unref(o->config);
 	o->config = c;
 	cell_sched_config(o->sched, c);
-	o->run_pass = true;
+	o->pass_needed = true;
 }
 
 void
 cell_owner_zones(struct cell_owner *o, const struct cell_zones *z, ogl_time now)
 {
 	cell_fleet_zones(o->fleet, z, now);
-	o->run_pass = true;
+	o->pass_needed = true;
 }
 
 /* ---- calls ------------------------------------------------------------ */
@@ -1185,10 +1195,10 @@
 	reply(o, to, token, OGL__CELL_OUTCOME__cell_busy, BUSY_RETRY_MS);
 }
 
-static struct waiting *
-waiting_new(struct cell_owner *o, const char *to, const Ogl__CellCall *c)
+static struct waiting_call *
+waiting_call_new(struct cell_owner *o, const char *to, const Ogl__CellCall *c)
 {
-	struct waiting *w = g_new(struct waiting, 1);
+	struct waiting_call *w = g_new(struct waiting_call, 1);
 
 	w->owner = o;
 	w->to = g_strdup(to);
@@ -1198,7 +1208,7 @@
 }
 
 static void
-waiting_free(struct waiting *w)
+waiting_call_free(struct waiting_call *w)
 {
 	g_free(w->to);
 	g_free(w);
@@ -1224,9 +1234,9 @@
 	log_job(o, j, "job_accepted", more);
 }
 
-/* The store has refused a new job for certain: it never was. */
+/* Removes a new job that the store has certainly refused. */
 static void
-take_back(struct cell_owner *o, struct cell_job *j, ogl_time now)
+remove_refused_job(struct cell_owner *o, struct cell_job *j, ogl_time now)
 {
 	guint i;
 
@@ -1243,7 +1253,7 @@
 static void
 on_submit_stored(void *arg, uint64_t tag, enum cell_fate fate, ogl_time now)
 {
-	struct waiting *w = arg;
+	struct waiting_call *w = arg;
 	struct cell_owner *o = w->owner;
 	struct cell_job *j = job_of(o, w->id);
 
@@ -1253,27 +1263,27 @@
 		if (!j->stored) {
 			j->stored = true;
 			log_accepted(o, j, now);
-			o->run_pass = true;
+			o->pass_needed = true;
 		}
 	} else if (fate == CELL_NOT_STORED && j != NULL && j->stored) {
-		/* An earlier submission of the same job was stored; that one
-		 * may be the one whose answer got lost. */
+		/* An earlier submission of the same job was stored, and its
+		 * answer may have been lost. */
 		reply(o, w->to, w->token, OGL__CELL_OUTCOME__cell_ok, 0);
 	} else if (fate == CELL_NOT_STORED) {
-		take_back(o, j, now);
+		remove_refused_job(o, j, now);
 		refuse(o, w->to, w->token, now);
 	} else {
-		/* Also a second submission of a job that was taken back. */
+		/* Also a second submission of a job that has been removed. */
 		reply(o, w->to, w->token, OGL__CELL_OUTCOME__cell_not_owner, 0);
 	}
-	waiting_free(w);
+	waiting_call_free(w);
 }
 
-/* A call that changed a job and waits for that to be stored. */
+/* Answers a call once the change that it made to a job is stored. */
 static void
 on_call_stored(void *arg, uint64_t tag, enum cell_fate fate, ogl_time now)
 {
-	struct waiting *w = arg;
+	struct waiting_call *w = arg;
 
 	(void)tag;
 	(void)now;
@@ -1281,22 +1291,23 @@
 	    fate == CELL_STORED ? OGL__CELL_OUTCOME__cell_ok
 				: OGL__CELL_OUTCOME__cell_not_owner,
 	    0);
-	waiting_free(w);
+	waiting_call_free(w);
 }
 
-/* Whether the team still keeps to the jobs a second that it is owed. */
+/* Counts one more job of the team and tells whether it is within the team's
+ * rate on this shard. */
 static bool
 within_rate(struct cell_owner *o, const char *team, ogl_time now)
 {
 	const struct cell_team *t = cell_config_team(o->config, team);
 	double rate = t != NULL ? t->rate / o->part.shards : 0;
-	double most = rate * (o->part.shards > 1 ? RATE_SLACK : 1);
+	double burst = rate * (o->part.shards > 1 ? SHARD_BURST_SECONDS : 1);
 
-	return cell_admission_within_rate(o->admission, team, rate, most, now);
+	return cell_admission_within_rate(o->admission, team, rate, burst, now);
 }
 
 static bool
-any_load(const struct cell_owner *o)
+overloaded(const struct cell_owner *o)
 {
 	return cell_load_refusing(&o->load) ||
 	       cell_load_refusing(&o->link_load);
@@ -1314,14 +1325,16 @@
 }
 
 /*
- * Why no job is taken now whatever it is; NULL: one may be.  A call that was
- * admitted before its job was sent is not weighed against the load again.
+ * Why any new job would be refused now, NULL if it may be accepted.  A call
+ * that was admitted before its job was sent is not checked against the load
+ * again.
  */
 static const char *
-refusal_of_any(struct cell_owner *o, const char *from, const Ogl__CellCall *c,
+why_refuse_any(struct cell_owner *o, const char *from, const Ogl__CellCall *c,
     ogl_time now)
 {
-	/* The node that passed it on has read one; this one has just begun. */
+	/* The node that passed the call on has read its configuration; this
+	 * one has just started. */
 	if (o->config == NULL)
 		return "no_configuration";
 	if (cell_journal_failing(o->journal, now))
@@ -1336,23 +1349,23 @@
 }
 
 /*
- * Why a new job is not taken; NULL when it is.  over: whether it is beyond its
- * team's rate, which under load is a reason as well: else a team that hands in
- * ten times its rate would take the places of all others.
+ * Why a new job is refused, NULL if it is accepted.  *over is set to whether it
+ * exceeds its team's rate.  Under load that is a reason to refuse it: otherwise
+ * a team that submits ten times its rate would take the places of all others.
  */
 static const char *
-refusal(struct cell_owner *o, const char *from, const Ogl__CellCall *c,
+why_refuse(struct cell_owner *o, const char *from, const Ogl__CellCall *c,
     bool *over, ogl_time now)
 {
 	const char *why = "";
 
 	if (!cell_job_def_valid(c->job, &why))
 		return "malformed";
-	why = refusal_of_any(o, from, c, now);
+	why = why_refuse_any(o, from, c, now);
 	if (why != NULL)
 		return why;
 	*over = CELL_USES_RATE && !within_rate(o, c->job->team, now);
-	if (*over && any_load(o))
+	if (*over && overloaded(o))
 		return "load_over_rate";
 	return NULL;
 }
@@ -1365,12 +1378,13 @@
 	refuse(o, from, c->token, now);
 }
 
-/* The job is not known here, and has not been sent. */
+/* A submission without its job, which is not known here: the front asks whether
+ * to send it. */
 static void
-call_ask_first(struct cell_owner *o, const char *from, const Ogl__CellCall *c,
-    ogl_time now)
+call_submit_query(struct cell_owner *o, const char *from,
+    const Ogl__CellCall *c, ogl_time now)
 {
-	const char *why = refusal_of_any(o, from, c, now);
+	const char *why = why_refuse_any(o, from, c, now);
 
 	if (why != NULL)
 		refuse_job(o, from, c, why, now);
@@ -1383,7 +1397,7 @@
     struct cell_owner *o, const char *from, Ogl__CellCall *c, ogl_time now)
 {
 	struct cell_job *j = job_of(o, c->id);
-	struct waiting *w;
+	struct waiting_call *w;
 	const char *why;
 	bool over = false;
 
@@ -1393,19 +1407,19 @@
 	}
 	if (j != NULL) {
 		cell_journal_submit(o->journal, j, on_submit_stored,
-		    waiting_new(o, from, c), 0, now);
+		    waiting_call_new(o, from, c), 0, now);
 		return;
 	}
 	if (c->job == NULL) {
-		call_ask_first(o, from, c, now);
+		call_submit_query(o, from, c, now);
 		return;
 	}
-	why = refusal(o, from, c, &over, now);
+	why = why_refuse(o, from, c, &over, now);
 	if (why != NULL) {
 		refuse_job(o, from, c, why, now);
 		return;
 	}
-	w = waiting_new(o, from, c);
+	w = waiting_call_new(o, from, c);
 	j = cell_job_new(c->job, now);
 	c->job = NULL;
 	j->settled = true;
@@ -1414,25 +1428,26 @@
 	g_hash_table_insert(o->jobs, j->id, j);
 	cell_relay_told(o->relay, j->id, from);
 	cell_journal_submit(o->journal, j, on_submit_stored, w, 0, now);
-	begin_due(o, j);
+	begin_due_occurrences(o, j);
 }
 
 /*
- * A successor may have accepted the job while this node stood still or did not
- * reach the store.  "No such job" would make its caller give it up, or take it
- * for cancelled; so the call goes on until the ownership is confirmed, or the
- * successor known.
+ * A successor may have accepted the job while this node was paused or could not
+ * reach the store.  "No such job" would make the caller give the job up, or
+ * take it for cancelled.  So unless ownership was confirmed recently the answer
+ * is "not owner", and the front repeats the call until ownership is confirmed
+ * or the successor is known.
  */
 static void
 reply_absent(struct cell_owner *o, const char *from, const Ogl__CellCall *c,
     ogl_time now)
 {
-	bool proven = !cell_fleet_wants_proof(o->fleet) &&
-		      now - o->confirmed < PROOF_AGE_MAX;
+	bool confirmed_lately = !cell_fleet_wants_proof(o->fleet) &&
+				now - o->confirmed < CONFIRMATION_AGE_MAX;
 
 	reply(o, from, c->token,
-	    proven ? OGL__CELL_OUTCOME__cell_absent
-		   : OGL__CELL_OUTCOME__cell_not_owner,
+	    confirmed_lately ? OGL__CELL_OUTCOME__cell_absent
+			     : OGL__CELL_OUTCOME__cell_not_owner,
 	    0);
 }
 
@@ -1450,7 +1465,7 @@
 		end_job(o, j, OGL__CELL_JOB_STATE__cell_cancelled, "cancelled",
 		    now);
 	cell_journal_after(
-	    o->journal, on_call_stored, waiting_new(o, from, c), 0);
+	    o->journal, on_call_stored, waiting_call_new(o, from, c), 0);
 }
 
 static void
@@ -1494,8 +1509,8 @@
 cell_owner_call(
     struct cell_owner *o, const char *from, Ogl__CellCall *c, ogl_time now)
 {
-	/* A copy that was on its way while the cell changed hands is not taken
-	 * up: its front may have had the answer of another owner since. */
+	/* A call that was sent to the owner of another epoch is not accepted:
+	 * its front may have had the answer of another owner since. */
 	if (o->phase != PHASE_SERVING || c->epoch != o->epoch) {
 		reply(o, from, c->token, OGL__CELL_OUTCOME__cell_not_owner, 0);
 		return;
@@ -1558,10 +1573,10 @@
 		cell_relay_answer(o->relay, m->answers[i], now);
 }
 
-/* ---- what falls due --------------------------------------------------- */
+/* ---- periodic work ---------------------------------------------------- */
 
 static void
-suppose_job_settled(struct cell_owner *o, struct cell_job *j, ogl_time now)
+clear_assumed_job(struct cell_owner *o, struct cell_job *j, ogl_time now)
 {
 	guint i;
 	size_t k;
@@ -1570,12 +1585,12 @@
 		struct cell_occurrence *oc = j->occurrences->pdata[i];
 
 		for (k = 0; k < j->def->n_steps; k++)
-			suppose_settled(o, &oc->stages[k], now);
+			clear_assumed_unless_held(o, &oc->stages[k], now);
 	}
 }
 
-/* The store may have taken over what no longer runs: tasks of jobs that an
- * earlier owner had accepted may now be started. */
+/* Once every worker has answered or can no longer run anything, tasks of jobs
+ * that an earlier owner accepted may be started. */
 static void
 settle(struct cell_owner *o, ogl_time now)
 {
@@ -1587,21 +1602,21 @@
 	    !cell_fleet_settled(o->fleet, now))
 		return;
 	o->settled = true;
-	o->run_pass = true;
+	o->pass_needed = true;
 	g_hash_table_iter_init(&it, o->jobs);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct cell_job *j = p;
 
 		j->settled = true;
-		suppose_job_settled(o, j, now);
+		clear_assumed_job(o, j, now);
 	}
 	g_snprintf(text, sizeof text, "shard=%u epoch=%" G_GUINT64_FORMAT,
 	    o->part.shard, o->epoch);
 	o->ops->log(o->ops->ctx, "owner", "settled", text);
 }
 
-/* Part of a gang was found running, or lost a member without the others
- * having noticed: the rest is stopped and the gang begins anew. */
+/* Stops the rest of a gang of which only a part was found running, or which has
+ * lost a member without the others noticing, so that it starts anew. */
 static void
 repair_gang(struct cell_owner *o, struct cell_stage *st, ogl_time now)
 {
@@ -1619,7 +1634,7 @@
 			mixed = true;
 			continue;
 		}
-		if (now - r->began < GANG_REPAIR)
+		if (now - r->began < GANG_REPAIR_DELAY)
 			return;
 		run = r->number;
 	}
@@ -1640,11 +1655,11 @@
 	size_t k;
 
 	if (j->def->repeats > 0)
-		begin_due(o, j);
+		begin_due_occurrences(o, j);
 	if (!j->settled)
 		return;
 	if (o->holds_tasks)
-		suppose_job_settled(o, j, now);
+		clear_assumed_job(o, j, now);
 	for (i = 0; i < j->occurrences->len; i++) {
 		struct cell_occurrence *oc = j->occurrences->pdata[i];
 
@@ -1656,7 +1671,7 @@
 static void
 on_forgotten(void *arg, uint64_t tag, enum cell_fate fate, ogl_time now)
 {
-	struct noting *n = arg;
+	struct store_wait *n = arg;
 
 	(void)tag;
 	(void)now;
@@ -1673,15 +1688,15 @@
 }
 
 static void
-forget_old(struct cell_owner *o, struct cell_job *j, ogl_time now)
+forget_ended(struct cell_owner *o, struct cell_job *j, ogl_time now)
 {
-	uint64_t keep = o->limits->status_ms + KEEP_MARGIN_MS;
+	uint64_t keep = o->limits->status_ms + ENDED_JOB_MARGIN_MS;
 
 	if (j->forget || j->ended_ms + keep > (uint64_t)(o->wall / OGL_MS))
 		return;
 	j->forget = true;
 	job_changed(o, j, false, now);
-	note_after(o, j->id, on_forgotten, 0);
+	call_after_store(o, j->id, on_forgotten, 0);
 }
 
 static void
@@ -1689,31 +1704,31 @@
 {
 	GList *all, *at;
 
-	if (now < o->sweep_at)
+	if (now < o->next_sweep_at)
 		return;
-	o->sweep_at = now + SWEEP;
+	o->next_sweep_at = now + SWEEP_INTERVAL;
 	cell_admission_sweep(o->admission, now);
 	all = g_hash_table_get_values(o->jobs);
 	for (at = all; at != NULL; at = at->next) {
 		struct cell_job *j = at->data;
 
 		if (cell_job_over(j->state))
-			forget_old(o, j, now);
+			forget_ended(o, j, now);
 		else
 			sweep_job(o, j, now);
 	}
 	g_list_free(all);
 	if (o->settled && now > cell_fleet_lapse(o->fleet))
 		o->holds_tasks = false;
-	o->run_pass = true;
+	o->pass_needed = true;
 }
 
 static void
 move_stragglers(struct cell_owner *o, ogl_time now)
 {
-	if (now < o->stragglers_at || o->config == NULL)
+	if (now < o->next_straggler_check || o->config == NULL)
 		return;
-	o->stragglers_at = now + STRAGGLERS;
+	o->next_straggler_check = now + STRAGGLER_INTERVAL;
 	cell_straggler_step(o->fleet, o->sched, now);
 }
 
@@ -1723,7 +1738,7 @@
 	o->announced = announced;
 }
 
-/* What an owner does that serves. */
+/* The periodic work of an owner that has taken its shard over. */
 static void
 serve(struct cell_owner *o, ogl_time confirmed, bool may_act, ogl_time now)
 {
@@ -1741,8 +1756,8 @@
 	settle(o, now);
 	sweep(o, now);
 	move_stragglers(o, now);
-	if (o->run_pass && cell_sched_due(o->sched, now)) {
-		o->run_pass = false;
+	if (o->pass_needed && cell_sched_due(o->sched, now)) {
+		o->pass_needed = false;
 		cell_sched_pass(o->sched, now);
 	}
 }
@@ -1766,43 +1781,44 @@
 }
 
 static void
-log_load(struct cell_owner *o, const char *of, bool carried, ogl_time late)
+log_load(
+    struct cell_owner *o, const char *resource, bool recovered, ogl_time late)
 {
 	char text[160];
 
 	g_snprintf(text, sizeof text,
 	    "shard=%u epoch=%" G_GUINT64_FORMAT
 	    " of=%s late_ms=%" G_GINT64_FORMAT " jobs=%u",
-	    o->part.shard, o->epoch, of, late / OGL_MS,
+	    o->part.shard, o->epoch, resource, late / OGL_MS,
 	    g_hash_table_size(o->jobs));
 	o->ops->log(o->ops->ctx, "owner",
-	    carried ? "load_carried" : "load_too_high", text);
+	    recovered ? "load_carried" : "load_too_high", text);
 }
 
 static void
-step_load(struct cell_owner *o, struct cell_load *l, const char *of,
-    ogl_time wanted, ogl_time now)
+step_load(struct cell_owner *o, struct cell_load *l, const char *resource,
+    ogl_time due, ogl_time now)
 {
-	bool full = cell_load_refusing(l);
+	bool was_refusing = cell_load_refusing(l);
 
-	cell_load_step(l, wanted, now);
-	if (full != cell_load_refusing(l) && o->phase == PHASE_SERVING)
-		log_load(o, of, full, now - wanted);
+	cell_load_step(l, due, now);
+	if (was_refusing != cell_load_refusing(l) && o->phase == PHASE_SERVING)
+		log_load(o, resource, was_refusing, now - due);
 }
 
 void
-cell_owner_ran(struct cell_owner *o, ogl_time wanted, ogl_time now)
+cell_owner_ran(struct cell_owner *o, ogl_time due, ogl_time now)
 {
 	ogl_time delay = cell_relay_delay(o->relay, now);
 
-	step_load(o, &o->load, "processor", wanted, now);
+	step_load(o, &o->load, "processor", due, now);
 	step_load(o, &o->link_load, "link", now - delay, now);
 }
 
 bool
 cell_owner_asks_first(const struct cell_owner *o)
 {
-	return o->phase == PHASE_SERVING && any_load(o);
+	return o->phase == PHASE_SERVING && overloaded(o);
 }
 
 bool
--- a/cell/owner.h
+++ b/cell/owner.h
@@ -1,7 +1,7 @@
 /*
- * The owner of a shard: takes jobs, sees to it that their tasks run, answers
- * for them.  One node at a time is it; what it knows it reads from the store
- * and the workers when it takes over.
+ * The owner of a shard: accepts jobs, has their tasks run and answers calls
+ * about them.  A shard has one owner at a time, which reads its state from the
+ * store and the workers when it takes over.
  */
 
 #ifndef OGL_CELL_OWNER_H
@@ -15,23 +15,23 @@
 
 struct cell_owner_events {
 	void (*outranked)(void *arg, ogl_time now);
-	/* A higher epoch was seen on the store or by a worker. */
+	/* The store or a worker has seen a higher epoch: ownership is lost. */
 	void (*reply)(void *arg, const char *to, const Ogl__CellReply *r);
-	/* Answers a call that came from the node at `to`. */
+	/* Sends the answer to a call that the node at `to` passed on. */
 	void (*ask)(void *arg, const char *to, const Ogl__CellAsk *a);
-	/* Has the node at `to` ask the advice service. */
+	/* Asks the node at `to` to query the advice service. */
 	void (*part)(void *arg, uint32_t to_shard, const Ogl__CellPart *m);
-	/* Tells the owner of another shard about a team's limit. */
+	/* Sends the owner of another shard a message about a team's limit. */
 	void (*orders)(void *arg, const char *to, const Ogl__CellOrders *m);
-	/* Has the node at `to` call workers. */
+	/* Sends the node at `to` calls to make to workers. */
 	void *arg;
 };
 
-/* The part of the cell that an owner is for. */
+/* The shard of an owner, and the link of its node. */
 struct cell_part {
 	uint32_t shard;
 	uint32_t shards;    /* in the whole cell */
-	uint32_t link_kbps; /* what the node's own link carries, 0 not known */
+	uint32_t link_kbps; /* capacity of the node's own link, 0 not known */
 };
 
 struct cell_owner *cell_owner_init(const struct cell_ops *ops,
@@ -41,59 +41,69 @@
 
 void cell_owner_open(
     struct cell_owner *o, uint64_t epoch, ogl_time store_took, ogl_time now);
-/* Takes the shard over.  store_took: what the store last took for an answer, 0
- * not known. */
+/* Takes the shard over under that epoch.  store_took: time that the store took
+ * for its last answer, 0 not known. */
 void cell_owner_prepare(
     struct cell_owner *o, ogl_time store_took, ogl_time now);
-/* Reads the jobs although another owns the shard, so that a takeover within
+/* Reads the jobs while another node owns the shard, so that a takeover within
  * the next seconds has to read only what has changed since. */
 bool cell_owner_prepared(const struct cell_owner *o, ogl_time now);
+/* Whether the jobs were read so recently that a takeover is short. */
 void cell_owner_close(struct cell_owner *o, ogl_time now);
-/* Lets go of it: calls still waiting are answered as unsure. */
+/* Gives the shard up: calls still waiting for the store are answered with
+ * cell_not_owner, as their outcome is unknown. */
 
 void cell_owner_config(struct cell_owner *o, struct cell_config *c);
 void cell_owner_zones(
     struct cell_owner *o, const struct cell_zones *z, ogl_time now);
-/* Evacuated zones; borrowed for as long as the owner lives.  To be called again
- * when they have changed. */
+/* Sets the evacuated zones, which are borrowed as long as the owner lives.  To
+ * be called again when they have changed. */
 
 void cell_owner_call(
     struct cell_owner *o, const char *from, Ogl__CellCall *call, ogl_time now);
-/* A caller's request, passed on by the node at `from`; a submitted job is
- * taken out of the message. */
+/* Takes a caller's request that the node at `from` passed on.  A submitted job
+ * that is accepted is taken out of the message. */
 
 void cell_owner_advice(
     struct cell_owner *o, const Ogl__CellAdvice *a, ogl_time now);
 void cell_owner_part(
     struct cell_owner *o, const Ogl__CellPart *m, ogl_time now);
-/* What the owner of m->from_shard says of a team's limit. */
+/* Takes a message about a team's limit from the owner of m->from_shard. */
 void cell_owner_node(
     struct cell_owner *o, const char *addr, bool leaving, ogl_time now);
-/* A node is there to ask advice through. */
+/* Adds a node that can query the advice service, or removes it if leaving.  To
+ * be called again at least each second while the node is up. */
 void cell_owner_relay(
     struct cell_owner *o, const char *addr, bool leaving, ogl_time now);
-/* Another node is there to call workers through. */
+/* Adds a node that can call workers, or removes it if leaving.  To be called
+ * again at least each second while the node is up. */
 void cell_owner_ordered(
     struct cell_owner *o, const Ogl__CellOrderAnswers *m, ogl_time now);
+/* Takes the answers of workers to calls that another node made. */
 
 void cell_owner_announced(struct cell_owner *o, bool announced);
 /* Whether the ownership is announced; no worker is called before. */
 void cell_owner_step(struct cell_owner *o, ogl_time confirmed, bool may_act,
     ogl_time now, ogl_time wall);
-/* Does what is due; without the right to act nothing is ordered.  confirmed is
- * the time as of which the store last confirmed the ownership. */
-void cell_owner_ran(struct cell_owner *o, ogl_time wanted, ogl_time now);
-/* The process runs now; it had asked to run at `wanted` at the latest.  While
- * it runs late, a part of the new jobs is refused. */
+/* Does what is due.  confirmed: time as of which the store last confirmed the
+ * ownership; may_act: whether workers may be given orders; wall: the wall
+ * clock. */
+void cell_owner_ran(struct cell_owner *o, ogl_time due, ogl_time now);
+/* Measures the load: the process runs at `now` and had asked to run at `due` at
+ * the latest.  While it runs late, a part of the new jobs is refused. */
 bool cell_owner_asks_first(const struct cell_owner *o);
-/* It refuses some new jobs, and is to be asked before it is sent one. */
+/* Whether it refuses some new jobs, so that it is to be asked before it is sent
+ * one. */
 bool cell_owner_wants_proof(const struct cell_owner *o);
-/* It starts nothing until the ownership is confirmed once more. */
+/* Whether a worker waits to be given work until the ownership is confirmed
+ * again. */
 void cell_owner_doubt(struct cell_owner *o, ogl_time now);
-/* This process may have stood still. */
+/* This process may have been paused: nothing is started until the ownership is
+ * confirmed as of now. */
 ogl_time cell_owner_wake(const struct cell_owner *o);
+/* When to call cell_owner_step next, OGL_NEVER if nothing is pending. */
 
 bool cell_owner_idle(const struct cell_owner *o);
-/* Everything that it knows is on the store. */
+/* Whether everything that it knows is on the store. */
 
 #endif
