--- a/test/test_cell_answers.cc
+++ b/test/test_cell_answers.cc
@@ -1,4 +1,4 @@
-/* A cell whose store loses the answers to half of the writes, by seed. */
+/* Cells whose store loses the answers to half of the writes, one per seed. */
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 {
 
 constexpr unsigned kSeeds = 20;
-constexpr uint32_t kDeadlineMs = 3000; /* callers wait so long */
+constexpr uint32_t kCallerTimeoutMs = 3000;
 
 std::string
 id_of(unsigned n)
@@ -21,7 +21,7 @@
 	return id;
 }
 
-class Answers : public testing::TestWithParam<unsigned>
+class LostAnswers : public testing::TestWithParam<unsigned>
 {
       protected:
 	void SetUp() override
@@ -59,8 +59,8 @@
 	struct fake_cell *cell_ = nullptr;
 };
 
-/* Guards against ownership that moves from an owner that is well. */
-TEST_P(Answers, ALiveOwnerKeepsTheCell)
+/* Guards against ownership that moves away from a healthy owner. */
+TEST_P(LostAnswers, HealthyOwnerKeepsOwnership)
 {
 	for (unsigned n = 0; n < 40; n++) {
 		submit(n);
@@ -69,15 +69,16 @@
 	EXPECT_EQ(1u, fake_cell_claims(cell_, 0));
 }
 
-/* Guards against an owner given up at the end of an outage that all shared. */
-TEST_P(Answers, AnOwnerOutlivesAnOutageOfTheStore)
+/* Guards against replacing an owner at the end of a store outage, during which
+ * no node could reach the store. */
+TEST_P(LostAnswers, OwnerIsKeptAcrossStoreOutage)
 {
 	static const enum fake_store_fault faults[] = {
 	    FAKE_STORE_SILENT, FAKE_STORE_BUSY};
 
 	fake_cell_store(cell_, -1, FAKE_STORE_WELL);
-	for (enum fake_store_fault x : faults) {
-		fake_cell_store(cell_, -1, x);
+	for (enum fake_store_fault fault : faults) {
+		fake_cell_store(cell_, -1, fault);
 		fake_cell_run(cell_, 3000 + GetParam() * 37);
 		fake_cell_store(cell_, -1, FAKE_STORE_WELL);
 		fake_cell_run(cell_, 2000);
@@ -85,8 +86,8 @@
 	EXPECT_EQ(1u, fake_cell_claims(cell_, 0));
 }
 
-/* Guards against callers that wait in vain after an owner has gone. */
-TEST_P(Answers, ALostOwnerIsReplacedWithinACallersDeadline)
+/* Guards against callers that time out because their owner was lost. */
+TEST_P(LostAnswers, LostOwnerIsReplacedWithinCallerTimeout)
 {
 	int owner = fake_cell_owner(cell_, 0);
 
@@ -95,11 +96,11 @@
 	fake_cell_kill(cell_, static_cast<unsigned>(owner));
 	fake_cell_run(cell_, 1000);
 	submit(static_cast<unsigned>(owner) + 1);
-	fake_cell_run(cell_, kDeadlineMs);
+	fake_cell_run(cell_, kCallerTimeoutMs);
 	EXPECT_EQ(200, fake_cell_status(cell_,
 			   id_of(static_cast<unsigned>(owner) + 1).c_str()));
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Answers, testing::Range(1u, kSeeds + 1));
+INSTANTIATE_TEST_SUITE_P(Seeds, LostAnswers, testing::Range(1u, kSeeds + 1));
 
 } // namespace
