--- a/cell/front.c
+++ b/cell/front.c
@@ -6,8 +6,8 @@
  *	         way.  Kept for OWNER_TIMEOUT, then refused as not accepted,
  *	         which is certain since no owner was told of it.
  *	SENT     the owner has it or may have it.  Repeated while no answer
- *	         comes, to the owner of the time; a job's id makes the repeats
- *	         one job.
+ *	         comes, to the shard's current owner; a job's id makes the
+ *	         repeats one job.
  *
  * A call given up after it was sent may have been accepted, so its caller is
  * told that the outcome is unknown.
