--- a/cell/owner.c
+++ b/cell/owner.c
@@ -29,7 +29,7 @@
 #include "schedule.h"
 #include "straggler.h"
 
-/* Ended jobs are kept this much longer than callers are promised. */
+/* Ended jobs are kept this much longer than callers are promised (status_ms). */
 #define ENDED_JOB_MARGIN_MS 20000
 #define SWEEP_INTERVAL (500 * OGL_MS)
 /* Run numbers reserved for each epoch; no task is started that often in one. */
@@ -45,8 +45,8 @@
  * its rate there.  Jobs fall on shards at random, so one shard may get more
  * than an even part for a while without the team exceeding its rate. */
 #define SHARD_BURST_SECONDS 2.0
-/* Faster than for the processor: the queue of the link empties soon after
- * nothing is added to it any more. */
+/* The refused fraction falls faster for the link than for the processor, as the
+ * link's queue empties soon after nothing is added to it any more. */
 #define LINK_REFUSAL_FALL_PER_SECOND 0.4
 
 enum phase {
@@ -73,7 +73,7 @@
 
 struct cell_owner {
 	const struct cell_ops *ops;
-	struct cell_part part;
+	struct cell_part params;
 	const struct cell_limits *limits;
 	struct cell_owner_events events;
 	struct cell_config *config;
@@ -555,7 +555,7 @@
 	}
 	if (why == CELL_REFUSED_BUSY)
 		r->worker->aside_until = now + OGL_SEC;
-	/* The members that did start would wait for this one forever. */
+	/* Started members of a gang would wait for this one forever. */
 	if (st->def->gang) {
 		uint32_t i;
 
@@ -998,7 +998,7 @@
 	g_snprintf(text, sizeof text,
 	    "shard=%u epoch=%" G_GUINT64_FORMAT
 	    " jobs=%u open=%u took_ms=%" G_GINT64_FORMAT,
-	    o->part.shard, o->epoch, g_hash_table_size(o->jobs), open,
+	    o->params.shard, o->epoch, g_hash_table_size(o->jobs), open,
 	    (now - o->opened_at) / OGL_MS);
 	o->ops->log(o->ops->ctx, "owner", "cell_taken_over", text);
 }
@@ -1019,8 +1019,8 @@
 {
 	struct cell_owner *o = arg;
 
-	if (e == NULL ||
-	    cell_shard_of_worker(e->rack, id, o->part.shards) == o->part.shard)
+	if (e == NULL || cell_shard_of_worker(e->rack, id, o->params.shards) ==
+			     o->params.shard)
 		cell_fleet_entry(o->fleet, id, e, now);
 }
 
@@ -1049,7 +1049,7 @@
 
 struct cell_owner *
 cell_owner_init(const struct cell_ops *ops, const struct cell_limits *limits,
-    const struct cell_owner_events *events, const struct cell_part *part)
+    const struct cell_owner_events *events, const struct cell_part *params)
 {
 	struct cell_owner *o = g_new0(struct cell_owner, 1);
 	struct cell_fleet_events fleet_events = {on_ended, on_refused, on_found,
@@ -1067,24 +1067,25 @@
 	struct cell_relay_events relay_events = {send_orders, o};
 
 	o->ops = ops;
-	o->part = *part;
+	o->params = *params;
 	o->limits = limits;
 	o->events = *events;
-	o->relay = cell_relay_init(ops, part->link_kbps, &relay_events);
+	o->relay = cell_relay_init(ops, params->link_kbps, &relay_events);
 	o->worker_ops = *ops;
 	cell_relay_fill(o->relay, &o->worker_ops);
 	o->link_load.fall_per_second = LINK_REFUSAL_FALL_PER_SECOND;
 	o->jobs =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
 	o->admission = cell_admission_init();
-	o->journal = cell_journal_init(ops, part->shard, on_stream_lost, o);
+	o->journal = cell_journal_init(ops, params->shard, on_stream_lost, o);
 	o->fleet = cell_fleet_init(&o->worker_ops, limits, &fleet_events);
 	o->held = cell_held_init(open_stage, o);
 	o->advice = cell_advice_init(ops, &advice_events);
-	o->loader =
-	    cell_loader_init(ops, part->shard, part->link_kbps, &loader_events);
+	o->loader = cell_loader_init(
+	    ops, params->shard, params->link_kbps, &loader_events);
 	o->roster = cell_roster_init(&o->worker_ops, &roster_events);
-	o->escrow = cell_escrow_init(part->shard, part->shards, &escrow_events);
+	o->escrow =
+	    cell_escrow_init(params->shard, params->shards, &escrow_events);
 	sched_parts.escrow = o->escrow;
 	sched_parts.fleet = o->fleet;
 	sched_parts.advice = o->advice;
@@ -1300,8 +1301,8 @@
 within_rate(struct cell_owner *o, const char *team, ogl_time now)
 {
 	const struct cell_team *t = cell_config_team(o->config, team);
-	double rate = t != NULL ? t->rate / o->part.shards : 0;
-	double burst = rate * (o->part.shards > 1 ? SHARD_BURST_SECONDS : 1);
+	double rate = t != NULL ? t->rate / o->params.shards : 0;
+	double burst = rate * (o->params.shards > 1 ? SHARD_BURST_SECONDS : 1);
 
 	return cell_admission_within_rate(o->admission, team, rate, burst, now);
 }
@@ -1611,7 +1612,7 @@
 		clear_assumed_job(o, j, now);
 	}
 	g_snprintf(text, sizeof text, "shard=%u epoch=%" G_GUINT64_FORMAT,
-	    o->part.shard, o->epoch);
+	    o->params.shard, o->epoch);
 	o->ops->log(o->ops->ctx, "owner", "settled", text);
 }
 
@@ -1789,7 +1790,7 @@
 	g_snprintf(text, sizeof text,
 	    "shard=%u epoch=%" G_GUINT64_FORMAT
 	    " of=%s late_ms=%" G_GINT64_FORMAT " jobs=%u",
-	    o->part.shard, o->epoch, resource, late / OGL_MS,
+	    o->params.shard, o->epoch, resource, late / OGL_MS,
 	    g_hash_table_size(o->jobs));
 	o->ops->log(o->ops->ctx, "owner",
 	    recovered ? "load_carried" : "load_too_high", text);
--- a/cell/owner.h
+++ b/cell/owner.h
@@ -36,7 +36,7 @@
 
 struct cell_owner *cell_owner_init(const struct cell_ops *ops,
     const struct cell_limits *limits, const struct cell_owner_events *events,
-    const struct cell_part *part);
+    const struct cell_part *params);
 void cell_owner_end(struct cell_owner *o);
 
 void cell_owner_open(
