--- a/cell/owner.c
+++ b/cell/owner.c
@@ -29,7 +29,8 @@
 #include "schedule.h"
 #include "straggler.h"
 
-/* Ended jobs are kept this much longer than callers are promised (status_ms). */
+/* Ended jobs are kept this much longer than status_ms, which callers are
+ * promised. */
 #define ENDED_JOB_MARGIN_MS 20000
 #define SWEEP_INTERVAL (500 * OGL_MS)
 /* Run numbers reserved for each epoch; no task is started that often in one. */
