--- a/test/test_cell_answers.cc
+++ b/test/test_cell_answers.cc
@@ -1,4 +1,5 @@
-/* Cells whose store loses the answers to half of the writes, one per seed. */
+/* Cells, one per seed, whose store does half of the writes seconds late and never
+ * answers them. */
 
 #include <gtest/gtest.h>
 
