--- a/test/test_cell_answers.cc
+++ b/test/test_cell_answers.cc
@@ -1,5 +1,5 @@
-/* Cells, one per seed, whose store does half of the writes seconds late and never
- * answers them. */
+/* Cells, one per seed, whose store does half of the writes seconds late and
+ * never answers them. */
 
 #include <gtest/gtest.h>
 
