--- a/daemon/addr.c
+++ b/daemon/addr.c
@@ -1,6 +1,6 @@
 /*
- * Parsing by inet_pton alone: no resolver is ever asked, so a slow or lying
- * name service can't hold up the loop.
+ * Addresses are parsed with inet_pton only.  No name is ever resolved, so a
+ * slow or faulty name service can't block the loop.
  */
 
 #include <arpa/inet.h>
@@ -11,7 +11,7 @@
 
 #include "addr.h"
 
-#define BACKLOG 1024
+#define LISTEN_BACKLOG 1024
 
 static bool
 parse_port(const char *text, uint16_t *port)
@@ -76,7 +76,7 @@
 		goto fail;
 	if (bind(fd, (struct sockaddr *)&sa, len) != 0)
 		goto fail;
-	if (listen(fd, BACKLOG) != 0)
+	if (listen(fd, LISTEN_BACKLOG) != 0)
 		goto fail;
 	return fd;
 fail:
