--- a/daemon/compress.c
+++ b/daemon/compress.c
@@ -1,16 +1,16 @@
 /*
- * A window of 4 KiB and the least of work: a node has a stream for each of its
- * peers, and little memory and processor.
+ * The window is 4 KiB and the compression level is the lowest, since a node
+ * has one stream for each of its peers and little memory and processor time.
  */
 
 #include <zlib.h>
 
 #include "compress.h"
 
-#define LEVEL 1
+#define COMPRESSION_LEVEL 1
 #define WINDOW_BITS 12
 #define MEM_LEVEL 4
-#define OUT_STEP 4096
+#define OUTPUT_CHUNK_BYTES 4096
 
 struct ogl_deflate {
 	z_stream z;
@@ -25,8 +25,8 @@
 {
 	struct ogl_deflate *d = g_new0(struct ogl_deflate, 1);
 
-	if (deflateInit2(&d->z, LEVEL, Z_DEFLATED, WINDOW_BITS, MEM_LEVEL,
-		Z_DEFAULT_STRATEGY) != Z_OK)
+	if (deflateInit2(&d->z, COMPRESSION_LEVEL, Z_DEFLATED, WINDOW_BITS,
+		MEM_LEVEL, Z_DEFAULT_STRATEGY) != Z_OK)
 		g_error("no memory for a compressed stream");
 	return d;
 }
@@ -41,16 +41,17 @@
 }
 
 static void
-run(struct ogl_deflate *d, int flush, GByteArray *out)
+deflate_input(struct ogl_deflate *d, int flush, GByteArray *out)
 {
 	do {
 		guint at = out->len;
 
-		g_byte_array_set_size(out, at + OUT_STEP);
+		g_byte_array_set_size(out, at + OUTPUT_CHUNK_BYTES);
 		d->z.next_out = out->data + at;
-		d->z.avail_out = OUT_STEP;
+		d->z.avail_out = OUTPUT_CHUNK_BYTES;
 		deflate(&d->z, flush);
-		g_byte_array_set_size(out, at + OUT_STEP - d->z.avail_out);
+		g_byte_array_set_size(
+		    out, at + OUTPUT_CHUNK_BYTES - d->z.avail_out);
 	} while (d->z.avail_out == 0);
 }
 
@@ -60,14 +61,14 @@
 {
 	d->z.next_in = (Bytef *)(uintptr_t)data;
 	d->z.avail_in = (uInt)n;
-	run(d, Z_NO_FLUSH, out);
+	deflate_input(d, Z_NO_FLUSH, out);
 }
 
 void
 ogl_deflate_flush(struct ogl_deflate *d, GByteArray *out)
 {
 	d->z.avail_in = 0;
-	run(d, Z_SYNC_FLUSH, out);
+	deflate_input(d, Z_SYNC_FLUSH, out);
 }
 
 struct ogl_inflate *
@@ -100,8 +101,9 @@
 	i->z.next_out = out;
 	i->z.avail_out = (uInt)cap;
 	rc = inflate(&i->z, Z_SYNC_FLUSH);
-	/* Nothing to do, as when the data was used up before, is no fault; a
-	 * stream never ends while its connection is open. */
+	/* Z_BUF_ERROR is not a fault: there was nothing to do, for example
+	 * because all data was consumed before.  Z_STREAM_END is one: a stream
+	 * never ends while its connection is open. */
 	if (rc != Z_OK && rc != Z_BUF_ERROR)
 		return -1;
 	*data += *n - i->z.avail_in;
