--- a/daemon/sink.h
+++ b/daemon/sink.h
@@ -1,6 +1,7 @@
 /*
- * Where the parts of the daemon hand what they received: one function that
- * steps the node.  The event borrows all it points at for the call.
+ * The function to which the parts of the daemon pass received events; it passes
+ * them to the node.  What an event points to stays the caller's and is valid
+ * during the call only.
  */
 #ifndef OGL_SINK_H
 #define OGL_SINK_H
