--- a/daemon/http_reply.c
+++ b/daemon/http_reply.c
@@ -1,7 +1,7 @@
 /*
- * Bodies are handed over by reference: a reply of a megabyte is not copied.
- * Retry-After knows whole seconds only and is rounded up, so that nobody
- * comes back too early; Ogl-Retry-After-Ms tells the exact time.
+ * Bodies are passed by reference, so that a reply of a megabyte is not copied.
+ * Retry-After holds whole seconds only; it is rounded up, so that no caller
+ * retries too early.  Ogl-Retry-After-Ms holds the exact time.
  */
 
 #include <microhttpd.h>
@@ -41,7 +41,7 @@
 }
 
 static void
-add_number(struct MHD_Response *r, const char *name, uint64_t v)
+add_number_header(struct MHD_Response *r, const char *name, uint64_t v)
 {
 	char text[24];
 
@@ -56,9 +56,9 @@
 	MHD_add_response_header(r, "Ogl-Verdict", ogl_verdict_name(v));
 	if (retry_after_ms == 0)
 		return;
-	add_number(r, MHD_HTTP_HEADER_RETRY_AFTER,
+	add_number_header(r, MHD_HTTP_HEADER_RETRY_AFTER,
 	    retry_after_ms / 1000 + (retry_after_ms % 1000 != 0));
-	add_number(r, "Ogl-Retry-After-Ms", retry_after_ms);
+	add_number_header(r, "Ogl-Retry-After-Ms", retry_after_ms);
 }
 
 struct MHD_Response *
