--- a/daemon/peer.c
+++ b/daemon/peer.c
@@ -1,21 +1,22 @@
 /*
- * Each address has at most one outgoing connection (struct link), which
- * carries messages one way only; what peers send arrives on connections that
- * they opened (struct inlet).
+ * There is at most one outgoing connection per address (struct outbound); it
+ * carries messages in one direction only.  Messages from peers arrive on the
+ * connections that they opened (struct inbound).
  *
- * A link holds a queue of whole messages.  When the queue is over its bound
- * the oldest message not begun is dropped: new gossip supersedes old.  The
- * head is never dropped once some of its bytes were written, since the
- * receiver would then read the next message as the rest of it.  When the
- * connection breaks, a begun head is given up for the same reason.
+ * An outbound connection has a queue of messages.  When the queue is full, the
+ * oldest message that is not partly written is dropped, since newer gossip
+ * supersedes older.  A partly written message is never dropped while its
+ * connection is open: the receiver would read the next message as the rest of
+ * it.  When the connection breaks it is dropped, since its rest would not be a
+ * frame on the next connection.
  *
- * A link may carry one compressed stream, which a mark at its beginning tells.
- * Frames are compressed when the link takes them, so that those still queued can
- * be dropped; a new connection begins a new stream.
+ * An outbound connection may carry a compressed stream, which begins with a
+ * magic number.  Frames are compressed only when they are about to be sent, so
+ * that those still queued can be dropped.  Each connection begins a new stream.
  *
- * A length over the limit or a body that is no PeerMsg means that the other
- * side speaks something else or has lost its place in the stream; the
- * connection is closed, since nothing after it can be trusted.
+ * A length over the limit or a body that is not a valid message means that the
+ * peer speaks another protocol or that the framing is lost.  The connection is
+ * then closed, since nothing after that can be trusted.
  */
 
 #define _GNU_SOURCE /* accept4 */
@@ -31,61 +32,64 @@
 #include "compress.h"
 #include "peer.h"
 
-#define PREFIX "peer"
-#define HEAD_BYTES 4
-#define READ_CHUNK ((size_t)64 * 1024)
-#define READS_A_TURN 16
-#define FRAMES_A_WRITE 32
-#define INLETS_MAX 1024
-/* Begins a compressed stream; no frame has such a length. */
-#define COMPRESSED_MARK 0x4f474c5aU
-/* Compressed at a time: what was is sent, however old it gets. */
-#define COMPRESS_STEP ((size_t)16 * 1024)
+#define LOG_PREFIX "peer"
+#define LENGTH_BYTES 4
+#define READ_CHUNK_BYTES ((size_t)64 * 1024)
+#define READS_PER_EVENT 16
+#define FRAMES_PER_WRITE 32
+#define INBOUND_MAX 1024
+/* Begins a compressed stream; no frame has this length. */
+#define COMPRESSED_MAGIC 0x4f474c5aU
+/* Only this much is compressed at a time, since compressed frames can no longer
+ * be dropped, however old they get. */
+#define COMPRESS_STEP_BYTES ((size_t)16 * 1024)
 #define BACKOFF_FIRST_S 0.05
 #define BACKOFF_MAX_S 2.0
 #define CONNECT_TIMEOUT_S 2.0
-#define SWEEP_S 15.0
-#define LINK_IDLE_S 120.0 /* an address nobody writes to any more */
-#define KEEP_IDLE_S 30
-#define USER_TIMEOUT_MS 10000
-
-enum link_state {
-	LINK_DOWN, /* waits for its backoff timer */
-	LINK_CONNECTING,
-	LINK_UP
+#define SWEEP_INTERVAL_S 15.0
+/* An outbound connection is closed if no message is queued for this long. */
+#define OUTBOUND_IDLE_MAX_S 120.0
+#define KEEPALIVE_IDLE_S 30
+#define UNACKED_TIMEOUT_MS 10000
+
+enum outbound_state {
+	OUTBOUND_DOWN, /* waits for its backoff timer, or for a message */
+	OUTBOUND_CONNECTING,
+	OUTBOUND_UP
 };
 
-/* One queued message. */
+/* A queued message. */
 struct frame {
-	uint8_t head[HEAD_BYTES];
+	uint8_t length[LENGTH_BYTES];
 	GBytes *body;
 };
 
-struct link {
+struct outbound {
 	struct ogl_peer *peer;
 	char *addr;
-	enum link_state state;
+	enum outbound_state state;
 	int fd;
 	ev_io io;
-	ev_timer timer; /* backoff or connect timeout, by state */
-	double backoff;
+	ev_timer timer; /* backoff or connect timeout, depending on state */
+	double backoff_s;
 	GQueue queue; /* struct frame */
 	size_t queued_bytes;
-	size_t begun; /* bytes written of the head, its length included */
-	struct ogl_deflate *deflate; /* NULL: frames are sent as they are */
-	GByteArray *out;             /* compressed, not sent yet */
+	/* Bytes written of the queue's first frame, its length included. */
+	size_t written;
+	struct ogl_deflate *deflate; /* NULL: not compressed */
+	GByteArray *out;             /* compressed bytes to send */
 	size_t out_sent;
-	ev_tstamp used;
-	bool refused; /* the last attempt to connect found nobody listening */
+	ev_tstamp last_used;
+	bool refused; /* the last attempt to connect was refused */
 };
 
-struct inlet {
+struct inbound {
 	struct ogl_peer *peer;
 	int fd;
 	ev_io io;
-	GByteArray *in;
-	bool marked;                 /* it is known whether it is compressed */
-	struct ogl_inflate *inflate; /* NULL: it is not */
+	GByteArray *in;              /* received, without delivered frames */
+	bool format_known;           /* compressed or not */
+	struct ogl_inflate *inflate; /* NULL: not compressed */
 };
 
 struct ogl_peer {
@@ -97,12 +101,12 @@
 	ev_timer sweep;
 	const ProtobufCMessageDescriptor *message;
 	bool compress;
-	GHashTable *links;  /* addr -> struct link */
-	GHashTable *inlets; /* set of struct inlet */
+	GHashTable *outbound; /* addr -> struct outbound */
+	GHashTable *inbound;  /* set of struct inbound */
 	struct ogl_peer_counts counts;
 };
 
-static void link_connect(struct link *k);
+static void outbound_connect(struct outbound *k);
 
 static void
 frame_free(struct frame *f)
@@ -114,33 +118,33 @@
 static size_t
 frame_size(const struct frame *f)
 {
-	return HEAD_BYTES + g_bytes_get_size(f->body);
+	return LENGTH_BYTES + g_bytes_get_size(f->body);
 }
 
 static void
-put_length(uint8_t head[HEAD_BYTES], uint32_t n)
+put_length(uint8_t length[LENGTH_BYTES], uint32_t n)
 {
-	head[0] = (uint8_t)(n >> 24);
-	head[1] = (uint8_t)(n >> 16);
-	head[2] = (uint8_t)(n >> 8);
-	head[3] = (uint8_t)n;
+	length[0] = (uint8_t)(n >> 24);
+	length[1] = (uint8_t)(n >> 16);
+	length[2] = (uint8_t)(n >> 8);
+	length[3] = (uint8_t)n;
 }
 
 static uint32_t
-get_length(const uint8_t head[HEAD_BYTES])
+get_length(const uint8_t length[LENGTH_BYTES])
 {
-	return (uint32_t)head[0] << 24 | (uint32_t)head[1] << 16 |
-	       (uint32_t)head[2] << 8 | head[3];
+	return (uint32_t)length[0] << 24 | (uint32_t)length[1] << 16 |
+	       (uint32_t)length[2] << 8 | length[3];
 }
 
-/* A host that vanishes sends nothing; without these options its connection
- * would count as open until the kernel's default of many minutes. */
+/* A host that fails or is cut off sends no FIN or RST.  Without these options
+ * its connection would stay open for the kernel's default of many minutes. */
 static void
 set_socket_options(int fd)
 {
 	int one = 1;
-	int idle = KEEP_IDLE_S;
-	unsigned user_ms = USER_TIMEOUT_MS;
+	int idle = KEEPALIVE_IDLE_S;
+	unsigned user_ms = UNACKED_TIMEOUT_MS;
 
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
 	setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &one, sizeof one);
@@ -151,7 +155,7 @@
 /* ---- outgoing --------------------------------------------------------- */
 
 static void
-link_drop_head(struct link *k)
+outbound_drop_head(struct outbound *k)
 {
 	struct frame *f = g_queue_pop_head(&k->queue);
 
@@ -160,7 +164,7 @@
 }
 
 static void
-link_close(struct link *k)
+outbound_close(struct outbound *k)
 {
 	ev_io_stop(k->peer->loop, &k->io);
 	ev_timer_stop(k->peer->loop, &k->timer);
@@ -170,52 +174,52 @@
 	g_clear_pointer(&k->deflate, ogl_deflate_end);
 	g_byte_array_set_size(k->out, 0);
 	k->out_sent = 0;
-	if (k->begun > 0) {
-		link_drop_head(k);
-		k->begun = 0;
+	if (k->written > 0) {
+		outbound_drop_head(k);
+		k->written = 0;
 		k->peer->counts.dropped++;
 	}
-	k->state = LINK_DOWN;
+	k->state = OUTBOUND_DOWN;
 }
 
 static void
-link_free(struct link *k)
+outbound_free(struct outbound *k)
 {
-	link_close(k);
+	outbound_close(k);
 	while (!g_queue_is_empty(&k->queue))
-		link_drop_head(k);
+		outbound_drop_head(k);
 	g_byte_array_unref(k->out);
 	g_free(k->addr);
 	g_free(k);
 }
 
 static void
-link_fail(struct link *k, const char *why)
+outbound_fail(struct outbound *k, const char *why)
 {
-	ogl_log(k->peer->log, OGL_LOG_DEBUG, PREFIX,
+	ogl_log(k->peer->log, OGL_LOG_DEBUG, LOG_PREFIX,
 	    "Connection to %s failed: %s.", k->addr, why);
-	link_close(k);
-	ev_timer_set(&k->timer, k->backoff, 0.);
+	outbound_close(k);
+	ev_timer_set(&k->timer, k->backoff_s, 0.);
 	ev_timer_start(k->peer->loop, &k->timer);
-	k->backoff = MIN(k->backoff * 2, BACKOFF_MAX_S);
+	k->backoff_s = MIN(k->backoff_s * 2, BACKOFF_MAX_S);
 }
 
 static void
-link_written(struct link *k, size_t n)
+outbound_written(struct outbound *k, size_t n)
 {
 	struct frame *f;
 	size_t rest;
 
 	while (n > 0) {
 		f = g_queue_peek_head(&k->queue);
-		rest = frame_size(f) - k->begun;
+		rest = frame_size(f) - k->written;
 		if (n < rest) {
-			k->begun += n;
+			k->written += n;
 			return;
 		}
 		n -= rest;
-		k->begun = 0;
-		link_drop_head(k);
+		k->written = 0;
+		outbound_drop_head(k);
 		k->peer->counts.frames_out++;
 	}
 }
@@ -234,28 +238,29 @@
 }
 
 static size_t
-link_iov(struct link *k, struct iovec iov[2 * FRAMES_A_WRITE])
+outbound_fill_iov(struct outbound *k, struct iovec iov[2 * FRAMES_PER_WRITE])
 {
-	size_t skip = k->begun;
+	size_t skip = k->written;
 	size_t frames = 0;
 	size_t n = 0;
 	GList *at;
 
-	for (at = k->queue.head; at != NULL && frames < FRAMES_A_WRITE;
+	for (at = k->queue.head; at != NULL && frames < FRAMES_PER_WRITE;
 	     at = at->next, frames++) {
 		struct frame *f = at->data;
 		gsize len;
 		const void *p = g_bytes_get_data(f->body, &len);
 
-		iov_add(iov, &n, f->head, HEAD_BYTES, &skip);
+		iov_add(iov, &n, f->length, LENGTH_BYTES, &skip);
 		iov_add(iov, &n, p, len, &skip);
 	}
 	return n;
 }
 
-/* Compresses some of what is queued; false when nothing is left to send. */
+/* Compresses some of the queued frames if all earlier output is sent.  Returns
+ * false if nothing is left to send. */
 static bool
-link_compress(struct link *k)
+outbound_compress(struct outbound *k)
 {
 	size_t taken = 0;
 
@@ -263,15 +268,15 @@
 		return true;
 	g_byte_array_set_size(k->out, 0);
 	k->out_sent = 0;
-	while (!g_queue_is_empty(&k->queue) && taken < COMPRESS_STEP) {
+	while (!g_queue_is_empty(&k->queue) && taken < COMPRESS_STEP_BYTES) {
 		struct frame *f = g_queue_peek_head(&k->queue);
 		gsize n;
 		const void *p = g_bytes_get_data(f->body, &n);
 
-		ogl_deflate_add(k->deflate, f->head, HEAD_BYTES, k->out);
+		ogl_deflate_add(k->deflate, f->length, LENGTH_BYTES, k->out);
 		ogl_deflate_add(k->deflate, p, n, k->out);
-		taken += HEAD_BYTES + n;
-		link_drop_head(k);
+		taken += LENGTH_BYTES + n;
+		outbound_drop_head(k);
 		k->peer->counts.frames_out++;
 	}
 	if (taken > 0)
@@ -280,21 +285,21 @@
 }
 
 static bool
-link_has_more(struct link *k)
+outbound_has_more(struct outbound *k)
 {
-	return k->deflate != NULL ? link_compress(k)
+	return k->deflate != NULL ? outbound_compress(k)
 				  : !g_queue_is_empty(&k->queue);
 }
 
-/* What sendmsg tells of the next bytes. */
+/* Sends the next bytes.  Returns the result of sendmsg. */
 static ssize_t
-link_send(struct link *k)
+outbound_send(struct outbound *k)
 {
-	struct iovec iov[2 * FRAMES_A_WRITE];
+	struct iovec iov[2 * FRAMES_PER_WRITE];
 	struct msghdr m = {.msg_iov = iov, .msg_iovlen = 1};
 
 	if (k->deflate == NULL) {
-		m.msg_iovlen = link_iov(k, iov);
+		m.msg_iovlen = outbound_fill_iov(k, iov);
 	} else {
 		iov[0].iov_base = k->out->data + k->out_sent;
 		iov[0].iov_len = k->out->len - k->out_sent;
@@ -303,25 +308,25 @@
 }
 
 static void
-link_flush(struct link *k)
+outbound_flush(struct outbound *k)
 {
 	ssize_t n;
 
-	while (link_has_more(k)) {
-		n = link_send(k);
+	while (outbound_has_more(k)) {
+		n = outbound_send(k);
 		if (n < 0 && errno == EINTR)
 			continue;
 		if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
 			return;
 		if (n < 0) {
-			link_fail(k, g_strerror(errno));
+			outbound_fail(k, g_strerror(errno));
 			return;
 		}
 		k->peer->counts.bytes_out += (uint64_t)n;
 		if (k->deflate != NULL)
 			k->out_sent += (size_t)n;
 		else
-			link_written(k, (size_t)n);
+			outbound_written(k, (size_t)n);
 	}
 	ev_io_stop(k->peer->loop, &k->io);
 	ev_io_set(&k->io, k->fd, EV_READ);
@@ -329,18 +334,19 @@
 }
 
 static void
-link_begin_stream(struct link *k)
+outbound_begin_stream(struct outbound *k)
 {
-	uint8_t mark[HEAD_BYTES];
+	uint8_t magic[LENGTH_BYTES];
 
-	put_length(mark, COMPRESSED_MARK);
+	put_length(magic, COMPRESSED_MAGIC);
 	k->deflate = ogl_deflate_init();
-	g_byte_array_append(k->out, mark, sizeof mark);
+	g_byte_array_append(k->out, magic, sizeof magic);
 }
 
-/* Nothing is ever sent back on a link: readable means that it ended. */
+/* The peer never sends anything on this connection, so it is readable only when
+ * it has ended. */
 static bool
-link_ended(struct link *k)
+outbound_closed(struct outbound *k)
 {
 	char c[256];
 	ssize_t n = recv(k->fd, c, sizeof c, MSG_DONTWAIT);
@@ -349,7 +355,7 @@
 }
 
 static void
-link_up(struct link *k)
+outbound_connected(struct outbound *k)
 {
 	int err = 0;
 	socklen_t len = sizeof err;
@@ -357,110 +363,111 @@
 	getsockopt(k->fd, SOL_SOCKET, SO_ERROR, &err, &len);
 	k->refused = err == ECONNREFUSED;
 	if (err != 0) {
-		link_fail(k, g_strerror(err));
+		outbound_fail(k, g_strerror(err));
 		return;
 	}
 	ev_timer_stop(k->peer->loop, &k->timer);
-	k->state = LINK_UP;
-	k->backoff = BACKOFF_FIRST_S;
+	k->state = OUTBOUND_UP;
+	k->backoff_s = BACKOFF_FIRST_S;
 	k->peer->counts.connects++;
 	if (k->peer->compress)
-		link_begin_stream(k);
+		outbound_begin_stream(k);
 	ev_io_stop(k->peer->loop, &k->io);
 	ev_io_set(&k->io, k->fd, EV_READ | EV_WRITE);
 	ev_io_start(k->peer->loop, &k->io);
 }
 
 static void
-on_link_io(struct ev_loop *loop, ev_io *w, int events)
+on_outbound_io(struct ev_loop *loop, ev_io *w, int events)
 {
-	struct link *k = w->data;
+	struct outbound *k = w->data;
 
 	(void)loop;
-	if (k->state == LINK_CONNECTING) {
-		link_up(k);
+	if (k->state == OUTBOUND_CONNECTING) {
+		outbound_connected(k);
 		return;
 	}
-	if ((events & EV_READ) && link_ended(k)) {
-		link_fail(k, "closed by the peer");
+	if ((events & EV_READ) && outbound_closed(k)) {
+		outbound_fail(k, "closed by the peer");
 		return;
 	}
 	if (events & EV_WRITE)
-		link_flush(k);
+		outbound_flush(k);
 }
 
 static void
-on_link_timer(struct ev_loop *loop, ev_timer *w, int events)
+on_outbound_timer(struct ev_loop *loop, ev_timer *w, int events)
 {
-	struct link *k = w->data;
+	struct outbound *k = w->data;
 
 	(void)loop;
 	(void)events;
-	if (k->state == LINK_CONNECTING)
-		link_fail(k, "no answer");
+	if (k->state == OUTBOUND_CONNECTING)
+		outbound_fail(k, "no answer");
 	else if (!g_queue_is_empty(&k->queue))
-		link_connect(k);
+		outbound_connect(k);
 }
 
 static void
-link_connect(struct link *k)
+outbound_connect(struct outbound *k)
 {
 	struct sockaddr_storage sa;
 	socklen_t len;
 
 	if (!ogl_addr_parse(k->addr, &sa, &len)) {
-		link_fail(k, "not an address");
+		outbound_fail(k, "not an address");
 		return;
 	}
 	k->fd =
 	    socket(sa.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	if (k->fd < 0) {
-		link_fail(k, g_strerror(errno));
+		outbound_fail(k, g_strerror(errno));
 		return;
 	}
 	set_socket_options(k->fd);
 	if (connect(k->fd, (struct sockaddr *)&sa, len) != 0 &&
 	    errno != EINPROGRESS) {
-		link_fail(k, g_strerror(errno));
+		outbound_fail(k, g_strerror(errno));
 		return;
 	}
-	k->state = LINK_CONNECTING;
+	k->state = OUTBOUND_CONNECTING;
 	ev_io_set(&k->io, k->fd, EV_WRITE);
 	ev_io_start(k->peer->loop, &k->io);
 	ev_timer_set(&k->timer, CONNECT_TIMEOUT_S, 0.);
 	ev_timer_start(k->peer->loop, &k->timer);
 }
 
-static struct link *
-link_get(struct ogl_peer *p, const char *addr)
+static struct outbound *
+outbound_get(struct ogl_peer *p, const char *addr)
 {
-	struct link *k = g_hash_table_lookup(p->links, addr);
+	struct outbound *k = g_hash_table_lookup(p->outbound, addr);
 
 	if (k != NULL)
 		return k;
-	k = g_new0(struct link, 1);
+	k = g_new0(struct outbound, 1);
 	k->peer = p;
 	k->addr = g_strdup(addr);
 	k->fd = -1;
-	k->backoff = BACKOFF_FIRST_S;
+	k->backoff_s = BACKOFF_FIRST_S;
 	k->out = g_byte_array_new();
 	g_queue_init(&k->queue);
-	ev_init(&k->io, on_link_io);
-	ev_init(&k->timer, on_link_timer);
+	ev_init(&k->io, on_outbound_io);
+	ev_init(&k->timer, on_outbound_timer);
 	k->io.data = k;
 	k->timer.data = k;
-	g_hash_table_insert(p->links, k->addr, k);
+	g_hash_table_insert(p->outbound, k->addr, k);
 	return k;
 }
 
-/* Makes room for n more bytes; false when the begun head leaves none. */
+/* Drops old frames until n more bytes fit.  Returns false if a partly written
+ * frame leaves no room. */
 static bool
-link_make_room(struct link *k, size_t n)
+outbound_make_room(struct outbound *k, size_t n)
 {
 	struct frame *f;
 
-	while (k->queued_bytes + n > OGL_PEER_QUEUE_MAX) {
-		f = g_queue_pop_nth(&k->queue, k->begun > 0 ? 1 : 0);
+	while (k->queued_bytes + n > OGL_PEER_QUEUE_MAX_BYTES) {
+		f = g_queue_pop_nth(&k->queue, k->written > 0 ? 1 : 0);
 		if (f == NULL)
 			return false;
 		k->queued_bytes -= frame_size(f);
@@ -474,43 +481,43 @@
 ogl_peer_send(struct ogl_peer *p, const char *addr, GBytes *msg)
 {
 	size_t n = g_bytes_get_size(msg);
-	struct link *k;
+	struct outbound *k;
 	struct frame *f;
 
-	if (n == 0 || n > OGL_PEER_FRAME_MAX) {
-		ogl_log(p->log, OGL_LOG_ERROR, PREFIX,
+	if (n == 0 || n > OGL_PEER_FRAME_MAX_BYTES) {
+		ogl_log(p->log, OGL_LOG_ERROR, LOG_PREFIX,
 		    "A message of %zu bytes was not sent.", n);
 		p->counts.dropped++;
 		return;
 	}
-	k = link_get(p, addr);
-	k->used = ev_now(p->loop);
-	if (!link_make_room(k, HEAD_BYTES + n)) {
+	k = outbound_get(p, addr);
+	k->last_used = ev_now(p->loop);
+	if (!outbound_make_room(k, LENGTH_BYTES + n)) {
 		p->counts.dropped++;
 		return;
 	}
 	f = g_new(struct frame, 1);
-	put_length(f->head, (uint32_t)n);
+	put_length(f->length, (uint32_t)n);
 	f->body = g_bytes_ref(msg);
 	g_queue_push_tail(&k->queue, f);
 	k->queued_bytes += frame_size(f);
-	if (k->state == LINK_UP) {
+	if (k->state == OUTBOUND_UP) {
 		ev_io_stop(p->loop, &k->io);
 		ev_io_set(&k->io, k->fd, EV_READ | EV_WRITE);
 		ev_io_start(p->loop, &k->io);
-	} else if (k->state == LINK_DOWN && !ev_is_active(&k->timer)) {
-		link_connect(k);
+	} else if (k->state == OUTBOUND_DOWN && !ev_is_active(&k->timer)) {
+		outbound_connect(k);
 	}
 }
 
 static gboolean
-link_is_idle(gpointer key, gpointer value, gpointer ctx)
+outbound_is_idle(gpointer key, gpointer value, gpointer ctx)
 {
-	struct link *k = value;
+	struct outbound *k = value;
 	ev_tstamp *now = ctx;
 
 	(void)key;
-	return *now - k->used > LINK_IDLE_S;
+	return *now - k->last_used > OUTBOUND_IDLE_MAX_S;
 }
 
 static void
@@ -520,14 +527,14 @@
 	ev_tstamp now = ev_now(loop);
 
 	(void)events;
-	g_hash_table_foreach_remove(p->links, link_is_idle, &now);
+	g_hash_table_foreach_remove(p->outbound, outbound_is_idle, &now);
 	ev_io_start(loop, &p->accept_io);
 }
 
 /* ---- incoming --------------------------------------------------------- */
 
 static void
-inlet_free(struct inlet *i)
+inbound_free(struct inbound *i)
 {
 	ev_io_stop(i->peer->loop, &i->io);
 	close(i->fd);
@@ -537,7 +544,7 @@
 }
 
 static bool
-take_frame(struct ogl_peer *p, const uint8_t *body, uint32_t n)
+deliver_frame(struct ogl_peer *p, const uint8_t *body, uint32_t n)
 {
 	struct ogl_event ev = {.type = OGL_EV_PEER};
 	ProtobufCMessage *m =
@@ -553,22 +560,22 @@
 	return true;
 }
 
-/* Takes every whole frame; false when the stream can't be trusted. */
+/* Delivers all complete frames.  Returns false if the stream is malformed. */
 static bool
-inlet_take(struct inlet *i)
+inbound_take_frames(struct inbound *i)
 {
 	size_t at = 0;
 
-	while (i->in->len - at >= HEAD_BYTES) {
+	while (i->in->len - at >= LENGTH_BYTES) {
 		uint32_t n = get_length(i->in->data + at);
 
-		if (n == 0 || n > OGL_PEER_FRAME_MAX)
+		if (n == 0 || n > OGL_PEER_FRAME_MAX_BYTES)
 			return false;
-		if (i->in->len - at - HEAD_BYTES < n)
+		if (i->in->len - at - LENGTH_BYTES < n)
 			break;
-		if (!take_frame(i->peer, i->in->data + at + HEAD_BYTES, n))
+		if (!deliver_frame(i->peer, i->in->data + at + LENGTH_BYTES, n))
 			return false;
-		at += HEAD_BYTES + n;
+		at += LENGTH_BYTES + n;
 	}
 	if (at > 0)
 		g_byte_array_remove_range(i->in, 0, (guint)at);
@@ -576,9 +583,9 @@
 }
 
 static bool
-inlet_take_compressed(struct inlet *i, const uint8_t *p, size_t n)
+inbound_take_compressed(struct inbound *i, const uint8_t *p, size_t n)
 {
-	uint8_t plain[READ_CHUNK];
+	uint8_t plain[READ_CHUNK_BYTES];
 	ssize_t got;
 
 	do {
@@ -586,61 +593,61 @@
 		if (got < 0)
 			return false;
 		g_byte_array_append(i->in, plain, (guint)got);
-		if (!inlet_take(i))
+		if (!inbound_take_frames(i))
 			return false;
 	} while (n > 0 || got == sizeof plain);
 	return true;
 }
 
-/* Whether it is compressed is told by its first bytes. */
+/* The first bytes of a stream tell whether it is compressed. */
 static bool
-inlet_take_first(struct inlet *i)
+inbound_take_first(struct inbound *i)
 {
 	GByteArray *first;
 	bool ok;
 
-	if (i->in->len < HEAD_BYTES)
+	if (i->in->len < LENGTH_BYTES)
 		return true;
-	i->marked = true;
-	if (get_length(i->in->data) != COMPRESSED_MARK)
-		return inlet_take(i);
+	i->format_known = true;
+	if (get_length(i->in->data) != COMPRESSED_MAGIC)
+		return inbound_take_frames(i);
 	first = i->in;
 	i->in = g_byte_array_new();
 	i->inflate = ogl_inflate_init();
-	ok = inlet_take_compressed(
-	    i, first->data + HEAD_BYTES, first->len - HEAD_BYTES);
+	ok = inbound_take_compressed(
+	    i, first->data + LENGTH_BYTES, first->len - LENGTH_BYTES);
 	g_byte_array_unref(first);
 	return ok;
 }
 
 static bool
-inlet_take_bytes(struct inlet *i, const uint8_t *p, size_t n)
+inbound_take_bytes(struct inbound *i, const uint8_t *p, size_t n)
 {
 	i->peer->counts.bytes_in += n;
 	if (i->inflate != NULL)
-		return inlet_take_compressed(i, p, n);
+		return inbound_take_compressed(i, p, n);
 	g_byte_array_append(i->in, p, (guint)n);
-	return i->marked ? inlet_take(i) : inlet_take_first(i);
+	return i->format_known ? inbound_take_frames(i) : inbound_take_first(i);
 }
 
-/* Bytes still unread of the next frame are at most a frame, so the buffer
- * stays below a frame and one read. */
+/* Complete frames are removed after each read, so the buffer holds less than
+ * one frame and one read. */
 static bool
-inlet_read(struct inlet *i)
+inbound_read(struct inbound *i)
 {
-	uint8_t chunk[READ_CHUNK];
-	int turn;
+	uint8_t chunk[READ_CHUNK_BYTES];
+	int reads;
 	ssize_t n;
 
-	for (turn = 0; turn < READS_A_TURN; turn++) {
+	for (reads = 0; reads < READS_PER_EVENT; reads++) {
 		n = recv(i->fd, chunk, sizeof chunk, 0);
 		if (n < 0 && (errno == EAGAIN || errno == EINTR))
 			return true;
 		if (n <= 0)
 			return false;
-		if (!inlet_take_bytes(i, chunk, (size_t)n)) {
+		if (!inbound_take_bytes(i, chunk, (size_t)n)) {
 			i->peer->counts.malformed++;
-			ogl_log(i->peer->log, OGL_LOG_WARN, PREFIX,
+			ogl_log(i->peer->log, OGL_LOG_WARN, LOG_PREFIX,
 			    "A malformed frame closed its connection.");
 			return false;
 		}
@@ -649,39 +656,40 @@
 }
 
 static void
-on_inlet_io(struct ev_loop *loop, ev_io *w, int events)
+on_inbound_io(struct ev_loop *loop, ev_io *w, int events)
 {
-	struct inlet *i = w->data;
+	struct inbound *i = w->data;
 
 	(void)loop;
 	(void)events;
-	if (!inlet_read(i))
-		g_hash_table_remove(i->peer->inlets, i);
+	if (!inbound_read(i))
+		g_hash_table_remove(i->peer->inbound, i);
 }
 
 static void
-inlet_add(struct ogl_peer *p, int fd)
+inbound_add(struct ogl_peer *p, int fd)
 {
-	struct inlet *i = g_new0(struct inlet, 1);
+	struct inbound *i = g_new0(struct inbound, 1);
 
 	set_socket_options(fd);
 	i->peer = p;
 	i->fd = fd;
 	i->in = g_byte_array_new();
-	ev_io_init(&i->io, on_inlet_io, fd, EV_READ);
+	ev_io_init(&i->io, on_inbound_io, fd, EV_READ);
 	i->io.data = i;
 	ev_io_start(p->loop, &i->io);
-	g_hash_table_add(p->inlets, i);
+	g_hash_table_add(p->inbound, i);
 }
 
 /*
- * Out of descriptors, accept fails and the listening socket stays readable:
- * the loop would spin.  It rests until the next sweep.
+ * If the process is out of file descriptors or memory, accept fails while the
+ * listening socket stays readable, and the loop would spin.  So accepting is
+ * paused until the next sweep.
  */
 static void
-rest_from_accepting(struct ogl_peer *p)
+pause_accepting(struct ogl_peer *p)
 {
-	ogl_log(p->log, OGL_LOG_ERROR, PREFIX, "Can't accept: %s.",
+	ogl_log(p->log, OGL_LOG_ERROR, LOG_PREFIX, "Can't accept: %s.",
 	    g_strerror(errno));
 	ev_io_stop(p->loop, &p->accept_io);
 }
@@ -696,18 +704,18 @@
 	(void)events;
 	while ((fd = accept4(
 		    p->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0) {
-		if (g_hash_table_size(p->inlets) >= INLETS_MAX) {
+		if (g_hash_table_size(p->inbound) >= INBOUND_MAX) {
 			p->counts.refused++;
 			close(fd);
 			continue;
 		}
-		inlet_add(p, fd);
+		inbound_add(p, fd);
 	}
 	if (errno == EMFILE || errno == ENFILE || errno == ENOMEM)
-		rest_from_accepting(p);
+		pause_accepting(p);
 }
 
-/* ---- the part --------------------------------------------------------- */
+/* ---- init and end ----------------------------------------------------- */
 
 struct ogl_peer *
 ogl_peer_init(struct ev_loop *loop, const char *listen, struct ogl_sink sink,
@@ -724,14 +732,14 @@
 	p->log = log;
 	p->fd = fd;
 	p->message = &ogl__peer_msg__descriptor;
-	p->links = g_hash_table_new_full(
-	    g_str_hash, g_str_equal, NULL, (GDestroyNotify)link_free);
-	p->inlets =
-	    g_hash_table_new_full(NULL, NULL, (GDestroyNotify)inlet_free, NULL);
+	p->outbound = g_hash_table_new_full(
+	    g_str_hash, g_str_equal, NULL, (GDestroyNotify)outbound_free);
+	p->inbound = g_hash_table_new_full(
+	    NULL, NULL, (GDestroyNotify)inbound_free, NULL);
 	ev_io_init(&p->accept_io, on_accept, fd, EV_READ);
 	p->accept_io.data = p;
 	ev_io_start(loop, &p->accept_io);
-	ev_timer_init(&p->sweep, on_sweep, SWEEP_S, SWEEP_S);
+	ev_timer_init(&p->sweep, on_sweep, SWEEP_INTERVAL_S, SWEEP_INTERVAL_S);
 	p->sweep.data = p;
 	ev_timer_start(loop, &p->sweep);
 	return p;
@@ -745,15 +753,15 @@
 	ev_io_stop(p->loop, &p->accept_io);
 	ev_timer_stop(p->loop, &p->sweep);
 	close(p->fd);
-	g_hash_table_unref(p->links);
-	g_hash_table_unref(p->inlets);
+	g_hash_table_unref(p->outbound);
+	g_hash_table_unref(p->inbound);
 	g_free(p);
 }
 
 bool
 ogl_peer_refused(const struct ogl_peer *p, const char *addr)
 {
-	const struct link *k = g_hash_table_lookup(p->links, addr);
+	const struct outbound *k = g_hash_table_lookup(p->outbound, addr);
 
 	return k != NULL && k->refused;
 }
@@ -773,7 +781,7 @@
 void
 ogl_peer_reset(struct ogl_peer *p, const char *addr)
 {
-	g_hash_table_remove(p->links, addr);
+	g_hash_table_remove(p->outbound, addr);
 }
 
 uint16_t
