--- a/daemon/curl_loop.c
+++ b/daemon/curl_loop.c
@@ -1,7 +1,8 @@
 /*
- * libcurl says which sockets to watch and when to be called; each socket gets
- * a watcher, all share one timer.  A timeout of 0 ms, asked for whenever a
- * transfer is added, is served by run and needs no turn of the loop.
+ * libcurl tells which sockets to watch and when to call it.  Each socket has a
+ * watcher of its own; all share one timer.  libcurl requests a timeout of 0 ms
+ * whenever a transfer is added; ogl_curl_loop_run serves it, without a turn of
+ * the event loop.
  */
 
 #include <ev.h>
@@ -10,47 +11,49 @@
 
 #include "curl_loop.h"
 
-#define CACHED_SHARE 4 /* of the descriptors this process may open */
+/* Cached connections use at most this fraction (1 / n) of the descriptors that
+ * the process may open. */
+#define CACHED_FD_DIVISOR 4
 
-struct sock {
+struct socket_watcher {
 	struct ogl_curl_loop *owner;
 	ev_io io;
 };
 
 struct ogl_curl_loop {
 	struct ev_loop *loop;
-	struct ogl_curl_loop_shape shape;
+	struct ogl_curl_loop_config config;
 	CURLM *multi;
 	ev_timer timer;
-	bool kick; /* libcurl asked to be called at once */
+	bool timeout_due; /* libcurl requested a timeout of 0 ms */
 };
 
 static void
-act(struct ogl_curl_loop *l, curl_socket_t fd, int what)
+socket_action(struct ogl_curl_loop *l, curl_socket_t fd, int flags)
 {
 	CURLMsg *m;
 	int n;
 
-	curl_multi_socket_action(l->multi, fd, what, &n);
+	curl_multi_socket_action(l->multi, fd, flags, &n);
 	while ((m = curl_multi_info_read(l->multi, &n)) != NULL) {
 		if (m->msg == CURLMSG_DONE)
-			l->shape.ended(
-			    l->shape.ctx, m->easy_handle, m->data.result);
+			l->config.ended(
+			    l->config.ctx, m->easy_handle, m->data.result);
 	}
 }
 
 static void
-on_sock(struct ev_loop *loop, ev_io *w, int events)
+on_socket_event(struct ev_loop *loop, ev_io *w, int events)
 {
-	struct sock *s = w->data;
-	int what = 0;
+	struct socket_watcher *s = w->data;
+	int flags = 0;
 
 	(void)loop;
 	if (events & EV_READ)
-		what |= CURL_CSELECT_IN;
+		flags |= CURL_CSELECT_IN;
 	if (events & EV_WRITE)
-		what |= CURL_CSELECT_OUT;
-	act(s->owner, w->fd, what);
+		flags |= CURL_CSELECT_OUT;
+	socket_action(s->owner, w->fd, flags);
 }
 
 static void
@@ -58,18 +61,19 @@
 {
 	(void)loop;
 	(void)events;
-	act(w->data, CURL_SOCKET_TIMEOUT, 0);
+	socket_action(w->data, CURL_SOCKET_TIMEOUT, 0);
 }
 
 static int
-on_curl_socket(CURL *easy, curl_socket_t fd, int what, void *ctx, void *sockp)
+on_curl_socket(
+    CURL *easy, curl_socket_t fd, int flags, void *ctx, void *watcher)
 {
 	struct ogl_curl_loop *l = ctx;
-	struct sock *s = sockp;
+	struct socket_watcher *s = watcher;
 	int events = 0;
 
 	(void)easy;
-	if (what == CURL_POLL_REMOVE) {
+	if (flags == CURL_POLL_REMOVE) {
 		if (s != NULL) {
 			ev_io_stop(l->loop, &s->io);
 			g_free(s);
@@ -77,15 +81,15 @@
 		return 0;
 	}
 	if (s == NULL) {
-		s = g_new0(struct sock, 1);
+		s = g_new0(struct socket_watcher, 1);
 		s->owner = l;
-		ev_init(&s->io, on_sock);
+		ev_init(&s->io, on_socket_event);
 		s->io.data = s;
 		curl_multi_assign(l->multi, fd, s);
 	}
-	if (what & CURL_POLL_IN)
+	if (flags & CURL_POLL_IN)
 		events |= EV_READ;
-	if (what & CURL_POLL_OUT)
+	if (flags & CURL_POLL_OUT)
 		events |= EV_WRITE;
 	ev_io_stop(l->loop, &s->io);
 	ev_io_set(&s->io, fd, events);
@@ -100,7 +104,7 @@
 
 	(void)multi;
 	ev_timer_stop(l->loop, &l->timer);
-	l->kick = ms == 0;
+	l->timeout_due = ms == 0;
 	if (ms < 0)
 		return 0;
 	ev_timer_set(&l->timer, (ev_tstamp)ms / 1e3, 0.);
@@ -123,37 +127,38 @@
 bool
 ogl_curl_loop_run(struct ogl_curl_loop *l)
 {
-	if (!l->kick)
+	if (!l->timeout_due)
 		return false;
-	l->kick = false;
-	act(l, CURL_SOCKET_TIMEOUT, 0);
+	l->timeout_due = false;
+	socket_action(l, CURL_SOCKET_TIMEOUT, 0);
 	return true;
 }
 
-/* Of several loops few are full at a time, so each may keep twice its part. */
+/* Few of the loops use all their connections at the same time, so each may keep
+ * twice its equal share. */
 static long
-cached_connections(const struct ogl_curl_loop_shape *shape)
+cached_connections(const struct ogl_curl_loop_config *config)
 {
 	long open_max = sysconf(_SC_OPEN_MAX);
-	long share = open_max / CACHED_SHARE;
+	long share = open_max / CACHED_FD_DIVISOR;
 
 	if (open_max < 0)
-		return shape->cached_connections;
-	if (shape->parts > 1)
-		share = 2 * share / (long)shape->parts;
-	return CLAMP(share, 1, shape->cached_connections);
+		return config->cached_connections_max;
+	if (config->loops > 1)
+		share = 2 * share / (long)config->loops;
+	return CLAMP(share, 1, config->cached_connections_max);
 }
 
 struct ogl_curl_loop *
 ogl_curl_loop_init(
-    struct ev_loop *loop, const struct ogl_curl_loop_shape *shape)
+    struct ev_loop *loop, const struct ogl_curl_loop_config *config)
 {
 	struct ogl_curl_loop *l = g_new0(struct ogl_curl_loop, 1);
 
-	/* Only plain HTTP is spoken: TLS would cost each node memory. */
+	/* Only plain HTTP is used; loading TLS would cost each node memory. */
 	curl_global_init(CURL_GLOBAL_NOTHING);
 	l->loop = loop;
-	l->shape = *shape;
+	l->config = *config;
 	ev_init(&l->timer, on_timer);
 	l->timer.data = l;
 	l->multi = curl_multi_init();
@@ -163,10 +168,10 @@
 	curl_multi_setopt(l->multi, CURLMOPT_TIMERDATA, l);
 	curl_multi_setopt(
 	    l->multi, CURLMOPT_PIPELINING, (long)CURLPIPE_NOTHING);
+	curl_multi_setopt(l->multi, CURLMOPT_MAX_HOST_CONNECTIONS,
+	    config->host_connections_max);
 	curl_multi_setopt(
-	    l->multi, CURLMOPT_MAX_HOST_CONNECTIONS, shape->host_connections);
-	curl_multi_setopt(
-	    l->multi, CURLMOPT_MAXCONNECTS, cached_connections(shape));
+	    l->multi, CURLMOPT_MAXCONNECTS, cached_connections(config));
 	return l;
 }
 
--- a/daemon/dispatch.c
+++ b/daemon/dispatch.c
@@ -1,12 +1,12 @@
 /*
- * Events step the node at once, since they borrow what they point at; the
- * actions that come out wait in a list until the loop is about to block.
- * There they are served until nothing is left to do.  So no part is ever
- * called back from within a call that it made itself.
+ * An event is passed to the node at once, since it borrows the data it points
+ * to.  The resulting actions are queued until the loop is about to block, and
+ * are then served until nothing is left to do.  So no part is ever called back
+ * from within a call that it made itself.
  *
- * Clock: the wall clock may be set back while the daemon runs, and leases and
- * timeouts would last too long.  The node's time is therefore the wall clock
- * at the start plus what the monotonic clock has gone on since.
+ * The wall clock may be set back while the daemon runs, which would make leases
+ * and timeouts last too long.  The node's time is therefore the wall clock at
+ * the start plus the time elapsed on the monotonic clock since.
  */
 
 #include <ev.h>
@@ -14,28 +14,29 @@
 
 #include "dispatch.h"
 
-#define PREFIX "daemon"
-#define ROUNDS_MAX 16 /* before other watchers get their turn */
-#define STOP_LIMIT_S 30.
-#define LINGER_S 3. /* for the last replies, after the node's exit */
-#define DRAIN_POLL_S 0.01
+#define LOG_PREFIX "daemon"
+#define ROUNDS_MAX 16 /* before other watchers are served */
+#define STOP_TIMEOUT_S 30.
+/* For sending the last replies after the node's exit. */
+#define DRAIN_TIMEOUT_S 3.
+#define DRAIN_POLL_INTERVAL_S 0.01
 
 struct ogl_dispatch {
 	struct ev_loop *loop;
 	struct ogl_logger *log;
 	struct ogl_dispatch_parts parts;
 	struct ogl_actions actions;
-	ogl_time base;
-	ogl_time mono;
+	ogl_time start_realtime;
+	ogl_time start_monotonic;
 	ev_prepare prepare;
-	ev_timer wake;  /* the node's timer */
-	ev_timer again; /* work left over from the last turn */
-	ev_timer limit;
-	ev_timer drain;
+	ev_timer node_timer;
+	ev_timer rerun_timer; /* work is left over from the last turn */
+	ev_timer stop_timer;
+	ev_timer drain_timer;
 	bool stopping;
 	bool exiting;
-	bool clean;
-	ev_tstamp exit_at;
+	bool complete; /* the shutdown */
+	ev_tstamp exit_since;
 };
 
 static ogl_time
@@ -56,7 +57,8 @@
 ogl_time
 ogl_dispatch_now(const struct ogl_dispatch *d)
 {
-	return d->base + (read_clock(CLOCK_MONOTONIC) - d->mono);
+	return d->start_realtime +
+	       (read_clock(CLOCK_MONOTONIC) - d->start_monotonic);
 }
 
 /* ---- actions ---------------------------------------------------------- */
@@ -120,14 +122,15 @@
 	if (d->exiting)
 		return;
 	d->exiting = true;
-	d->exit_at = ev_now(d->loop);
+	d->exit_since = ev_now(d->loop);
 	ogl_http_in_quiesce(d->parts.http_in);
-	ev_timer_start(d->loop, &d->drain);
+	ev_timer_start(d->loop, &d->drain_timer);
 }
 
-typedef void (*action_fn)(struct ogl_dispatch *, const struct ogl_action *);
+typedef void (*action_handler)(
+    struct ogl_dispatch *, const struct ogl_action *);
 
-static const action_fn serve[] = {
+static const action_handler handlers[] = {
     [OGL_ACT_REPLY] = serve_reply,
     [OGL_ACT_PEER] = serve_peer,
     [OGL_ACT_LOG_APPEND] = serve_append,
@@ -146,7 +149,7 @@
 	bool any = false;
 
 	while ((a = ogl_actions_pop(&d->actions)) != NULL) {
-		serve[a->type](d, a);
+		handlers[a->type](d, a);
 		ogl_action_free(a);
 		any = true;
 	}
@@ -172,7 +175,7 @@
 }
 
 static void
-on_wake(struct ev_loop *loop, ev_timer *w, int events)
+on_node_timer(struct ev_loop *loop, ev_timer *w, int events)
 {
 	struct ogl_event ev = {.type = OGL_EV_TIMER};
 
@@ -182,7 +185,7 @@
 }
 
 static void
-on_again(struct ev_loop *loop, ev_timer *w, int events)
+on_rerun_timer(struct ev_loop *loop, ev_timer *w, int events)
 {
 	(void)loop;
 	(void)w;
@@ -190,21 +193,22 @@
 }
 
 static void
-set_wake(struct ogl_dispatch *d)
+set_node_timer(struct ogl_dispatch *d)
 {
 	ogl_time at = ogl_node_next_wake(d->parts.node);
 	ogl_time now;
 
-	ev_timer_stop(d->loop, &d->wake);
+	ev_timer_stop(d->loop, &d->node_timer);
 	if (at == OGL_NEVER)
 		return;
 	now = ogl_dispatch_now(d);
 	ev_now_update(d->loop);
-	ev_timer_set(&d->wake, at > now ? (ev_tstamp)(at - now) / 1e6 : 0., 0.);
-	ev_timer_start(d->loop, &d->wake);
+	ev_timer_set(
+	    &d->node_timer, at > now ? (ev_tstamp)(at - now) / 1e6 : 0., 0.);
+	ev_timer_start(d->loop, &d->node_timer);
 }
 
-/* One round over all parts; whether any had something to do. */
+/* Runs all parts once.  Returns whether any had something to do. */
 static bool
 run_round(struct ogl_dispatch *d)
 {
@@ -227,13 +231,13 @@
 			break;
 	}
 	if (round == ROUNDS_MAX) {
-		ev_timer_set(&d->again, 0., 0.);
-		ev_timer_start(loop, &d->again);
+		ev_timer_set(&d->rerun_timer, 0., 0.);
+		ev_timer_start(loop, &d->rerun_timer);
 	}
-	set_wake(d);
+	set_node_timer(d);
 }
 
-/* ---- what http_in asks ------------------------------------------------ */
+/* ---- callbacks of http_in --------------------------------------------- */
 
 static bool
 is_ready(void *ctx)
@@ -244,7 +248,7 @@
 }
 
 static void
-put_count(GString *s, const char *name, uint64_t v)
+append_counter(GString *s, const char *name, uint64_t v)
 {
 	g_string_append_printf(s,
 	    "# TYPE ogl_%s counter\nogl_%s %" G_GUINT64_FORMAT "\n", name, name,
@@ -252,37 +256,38 @@
 }
 
 static void
-put_http(GString *s, const struct ogl_http_in_counts *in,
+append_http_counters(GString *s, const struct ogl_http_in_counts *in,
     const struct ogl_http_out_counts *out)
 {
-	put_count(s, "http_in_calls_total", in->calls);
-	put_count(s, "http_in_replies_total", in->replies);
-	put_count(s, "http_in_gone_total", in->gone);
-	put_count(s, "http_in_too_big_total", in->too_big);
-	put_count(s, "http_in_no_room_total", in->no_room);
-	put_count(s, "http_in_too_slow_total", in->too_slow);
-	put_count(s, "http_in_malformed_total", in->malformed);
-	put_count(s, "http_in_late_replies_total", in->late);
-	put_count(s, "http_out_requests_total", out->requests);
-	put_count(s, "http_out_ok_total", out->ok);
-	put_count(s, "http_out_not_sent_total", out->not_sent);
-	put_count(s, "http_out_refused_total", out->refused);
-	put_count(s, "http_out_lost_total", out->lost);
-	put_count(s, "http_out_crossed_total", out->crossed);
-	put_count(s, "http_out_cut_total", out->cut);
-	put_count(s, "http_out_malformed_total", out->malformed);
-	put_count(s, "http_out_resends_stopped_total", out->resends);
+	append_counter(s, "http_in_calls_total", in->calls);
+	append_counter(s, "http_in_replies_total", in->replies);
+	append_counter(s, "http_in_gone_total", in->gone);
+	append_counter(s, "http_in_too_big_total", in->too_big);
+	append_counter(s, "http_in_no_room_total", in->no_room);
+	append_counter(s, "http_in_too_slow_total", in->too_slow);
+	append_counter(s, "http_in_malformed_total", in->malformed);
+	append_counter(s, "http_in_late_replies_total", in->late);
+	append_counter(s, "http_out_requests_total", out->requests);
+	append_counter(s, "http_out_ok_total", out->ok);
+	append_counter(s, "http_out_not_sent_total", out->not_sent);
+	append_counter(s, "http_out_refused_total", out->refused);
+	append_counter(s, "http_out_lost_total", out->lost);
+	append_counter(s, "http_out_crossed_total", out->crossed);
+	append_counter(s, "http_out_cut_total", out->cut);
+	append_counter(s, "http_out_malformed_total", out->malformed);
+	append_counter(
+	    s, "http_out_resends_stopped_total", out->resends_stopped);
 }
 
 static void
-put_peer(GString *s, const struct ogl_peer_counts *p)
+append_peer_counters(GString *s, const struct ogl_peer_counts *p)
 {
-	put_count(s, "peer_frames_in_total", p->frames_in);
-	put_count(s, "peer_frames_out_total", p->frames_out);
-	put_count(s, "peer_dropped_total", p->dropped);
-	put_count(s, "peer_malformed_total", p->malformed);
-	put_count(s, "peer_connects_total", p->connects);
-	put_count(s, "peer_refused_total", p->refused);
+	append_counter(s, "peer_frames_in_total", p->frames_in);
+	append_counter(s, "peer_frames_out_total", p->frames_out);
+	append_counter(s, "peer_dropped_total", p->dropped);
+	append_counter(s, "peer_malformed_total", p->malformed);
+	append_counter(s, "peer_connects_total", p->connects);
+	append_counter(s, "peer_refused_total", p->refused);
 }
 
 static char *
@@ -292,9 +297,9 @@
 	char *node = ogl_node_metrics(d->parts.node, ogl_dispatch_now(d));
 	GString *s = g_string_new(node);
 
-	put_http(s, ogl_http_in_counts(d->parts.http_in),
+	append_http_counters(s, ogl_http_in_counts(d->parts.http_in),
 	    ogl_http_out_counts(d->parts.http_out));
-	put_peer(s, ogl_peer_counts(d->parts.peer));
+	append_peer_counters(s, ogl_peer_counts(d->parts.peer));
 	g_free(node);
 	return g_string_free(s, FALSE);
 }
@@ -310,27 +315,27 @@
 /* ---- shutdown --------------------------------------------------------- */
 
 static void
-on_limit(struct ev_loop *loop, ev_timer *w, int events)
+on_stop_timer(struct ev_loop *loop, ev_timer *w, int events)
 {
 	struct ogl_dispatch *d = w->data;
 
 	(void)events;
-	ogl_log(d->log, OGL_LOG_ERROR, PREFIX,
+	ogl_log(d->log, OGL_LOG_ERROR, LOG_PREFIX,
 	    "The shutdown was not complete in time and was ended.");
 	ev_break(loop, EVBREAK_ALL);
 }
 
 static void
-on_drain(struct ev_loop *loop, ev_timer *w, int events)
+on_drain_timer(struct ev_loop *loop, ev_timer *w, int events)
 {
 	struct ogl_dispatch *d = w->data;
 	bool drained = ogl_http_in_drained(d->parts.http_in);
 
 	(void)events;
-	if (!drained && ev_now(loop) - d->exit_at < LINGER_S)
+	if (!drained && ev_now(loop) - d->exit_since < DRAIN_TIMEOUT_S)
 		return;
-	d->clean = true;
-	ogl_log(d->log, OGL_LOG_INFO, PREFIX, "The shutdown is complete.");
+	d->complete = true;
+	ogl_log(d->log, OGL_LOG_INFO, LOG_PREFIX, "The shutdown is complete.");
 	ev_break(loop, EVBREAK_ALL);
 }
 
@@ -342,19 +347,19 @@
 	if (d->stopping)
 		return;
 	d->stopping = true;
-	ogl_log(d->log, OGL_LOG_INFO, PREFIX, "The shutdown begins.");
+	ogl_log(d->log, OGL_LOG_INFO, LOG_PREFIX, "The shutdown begins.");
 	ogl_http_in_closing(d->parts.http_in);
-	ev_timer_start(d->loop, &d->limit);
+	ev_timer_start(d->loop, &d->stop_timer);
 	on_event(d, &ev);
 }
 
 bool
 ogl_dispatch_clean(const struct ogl_dispatch *d)
 {
-	return d->clean;
+	return d->complete;
 }
 
-/* ---- beginning and end ------------------------------------------------ */
+/* ---- init and end ----------------------------------------------------- */
 
 struct ogl_dispatch *
 ogl_dispatch_init(struct ev_loop *loop, struct ogl_logger *log)
@@ -363,19 +368,20 @@
 
 	d->loop = loop;
 	d->log = log;
-	d->base = ogl_clock_real();
-	d->mono = read_clock(CLOCK_MONOTONIC);
+	d->start_realtime = ogl_clock_real();
+	d->start_monotonic = read_clock(CLOCK_MONOTONIC);
 	ogl_actions_init(&d->actions);
 	ev_prepare_init(&d->prepare, on_prepare);
-	ev_init(&d->wake, on_wake);
-	ev_init(&d->again, on_again);
-	ev_timer_init(&d->limit, on_limit, STOP_LIMIT_S, 0.);
-	ev_timer_init(&d->drain, on_drain, DRAIN_POLL_S, DRAIN_POLL_S);
+	ev_init(&d->node_timer, on_node_timer);
+	ev_init(&d->rerun_timer, on_rerun_timer);
+	ev_timer_init(&d->stop_timer, on_stop_timer, STOP_TIMEOUT_S, 0.);
+	ev_timer_init(&d->drain_timer, on_drain_timer, DRAIN_POLL_INTERVAL_S,
+	    DRAIN_POLL_INTERVAL_S);
 	d->prepare.data = d;
-	d->wake.data = d;
-	d->again.data = d;
-	d->limit.data = d;
-	d->drain.data = d;
+	d->node_timer.data = d;
+	d->rerun_timer.data = d;
+	d->stop_timer.data = d;
+	d->drain_timer.data = d;
 	return d;
 }
 
@@ -393,10 +399,10 @@
 	if (d == NULL)
 		return;
 	ev_prepare_stop(d->loop, &d->prepare);
-	ev_timer_stop(d->loop, &d->wake);
-	ev_timer_stop(d->loop, &d->again);
-	ev_timer_stop(d->loop, &d->limit);
-	ev_timer_stop(d->loop, &d->drain);
+	ev_timer_stop(d->loop, &d->node_timer);
+	ev_timer_stop(d->loop, &d->rerun_timer);
+	ev_timer_stop(d->loop, &d->stop_timer);
+	ev_timer_stop(d->loop, &d->drain_timer);
 	ogl_actions_clear(&d->actions);
 	g_free(d);
 }
--- a/daemon/dispatch.h
+++ b/daemon/dispatch.h
@@ -1,6 +1,6 @@
 /*
- * The daemon's middle: steps the node with each event and hands each action
- * to the part that serves it.
+ * The daemon's dispatcher: passes each event to the node, and each action of
+ * the node to the part that serves it.
  */
 #ifndef OGL_DISPATCH_H
 #define OGL_DISPATCH_H
@@ -22,28 +22,29 @@
 };
 
 ogl_time ogl_clock_real(void);
-/* The realtime clock. */
+/* Returns the time of the wall clock. */
 
 struct ogl_dispatch *ogl_dispatch_init(
     struct ev_loop *loop, struct ogl_logger *log);
 void ogl_dispatch_end(struct ogl_dispatch *d);
 
 ogl_time ogl_dispatch_now(const struct ogl_dispatch *d);
-/* The node's clock: realtime at init, from there on steady. */
+/* Returns the node's time: the wall clock at init plus the time elapsed on the
+ * monotonic clock since. */
 
 struct ogl_sink ogl_dispatch_sink(struct ogl_dispatch *d);
 struct ogl_http_in_ops ogl_dispatch_http_ops(struct ogl_dispatch *d);
-/* What the parts are made with. */
+/* The arguments for creating the parts. */
 
 void ogl_dispatch_begin(
     struct ogl_dispatch *d, const struct ogl_dispatch_parts *parts);
-/* Takes up work once all parts are there; the parts stay the caller's. */
+/* Starts serving; all parts have to exist.  The caller keeps owning them. */
 
 void ogl_dispatch_stop(struct ogl_dispatch *d);
-/* Begins a graceful shutdown; the loop is broken once it is complete, or
- * after its hard limit. */
+/* Begins a graceful shutdown.  Breaks the loop once it is complete, or after a
+ * timeout. */
 
 bool ogl_dispatch_clean(const struct ogl_dispatch *d);
-/* Whether the shutdown was complete when the loop was broken. */
+/* Returns whether the shutdown was complete when the loop was broken. */
 
 #endif
--- a/daemon/http_client.c
+++ b/daemon/http_client.c
@@ -1,19 +1,20 @@
 /*
- * Easy handles live in a pool and are set up once; a request changes only its
+ * Easy handles are kept in a pool and set up once; a request changes only the
  * address, headers, body and timeout.
  *
- * Whether anything was sent is taken from CURLINFO_REQUEST_SIZE, which counts
- * the bytes handed to the kernel, never from the error code: a timeout may
- * come before or after the sending.
+ * Whether anything was sent is decided by CURLINFO_REQUEST_SIZE, which counts
+ * the bytes passed to the kernel, and not by the error code: a timeout may
+ * occur before or after the sending.
  *
- * libcurl sends a request a second time, silently, when a connection it
- * reused ends before any byte of the answer.  The first copy may have been
- * carried out by then.  The hook that libcurl calls right before each sending
- * refuses the second one unless the request says that it may go twice.
+ * libcurl silently sends a request again when a reused connection ends before
+ * any byte of the answer has arrived.  The server may have executed the first
+ * copy by then.  So the hook that libcurl calls right before each sending
+ * refuses the second one, unless the request says that it may be sent twice.
  *
- * Addresses are dealt out to several multi handles by a hash.  At the end of
- * each transfer libcurl walks over all connections that its multi handle keeps,
- * and an owner keeps some thousand to its workers.
+ * A hash of the address distributes the requests over several multi handles.
+ * At the end of each transfer libcurl walks over all connections of its multi
+ * handle, and the owner of a shard keeps some thousand connections to its
+ * workers.
  */
 
 #include <string.h>
@@ -21,37 +22,39 @@
 #include "curl_loop.h"
 #include "http_client.h"
 
-#define HOST_CONNECTIONS 48L /* a worker takes 64 from all nodes together */
-#define PARTS 32
-#define CACHED_A_PART 128L
-#define CONNECT_MS 1000L
-#define REUSE_IDLE_S 60L
-#define POOL_MAX 256
-#define BODY_KEEP ((size_t)64 * 1024) /* buffer a pooled handle may keep */
-#define ANSWER_MAX ((size_t)16 * 1024 * 1024)
+/* A worker accepts 64 connections from all nodes together. */
+#define HOST_CONNECTIONS_MAX 48L
+#define CURL_LOOPS 32
+#define CACHED_CONNECTIONS_PER_LOOP 128L
+#define CONNECT_TIMEOUT_MS 1000L
+#define REUSE_IDLE_MAX_S 60L
+#define POOLED_HANDLES_MAX 256
+/* A handle whose answer was larger is freed instead of pooled. */
+#define POOLED_BUFFER_MAX_BYTES ((size_t)64 * 1024)
+#define ANSWER_MAX_BYTES ((size_t)16 * 1024 * 1024)
 #define STATUS_NO_CONTENT 204
 
 struct xfer {
 	struct ogl_http_client *client;
-	struct ogl_curl_loop *curl; /* that it was handed to */
+	struct ogl_curl_loop *curl; /* that runs it */
 	CURL *easy;
 	ogl_http_done *done;
 	void *arg;
 	const char *kind;
 	GBytes *body;
 	struct curl_slist *headers;
-	bool again;
-	unsigned sends; /* how often libcurl began to send it */
+	bool may_resend;
+	unsigned send_attempts;
 	GByteArray *answer;
 	bool overflow;
-	bool framed; /* the answer tells its own length */
+	bool framed; /* has a Content-Length or a Transfer-Encoding */
 	GList link;  /* in busy */
 };
 
 struct ogl_http_client {
 	struct ev_loop *loop;
-	struct ogl_curl_loop *parts[PARTS]; /* NULL until needed */
-	GQueue busy;                        /* struct xfer */
+	struct ogl_curl_loop *loops[CURL_LOOPS]; /* NULL until needed */
+	GQueue busy;                             /* struct xfer */
 	GPtrArray *pool;
 	GHashTable *bytes; /* kind -> struct ogl_http_bytes */
 };
@@ -64,7 +67,7 @@
 	struct xfer *x = ctx;
 
 	n *= size;
-	if (x->answer->len + n > ANSWER_MAX) {
+	if (x->answer->len + n > ANSWER_MAX_BYTES) {
 		x->overflow = true;
 		return 0;
 	}
@@ -73,7 +76,7 @@
 }
 
 static bool
-is_header(const char *line, size_t n, const char *name)
+header_has_name(const char *line, size_t n, const char *name)
 {
 	size_t len = strlen(name);
 
@@ -88,14 +91,14 @@
 
 	n *= size;
 	if (n >= 5 && memcmp(line, "HTTP/", 5) == 0)
-		x->framed = false; /* an interim answer may have gone before */
-	if (is_header(line, n, "Content-Length") ||
-	    is_header(line, n, "Transfer-Encoding"))
+		x->framed = false; /* drops an interim answer's headers */
+	if (header_has_name(line, n, "Content-Length") ||
+	    header_has_name(line, n, "Transfer-Encoding"))
 		x->framed = true;
 	return n;
 }
 
-/* Called by libcurl with a connection ready, right before it sends. */
+/* Called by libcurl once a connection is ready, right before each sending. */
 static int
 on_before_send(
     void *ctx, char *to_ip, char *from_ip, int to_port, int from_port)
@@ -106,7 +109,7 @@
 	(void)from_ip;
 	(void)to_port;
 	(void)from_port;
-	if (x->sends++ > 0 && !x->again)
+	if (x->send_attempts++ > 0 && !x->may_resend)
 		return CURL_PREREQFUNC_ABORT;
 	return CURL_PREREQFUNC_OK;
 }
@@ -120,14 +123,14 @@
 	curl_easy_setopt(e, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(e, CURLOPT_TCP_NODELAY, 1L);
 	curl_easy_setopt(e, CURLOPT_PROXY, "");
-	/* These paths would be copied for each request, though there is no
-	 * TLS here. */
+	/* TLS is not used.  libcurl would copy these paths for each
+	 * request. */
 	curl_easy_setopt(e, CURLOPT_CAINFO, NULL);
 	curl_easy_setopt(e, CURLOPT_CAPATH, NULL);
 	curl_easy_setopt(e, CURLOPT_PROTOCOLS_STR, "http");
 	curl_easy_setopt(e, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
-	curl_easy_setopt(e, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_MS);
-	curl_easy_setopt(e, CURLOPT_MAXAGE_CONN, REUSE_IDLE_S);
+	curl_easy_setopt(e, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
+	curl_easy_setopt(e, CURLOPT_MAXAGE_CONN, REUSE_IDLE_MAX_S);
 	curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(e, CURLOPT_WRITEDATA, x);
 	curl_easy_setopt(e, CURLOPT_HEADERFUNCTION, on_header);
@@ -164,7 +167,7 @@
 	g_free(x);
 }
 
-/* Drops all that belongs to one request. */
+/* Frees what belongs to one request; the handle stays. */
 static void
 xfer_clear(struct xfer *x)
 {
@@ -173,7 +176,7 @@
 	curl_slist_free_all(x->headers);
 	x->body = NULL;
 	x->headers = NULL;
-	x->sends = 0;
+	x->send_attempts = 0;
 	x->overflow = false;
 	x->framed = false;
 }
@@ -182,10 +185,10 @@
 xfer_release(struct xfer *x)
 {
 	struct ogl_http_client *h = x->client;
-	bool large = x->answer->len > BODY_KEEP;
+	bool large = x->answer->len > POOLED_BUFFER_MAX_BYTES;
 
 	xfer_clear(x);
-	if (large || h->pool->len >= POOL_MAX) {
+	if (large || h->pool->len >= POOLED_HANDLES_MAX) {
 		xfer_free(x);
 		return;
 	}
@@ -196,22 +199,22 @@
 /* ---- the end of a request --------------------------------------------- */
 
 /*
- * An answer without a length ends where its connection ends, and so a cut one
- * looks whole; it is not believed.
+ * An answer without a length ends where its connection ends, so a truncated one
+ * looks complete.  It counts as lost.
  */
 static void
-judge(struct xfer *x, CURLcode rc, struct ogl_http_result *r)
+classify_result(struct xfer *x, CURLcode rc, struct ogl_http_result *r)
 {
 	long status = 0;
 	long sent = 0;
-	long error = 0;
+	long os_error = 0;
 
 	curl_easy_getinfo(x->easy, CURLINFO_REQUEST_SIZE, &sent);
 	if (rc != CURLE_OK) {
 		r->io = sent == 0 ? OGL_IO_NOT_SENT : OGL_IO_LOST;
-		curl_easy_getinfo(x->easy, CURLINFO_OS_ERRNO, &error);
+		curl_easy_getinfo(x->easy, CURLINFO_OS_ERRNO, &os_error);
 		r->no_listener =
-		    rc == CURLE_COULDNT_CONNECT && error == ECONNREFUSED;
+		    rc == CURLE_COULDNT_CONNECT && os_error == ECONNREFUSED;
 		return;
 	}
 	curl_easy_getinfo(x->easy, CURLINFO_RESPONSE_CODE, &status);
@@ -239,7 +242,7 @@
 	curl_easy_getinfo(x->easy, CURLINFO_HEADER_SIZE, &header);
 	curl_easy_getinfo(x->easy, CURLINFO_SIZE_DOWNLOAD_T, &down);
 	b->requests++;
-	/* A body that went out with the headers counts as part of them. */
+	/* A body sent together with the headers is included in request. */
 	b->sent += (uint64_t)MAX(request, up);
 	b->received += (uint64_t)(header + down);
 }
@@ -252,7 +255,7 @@
 	struct xfer *x;
 
 	curl_easy_getinfo(easy, CURLINFO_PRIVATE, &x);
-	judge(x, rc, &r);
+	classify_result(x, rc, &r);
 	count_bytes(x);
 	ogl_curl_loop_remove(x->curl, easy);
 	g_queue_unlink(&h->busy, &x->link);
@@ -272,8 +275,8 @@
 	bool ran = false;
 	unsigned i;
 
-	for (i = 0; i < PARTS; i++) {
-		if (h->parts[i] != NULL && ogl_curl_loop_run(h->parts[i]))
+	for (i = 0; i < CURL_LOOPS; i++) {
+		if (h->loops[i] != NULL && ogl_curl_loop_run(h->loops[i]))
 			ran = true;
 	}
 	return ran;
@@ -281,28 +284,28 @@
 
 /* ---- starting requests ------------------------------------------------ */
 
-/* FNV-1a over host and port. */
+/* Hashes the host and port of the URL with FNV-1a. */
 static unsigned
-part_of(const char *url)
+loop_index(const char *url)
 {
 	const char *p = strstr(url, "://");
 	uint32_t hash = 2166136261u;
 
 	for (p = p != NULL ? p + 3 : url; *p != '\0' && *p != '/'; p++)
 		hash = (hash ^ (uint8_t)*p) * 16777619u;
-	return (hash ^ hash >> 16) % PARTS;
+	return (hash ^ hash >> 16) % CURL_LOOPS;
 }
 
 static struct ogl_curl_loop *
-loop_for(struct ogl_http_client *h, const char *url)
+get_loop(struct ogl_http_client *h, const char *url)
 {
-	struct ogl_curl_loop **part = &h->parts[part_of(url)];
-	struct ogl_curl_loop_shape shape = {
-	    HOST_CONNECTIONS, CACHED_A_PART, PARTS, on_ended, h};
+	struct ogl_curl_loop **curl = &h->loops[loop_index(url)];
+	struct ogl_curl_loop_config config = {HOST_CONNECTIONS_MAX,
+	    CACHED_CONNECTIONS_PER_LOOP, CURL_LOOPS, on_ended, h};
 
-	if (*part == NULL)
-		*part = ogl_curl_loop_init(h->loop, &shape);
-	return *part;
+	if (*curl == NULL)
+		*curl = ogl_curl_loop_init(h->loop, &config);
+	return *curl;
 }
 
 static void
@@ -332,7 +335,7 @@
 
 	x->done = r->done;
 	x->arg = r->arg;
-	x->again = r->again;
+	x->may_resend = r->again;
 	x->kind = r->kind != NULL ? r->kind : "other";
 	for (i = 0; i < r->nheaders; i++)
 		x->headers = curl_slist_append(x->headers, r->headers[i]);
@@ -341,11 +344,11 @@
 	curl_easy_setopt(x->easy, CURLOPT_HTTPHEADER, x->headers);
 	curl_easy_setopt(x->easy, CURLOPT_TIMEOUT_MS, (long)r->timeout_ms);
 	g_queue_push_tail_link(&h->busy, &x->link);
-	x->curl = loop_for(h, r->url);
+	x->curl = get_loop(h, r->url);
 	ogl_curl_loop_add(x->curl, x->easy);
 }
 
-/* ---- beginning and end ------------------------------------------------ */
+/* ---- init and end ----------------------------------------------------- */
 
 struct ogl_http_client *
 ogl_http_client_init(struct ev_loop *loop)
@@ -376,9 +379,9 @@
 	}
 	g_ptr_array_unref(h->pool);
 	g_hash_table_unref(h->bytes);
-	for (i = 0; i < PARTS; i++) {
-		if (h->parts[i] != NULL)
-			ogl_curl_loop_end(h->parts[i]);
+	for (i = 0; i < CURL_LOOPS; i++) {
+		if (h->loops[i] != NULL)
+			ogl_curl_loop_end(h->loops[i]);
 	}
 	g_free(h);
 }
--- a/daemon/http_client.h
+++ b/daemon/http_client.h
@@ -1,6 +1,6 @@
 /*
- * HTTP requests on the loop: one libcurl multi handle, any number of
- * requests, one answer each.
+ * HTTP requests on the event loop, any number at a time.  Each request ends in
+ * one call of its done function.
  */
 #ifndef OGL_HTTP_CLIENT_H
 #define OGL_HTTP_CLIENT_H
@@ -13,15 +13,16 @@
 #define OGL_HTTP_HEADERS_MAX 6
 
 struct ogl_http_result {
-	/* OGL_IO_OK: a whole answer, whatever its status.  OGL_IO_NOT_SENT is
-	 * certain, OGL_IO_LOST says that the request may have been served. */
+	/* OGL_IO_OK: a complete answer of any status.  OGL_IO_NOT_SENT: the
+	 * request was certainly not sent.  OGL_IO_LOST: the request may have
+	 * been executed. */
 	enum ogl_io io;
-	bool no_listener; /* the host answered that nothing listens there */
+	bool no_listener; /* the host refused the connection */
 	unsigned status;
 	struct ogl_str body;
 };
 
-/* Bytes of the requests of one kind, headers included. */
+/* Traffic of the requests of one kind, in bytes with headers. */
 struct ogl_http_bytes {
 	uint64_t requests;
 	uint64_t sent;
@@ -35,27 +36,28 @@
 	const char *headers[OGL_HTTP_HEADERS_MAX]; /* "Name: value" */
 	size_t nheaders;
 	GBytes *body;        /* NULL: GET; else POST */
-	const char *kind;    /* what its bytes are counted as; a literal */
-	uint32_t timeout_ms; /* over all, connecting included */
-	bool again; /* may be sent twice when a kept connection has ended */
+	const char *kind;    /* to count its bytes by; a string literal */
+	uint32_t timeout_ms; /* for the whole request, connecting included */
+	bool again;          /* may be sent again if a reused connection ends */
 	ogl_http_done *done;
 	void *arg;
 };
 
 struct ogl_http_client *ogl_http_client_init(struct ev_loop *loop);
 void ogl_http_client_end(struct ogl_http_client *h);
-/* Requests under way are dropped: done is not called for them. */
+/* Drops the requests in progress; their done functions are not called. */
 
 void ogl_http_client_send(
     struct ogl_http_client *h, const struct ogl_http_request *r);
-/* Strings and body are copied or referenced.  done is called once, never from
- * within this call. */
+/* Starts a request.  Strings are copied, except kind; the body is referenced.
+ * done is called once, never from within this call. */
 
 GHashTable *ogl_http_client_bytes(const struct ogl_http_client *h);
-/* kind -> struct ogl_http_bytes, of the requests that have ended. */
+/* Returns the traffic of the requests that have ended:
+ * kind -> struct ogl_http_bytes. */
 
 bool ogl_http_client_run(struct ogl_http_client *h);
-/* Starts what was just handed in, without a turn of the loop; whether there
- * was anything to do. */
+/* Starts the requests added since the last call, without a turn of the event
+ * loop.  Returns whether there was anything to do. */
 
 #endif
--- a/daemon/http_out.c
+++ b/daemon/http_out.c
@@ -1,23 +1,22 @@
 /*
- * Easy handles live in a pool and are set up once; a request changes only its
- * address, headers, body and timeout.  The header list is made of nodes inside
+ * Easy handles are kept in a pool and set up once; a request changes only the
+ * address, headers, body and timeout.  The nodes of the header list are part of
  * struct xfer, so that no request allocates one.
  *
- * What each kind of request needs stands in one table: how it is addressed
- * and how its answer becomes an event.
+ * A struct request_kind for each kind of request tells how to handle its answer
+ * and which event it becomes.
  *
- * Whether anything was sent is taken from CURLINFO_REQUEST_SIZE, which counts
- * the bytes handed to the kernel, never from the error code: a timeout may
- * come before or after the sending.
+ * Whether anything was sent is decided by CURLINFO_REQUEST_SIZE, which counts
+ * the bytes passed to the kernel, and not by the error code: a timeout may
+ * occur before or after the sending.
  *
- * libcurl sends a request a second time, silently, when a connection it
- * reused ends before any byte of the answer.  The first copy may have been
- * executed by then: a request would run twice and nobody would be told.  The
- * remedy that libcurl's manual offers, a body that can't be rewound, does not
- * cover requests without a body.  So the hook that libcurl calls right before
- * each sending refuses the second one of the same request, which then ends as
- * lost, or as not sent when the kernel took no byte of it.  Only GET may go
- * twice.
+ * libcurl silently sends a request again when a reused connection ends before
+ * any byte of the answer has arrived.  The server may have executed the first
+ * copy by then, so the request would run twice and nobody would know.  The
+ * remedy in libcurl's manual, a body that can't be rewound, does not work for
+ * requests without a body.  So the hook that libcurl calls right before each
+ * sending refuses the second one.  The request then ends as lost, or as not
+ * sent if the kernel took no byte of it.  Only GET may be sent twice.
  */
 
 #include <string.h>
@@ -27,56 +26,57 @@
 #include "http_out.h"
 #include "logpage.h"
 
-#define PREFIX "out"
-#define HOST_CONNECTIONS 60L
-#define CACHED_CONNECTIONS 4096L
-#define CONNECT_MS 2000L
-#define REUSE_IDLE_S 20L /* servers commonly close after 30 s or more */
-#define POOL_MAX 1024
+#define LOG_PREFIX "out"
+#define HOST_CONNECTIONS_MAX 60L
+#define CACHED_CONNECTIONS_MAX 4096L
+#define CONNECT_TIMEOUT_MS 2000L
+/* Servers commonly close idle connections after 30 s or more. */
+#define REUSE_IDLE_MAX_S 20L
+#define POOLED_HANDLES_MAX 1024
 #define URL_BYTES 256
 #define HEADER_BYTES 192
 #define HEADERS_MAX 6
-#define BODY_KEEP ((size_t)64 * 1024) /* buffer a pooled handle may keep */
-#define ANSWER_MAX ((size_t)16 * 1024 * 1024)
-#define READ_MAX_RECORDS 256u
-#define READ_WAIT_MS 200
-#define READ_MARGIN_MS 500
+/* A handle whose answer was larger is freed instead of pooled. */
+#define POOLED_BUFFER_MAX_BYTES ((size_t)64 * 1024)
+#define ANSWER_MAX_BYTES ((size_t)16 * 1024 * 1024)
+#define PAGE_MAX_RECORDS 256u
+#define READ_WAIT_MAX_MS 200
+/* A log read's wait ends this long before its timeout. */
+#define READ_WAIT_MARGIN_MS 500
 #define DEFAULT_TIMEOUT_MS 5000
 #define STATUS_NO_CONTENT 204
 
 struct xfer;
 
-/* One kind of request. */
-struct kind {
-	enum ogl_event_type event;
-	bool once; /* must never be sent twice */
-	/* Fills the event from a whole 200 answer; false when it does not
+struct request_kind {
+	enum ogl_event_type event_type;
+	bool no_resend; /* must never be sent twice */
+	/* Fills in the event from a complete answer; false if it does not
 	 * parse. */
 	bool (*parse)(struct xfer *x, struct ogl_event *ev);
-	/* Whether any status is an answer, not only 200. */
-	bool any_status;
-	bool token; /* the answer must echo Ogl-Token */
+	bool any_status;  /* each status is an answer, not only 200 */
+	bool check_token; /* the answer has to echo Ogl-Token */
 };
 
 struct xfer {
 	struct ogl_http_out *out;
 	CURL *easy;
-	const struct kind *kind;
+	const struct request_kind *kind;
 	uint64_t token;
 	GBytes *body;
 	char url[URL_BYTES];
 	char lines[HEADERS_MAX][HEADER_BYTES];
 	struct curl_slist headers[HEADERS_MAX];
 	size_t nheaders;
-	unsigned sends; /* how often libcurl began to send it */
+	unsigned send_attempts;
 	GByteArray *answer;
 	bool overflow;
 	bool has_token;
-	uint64_t got_token;
-	bool framed; /* the answer tells its own length */
+	uint64_t echoed_token;
+	bool framed; /* has a Content-Length or a Transfer-Encoding */
 	bool not_run;
-	ProtobufCMessage *parsed; /* what the event borrows */
-	struct ogl_logpage page;  /* the same, of a log read */
+	ProtobufCMessage *parsed; /* borrowed by the event */
+	struct ogl_logpage page;  /* the same, for a log read */
 	GList link;               /* in busy */
 };
 
@@ -87,7 +87,7 @@
 	struct ogl_curl_loop *curl;
 	GQueue busy; /* struct xfer */
 	GPtrArray *pool;
-	unsigned read_max; /* records asked for at a time */
+	unsigned page_records; /* requested with the next log read */
 	struct ogl_http_out_counts counts;
 };
 
@@ -126,7 +126,7 @@
 
 	x->parsed = ogl_json_parse(d, answer_text(x), faults);
 	if (x->parsed == NULL)
-		ogl_log(x->out->log, OGL_LOG_WARN, PREFIX,
+		ogl_log(x->out->log, OGL_LOG_WARN, LOG_PREFIX,
 		    "An answer from %s does not parse at '%s'.", x->url,
 		    ogl_faults_count(faults) > 0 ? ogl_faults_path(faults, 0)
 						 : "");
@@ -155,19 +155,21 @@
 	return true;
 }
 
-static const struct kind kind_append = {
-    .event = OGL_EV_LOG_APPENDED, .once = true, .parse = parse_appended};
-static const struct kind kind_read = {
-    .event = OGL_EV_LOG_READ, .parse = parse_read};
-static const struct kind kind_hosts = {
-    .event = OGL_EV_HOSTS, .parse = parse_hosts};
-static const struct kind kind_worker = {
-    .event = OGL_EV_WORKER, .once = true, .parse = parse_worker};
-static const struct kind kind_exec = {.event = OGL_EV_EXEC,
-    .once = true,
+static const struct request_kind kind_append = {
+    .event_type = OGL_EV_LOG_APPENDED,
+    .no_resend = true,
+    .parse = parse_appended};
+static const struct request_kind kind_read = {
+    .event_type = OGL_EV_LOG_READ, .parse = parse_read};
+static const struct request_kind kind_hosts = {
+    .event_type = OGL_EV_HOSTS, .parse = parse_hosts};
+static const struct request_kind kind_worker = {
+    .event_type = OGL_EV_WORKER, .no_resend = true, .parse = parse_worker};
+static const struct request_kind kind_exec = {.event_type = OGL_EV_EXEC,
+    .no_resend = true,
     .parse = parse_exec,
     .any_status = true,
-    .token = true};
+    .check_token = true};
 
 /* ---- the pool of easy handles ----------------------------------------- */
 
@@ -177,7 +179,7 @@
 	struct xfer *x = ctx;
 
 	n *= size;
-	if (x->answer->len + n > ANSWER_MAX) {
+	if (x->answer->len + n > ANSWER_MAX_BYTES) {
 		x->overflow = true;
 		return 0;
 	}
@@ -185,7 +187,8 @@
 	return n;
 }
 
-/* Value of a header line if it has the name; trimmed into buf. */
+/* Copies the value of a header line to buf, without white space around it, if
+ * the header has the given name. */
 static bool
 header_value(
     const char *line, size_t n, const char *name, char *buf, size_t cap)
@@ -207,7 +210,7 @@
 reset_answer(struct xfer *x)
 {
 	x->has_token = false;
-	x->got_token = 0;
+	x->echoed_token = 0;
 	x->not_run = false;
 	x->framed = false;
 }
@@ -221,11 +224,11 @@
 
 	n *= size;
 	if (n >= 5 && memcmp(line, "HTTP/", 5) == 0)
-		reset_answer(x); /* an interim answer may have gone before */
+		reset_answer(x); /* drops an interim answer's headers */
 	if (header_value(line, n, "Ogl-Token", value, sizeof value)) {
 		x->has_token = g_ascii_string_to_unsigned(
 		    value, 10, 0, G_MAXUINT64, &token, NULL);
-		x->got_token = x->has_token ? token : 0;
+		x->echoed_token = x->has_token ? token : 0;
 	} else if (header_value(line, n, "Ogl-Verdict", value, sizeof value)) {
 		x->not_run = strcmp(value, "not_run") == 0;
 	} else if (header_value(
@@ -237,7 +240,7 @@
 	return n;
 }
 
-/* Called by libcurl with a connection ready, right before it sends. */
+/* Called by libcurl once a connection is ready, right before each sending. */
 static int
 on_before_send(
     void *ctx, char *to_ip, char *from_ip, int to_port, int from_port)
@@ -248,8 +251,8 @@
 	(void)from_ip;
 	(void)to_port;
 	(void)from_port;
-	if (x->sends++ > 0 && x->kind->once) {
-		x->out->counts.resends++;
+	if (x->send_attempts++ > 0 && x->kind->no_resend) {
+		x->out->counts.resends_stopped++;
 		return CURL_PREREQFUNC_ABORT;
 	}
 	return CURL_PREREQFUNC_OK;
@@ -264,14 +267,14 @@
 	curl_easy_setopt(e, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(e, CURLOPT_TCP_NODELAY, 1L);
 	curl_easy_setopt(e, CURLOPT_PROXY, "");
-	/* These paths would be copied for each request, though there is no
-	 * TLS here. */
+	/* TLS is not used.  libcurl would copy these paths for each
+	 * request. */
 	curl_easy_setopt(e, CURLOPT_CAINFO, NULL);
 	curl_easy_setopt(e, CURLOPT_CAPATH, NULL);
 	curl_easy_setopt(e, CURLOPT_PROTOCOLS_STR, "http");
 	curl_easy_setopt(e, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
-	curl_easy_setopt(e, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_MS);
-	curl_easy_setopt(e, CURLOPT_MAXAGE_CONN, REUSE_IDLE_S);
+	curl_easy_setopt(e, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
+	curl_easy_setopt(e, CURLOPT_MAXAGE_CONN, REUSE_IDLE_MAX_S);
 	curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(e, CURLOPT_WRITEDATA, x);
 	curl_easy_setopt(e, CURLOPT_HEADERFUNCTION, on_header);
@@ -293,7 +296,7 @@
 	x->answer = g_byte_array_new();
 	x->easy = curl_easy_init();
 	if (x->easy == NULL)
-		g_error("%s: no memory for a request", PREFIX);
+		g_error("%s: no memory for a request", LOG_PREFIX);
 	setup_easy(x);
 	return x;
 }
@@ -308,7 +311,7 @@
 	g_free(x);
 }
 
-/* Drops all that belongs to one request. */
+/* Frees what belongs to one request; the handle stays. */
 static void
 xfer_clear(struct xfer *x)
 {
@@ -320,7 +323,7 @@
 	x->body = NULL;
 	x->parsed = NULL;
 	x->nheaders = 0;
-	x->sends = 0;
+	x->send_attempts = 0;
 	x->overflow = false;
 	reset_answer(x);
 }
@@ -329,10 +332,10 @@
 xfer_release(struct xfer *x)
 {
 	struct ogl_http_out *h = x->out;
-	bool large = x->answer->len > BODY_KEEP;
+	bool large = x->answer->len > POOLED_BUFFER_MAX_BYTES;
 
 	xfer_clear(x);
-	if (large || h->pool->len >= POOL_MAX) {
+	if (large || h->pool->len >= POOLED_HANDLES_MAX) {
 		xfer_free(x);
 		return;
 	}
@@ -342,8 +345,8 @@
 
 /* ---- the end of a request --------------------------------------------- */
 
-/* Statuses by which the other side says that it did nothing.  A bare 503 is
- * not one: a gateway sends it too, after the request went through. */
+/* Whether the status says that the request was not executed.  A plain 503 does
+ * not: a gateway may send it after it has forwarded the request. */
 static bool
 is_refusal(const struct xfer *x, long status)
 {
@@ -353,22 +356,22 @@
 }
 
 /*
- * Records vary in size, so a page of many large ones may be over the bound of
- * an answer.  Asked for again as it was, it would be too large each time and
- * the reader would never get on; so fewer are asked for next time, and more
- * again once pages come through.
+ * Records vary in size, so a page of many large ones may exceed the limit of an
+ * answer.  If the same page were requested again, the reader would never get
+ * past it.  So the next read requests fewer records, and later ones more again
+ * once pages are received.
  */
 static void
-adapt_read(struct ogl_http_out *h, bool overflow)
+adapt_page_records(struct ogl_http_out *h, bool overflow)
 {
 	if (overflow)
-		h->read_max = MAX(h->read_max / 4, 1);
+		h->page_records = MAX(h->page_records / 4, 1);
 	else
-		h->read_max = MIN(h->read_max * 2, READ_MAX_RECORDS);
+		h->page_records = MIN(h->page_records * 2, PAGE_MAX_RECORDS);
 }
 
 static enum ogl_io
-judge_failure(struct xfer *x, CURLcode rc)
+classify_failure(struct xfer *x, CURLcode rc)
 {
 	struct ogl_http_out *h = x->out;
 	long sent = 0;
@@ -382,11 +385,11 @@
 }
 
 /*
- * An answer without a length ends where its connection ends, and so a cut one
- * looks whole; it is not believed.
+ * An answer without a length ends where its connection ends, so a truncated one
+ * looks complete.  It counts as lost.
  */
 static enum ogl_io
-judge_answer(struct xfer *x, struct ogl_event *ev)
+classify_answer(struct xfer *x, struct ogl_event *ev)
 {
 	struct ogl_http_out *h = x->out;
 	long status = 0;
@@ -396,9 +399,10 @@
 		h->counts.cut++;
 		return OGL_IO_LOST;
 	}
-	if (x->kind->token && (!x->has_token || x->got_token != x->token)) {
+	if (x->kind->check_token &&
+	    (!x->has_token || x->echoed_token != x->token)) {
 		h->counts.crossed++;
-		ogl_log(h->log, OGL_LOG_WARN, PREFIX,
+		ogl_log(h->log, OGL_LOG_WARN, LOG_PREFIX,
 		    "An answer from %s was not for request %" G_GUINT64_FORMAT
 		    "; it was dropped.",
 		    x->url, x->token);
@@ -439,19 +443,19 @@
 xfer_done(struct xfer *x, CURLcode rc)
 {
 	struct ogl_http_out *h = x->out;
-	struct ogl_event ev = {.type = x->kind->event, .token = x->token};
+	struct ogl_event ev = {.type = x->kind->event_type, .token = x->token};
 
 	if (rc == CURLE_OK)
-		ev.io = judge_answer(x, &ev);
+		ev.io = classify_answer(x, &ev);
 	else
-		ev.io = judge_failure(x, rc);
+		ev.io = classify_failure(x, rc);
 	if (x->kind == &kind_read && (x->overflow || ev.io == OGL_IO_OK))
-		adapt_read(h, x->overflow);
+		adapt_page_records(h, x->overflow);
 	if (ev.io != OGL_IO_OK && x->kind != &kind_exec)
 		memset(&ev.u, 0, sizeof ev.u);
 	count_io(h, ev.io);
 	if (rc != CURLE_OK)
-		ogl_log(h->log, OGL_LOG_DEBUG, PREFIX, "%s: %s.", x->url,
+		ogl_log(h->log, OGL_LOG_DEBUG, LOG_PREFIX, "%s: %s.", x->url,
 		    curl_easy_strerror(rc));
 	h->sink.event(h->sink.ctx, &ev);
 }
@@ -478,8 +482,8 @@
 /* ---- starting requests ------------------------------------------------ */
 
 /*
- * Adds a header.  A value with a control character in it would end the line
- * and let a caller write headers of its own; it is left out.
+ * Adds a header, unless its value contains a control character: that could end
+ * the line and let a caller inject headers.
  */
 static void
 add_header(struct xfer *x, const char *name, const char *value)
@@ -500,8 +504,8 @@
 }
 
 static struct xfer *
-xfer_begin(
-    struct ogl_http_out *h, const struct kind *kind, const struct ogl_action *a)
+xfer_begin(struct ogl_http_out *h, const struct request_kind *kind,
+    const struct ogl_action *a)
 {
 	struct xfer *x = xfer_new(h);
 
@@ -559,17 +563,17 @@
 	xfer_start(x, a);
 }
 
-/* The platform holds the answer back until there is a record or the wait is
- * over; the wait ends well before the request's own timeout.  It is short,
- * since an answer proves only that the log stood so when the read was sent:
- * during a wait of a second a node took the log for down, refused edits and
- * let its owners' rights run out, with nothing wrong at all. */
+/* The platform delays its answer until there is a record or the wait is over;
+ * the wait ends well before the request's timeout.  It is short, since an
+ * answer shows the state of the log only as of the time when the read was sent:
+ * with a wait of one second a node considered a healthy log to be down, refused
+ * edits and let its owners' rights expire. */
 static uint32_t
 read_wait_ms(const struct ogl_action *a)
 {
-	if (a->timeout_ms <= READ_MARGIN_MS)
+	if (a->timeout_ms <= READ_WAIT_MARGIN_MS)
 		return 0;
-	return MIN(a->timeout_ms - READ_MARGIN_MS, READ_WAIT_MS);
+	return MIN(a->timeout_ms - READ_WAIT_MARGIN_MS, READ_WAIT_MAX_MS);
 }
 
 void
@@ -580,7 +584,7 @@
 	g_snprintf(x->url, URL_BYTES,
 	    "http://%s/v1/streams/%s/records?from=%" G_GUINT64_FORMAT
 	    "&max=%u&wait_ms=%u",
-	    h->platform, a->name, a->from, h->read_max, read_wait_ms(a));
+	    h->platform, a->name, a->from, h->page_records, read_wait_ms(a));
 	xfer_start(x, a);
 }
 
@@ -594,14 +598,15 @@
 }
 
 /*
- * An address that is no ip:port would make libcurl ask a resolver, which
- * blocks.  Such a request is certainly not sent.
+ * For an address that is not ip:port libcurl would call the resolver, which
+ * blocks.  Such a request ends as not sent.
  */
 static bool
 check_addr(struct xfer *x, const char *addr)
 {
-	struct ogl_event ev = {
-	    .type = x->kind->event, .token = x->token, .io = OGL_IO_NOT_SENT};
+	struct ogl_event ev = {.type = x->kind->event_type,
+	    .token = x->token,
+	    .io = OGL_IO_NOT_SENT};
 	struct ogl_http_out *h = x->out;
 	struct sockaddr_storage sa;
 	socklen_t len;
@@ -648,23 +653,23 @@
 	xfer_start(x, a);
 }
 
-/* ---- beginning and end ------------------------------------------------ */
+/* ---- init and end ----------------------------------------------------- */
 
 struct ogl_http_out *
 ogl_http_out_init(struct ev_loop *loop, const char *platform,
     struct ogl_sink sink, struct ogl_logger *log)
 {
 	struct ogl_http_out *h = g_new0(struct ogl_http_out, 1);
-	struct ogl_curl_loop_shape shape = {
-	    HOST_CONNECTIONS, CACHED_CONNECTIONS, 1, on_ended, h};
+	struct ogl_curl_loop_config config = {
+	    HOST_CONNECTIONS_MAX, CACHED_CONNECTIONS_MAX, 1, on_ended, h};
 
-	h->read_max = READ_MAX_RECORDS;
+	h->page_records = PAGE_MAX_RECORDS;
 	h->platform = g_strdup(platform);
 	h->sink = sink;
 	h->log = log;
 	h->pool = g_ptr_array_new_with_free_func(xfer_free);
 	g_queue_init(&h->busy);
-	h->curl = ogl_curl_loop_init(loop, &shape);
+	h->curl = ogl_curl_loop_init(loop, &config);
 	return h;
 }
 
--- a/test/test_daemon_http_out.cc
+++ b/test/test_daemon_http_out.cc
@@ -237,7 +237,7 @@
 		    o.ask(ogl_http_out_exec, addr_of(s.port), body).io);
 		EXPECT_EQ(OGL_IO_LOST,
 		    o.ask(ogl_http_out_exec, addr_of(s.port), body).io);
-		EXPECT_EQ(1u, ogl_http_out_counts(o.h)->resends);
+		EXPECT_EQ(1u, ogl_http_out_counts(o.h)->resends_stopped);
 		EXPECT_EQ(2, s.requests);
 		EXPECT_EQ(OGL_IO_OK,
 		    o.ask(ogl_http_out_exec, addr_of(s.port), body).io);
