--- a/daemon/dispatch.c
+++ b/daemon/dispatch.c
@@ -266,7 +266,7 @@
 	append_counter(s, "http_in_no_room_total", in->no_room);
 	append_counter(s, "http_in_too_slow_total", in->too_slow);
 	append_counter(s, "http_in_malformed_total", in->malformed);
-	append_counter(s, "http_in_late_replies_total", in->late);
+	append_counter(s, "http_in_late_replies_total", in->late_replies);
 	append_counter(s, "http_out_requests_total", out->requests);
 	append_counter(s, "http_out_ok_total", out->ok);
 	append_counter(s, "http_out_not_sent_total", out->not_sent);
--- a/daemon/http_in.c
+++ b/daemon/http_in.c
@@ -1,22 +1,24 @@
 /*
- * libmicrohttpd runs without a thread: its epoll descriptor is watched by the
- * loop, and ogl_http_in_run lets it work.
+ * libmicrohttpd runs without a thread: the loop watches its epoll descriptor,
+ * and ogl_http_in_run runs it.
  *
- * A connection is one struct conn for its whole life, a request one struct
- * call from its first line to its last byte out.  A call goes through
+ * A struct conn is a connection; a struct call is a request, from its first
+ * line received until the last byte of its answer is sent.  A call has these
+ * states:
  *
  *	READING -> WAITING (suspended, its token known) -> ANSWERED
- *	                  \-> ABANDONED (the caller left)
+ *	                  \-> ABANDONED (the caller disconnected)
  *
- * While suspended, libmicrohttpd does not look at the socket, so it would not
- * see a caller leave: work would be done for nobody.  A second epoll
- * descriptor watches every connection for the caller's side closing only.  A
- * caller that merely closes its sending side looks the same and is taken as
- * gone.
+ * libmicrohttpd does not poll the socket of a suspended connection, so it would
+ * not notice that a caller disconnects, and work would be done for nobody.  A
+ * second epoll descriptor therefore watches all connections for EPOLLRDHUP
+ * only.  A caller that only closes its sending side looks the same and counts
+ * as disconnected.
  *
- * libmicrohttpd's own timeout counts from the last byte seen, so a sender of
- * a byte a second would hold its connection for ever.  A sweep therefore
- * closes connections whose request is not whole within request_ms.
+ * libmicrohttpd's own timeout restarts with each byte received, so a caller
+ * that sends a byte a second would keep its connection for ever.  A periodic
+ * sweep closes connections whose request is not complete within
+ * request_timeout_ms.
  */
 
 #define _GNU_SOURCE /* accept4 */
@@ -32,13 +34,15 @@
 #include "http_in.h"
 #include "http_reply.h"
 
-#define PREFIX "http"
-#define GONE_BATCH 64
+#define LOG_PREFIX "http"
+#define HANGUPS_PER_WAIT 64
 #define CONNECTIONS_MAX 4000
 #define LISTEN_BACKLOG 1024
-#define DISCARD_TIMES 8 /* a too large body is read up to 8 times its bound */
+/* A body that is too large is read and discarded up to this many times its
+ * limit. */
+#define DISCARD_FACTOR 8
 #define BUDGET_MAX_MS ((uint64_t)24 * 3600 * 1000)
-#define RETRY_NO_ROOM_MS 1000
+#define RETRY_AFTER_MS 1000
 #define BYTES_TYPE "application/octet-stream"
 #define TEXT_TYPE "text/plain; version=0.0.4"
 
@@ -52,10 +56,11 @@
 struct conn {
 	int fd;
 	struct call *call;
-	ev_tstamp since; /* of its opening, or of its last reply's end */
-	bool gone;       /* the caller closed its side */
-	bool shut;       /* we closed the reading side */
-	GList link;      /* in conns */
+	/* When it was opened, its request began or its last reply ended. */
+	ev_tstamp since;
+	bool peer_closed; /* the caller closed its side */
+	bool read_shut;   /* its reading side was shut down here */
+	GList link;       /* in conns */
 };
 
 struct call {
@@ -63,12 +68,13 @@
 	struct MHD_Connection *mhd;
 	struct conn *conn;
 	enum call_state state;
-	bool begun;     /* the handler has seen its headers */
-	unsigned fault; /* status to refuse with once read, 0 none */
+	bool headers_seen;
+	/* Status with which to refuse the request once it is read, or 0. */
+	unsigned refusal_status;
 	uint64_t token;
 	char *path; /* with its query, as sent */
 	GByteArray *body;
-	size_t received;
+	size_t received; /* bytes of the body, with discarded ones */
 	struct MHD_Response *response;
 	unsigned status;
 };
@@ -80,13 +86,13 @@
 	struct ogl_sink sink;
 	struct ogl_http_in_ops ops;
 	struct ogl_logger *log;
-	int gone_fd;
+	int hangup_fd;
 	uint16_t port;
 	ev_io mhd_io;
-	ev_io gone_io;
+	ev_io hangup_io;
 	ev_timer mhd_timer;
 	ev_timer sweep;
-	bool dirty; /* libmicrohttpd may have something to do */
+	bool mhd_due; /* libmicrohttpd may have something to do */
 	bool closing;
 	bool quiesced;
 	uint64_t last_token;
@@ -96,7 +102,8 @@
 	struct ogl_http_in_counts counts;
 };
 
-/* Half of the descriptors are left for targets, peers and the platform. */
+/* Half of the file descriptors are reserved for connections to targets, peers
+ * and the platform. */
 static unsigned
 connections_max(void)
 {
@@ -114,8 +121,8 @@
 	l->body_total_max = (size_t)32 * 1024 * 1024;
 	l->connections_max = connections_max();
 	l->header_max = 8 * 1024;
-	l->request_ms = 10000;
-	l->idle_s = 75;
+	l->request_timeout_ms = 10000;
+	l->idle_timeout_s = 75;
 	l->budget_header = "Ogl-Timeout-Ms";
 	l->ready_path = "/readyz";
 	l->calls_only = false;
@@ -136,7 +143,7 @@
 	return ok;
 }
 
-/* Refuses a request that never reached the node. */
+/* Refuses a request that was not passed to the node. */
 static enum MHD_Result
 refuse(struct call *c, unsigned status, const char *why, uint64_t retry_ms)
 {
@@ -151,16 +158,17 @@
 }
 
 static enum MHD_Result
-refuse_fault(struct call *c)
+refuse_by_status(struct call *c)
 {
-	switch (c->fault) {
+	switch (c->refusal_status) {
 	case MHD_HTTP_CONTENT_TOO_LARGE:
-		return refuse(c, c->fault, "the body is too large", 0);
+		return refuse(c, c->refusal_status, "the body is too large", 0);
 	case MHD_HTTP_METHOD_NOT_ALLOWED:
-		return refuse(c, c->fault, "the method is not allowed", 0);
-	case MHD_HTTP_SERVICE_UNAVAILABLE:
 		return refuse(
-		    c, c->fault, "no room for the body", RETRY_NO_ROOM_MS);
+		    c, c->refusal_status, "the method is not allowed", 0);
+	case MHD_HTTP_SERVICE_UNAVAILABLE:
+		return refuse(c, c->refusal_status, "no room for the body",
+		    RETRY_AFTER_MS);
 	default:
 		return refuse(
 		    c, MHD_HTTP_BAD_REQUEST, "a header is malformed", 0);
@@ -170,7 +178,7 @@
 /* ---- reading a request ------------------------------------------------ */
 
 static struct ogl_str
-header(struct call *c, const char *name)
+get_header(struct call *c, const char *name)
 {
 	return ogl_str(
 	    MHD_lookup_connection_value(c->mhd, MHD_HEADER_KIND, name));
@@ -184,26 +192,26 @@
 	       strcmp(method, MHD_HTTP_METHOD_DELETE) == 0;
 }
 
-/* Declared length of the body, 0 when it is not declared. */
+/* Returns the body's Content-Length, or 0 if it has none. */
 static uint64_t
 declared_length(struct call *c)
 {
-	struct ogl_str s = header(c, MHD_HTTP_HEADER_CONTENT_LENGTH);
+	struct ogl_str s = get_header(c, MHD_HTTP_HEADER_CONTENT_LENGTH);
 
 	return s.n > 0 ? g_ascii_strtoull(s.p, NULL, 10) : 0;
 }
 
 /*
- * An answer sent while the caller still sends is often lost: the socket is
- * closed with bytes unread, and the reset that follows overtakes the answer.
- * So a refusal waits for the body's end, unless the caller waits itself for
- * "100 Continue" or the body is beyond all measure.
+ * An answer sent while the caller is still sending is often lost: the socket is
+ * closed with unread bytes, and the reset that this causes overtakes the
+ * answer.  So a refusal is delayed until the end of the body, unless the caller
+ * waits for "100 Continue" or the body is too large even to be discarded.
  */
 static bool
 refuse_at_once(struct call *c, uint64_t length)
 {
-	return header(c, MHD_HTTP_HEADER_EXPECT).n > 0 ||
-	       length > DISCARD_TIMES * c->in->limits.body_max;
+	return get_header(c, MHD_HTTP_HEADER_EXPECT).n > 0 ||
+	       length > DISCARD_FACTOR * c->in->limits.body_max;
 }
 
 static enum MHD_Result
@@ -211,15 +219,15 @@
 {
 	uint64_t length = declared_length(c);
 
-	c->begun = true;
+	c->headers_seen = true;
 	if (!known_method(method))
-		c->fault = MHD_HTTP_METHOD_NOT_ALLOWED;
+		c->refusal_status = MHD_HTTP_METHOD_NOT_ALLOWED;
 	if (length > c->in->limits.body_max) {
-		c->fault = MHD_HTTP_CONTENT_TOO_LARGE;
+		c->refusal_status = MHD_HTTP_CONTENT_TOO_LARGE;
 		c->in->counts.too_big++;
 	}
-	if (c->fault != 0 && refuse_at_once(c, length))
-		return refuse_fault(c);
+	if (c->refusal_status != 0 && refuse_at_once(c, length))
+		return refuse_by_status(c);
 	return MHD_YES;
 }
 
@@ -234,22 +242,23 @@
 }
 
 static enum MHD_Result
-take_body(struct call *c, const char *data, size_t n)
+append_body(struct call *c, const char *data, size_t n)
 {
 	struct ogl_http_in *h = c->in;
 
 	c->received += n;
-	if (c->received > DISCARD_TIMES * h->limits.body_max)
+	if (c->received > DISCARD_FACTOR * h->limits.body_max)
 		return MHD_NO;
-	if (c->fault == 0 && c->received > h->limits.body_max) {
-		c->fault = MHD_HTTP_CONTENT_TOO_LARGE;
+	if (c->refusal_status == 0 && c->received > h->limits.body_max) {
+		c->refusal_status = MHD_HTTP_CONTENT_TOO_LARGE;
 		h->counts.too_big++;
 	}
-	if (c->fault == 0 && h->body_total + n > h->limits.body_total_max) {
-		c->fault = MHD_HTTP_SERVICE_UNAVAILABLE;
+	if (c->refusal_status == 0 &&
+	    h->body_total + n > h->limits.body_total_max) {
+		c->refusal_status = MHD_HTTP_SERVICE_UNAVAILABLE;
 		h->counts.no_room++;
 	}
-	if (c->fault != 0) {
+	if (c->refusal_status != 0) {
 		drop_body(c);
 		return MHD_YES;
 	}
@@ -264,7 +273,7 @@
 bearer_key(struct call *c)
 {
 	static const char scheme[] = "Bearer ";
-	struct ogl_str s = header(c, MHD_HTTP_HEADER_AUTHORIZATION);
+	struct ogl_str s = get_header(c, MHD_HTTP_HEADER_AUTHORIZATION);
 
 	if (s.n < sizeof scheme - 1 ||
 	    g_ascii_strncasecmp(s.p, scheme, sizeof scheme - 1) != 0)
@@ -274,12 +283,12 @@
 	return s;
 }
 
-/* Fills in the event's headers; false when one is malformed. */
+/* Fills in the event from the headers.  Returns false if one is malformed. */
 static bool
 read_headers(struct call *c, struct ogl_event *ev)
 {
-	struct ogl_str budget = header(c, c->in->limits.budget_header);
-	struct ogl_str idem = header(c, "Ogl-Idempotent");
+	struct ogl_str budget = get_header(c, c->in->limits.budget_header);
+	struct ogl_str idem = get_header(c, "Ogl-Idempotent");
 	guint64 ms = 0;
 
 	if (budget.n > 0 && !g_ascii_string_to_unsigned(
@@ -291,14 +300,14 @@
 	ev->u.call.budget_ms = ms;
 	ev->u.call.idempotent = ogl_str_eq(idem, ogl_str("1"));
 	ev->u.call.key = bearer_key(c);
-	ev->u.call.host = header(c, MHD_HTTP_HEADER_HOST);
-	ev->u.call.request_id = header(c, "Idempotency-Key");
-	ev->u.call.work_kind = header(c, "Ogl-Kind");
+	ev->u.call.host = get_header(c, MHD_HTTP_HEADER_HOST);
+	ev->u.call.request_id = get_header(c, "Idempotency-Key");
+	ev->u.call.work_kind = get_header(c, "Ogl-Kind");
 	return true;
 }
 
 static enum MHD_Result
-ask_node(struct call *c, const char *method)
+pass_to_node(struct call *c, const char *method)
 {
 	struct ogl_http_in *h = c->in;
 	struct ogl_event ev = {.type = OGL_EV_CALL};
@@ -325,7 +334,7 @@
 	return MHD_YES;
 }
 
-/* ---- what is answered here -------------------------------------------- */
+/* ---- paths answered locally ------------------------------------------- */
 
 static enum MHD_Result
 answer_text(struct call *c, unsigned status, char *text)
@@ -362,11 +371,11 @@
 	return answer_text(c, MHD_HTTP_OK, c->in->ops.metrics(c->in->ops.ctx));
 }
 
-typedef enum MHD_Result own_answer(struct call *c);
+typedef enum MHD_Result local_handler(struct call *c);
 
-/* What answers the path here; NULL: it is for the node. */
-static own_answer *
-own_path(const struct ogl_http_in *h, const char *url)
+/* Returns the local handler of a path, or NULL if the node answers it. */
+static local_handler *
+find_local_handler(const struct ogl_http_in *h, const char *url)
 {
 	if (h->limits.calls_only)
 		return NULL;
@@ -390,7 +399,7 @@
 	return info != NULL ? info->socket_context : NULL;
 }
 
-/* The first line of a request is there. */
+/* Called by libmicrohttpd when the first line of a request has arrived. */
 static void *
 on_uri(void *cls, const char *uri, struct MHD_Connection *mhd)
 {
@@ -409,21 +418,21 @@
 static enum MHD_Result
 finish_reading(struct call *c, const char *method, const char *url)
 {
-	own_answer *own;
+	local_handler *handler;
 
-	if (c->fault != 0)
-		return refuse_fault(c);
-	if (c->conn->gone && !c->conn->shut) {
+	if (c->refusal_status != 0)
+		return refuse_by_status(c);
+	if (c->conn->peer_closed && !c->conn->read_shut) {
 		c->in->counts.gone++;
 		return MHD_NO;
 	}
-	own = own_path(c->in, url);
-	if (own != NULL)
-		return own(c);
+	handler = find_local_handler(c->in, url);
+	if (handler != NULL)
+		return handler(c);
 	if (c->in->quiesced)
 		return refuse(c, MHD_HTTP_SERVICE_UNAVAILABLE,
-		    "the node has shut down", RETRY_NO_ROOM_MS);
-	return ask_node(c, method);
+		    "the node has shut down", RETRY_AFTER_MS);
+	return pass_to_node(c, method);
 }
 
 static enum MHD_Result
@@ -441,11 +450,11 @@
 		return MHD_NO;
 	switch (c->state) {
 	case CALL_READING:
-		if (!c->begun)
+		if (!c->headers_seen)
 			return begin_call(c, method);
 		if (*n == 0)
 			return finish_reading(c, method, url);
-		ok = take_body(c, data, *n);
+		ok = append_body(c, data, *n);
 		*n = 0;
 		return ok;
 	case CALL_ANSWERED:
@@ -499,8 +508,8 @@
 	k->link.data = k;
 	g_queue_push_tail_link(&h->conns, &k->link);
 	want.data.ptr = k;
-	if (epoll_ctl(h->gone_fd, EPOLL_CTL_ADD, k->fd, &want) != 0)
-		ogl_log(h->log, OGL_LOG_WARN, PREFIX,
+	if (epoll_ctl(h->hangup_fd, EPOLL_CTL_ADD, k->fd, &want) != 0)
+		ogl_log(h->log, OGL_LOG_WARN, LOG_PREFIX,
 		    "A connection can't be watched: %s.", g_strerror(errno));
 	*context = k;
 }
@@ -512,7 +521,7 @@
 
 	if (k == NULL)
 		return;
-	epoll_ctl(h->gone_fd, EPOLL_CTL_DEL, k->fd, NULL);
+	epoll_ctl(h->hangup_fd, EPOLL_CTL_DEL, k->fd, NULL);
 	g_queue_unlink(&h->conns, &k->link);
 	g_free(k);
 	*context = NULL;
@@ -530,47 +539,47 @@
 
 /* ---- the loop's callbacks --------------------------------------------- */
 
-/* Takes the call's connection up again with whatever its state now says. */
+/* Resumes the call's connection; on_request then acts on the call's state. */
 static void
-resume(struct call *c)
+resume_call(struct call *c)
 {
 	g_hash_table_remove(c->in->waiting, &c->token);
-	c->in->dirty = true;
+	c->in->mhd_due = true;
 	MHD_resume_connection(c->mhd);
 }
 
 static void
-abandon(struct call *c)
+abandon_call(struct call *c)
 {
 	struct ogl_event ev = {.type = OGL_EV_CALL_GONE, .token = c->token};
 	struct ogl_http_in *h = c->in;
 
 	c->state = CALL_ABANDONED;
 	h->counts.gone++;
-	resume(c);
+	resume_call(c);
 	h->sink.event(h->sink.ctx, &ev);
 }
 
 static void
-conn_gone(struct conn *k)
+conn_hung_up(struct conn *k)
 {
-	k->gone = true;
+	k->peer_closed = true;
 	if (k->call != NULL && k->call->state == CALL_WAITING)
-		abandon(k->call);
+		abandon_call(k->call);
 }
 
 static void
-on_gone(struct ev_loop *loop, ev_io *w, int events)
+on_hangup(struct ev_loop *loop, ev_io *w, int events)
 {
 	struct ogl_http_in *h = w->data;
-	struct epoll_event got[GONE_BATCH];
+	struct epoll_event got[HANGUPS_PER_WAIT];
 	int i, n;
 
 	(void)loop;
 	(void)events;
-	n = epoll_wait(h->gone_fd, got, GONE_BATCH, 0);
+	n = epoll_wait(h->hangup_fd, got, HANGUPS_PER_WAIT, 0);
 	for (i = 0; i < n; i++)
-		conn_gone(got[i].data.ptr);
+		conn_hung_up(got[i].data.ptr);
 }
 
 static void
@@ -580,7 +589,7 @@
 
 	(void)loop;
 	(void)events;
-	h->dirty = true;
+	h->mhd_due = true;
 }
 
 static void
@@ -590,34 +599,34 @@
 
 	(void)loop;
 	(void)events;
-	h->dirty = true;
+	h->mhd_due = true;
 }
 
 /*
- * Closes the reading side alone: libmicrohttpd then sees the end of the
- * stream and closes the connection itself, after answering what had come.
+ * Shuts down the reading side only: libmicrohttpd then sees the end of the
+ * stream, answers what has been received and closes the connection itself.
  *
- * Its descriptor is edge triggered.  When the last bytes and the end of the
- * stream come together it reads the bytes, gets no second edge, and would see
- * the end only at its timeout.  Each call here gives one more edge, and so
- * the sweep calls it until the connection has ended.
+ * Its epoll descriptor is edge triggered.  If the last bytes and the end of the
+ * stream arrive together, it reads the bytes, gets no second edge and would see
+ * the end only at its timeout.  Each shutdown causes another edge, so the
+ * sweep repeats it until the connection has ended.
  */
 static void
-conn_shut(struct conn *k)
+conn_shut_reading(struct conn *k)
 {
-	k->shut = true;
+	k->read_shut = true;
 	shutdown(k->fd, SHUT_RD);
 }
 
 static bool
-too_slow(const struct ogl_http_in *h, const struct conn *k, ev_tstamp now)
+timed_out(const struct ogl_http_in *h, const struct conn *k, ev_tstamp now)
 {
-	if (k->shut)
+	if (k->read_shut)
 		return false;
 	if (k->call == NULL)
-		return now - k->since > h->limits.idle_s;
+		return now - k->since > h->limits.idle_timeout_s;
 	return k->call->state == CALL_READING &&
-	       now - k->since > h->limits.request_ms / 1e3;
+	       now - k->since > h->limits.request_timeout_ms / 1e3;
 }
 
 static void
@@ -629,14 +638,14 @@
 	(void)events;
 	for (at = h->conns.head; at != NULL; at = at->next) {
 		struct conn *k = at->data;
-		bool slow = too_slow(h, k, ev_now(loop));
+		bool expired = timed_out(h, k, ev_now(loop));
 
-		if (slow && k->call != NULL)
+		if (expired && k->call != NULL)
 			h->counts.too_slow++;
-		if (slow || k->shut || k->gone)
-			conn_shut(k);
+		if (expired || k->read_shut || k->peer_closed)
+			conn_shut_reading(k);
 	}
-	h->dirty = true;
+	h->mhd_due = true;
 }
 
 bool
@@ -644,9 +653,9 @@
 {
 	MHD_UNSIGNED_LONG_LONG ms;
 
-	if (!h->dirty)
+	if (!h->mhd_due)
 		return false;
-	h->dirty = false;
+	h->mhd_due = false;
 	MHD_run(h->mhd);
 	ev_timer_stop(h->loop, &h->mhd_timer);
 	if (MHD_get_timeout(h->mhd, &ms) == MHD_YES) {
@@ -656,7 +665,7 @@
 	return true;
 }
 
-/* ---- the node's answers ----------------------------------------------- */
+/* ---- the node's replies ----------------------------------------------- */
 
 void
 ogl_http_in_reply(struct ogl_http_in *h, const struct ogl_action *a)
@@ -664,7 +673,7 @@
 	struct call *c = g_hash_table_lookup(h->waiting, &a->token);
 
 	if (c == NULL) {
-		h->counts.late++;
+		h->counts.late_replies++;
 		return;
 	}
 	c->response = ogl_http_reply_new(a->data,
@@ -675,27 +684,27 @@
 	c->status = a->status;
 	c->state = c->response != NULL ? CALL_ANSWERED : CALL_ABANDONED;
 	h->counts.replies++;
-	resume(c);
+	resume_call(c);
 }
 
-/* ---- beginning and end ------------------------------------------------ */
+/* ---- init and end ----------------------------------------------------- */
 
 static void
 start_watchers(struct ogl_http_in *h)
 {
 	const union MHD_DaemonInfo *info =
 	    MHD_get_daemon_info(h->mhd, MHD_DAEMON_INFO_EPOLL_FD);
-	ev_tstamp every = MIN(h->limits.request_ms / 4e3, 1.);
+	ev_tstamp interval_s = MIN(h->limits.request_timeout_ms / 4e3, 1.);
 
 	ev_io_init(&h->mhd_io, on_mhd_io, info->epoll_fd, EV_READ);
 	h->mhd_io.data = h;
 	ev_io_start(h->loop, &h->mhd_io);
-	ev_io_init(&h->gone_io, on_gone, h->gone_fd, EV_READ);
-	h->gone_io.data = h;
-	ev_io_start(h->loop, &h->gone_io);
+	ev_io_init(&h->hangup_io, on_hangup, h->hangup_fd, EV_READ);
+	h->hangup_io.data = h;
+	ev_io_start(h->loop, &h->hangup_io);
 	ev_init(&h->mhd_timer, on_mhd_timer);
 	h->mhd_timer.data = h;
-	ev_timer_init(&h->sweep, on_sweep, every, every);
+	ev_timer_init(&h->sweep, on_sweep, interval_s, interval_s);
 	h->sweep.data = h;
 	ev_timer_start(h->loop, &h->sweep);
 }
@@ -708,7 +717,7 @@
 	    MHD_OPTION_LISTEN_BACKLOG_SIZE, LISTEN_BACKLOG,
 	    MHD_OPTION_CONNECTION_LIMIT, h->limits.connections_max,
 	    MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)h->limits.header_max,
-	    MHD_OPTION_CONNECTION_TIMEOUT, h->limits.idle_s,
+	    MHD_OPTION_CONNECTION_TIMEOUT, h->limits.idle_timeout_s,
 	    MHD_OPTION_NOTIFY_CONNECTION, on_connection, h,
 	    MHD_OPTION_NOTIFY_COMPLETED, on_completed, h,
 	    MHD_OPTION_URI_LOG_CALLBACK, on_uri, h, MHD_OPTION_END);
@@ -722,7 +731,7 @@
 	struct ogl_http_in *h = g_new0(struct ogl_http_in, 1);
 	int fd = ogl_addr_listen(listen, error);
 
-	h->gone_fd = -1;
+	h->hangup_fd = -1;
 	if (fd < 0)
 		goto fail;
 	h->loop = loop;
@@ -730,16 +739,16 @@
 	h->sink = sink;
 	h->ops = ops;
 	h->log = log;
-	h->dirty = true;
+	h->mhd_due = true;
 	h->port = ogl_addr_port(fd);
-	/* The wall clock in microseconds: a later process begins beyond what
-	 * this one hands out, so a late answer to a call of a process before
-	 * it never meets a call of its own. */
+	/* The wall clock in microseconds: a later process starts above all
+	 * tokens of this one, so a late answer to a call of an earlier process
+	 * never matches a call of the later one. */
 	h->last_token = (uint64_t)g_get_real_time();
 	h->waiting = g_hash_table_new(g_int64_hash, g_int64_equal);
 	g_queue_init(&h->conns);
-	h->gone_fd = epoll_create1(EPOLL_CLOEXEC);
-	if (h->gone_fd >= 0)
+	h->hangup_fd = epoll_create1(EPOLL_CLOEXEC);
+	if (h->hangup_fd >= 0)
 		h->mhd = start_mhd(h, fd);
 	if (h->mhd == NULL) {
 		g_set_error(error, OGL_ERROR, OGL_ERROR_INPUT,
@@ -751,18 +760,19 @@
 fail:
 	if (h->waiting != NULL)
 		g_hash_table_unref(h->waiting);
-	if (h->gone_fd >= 0)
-		close(h->gone_fd);
+	if (h->hangup_fd >= 0)
+		close(h->hangup_fd);
 	if (fd >= 0)
 		close(fd);
 	g_free(h);
 	return NULL;
 }
 
-/* libmicrohttpd may not be stopped while a connection is suspended; what
- * still arrives in its last run is refused, so that none is again. */
+/* libmicrohttpd must not be stopped while a connection is suspended.  Requests
+ * that arrive during its last run are refused, so that no connection is
+ * suspended again. */
 static void
-abandon_all(struct ogl_http_in *h)
+abandon_all_calls(struct ogl_http_in *h)
 {
 	GHashTableIter it;
 	gpointer c;
@@ -784,13 +794,13 @@
 {
 	if (h == NULL)
 		return;
-	abandon_all(h);
+	abandon_all_calls(h);
 	ev_io_stop(h->loop, &h->mhd_io);
-	ev_io_stop(h->loop, &h->gone_io);
+	ev_io_stop(h->loop, &h->hangup_io);
 	ev_timer_stop(h->loop, &h->mhd_timer);
 	ev_timer_stop(h->loop, &h->sweep);
 	MHD_stop_daemon(h->mhd);
-	close(h->gone_fd);
+	close(h->hangup_fd);
 	g_hash_table_unref(h->waiting);
 	g_free(h);
 }
@@ -808,9 +818,9 @@
 }
 
 /*
- * A connection waiting in the listening socket's queue would be reset when
- * that is closed, and its caller could not know whether its request ran.  So
- * these are taken first and refused properly.
+ * Closing the listening socket resets the connections in its backlog, and their
+ * callers would not know whether their requests were executed.  So these
+ * connections are accepted first and their requests refused.
  */
 void
 ogl_http_in_quiesce(struct ogl_http_in *h)
@@ -836,9 +846,9 @@
 		struct conn *k = at->data;
 
 		if (k->call == NULL)
-			conn_shut(k);
+			conn_shut_reading(k);
 	}
-	h->dirty = true;
+	h->mhd_due = true;
 }
 
 bool
--- a/daemon/http_in.h
+++ b/daemon/http_in.h
@@ -1,7 +1,7 @@
 /*
- * HTTP towards callers and operators.  Every request becomes an OGL_EV_CALL
- * and waits, its connection suspended, until ogl_http_in_reply, but for the
- * paths of struct ogl_http_in_ops, which are answered here.
+ * HTTP server for callers and operators.  Each request becomes an OGL_EV_CALL,
+ * and its connection is suspended until ogl_http_in_reply.  Health, readiness
+ * and metrics are answered locally; see struct ogl_http_in_ops.
  */
 #ifndef OGL_HTTP_IN_H
 #define OGL_HTTP_IN_H
@@ -12,7 +12,7 @@
 struct ev_loop;
 struct ogl_http_in;
 
-/* What the rest of the daemon tells this part. */
+/* Called to answer the readiness and metrics paths. */
 struct ogl_http_in_ops {
 	bool (*ready)(void *ctx);
 	char *(*metrics)(void *ctx); /* g_free */
@@ -20,15 +20,16 @@
 };
 
 struct ogl_http_in_limits {
-	size_t body_max;           /* bytes of one request's body */
-	size_t body_total_max;     /* bytes of all bodies held at once */
-	unsigned connections_max;  /* open at once */
-	unsigned header_max;       /* bytes of a connection's header buffer */
-	unsigned request_ms;       /* from its first byte to its last */
-	unsigned idle_s;           /* a connection between requests */
-	const char *budget_header; /* tells how long a caller waits, ms */
+	size_t body_max;          /* bytes of one request's body */
+	size_t body_total_max;    /* bytes of all bodies in memory */
+	unsigned connections_max; /* open at a time */
+	unsigned header_max;      /* bytes of a connection's header buffer */
+	unsigned
+	    request_timeout_ms;    /* from a request's first byte to its last */
+	unsigned idle_timeout_s;   /* of a connection between requests */
+	const char *budget_header; /* holds how long the caller waits, in ms */
 	const char *ready_path;
-	bool calls_only; /* every path is the node's, none answered here */
+	bool calls_only; /* no path is answered locally, all go to the node */
 };
 
 void ogl_http_in_limits_default(struct ogl_http_in_limits *l);
@@ -36,12 +37,12 @@
 struct ogl_http_in_counts {
 	uint64_t calls;
 	uint64_t replies;
-	uint64_t gone;     /* callers that left before their reply */
-	uint64_t too_big;  /* bodies over their limit */
-	uint64_t no_room;  /* bodies over the total */
-	uint64_t too_slow; /* requests not whole in time */
+	uint64_t gone;     /* callers that disconnected before the reply */
+	uint64_t too_big;  /* bodies larger than body_max */
+	uint64_t no_room;  /* bodies refused because of body_total_max */
+	uint64_t too_slow; /* requests not complete within their timeout */
 	uint64_t malformed;
-	uint64_t late; /* replies to calls no longer open */
+	uint64_t late_replies; /* to calls that are no longer open */
 };
 
 struct ogl_http_in *ogl_http_in_init(struct ev_loop *loop, const char *listen,
@@ -56,17 +57,18 @@
 /* Serves OGL_ACT_REPLY. */
 
 bool ogl_http_in_run(struct ogl_http_in *h);
-/* Moves what is ready without waiting; to be called before the loop blocks.
- * Whether there was anything to do. */
+/* Serves all connections that are ready, without waiting; to be called before
+ * the loop blocks.  Returns whether there was anything to do. */
 
 void ogl_http_in_closing(struct ogl_http_in *h);
-/* From here on each reply closes its connection. */
+/* From now on each reply closes its connection. */
 
 void ogl_http_in_quiesce(struct ogl_http_in *h);
-/* Takes no more connections; requests still arriving are refused, not run. */
+/* Accepts no more connections.  Requests that still arrive are refused as not
+ * executed. */
 
 bool ogl_http_in_drained(const struct ogl_http_in *h);
-/* After quiesce: whether every connection has ended. */
+/* Returns whether all connections have ended; to be called after quiesce. */
 
 const struct ogl_http_in_counts *ogl_http_in_counts(
     const struct ogl_http_in *h);
--- a/test/test_daemon_http_in.cc
+++ b/test/test_daemon_http_in.cc
@@ -215,7 +215,7 @@
 // a whole one.
 TEST_F(HttpIn, HalfARequestNeverReachesTheNode)
 {
-	limits.request_ms = 400;
+	limits.request_timeout_ms = 400;
 	start();
 	for (const char *text : {"POST /v1/requests HTTP/1.1\r\nHost: x\r\n"
 				 "Content-Length: 100\r\n\r\nhalf",
@@ -232,7 +232,7 @@
 // hold its connection for ever.
 TEST_F(HttpIn, ASlowSenderIsClosedThoughItNeverPauses)
 {
-	limits.request_ms = 200;
+	limits.request_timeout_ms = 200;
 	start();
 	client([&](int fd) {
 		put(fd, "POST /v1/requests HTTP/1.1\r\nHost: x\r\n"
@@ -275,7 +275,7 @@
 	EXPECT_EQ(OGL_EV_CALL_GONE, l.seen[1].type);
 	EXPECT_EQ(l.seen[0].token, l.seen[1].token);
 	reply(l.seen[0].token);
-	EXPECT_EQ(1u, ogl_http_in_counts(h)->late);
+	EXPECT_EQ(1u, ogl_http_in_counts(h)->late_replies);
 }
 
 // The node shuts down: requests still waiting get their replies, one that
