--- a/test/test_daemon_fuzz.cc
+++ b/test/test_daemon_fuzz.cc
@@ -1,11 +1,12 @@
-// Mutated input.  Whatever a peer, the platform, a worker or a caller sends,
-// a node must go on: one message that ends every node that reads it would end
-// the cell, and one on the log would end each node again at its next start.
+// Fuzz tests.  No message from a peer, the platform, a worker or a caller may
+// crash a node: a message that crashes each node that reads it would stop the
+// whole cell, and a record in the log would crash each node at every start.
 //
-// Every run is a small cell in virtual time whose messages are spoilt on the
-// way: bits flipped, ends cut off, fields of the decoded message set to odd
-// values.  The seed of a run decides all of it.  Few runs are made by default;
-// OGL_FUZZ gives the count and OGL_FUZZ_SEED the first seed (tools/fuzz.sh).
+// Each run simulates a small cell in virtual time and corrupts messages in
+// transit: it flips bits, truncates, and sets fields of the decoded message to
+// unusual values.  The seed determines the whole run.  There are few runs by
+// default; OGL_FUZZ sets their number and OGL_FUZZ_SEED the first seed
+// (tools/fuzz.sh).
 #include <gtest/gtest.h>
 
 #include <jansson.h>
@@ -31,12 +32,12 @@
 
 const int kRuns = 12;
 const uint32_t kNodes = 3;
-const int kEntries = 64;
+const int kMaxEntries = 64;
 
-struct Rnd {
+struct Random {
 	ogl_random r;
 
-	explicit Rnd(uint64_t seed)
+	explicit Random(uint64_t seed)
 	{
 		ogl_random_init(&r, seed);
 	}
@@ -44,11 +45,11 @@
 	{
 		return ogl_random_next(&r) % n;
 	}
-	bool Chance(uint32_t thousandths)
+	bool ChancePermille(uint32_t permille)
 	{
-		return Below(1000) < thousandths;
+		return Below(1000) < permille;
 	}
-	template <class T> const T &Of(const std::vector<T> &v)
+	template <class T> const T &Choose(const std::vector<T> &v)
 	{
 		return v[Below(v.size())];
 	}
@@ -64,7 +65,7 @@
 
 // Calls fn with each seed of this process.
 void
-EachSeed(long runs, const std::function<void(uint64_t)> &fn)
+ForEachSeed(long runs, const std::function<void(uint64_t)> &fn)
 {
 	long first = FromEnv("OGL_FUZZ_SEED", 1);
 	long n = FromEnv("OGL_FUZZ", 0);
@@ -81,7 +82,7 @@
 // ---- mutations --------------------------------------------------------------
 
 void
-SpoilBytes(std::string *s, Rnd *rnd)
+CorruptBytes(std::string *s, Random *rnd)
 {
 	for (uint64_t i = 1 + rnd->Below(3); i > 0 && !s->empty(); i--) {
 		size_t at = rnd->Below(s->size());
@@ -107,7 +108,7 @@
 }
 
 uint64_t
-OddNumber(Rnd *rnd, uint64_t was)
+UnusualNumber(Random *rnd, uint64_t was)
 {
 	switch (rnd->Below(8)) {
 	case 0:
@@ -128,40 +129,41 @@
 }
 
 char *
-OddString(Rnd *rnd)
+UnusualString(Random *rnd)
 {
-	static const std::vector<std::string> odd = {"", "\xff\xfe", "a|b", "/",
-	    "north", "north/jerash", "s0-1-1", "s1-1-1.0", "n0", "w0", "%s%n",
-	    "{}", "127.0.0.1:1", "\x01", std::string(300, 'a')};
+	static const std::vector<std::string> unusual = {"", "\xff\xfe", "a|b",
+	    "/", "north", "north/jerash", "s0-1-1", "s1-1-1.0", "n0", "w0",
+	    "%s%n", "{}", "127.0.0.1:1", "\x01", std::string(300, 'a')};
 
-	return strdup(rnd->Of(odd).c_str());
+	return strdup(rnd->Choose(unusual).c_str());
 }
 
-void Twist(ProtobufCMessage *m, Rnd *rnd, int depth);
+void MutateMessage(ProtobufCMessage *m, Random *rnd, int depth);
 
-// Sets one value to something odd; false when it can't be.
+// Sets a value to something unusual.  Returns false if that is not possible.
 bool
-TwistValue(
-    const ProtobufCFieldDescriptor *f, char *at, Rnd *rnd, int depth, bool many)
+MutateValue(const ProtobufCFieldDescriptor *f, char *at, Random *rnd, int depth,
+    bool repeated)
 {
 	switch (f->type) {
 	case PROTOBUF_C_TYPE_UINT32:
-		*(uint32_t *)at = (uint32_t)OddNumber(rnd, *(uint32_t *)at);
+		*(uint32_t *)at = (uint32_t)UnusualNumber(rnd, *(uint32_t *)at);
 		return true;
 	case PROTOBUF_C_TYPE_UINT64:
-		*(uint64_t *)at = OddNumber(rnd, *(uint64_t *)at);
+		*(uint64_t *)at = UnusualNumber(rnd, *(uint64_t *)at);
 		return true;
 	case PROTOBUF_C_TYPE_BOOL:
 		*(protobuf_c_boolean *)at = !*(protobuf_c_boolean *)at;
 		return true;
 	case PROTOBUF_C_TYPE_ENUM:
-		*(int *)at = rnd->Chance(500) ? (int)rnd->Below(9)
-					      : (int)OddNumber(rnd, 0);
+		*(int *)at = rnd->ChancePermille(500)
+				 ? (int)rnd->Below(9)
+				 : (int)UnusualNumber(rnd, 0);
 		return true;
 	case PROTOBUF_C_TYPE_STRING:
 		if (*(char **)at != protobuf_c_empty_string)
 			free(*(char **)at);
-		*(char **)at = OddString(rnd);
+		*(char **)at = UnusualString(rnd);
 		return true;
 	case PROTOBUF_C_TYPE_BYTES: {
 		ProtobufCBinaryData *b = (ProtobufCBinaryData *)at;
@@ -176,11 +178,11 @@
 
 		if (*sub == nullptr)
 			return false;
-		if (!many && !oneof && rnd->Chance(250)) {
+		if (!repeated && !oneof && rnd->ChancePermille(250)) {
 			protobuf_c_message_free_unpacked(*sub, nullptr);
 			*sub = nullptr;
 		} else {
-			Twist(*sub, rnd, depth + 1);
+			MutateMessage(*sub, rnd, depth + 1);
 		}
 		return true;
 	}
@@ -205,15 +207,15 @@
 }
 
 bool
-TwistField(
-    ProtobufCMessage *m, const ProtobufCFieldDescriptor *f, Rnd *rnd, int depth)
+MutateField(ProtobufCMessage *m, const ProtobufCFieldDescriptor *f, Random *rnd,
+    int depth)
 {
 	char *base = (char *)m;
 
 	if (f->label == PROTOBUF_C_LABEL_REPEATED) {
 		size_t *n = (size_t *)(base + f->quantifier_offset);
 
-		return *n > 0 && TwistValue(f,
+		return *n > 0 && MutateValue(f,
 				     *(char **)(base + f->offset) +
 					 rnd->Below(*n) * ValueSize(f),
 				     rnd, depth, true);
@@ -221,17 +223,17 @@
 	if ((f->flags & PROTOBUF_C_FIELD_FLAG_ONEOF) != 0 &&
 	    *(uint32_t *)(base + f->quantifier_offset) != f->id)
 		return false;
-	return TwistValue(f, base + f->offset, rnd, depth, false);
+	return MutateValue(f, base + f->offset, rnd, depth, false);
 }
 
-// Sets one field of the message, or of one within it, to something odd.
+// Sets a field of the message, or of a message in it, to something unusual.
 void
-Twist(ProtobufCMessage *m, Rnd *rnd, int depth)
+MutateMessage(ProtobufCMessage *m, Random *rnd, int depth)
 {
 	for (int i = 0; i < 12 && depth < 8; i++) {
 		const ProtobufCMessageDescriptor *d = m->descriptor;
 
-		if (TwistField(
+		if (MutateField(
 			m, &d->fields[rnd->Below(d->n_fields)], rnd, depth))
 			return;
 	}
@@ -246,14 +248,14 @@
 	return s;
 }
 
-// A packed message with something wrong in it.
+// Returns a corrupted copy of the packed message.
 std::string
-Spoil(std::string s, const ProtobufCMessageDescriptor *d, Rnd *rnd)
+Corrupt(std::string s, const ProtobufCMessageDescriptor *d, Random *rnd)
 {
 	ProtobufCMessage *m;
 
-	if (rnd->Chance(300)) {
-		SpoilBytes(&s, rnd);
+	if (rnd->ChancePermille(300)) {
+		CorruptBytes(&s, rnd);
 		return s;
 	}
 	m = protobuf_c_message_unpack(
@@ -261,13 +263,13 @@
 	if (m == nullptr)
 		return s;
 	for (uint64_t i = 1 + rnd->Below(3); i > 0; i--)
-		Twist(m, rnd, 0);
+		MutateMessage(m, rnd, 0);
 	s = Pack(m);
 	protobuf_c_message_free_unpacked(m, nullptr);
 	return s;
 }
 
-// ---- a cell whose messages are spoilt ---------------------------------------
+// ---- a cell whose messages are corrupted ------------------------------------
 
 std::string
 Text(GBytes *b)
@@ -285,10 +287,10 @@
 	return {s.data(), s.size()};
 }
 
-class World
+class Cell
 {
       public:
-	explicit World(uint64_t seed) : rnd(seed)
+	explicit Cell(uint64_t seed) : rnd(seed)
 	{
 		Ogl__Edit *e = nullptr;
 		const uint8_t random[32] = {1};
@@ -300,10 +302,10 @@
 		fake_log_script(log)->rate = 1e9;
 		worker = fake_worker_init(&w);
 		exec = fake_exec_init("e0", 8);
-		EXPECT_TRUE(ogl_key_make(random, "", op, &e, id));
+		EXPECT_TRUE(ogl_key_make(random, "", operator_key, &e, id));
 		ogl__edit__free_unpacked(e, nullptr);
 	}
-	~World()
+	~Cell()
 	{
 		for (ogl_node *n : nodes)
 			ogl_node_end(n);
@@ -311,7 +313,7 @@
 		fake_worker_end(worker);
 		fake_log_end(log);
 	}
-	void Start(uint32_t i)
+	void StartNode(uint32_t i)
 	{
 		ogl_node_config c;
 		std::string name = "n" + std::to_string(i);
@@ -328,44 +330,46 @@
 		c.shards = 2;
 		c.snapshot_records = 10;
 		c.snapshot_ms = 1000;
-		EXPECT_TRUE(ogl_key_hash(ogl_str(op), c.operator_hash));
+		EXPECT_TRUE(
+		    ogl_key_hash(ogl_str(operator_key), c.operator_hash));
 		nodes.push_back(
 		    ogl_node_init(&c, rnd.Below(1000), now, nullptr));
-		wakes.push_back(0);
+		wake_at.push_back(0);
 	}
-	// A quiet beginning, then calls and spoilt messages.
+	// Sets the cell up without faults, then sends calls and corrupts
+	// messages.
 	void Run()
 	{
-		Start(0);
-		Start(1);
+		StartNode(0);
+		StartNode(1);
 		for (int i = 0; i < 30 && key.empty(); i++) {
-			Pass(OGL_SEC);
-			Call("POST", "/v1/settings", op,
+			Advance(OGL_SEC);
+			Call("POST", "/v1/settings", operator_key,
 			    R"({"base_version":0,"changes":[)"
 			    R"({"path":"teams/north","value":"{}"},)"
 			    R"({"path":"teams/north/limit_tasks","value":"9"},)"
 			    R"({"path":"teams/north/jerash","value":"{}"}]})",
 			    false);
-			Pass(OGL_SEC);
-			Call("POST", "/v1/keys", op, "{\"team\":\"north\"}",
-			    false);
+			Advance(OGL_SEC);
+			Call("POST", "/v1/keys", operator_key,
+			    "{\"team\":\"north\"}", false);
 		}
-		Pass(OGL_SEC);
+		Advance(OGL_SEC);
 		ASSERT_NE(key, "");
-		hostile = true;
+		inject_faults = true;
 		fake_log_script(log)->keep_count = 20;
 		for (int i = 0; i < 120; i++) {
 			RandomCall();
-			Pass((ogl_time)rnd.Below(200) * OGL_MS);
+			Advance((ogl_time)rnd.Below(200) * OGL_MS);
 			if (i == 60)
-				Start(2);
+				StartNode(2);
 		}
-		if (rnd.Chance(500)) {
+		if (rnd.ChancePermille(500)) {
 			ogl_event ev{};
 
 			ev.type = OGL_EV_STOP;
 			Step(0, ev);
-			Pass(12 * OGL_SEC);
+			Advance(12 * OGL_SEC);
 		}
 	}
 
@@ -373,24 +377,24 @@
 	struct Todo {
 		std::function<void()> fn;
 	};
-	Rnd rnd;
+	Random rnd;
 	ogl_time now = 1000000 * OGL_SEC;
 	std::vector<ogl_node *> nodes;
-	std::vector<ogl_time> wakes;
+	std::vector<ogl_time> wake_at;
 	std::multimap<ogl_time, std::function<void()>> due;
 	fake_log *log;
 	fake_worker *worker;
 	fake_exec *exec;
-	char op[80];
+	char operator_key[80];
 	std::string key;
-	bool hostile = false;
+	bool inject_faults = false;
 	uint64_t last_token = 0;
 
-	bool Bad()
+	bool InjectFault()
 	{
-		return hostile && rnd.Chance(60);
+		return inject_faults && rnd.ChancePermille(60);
 	}
-	void Later(std::function<void()> fn)
+	void Schedule(std::function<void()> fn)
 	{
 		due.emplace(now + 200 + (ogl_time)rnd.Below(5000), fn);
 	}
@@ -405,32 +409,32 @@
 			Serve(i, a);
 			ogl_action_free(a);
 		}
-		wakes[i] = std::max(ogl_node_next_wake(nodes[i]), now + 2000);
+		wake_at[i] = std::max(ogl_node_next_wake(nodes[i]), now + 2000);
 	}
-	// Lets virtual time pass.
-	void Pass(ogl_time length)
+	// Advances virtual time.
+	void Advance(ogl_time length)
 	{
 		ogl_time end = now + length;
 
 		for (;;) {
 			ogl_time next =
 			    due.empty() ? OGL_NEVER : due.begin()->first;
-			uint32_t who = kNodes;
+			uint32_t node = kNodes;
 
 			for (uint32_t i = 0; i < nodes.size(); i++) {
-				if (wakes[i] < next) {
-					next = wakes[i];
-					who = i;
+				if (wake_at[i] < next) {
+					next = wake_at[i];
+					node = i;
 				}
 			}
 			if (next > end)
 				break;
 			now = std::max(now, next);
-			if (who < kNodes) {
+			if (node < kNodes) {
 				ogl_event ev{};
 
 				ev.type = OGL_EV_TIMER;
-				Step(who, ev);
+				Step(node, ev);
 			} else {
 				auto fn = due.begin()->second;
 
@@ -453,25 +457,25 @@
 			Reply(a, data);
 			break;
 		case OGL_ACT_PEER:
-			Later([=] { Peer(addr, data); });
+			Schedule([=] { Peer(addr, data); });
 			break;
 		case OGL_ACT_LOG_APPEND:
-			Later([=] { Append(i, token, name, data); });
+			Schedule([=] { Append(i, token, name, data); });
 			break;
 		case OGL_ACT_LOG_READ:
-			Later([=] { Read(i, token, name, from); });
+			Schedule([=] { Read(i, token, name, from); });
 			break;
 		case OGL_ACT_HOSTS:
-			Later([=] { Hosts(i, token); });
+			Schedule([=] { Hosts(i, token); });
 			break;
 		case OGL_ACT_WORKER: {
 			std::string sync = Pack(&a->sync->base);
 
-			Later([=] { Sync(i, token, sync); });
+			Schedule([=] { Sync(i, token, sync); });
 			break;
 		}
 		case OGL_ACT_EXEC:
-			Later([=] { Exec(i, token, data); });
+			Schedule([=] { Exec(i, token, data); });
 			break;
 		default:
 			break;
@@ -486,7 +490,7 @@
 		if (at == 0 && key.empty())
 			key = body.substr(8, body.find('"', 8) - 8);
 	}
-	// A copy of an old message also comes now and then.
+	// Delivers a message, which may be corrupted or be delivered twice.
 	void Peer(const std::string &addr, const std::string &data)
 	{
 		size_t i = (size_t)atoi(addr.c_str() + addr.find(':') + 1) - 10;
@@ -495,10 +499,10 @@
 
 		if (addr.find(':') == std::string::npos || i >= nodes.size())
 			return;
-		if (Bad())
-			s = Spoil(s, &ogl__peer_msg__descriptor, &rnd);
-		if (Bad())
-			Later([=] { Peer(addr, data); });
+		if (InjectFault())
+			s = Corrupt(s, &ogl__peer_msg__descriptor, &rnd);
+		if (InjectFault())
+			Schedule([=] { Peer(addr, data); });
 		ev.type = OGL_EV_PEER;
 		ev.u.peer.data = Str(s);
 		Step((uint32_t)i, ev);
@@ -509,42 +513,42 @@
 		std::string s = data;
 		ogl_event ev{};
 
-		if (Bad())
-			s = Spoil(s, &ogl__batch__descriptor, &rnd);
+		if (InjectFault())
+			s = Corrupt(s, &ogl__batch__descriptor, &rnd);
 		ev.type = OGL_EV_LOG_APPENDED;
 		ev.token = token;
 		ev.io = fake_log_append(log, name.c_str(), Str(s), now,
 			    &ev.u.appended.offset) == FAKE_LOG_OK
 			    ? OGL_IO_OK
 			    : OGL_IO_LOST;
-		if (Bad())
+		if (InjectFault())
 			ev.io = (ogl_io)rnd.Below(4);
-		if (rnd.Chance(hostile ? 5 : 0))
+		if (rnd.ChancePermille(inject_faults ? 5 : 0))
 			ev.u.appended.offset =
-			    OddNumber(&rnd, ev.u.appended.offset);
+			    UnusualNumber(&rnd, ev.u.appended.offset);
 		Step(i, ev);
 	}
 	void Read(
 	    uint32_t i, uint64_t token, const std::string &name, uint64_t from)
 	{
-		ogl_log_entry e[kEntries];
+		ogl_log_entry e[kMaxEntries];
 		std::vector<std::string> kept;
 		ogl_event ev{};
 
 		ev.type = OGL_EV_LOG_READ;
 		ev.token = token;
 		fake_log_read(log, name.c_str(), from, now, &ev.u.read.first,
-		    &ev.u.read.next, e, kEntries, &ev.u.read.n);
+		    &ev.u.read.next, e, kMaxEntries, &ev.u.read.n);
 		kept.reserve(ev.u.read.n);
 		for (size_t k = 0; k < ev.u.read.n; k++) {
 			kept.emplace_back(e[k].data.p, e[k].data.n);
-			if (Bad())
-				kept[k] = Spoil(
+			if (InjectFault())
+				kept[k] = Corrupt(
 				    kept[k], &ogl__batch__descriptor, &rnd);
 			e[k].data = Str(kept[k]);
 		}
 		ev.u.read.entries = e;
-		if (Bad())
+		if (InjectFault())
 			ev.io = (ogl_io)rnd.Below(4);
 		Step(i, ev);
 	}
@@ -558,8 +562,8 @@
 		    R"("addr":"127.0.0.1:11","zone":"z0","leaving":false}]})";
 		ogl_event ev{};
 
-		if (Bad())
-			SpoilBytes(&s, &rnd);
+		if (InjectFault())
+			CorruptBytes(&s, &rnd);
 		Parsed p(&ogl__host_list__descriptor, s);
 		ev.type = OGL_EV_HOSTS;
 		ev.token = token;
@@ -567,7 +571,7 @@
 		ev.u.hosts = (const Ogl__HostList *)p.m;
 		Step(i, ev);
 	}
-	// A message out of JSON text, as the daemon reads answers.
+	// A message parsed from JSON text, as the daemon parses answers.
 	struct Parsed {
 		ProtobufCMessage *m;
 
@@ -595,9 +599,9 @@
 		char *t;
 
 		if (fake_worker_sync(worker, s, now, &r)) {
-			for (uint64_t k = Bad() ? 1 + rnd.Below(4) : 0; k > 0;
-			     k--)
-				Twist(&r->base, &rnd, 0);
+			for (uint64_t k = InjectFault() ? 1 + rnd.Below(4) : 0;
+			     k > 0; k--)
+				MutateMessage(&r->base, &rnd, 0);
 			t = ogl_json_print(&r->base, nullptr);
 			text = t;
 			g_free(t);
@@ -612,8 +616,8 @@
 		std::string text = Report(sync);
 		ogl_event ev{};
 
-		if (Bad())
-			SpoilBytes(&text, &rnd);
+		if (InjectFault())
+			CorruptBytes(&text, &rnd);
 		Parsed p(&ogl__worker_report__descriptor, text);
 		ev.type = OGL_EV_WORKER;
 		ev.token = token;
@@ -629,17 +633,17 @@
 		ev.token = token;
 		ev.u.exec.status = 200;
 		ev.u.exec.body = Str(body);
-		if (Bad()) {
+		if (InjectFault()) {
 			ev.io = (ogl_io)rnd.Below(4);
-			ev.u.exec.not_run = rnd.Chance(500);
+			ev.u.exec.not_run = rnd.ChancePermille(500);
 			ev.u.exec.status =
-			    rnd.Of<uint32_t>({100, 404, 503, 999});
+			    rnd.Choose<uint32_t>({100, 404, 503, 999});
 		}
 		Step(i, ev);
 	}
 	void Call(const std::string &method, const std::string &path,
-	    const std::string &with, const std::string &body, bool idempotent,
-	    const std::string &id = "")
+	    const std::string &api_key, const std::string &body,
+	    bool idempotent, const std::string &id = "")
 	{
 		uint32_t i = (uint32_t)rnd.Below(nodes.size());
 		ogl_event ev{};
@@ -648,14 +652,14 @@
 		ev.token = ++last_token;
 		ev.u.call.method = Str(method);
 		ev.u.call.path = Str(path);
-		ev.u.call.key = Str(with);
+		ev.u.call.key = Str(api_key);
 		ev.u.call.body = Str(body);
 		ev.u.call.request_id = Str(id);
 		ev.u.call.work_kind = ogl_str("k");
 		ev.u.call.idempotent = idempotent;
 		ev.u.call.budget_ms = rnd.Below(3) * 1000;
 		Step(i, ev);
-		if (rnd.Chance(50)) {
+		if (rnd.ChancePermille(50)) {
 			ogl_event gone{};
 
 			gone.type = OGL_EV_CALL_GONE;
@@ -676,21 +680,23 @@
 
 		switch (rnd.Below(6)) {
 		case 0:
-			Call("GET", rnd.Of(views), rnd.Chance(800) ? op : key,
-			    "", false);
+			Call("GET", rnd.Choose(views),
+			    rnd.ChancePermille(800) ? operator_key : key, "",
+			    false);
 			break;
 		case 1:
-			Call("POST", "/v1/requests", key, "x", rnd.Chance(300),
-			    rnd.Chance(700)
+			Call("POST", "/v1/requests", key, "x",
+			    rnd.ChancePermille(300),
+			    rnd.ChancePermille(700)
 				? "id" + std::to_string(rnd.Below(9))
 				: "");
 			break;
 		case 2:
 			body = R"({"base_version":5,"changes":[{"path":)"
 			       R"("teams/north/share","value":"2"}]})";
-			if (rnd.Chance(500))
-				SpoilBytes(&body, &rnd);
-			Call("POST", "/v1/settings", op, body, false);
+			if (rnd.ChancePermille(500))
+				CorruptBytes(&body, &rnd);
+			Call("POST", "/v1/settings", operator_key, body, false);
 			break;
 		case 3:
 			Call("DELETE",
@@ -701,26 +707,27 @@
 			break;
 		default:
 			body =
-			    "{\"kind\":\"" + rnd.Of(kinds) +
+			    "{\"kind\":\"" + rnd.Choose(kinds) +
 			    "\",\"tasks\":" + std::to_string(1 + rnd.Below(4)) +
 			    ",\"res\":{\"cpu_milli\":1000,\"mem_mb\":10},"
 			    "\"run_ms\":300,\"restartable\":true}";
-			if (rnd.Chance(200))
-				SpoilBytes(&body, &rnd);
+			if (rnd.ChancePermille(200))
+				CorruptBytes(&body, &rnd);
 			Call("POST", "/v1/jobs", key, body, false,
-			    rnd.Chance(300) ? "j" + std::to_string(rnd.Below(5))
-					    : "");
+			    rnd.ChancePermille(300)
+				? "j" + std::to_string(rnd.Below(5))
+				: "");
 			break;
 		}
 	}
 };
 
-TEST(Fuzz, NodesGoOnWhateverTheyAreSent)
+TEST(Fuzz, NodesSurviveCorruptedInput)
 {
-	EachSeed(kRuns, [](uint64_t seed) { World(seed).Run(); });
+	ForEachSeed(kRuns, [](uint64_t seed) { Cell(seed).Run(); });
 }
 
-// ---- texts ------------------------------------------------------------------
+// ---- parsers of text --------------------------------------------------------
 
 const ProtobufCMessageDescriptor *const kMessages[] = {
     &ogl__host_list__descriptor, &ogl__worker_sync__descriptor,
@@ -729,7 +736,7 @@
     &ogl__edit__descriptor, &ogl__error_view__descriptor,
     &ogl__peer_msg__descriptor, &ogl__record__descriptor};
 
-const char *const kTexts[] = {
+const char *const kJsonTexts[] = {
     R"({"hosts":[{"name":"a","role":"worker","addr":"1.2.3.4:5"}]})",
     R"({"shard":1,"epoch":18446744073709551615,"start":[{"task":"t"}]})",
     R"({"worker":"w","tasks":[{"task":"t","state":"failed","res":{}}]})",
@@ -740,12 +747,12 @@
     R"({"from":"n","facts":[{"name":"n","state":"dead"}],"probe":{"seq":1}})",
     R"({"writer":"n","settings_snap":{"version":3,"tree":"eyJhIjoxfQ=="}})"};
 
-// What is taken must come out as it went in.
+// A message that can be parsed must survive printing and parsing again.
 TEST(Fuzz, JsonMessages)
 {
-	EachSeed(3000, [](uint64_t seed) {
-		Rnd rnd(seed);
-		std::string s = kTexts[rnd.Below(G_N_ELEMENTS(kTexts))];
+	ForEachSeed(3000, [](uint64_t seed) {
+		Random rnd(seed);
+		std::string s = kJsonTexts[rnd.Below(G_N_ELEMENTS(kJsonTexts))];
 		const ProtobufCMessageDescriptor *d =
 		    kMessages[rnd.Below(G_N_ELEMENTS(kMessages))];
 		ogl_faults *f = ogl_faults_new();
@@ -753,7 +760,7 @@
 		char *text;
 		size_t n;
 
-		SpoilBytes(&s, &rnd);
+		CorruptBytes(&s, &rnd);
 		m = ogl_json_parse(d, Str(s), f);
 		ASSERT_EQ(m == nullptr, ogl_faults_count(f) > 0) << s;
 		if (m != nullptr) {
@@ -779,15 +786,15 @@
 	    R"("operator_key_hash":")" +
 	    std::string(64, 'a') + "\"}";
 
-	EachSeed(3000, [&](uint64_t seed) {
-		Rnd rnd(seed);
+	ForEachSeed(3000, [&](uint64_t seed) {
+		Random rnd(seed);
 		ogl_faults *f = ogl_faults_new();
 		std::string s = good;
 		ogl_config *c = ogl_config_parse(Str(s), 1, f);
 
 		ASSERT_NE(c, nullptr);
 		ogl_config_free(c);
-		SpoilBytes(&s, &rnd);
+		CorruptBytes(&s, &rnd);
 		c = ogl_config_parse(Str(s), 1, f);
 		EXPECT_EQ(c == nullptr, ogl_faults_count(f) > 0) << s;
 		ogl_config_free(c);
@@ -795,7 +802,7 @@
 	});
 }
 
-TEST(Fuzz, PlatformAnswersAndDumps)
+TEST(Fuzz, PlatformAnswersAndSettingsDumps)
 {
 	const std::string page =
 	    R"({"first":3,"next":6,"records":[{"offset":3,"data":"YWJj"},)"
@@ -806,25 +813,25 @@
 	    R"({"version":1,"at_ms":1,"who":"x","path":"teams/a",)"
 	    R"("from":null,"to":{}}]})";
 
-	EachSeed(3000, [&](uint64_t seed) {
-		Rnd rnd(seed);
+	ForEachSeed(3000, [&](uint64_t seed) {
+		Random rnd(seed);
 		std::string s = page;
 		ogl_logpage p{};
 		ogl_settings *set = ogl_settings_init();
 		uint64_t offset;
 		char *again;
 
-		SpoilBytes(&s, &rnd);
+		CorruptBytes(&s, &rnd);
 		if (ogl_logpage_parse(&p, Str(s))) {
 			for (size_t i = 0; i < p.n; i++)
 				EXPECT_LT(p.entries[i].offset, p.next);
 		}
 		ogl_logpage_end(&p);
 		s = "{\"offset\":12}";
-		SpoilBytes(&s, &rnd);
+		CorruptBytes(&s, &rnd);
 		ogl_logpage_appended(Str(s), &offset);
 		s = dump;
-		SpoilBytes(&s, &rnd);
+		CorruptBytes(&s, &rnd);
 		ogl_settings_load(set, Str(s), nullptr);
 		again = ogl_settings_dump(set);
 		EXPECT_NE(again, nullptr);
