--- a/test/test_daemon_http_client.cc
+++ b/test/test_daemon_http_client.cc
@@ -1,4 +1,4 @@
-/* What the HTTP client says of a request that failed. */
+/* Results of the HTTP client's requests. */
 
 #include <gtest/gtest.h>
 
@@ -18,9 +18,9 @@
 namespace
 {
 
-/* Listens on a port of the system's choice. */
+/* Listens on a free port; sets *url to its URL. */
 int
-listen_on_any(std::string *url)
+listen_on_free_port(std::string *url)
 {
 	struct sockaddr_in a = {};
 	socklen_t n = sizeof a;
@@ -87,18 +87,18 @@
 }
 
 /*
- * The other side takes a request on a kept connection, and its process goes
- * before it answers.  The library begins anew on a fresh connection and finds
- * nobody there.  Were that called "not sent", the journal would use the append's number for other records: the store
- * answers those with the first append's answer and does not write them, and
- * accepted jobs are gone.
+ * A server receives a request on a reused connection, and its process ends
+ * before it answers.  libcurl then tries a new connection, which is refused.
+ * If that counted as not sent, the journal would reuse the append's number for
+ * other records.  The store would answer these with the first append's answer
+ * without writing them, and accepted jobs would be lost.
  */
-TEST(HttpClient, WhatAKeptConnectionTookIsNotCalledUnsent)
+TEST(HttpClient, RequestSentOnReusedConnectionCountsAsLost)
 {
 	struct ev_loop *loop = ev_loop_new(0);
 	struct ogl_http_client *h = ogl_http_client_init(loop);
 	std::string url;
-	int fd = listen_on_any(&url);
+	int fd = listen_on_free_port(&url);
 	std::thread server([fd] {
 		static const char ok[] = "HTTP/1.1 200 OK\r\n"
 					 "Content-Length: 0\r\n\r\n";
