--- a/test/test_daemon_dispatch.cc
+++ b/test/test_daemon_dispatch.cc
@@ -1,4 +1,4 @@
-// The parts together around a node that only passes requests on.
+// The dispatcher with all its parts and a test double of the node.
 #include <gtest/gtest.h>
 
 #include "test_daemon_util.h"
@@ -7,14 +7,14 @@
 #include "dispatch.h"
 }
 
-// A double of the node: each call becomes a request to one executor, whose
-// answer becomes the reply; it exits when nothing is open.
+// A test double of the node.  It forwards each call to one executor and replies
+// with the answer.  After a stop it exits once no call is open.
 struct ogl_node {
 	std::string executor;
-	int open;
+	int open_calls;
 	bool stopping;
-	ogl_time last, wake;
-	int timers, backwards;
+	ogl_time last_step, next_wake;
+	int timer_events, steps_back;
 };
 
 extern "C" void
@@ -22,35 +22,35 @@
 {
 	ogl_action *a;
 
-	n->backwards += now < n->last;
-	n->last = now;
+	n->steps_back += now < n->last_step;
+	n->last_step = now;
 	if (ev->type == OGL_EV_CALL) {
-		n->open++;
+		n->open_calls++;
 		a = ogl_actions_new(out, OGL_ACT_EXEC);
 		a->token = ev->token;
 		a->addr = g_strdup(n->executor.c_str());
 		a->timeout_ms = 10000;
 	} else if (ev->type == OGL_EV_EXEC) {
-		n->open--;
+		n->open_calls--;
 		a = ogl_actions_new(out, OGL_ACT_REPLY);
 		a->token = ev->token;
 		a->status = ev->u.exec.status;
 		a->verdict = OGL_RAN;
 		a->data = g_bytes_new(ev->u.exec.body.p, ev->u.exec.body.n);
 	} else if (ev->type == OGL_EV_TIMER) {
-		n->timers++;
-		n->wake = now + 20 * OGL_MS;
+		n->timer_events++;
+		n->next_wake = now + 20 * OGL_MS;
 	} else if (ev->type == OGL_EV_STOP) {
 		n->stopping = true;
 	}
-	if (n->stopping && n->open == 0)
+	if (n->stopping && n->open_calls == 0)
 		ogl_actions_new(out, OGL_ACT_EXIT);
 }
 
 extern "C" ogl_time
 ogl_node_next_wake(const ogl_node *n)
 {
-	return n->wake;
+	return n->next_wake;
 }
 
 extern "C" bool
@@ -68,7 +68,7 @@
 struct Dispatch : ::testing::Test {
 	Loop l;
 	uint16_t exec_port;
-	int exec_fd = listen_any(&exec_port);
+	int exec_fd = listen_on_free_port(&exec_port);
 	ogl_node node{addr_of(exec_port), 0, false, 0, 0, 0, 0};
 	ogl_dispatch *d = ogl_dispatch_init(l.loop, l.log);
 	ogl_dispatch_parts parts{};
@@ -98,21 +98,21 @@
 	}
 	int call(const char *path)
 	{
-		int fd = dial(ogl_http_in_port(parts.http_in));
+		int fd = connect_to(ogl_http_in_port(parts.http_in));
 
-		put(fd, std::string("GET ") + path +
-			    " HTTP/1.1\r\nHost: x\r\n\r\n");
+		send_all(fd, std::string("GET ") + path +
+				 " HTTP/1.1\r\nHost: x\r\n\r\n");
 		return fd;
 	}
 };
 
 static bool
-has(const std::string &s, const char *part)
+contains(const std::string &s, const char *part)
 {
 	return s.find(part) != std::string::npos;
 }
 
-// The token that a request names its call by, for the answer to name it too.
+// Returns the request's Ogl-Token, which the answer has to echo.
 static std::string
 token_of(const std::string &req)
 {
@@ -125,22 +125,21 @@
 	return req.substr(at, req.find("\r\n", at) - at);
 }
 
-// The node is told to stop while an executor still works on a request.  The
-// balancer sees it as not ready at once; the caller gets the whole answer; and
-// only then does the process end.
-TEST_F(Dispatch, AStopCutsNoRequest)
+// A stop during a request: load balancers see at once that the node is not
+// ready, the caller gets the complete answer, and only then the process ends.
+TEST_F(Dispatch, StopCompletesOpenRequests)
 {
 	char buf[4096];
 	int caller = call("/v1/x");
 
-	ASSERT_TRUE(l.until([&] { return node.open == 1; }));
+	ASSERT_TRUE(l.run_until([&] { return node.open_calls == 1; }));
 	ogl_dispatch_stop(d);
 	int probe = call("/readyz");
-	l.until([&] {
+	l.run_until([&] {
 		return recv(probe, buf, sizeof buf, MSG_DONTWAIT | MSG_PEEK) >
 		       0;
 	});
-	EXPECT_TRUE(has(get_all(probe), "HTTP/1.1 503"));
+	EXPECT_TRUE(contains(recv_all(probe), "HTTP/1.1 503"));
 	EXPECT_FALSE(ogl_dispatch_clean(d));
 	std::thread executor([&] {
 		int fd = accept(exec_fd, nullptr, nullptr);
@@ -149,15 +148,15 @@
 		EXPECT_GT(n, 0);
 		std::string token = token_of(std::string(req, n > 0 ? n : 0));
 		EXPECT_NE("", token);
-		put(fd, "HTTP/1.1 200 OK\r\nOgl-Token: " + token +
-			    "\r\nContent-Length: 6\r\n\r\nresult");
-		get_all(fd);
+		send_all(fd, "HTTP/1.1 200 OK\r\nOgl-Token: " + token +
+				 "\r\nContent-Length: 6\r\n\r\nresult");
+		recv_all(fd);
 		close(fd);
 	});
-	ASSERT_TRUE(l.until([&] { return ogl_dispatch_clean(d); }));
-	std::string got = get_all(caller);
-	EXPECT_TRUE(has(got, "HTTP/1.1 200"));
-	EXPECT_TRUE(has(got, "\r\n\r\nresult"));
+	ASSERT_TRUE(l.run_until([&] { return ogl_dispatch_clean(d); }));
+	std::string got = recv_all(caller);
+	EXPECT_TRUE(contains(got, "HTTP/1.1 200"));
+	EXPECT_TRUE(contains(got, "\r\n\r\nresult"));
 	ogl_http_out_end(parts.http_out);
 	parts.http_out = nullptr;
 	executor.join();
@@ -165,24 +164,24 @@
 	close(probe);
 }
 
-TEST_F(Dispatch, TheNodeIsWokenWhenItAsksAndItsClockNeverGoesBack)
+TEST_F(Dispatch, WakesNodeWithMonotonicTime)
 {
-	ASSERT_TRUE(l.until([&] { return node.timers >= 10; }));
-	EXPECT_EQ(0, node.backwards);
+	ASSERT_TRUE(l.run_until([&] { return node.timer_events >= 10; }));
+	EXPECT_EQ(0, node.steps_back);
 }
 
-TEST_F(Dispatch, MetricsOfNodeAndPartsAreOnOnePage)
+TEST_F(Dispatch, MetricsPageCoversNodeAndParts)
 {
 	std::string got;
 	char buf[8192];
 	int fd = call("/metrics");
 	ssize_t n = 0;
 
-	ASSERT_TRUE(l.until(
+	ASSERT_TRUE(l.run_until(
 	    [&] { return (n = recv(fd, buf, sizeof buf, MSG_DONTWAIT)) > 0; }));
 	got.assign(buf, (size_t)n);
-	EXPECT_TRUE(has(got, "ogl_node_x 1\n"));
-	EXPECT_TRUE(has(got, "\nogl_http_out_resends_stopped_total 0\n"));
-	EXPECT_TRUE(has(got, "\nogl_peer_dropped_total 0\n"));
+	EXPECT_TRUE(contains(got, "ogl_node_x 1\n"));
+	EXPECT_TRUE(contains(got, "\nogl_http_out_resends_stopped_total 0\n"));
+	EXPECT_TRUE(contains(got, "\nogl_peer_dropped_total 0\n"));
 	close(fd);
 }
--- a/test/test_daemon_http_in.cc
+++ b/test/test_daemon_http_in.cc
@@ -1,4 +1,4 @@
-// Callers' requests, whole and otherwise.
+// The HTTP server: complete, incomplete and malformed requests.
 #include <gtest/gtest.h>
 
 #include "test_daemon_util.h"
@@ -11,12 +11,12 @@
 	Loop l;
 	ogl_http_in_limits limits;
 	ogl_http_in *h = nullptr;
-	bool answer = true;
+	bool auto_reply = true;
 
 	HttpIn()
 	{
 		ogl_http_in_limits_default(&limits);
-		l.copy = [](const ogl_event *ev, Seen &s) {
+		l.record = [](const ogl_event *ev, Seen &s) {
 			if (ev->type != OGL_EV_CALL)
 				return;
 			s.number = ev->u.call.budget_ms;
@@ -31,7 +31,7 @@
 				ev->u.call.body.n ? ev->u.call.body.p : "",
 				ev->u.call.body.n);
 		};
-		l.turn = [this] { turn(); };
+		l.before_turn = [this] { serve(); };
 	}
 	~HttpIn() override
 	{
@@ -61,44 +61,45 @@
 		ogl_actions_clear(&q);
 	}
 	size_t replied = 0;
-	void turn()
+	void serve()
 	{
 		do {
-			for (; answer && replied < l.seen.size(); replied++)
+			for (; auto_reply && replied < l.seen.size(); replied++)
 				reply(l.seen[replied].token);
 		} while (ogl_http_in_run(h));
 	}
-	// What a client that runs `act` on its connection reads until its end.
-	std::string client(const std::function<void(int)> &act)
+	// Connects a client, runs `script` on its connection and returns what
+	// the client reads until the connection ends.
+	std::string run_client(const std::function<void(int)> &script)
 	{
 		std::atomic<bool> ended{false};
 		std::string got;
 		uint16_t port = ogl_http_in_port(h);
 		std::thread t([&] {
-			int fd = dial(port);
-			act(fd);
-			got = get_all(fd);
+			int fd = connect_to(port);
+			script(fd);
+			got = recv_all(fd);
 			close(fd);
 			ended = true;
 		});
 
-		EXPECT_TRUE(l.until([&] { return ended.load(); }));
+		EXPECT_TRUE(l.run_until([&] { return ended.load(); }));
 		t.join();
 		return got;
 	}
 	std::string request(const std::string &text)
 	{
-		return client([&](int fd) { put(fd, text); });
+		return run_client([&](int fd) { send_all(fd, text); });
 	}
 };
 
 static bool
-has(const std::string &s, const char *part)
+contains(const std::string &s, const char *part)
 {
 	return s.find(part) != std::string::npos;
 }
 
-TEST_F(HttpIn, ACallReachesTheNodeWholeAndItsReplyTheCaller)
+TEST_F(HttpIn, PassesCallToNodeAndReplyToCaller)
 {
 	start();
 	std::string got =
@@ -111,11 +112,11 @@
 	EXPECT_EQ("/v1/requests?a=b", l.seen[0].path);
 	EXPECT_EQ("k1 POST body", l.seen[0].text);
 	EXPECT_EQ(250u, l.seen[0].number);
-	EXPECT_TRUE(has(got, "HTTP/1.1 200"));
-	EXPECT_TRUE(has(got, "Ogl-Verdict: ran\r\n"));
-	EXPECT_TRUE(has(got, "Retry-After: 2\r\n"));
-	EXPECT_TRUE(has(got, "Ogl-Retry-After-Ms: 1500\r\n"));
-	EXPECT_TRUE(has(got, "\r\n\r\ndone"));
+	EXPECT_TRUE(contains(got, "HTTP/1.1 200"));
+	EXPECT_TRUE(contains(got, "Ogl-Verdict: ran\r\n"));
+	EXPECT_TRUE(contains(got, "Retry-After: 2\r\n"));
+	EXPECT_TRUE(contains(got, "Ogl-Retry-After-Ms: 1500\r\n"));
+	EXPECT_TRUE(contains(got, "\r\n\r\ndone"));
 }
 
 TEST_F(HttpIn, ManyCallsOnOneConnection)
@@ -128,25 +129,24 @@
 	got = request(got + "GET /healthz HTTP/1.1\r\nHost: x\r\n"
 			    "Connection: close\r\n\r\n");
 	EXPECT_EQ(50u, l.seen.size());
-	EXPECT_TRUE(has(got, "ok\n"));
+	EXPECT_TRUE(contains(got, "ok\n"));
 }
 
-TEST_F(HttpIn, OwnPathsAreAnsweredWithoutTheNode)
+TEST_F(HttpIn, AnswersLocalPathsWithoutNode)
 {
 	start();
 	for (const char *path : {"/healthz", "/readyz", "/metrics"}) {
 		std::string got = request(std::string("GET ") + path +
 					  " HTTP/1.1\r\nHost: x\r\n"
 					  "Connection: close\r\n\r\n");
-		EXPECT_TRUE(has(got, "HTTP/1.1 200")) << path;
+		EXPECT_TRUE(contains(got, "HTTP/1.1 200")) << path;
 	}
 	EXPECT_TRUE(l.seen.empty());
 }
 
-// Callers send what no node should take in: a body over the bound, declared
-// or not, another method, headers that mean nothing.  Each is told that
-// nothing ran, and the node is never asked.
-TEST_F(HttpIn, WhatCannotBeTakenIsRefusedAsNotRun)
+// A body over the limit, declared or not, an unsupported method and malformed
+// headers are refused as not executed, and do not reach the node.
+TEST_F(HttpIn, RefusesInvalidRequestsAsNotRun)
 {
 	std::string large(1024 * 1024 + 1, 'x');
 	struct {
@@ -176,20 +176,20 @@
 	ogl_http_in_closing(h);
 	for (const auto &c : cases) {
 		std::string got = request(c.text);
-		EXPECT_TRUE(
-		    has(got, (std::string("HTTP/1.1 ") + c.status).c_str()))
+		EXPECT_TRUE(contains(
+		    got, (std::string("HTTP/1.1 ") + c.status).c_str()))
 		    << c.text.substr(0, 120) << "\n"
 		    << got;
-		EXPECT_TRUE(has(got, "Ogl-Verdict: not_run\r\n"));
-		EXPECT_TRUE(has(got, "\"verdict\""));
+		EXPECT_TRUE(contains(got, "Ogl-Verdict: not_run\r\n"));
+		EXPECT_TRUE(contains(got, "\"verdict\""));
 	}
 	EXPECT_TRUE(l.seen.empty());
 	EXPECT_EQ(4u, ogl_http_in_counts(h)->too_big);
 }
 
-// Many callers send large bodies at once.  Those beyond the total are refused
-// at once rather than held, and the memory is free again afterwards.
-TEST_F(HttpIn, BodiesTogetherAreBounded)
+// Many callers send large bodies at once.  Bodies over the total limit are
+// refused instead of kept in memory, and the memory is free again afterwards.
+TEST_F(HttpIn, LimitsTotalSizeOfBodies)
 {
 	std::string text = "POST /v1/requests HTTP/1.1\r\nHost: x\r\n"
 			   "Connection: close\r\nContent-Length: 600\r\n\r\n" +
@@ -197,47 +197,47 @@
 
 	limits.body_total_max = 1000;
 	start();
-	int held = dial(ogl_http_in_port(h));
-	put(held, text.substr(0, text.size() - 1));
+	int held = connect_to(ogl_http_in_port(h));
+	send_all(held, text.substr(0, text.size() - 1));
 	std::string got;
-	ASSERT_TRUE(l.until([&] {
+	ASSERT_TRUE(l.run_until([&] {
 		got = request(text);
-		return has(got, "HTTP/1.1 503");
+		return contains(got, "HTTP/1.1 503");
 	}));
-	EXPECT_TRUE(has(got, "Ogl-Verdict: not_run\r\n"));
-	EXPECT_TRUE(has(got, "Retry-After: 1\r\n"));
+	EXPECT_TRUE(contains(got, "Ogl-Verdict: not_run\r\n"));
+	EXPECT_TRUE(contains(got, "Retry-After: 1\r\n"));
 	close(held);
-	ASSERT_TRUE(
-	    l.until([&] { return has(request(text), "HTTP/1.1 200"); }));
+	ASSERT_TRUE(l.run_until(
+	    [&] { return contains(request(text), "HTTP/1.1 200"); }));
 }
 
-// A caller's host fails while it sends.  Half a request must never count as
-// a whole one.
-TEST_F(HttpIn, HalfARequestNeverReachesTheNode)
+// A caller's host fails while it sends.  An incomplete request must never be
+// taken for a complete one.
+TEST_F(HttpIn, DropsIncompleteRequest)
 {
 	limits.request_timeout_ms = 400;
 	start();
 	for (const char *text : {"POST /v1/requests HTTP/1.1\r\nHost: x\r\n"
 				 "Content-Length: 100\r\n\r\nhalf",
 		 "POST /v1/requests HTTP/1.1\r\nHo", "POST /v1", ""}) {
-		EXPECT_EQ("", client([&](int fd) {
-			put(fd, text);
+		EXPECT_EQ("", run_client([&](int fd) {
+			send_all(fd, text);
 			shutdown(fd, SHUT_WR);
 		}));
 	}
 	EXPECT_TRUE(l.seen.empty());
 }
 
-// A sender of a few bytes now and then is never silent for long, yet would
-// hold its connection for ever.
-TEST_F(HttpIn, ASlowSenderIsClosedThoughItNeverPauses)
+// A caller that sends a few bytes now and then never exceeds the idle timeout,
+// and would keep its connection for ever.
+TEST_F(HttpIn, ClosesConnectionOfSlowSender)
 {
 	limits.request_timeout_ms = 200;
 	start();
-	client([&](int fd) {
-		put(fd, "POST /v1/requests HTTP/1.1\r\nHost: x\r\n"
-			"Content-Length: 1000000\r\n\r\n");
-		while (put(fd, "x"))
+	run_client([&](int fd) {
+		send_all(fd, "POST /v1/requests HTTP/1.1\r\nHost: x\r\n"
+			     "Content-Length: 1000000\r\n\r\n");
+		while (send_all(fd, "x"))
 			std::this_thread::sleep_for(
 			    std::chrono::milliseconds(10));
 	});
@@ -245,11 +245,11 @@
 	EXPECT_TRUE(l.seen.empty());
 }
 
-// A node dies with calls under way and is started again.  Answers to its old
-// calls still come, from an owner that is late.  Did the new process count its
-// calls from the same number, they would answer other callers' requests: one
-// sees a job accepted that nobody has written, another that his is unknown.
-TEST_F(HttpIn, ANewProcessNamesItsCallsAnew)
+// A node crashes with calls in progress and restarts, and an owner answers the
+// old calls late.  If the new process reused the tokens, these answers would go
+// to other callers: one would be told that a job is accepted which was never
+// stored, another that its job is unknown.
+TEST_F(HttpIn, TokensAreNotReusedAfterRestart)
 {
 	start();
 	request("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
@@ -261,61 +261,61 @@
 	EXPECT_LT(l.seen[0].token, l.seen[1].token);
 }
 
-// A caller gives up while its request waits.  The node is told, so that it
-// does not do the work for nobody, and its later reply goes nowhere.
-TEST_F(HttpIn, ACallerThatLeavesIsReported)
+// A caller disconnects while its request waits.  The node is told, so that it
+// does not do the work for nobody, and its later reply is discarded.
+TEST_F(HttpIn, ReportsDisconnectedCaller)
 {
-	answer = false;
+	auto_reply = false;
 	start();
-	int fd = dial(ogl_http_in_port(h));
-	put(fd, "GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n");
-	ASSERT_TRUE(l.until([&] { return l.seen.size() == 1; }));
+	int fd = connect_to(ogl_http_in_port(h));
+	send_all(fd, "GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n");
+	ASSERT_TRUE(l.run_until([&] { return l.seen.size() == 1; }));
 	close(fd);
-	ASSERT_TRUE(l.until([&] { return l.seen.size() == 2; }));
+	ASSERT_TRUE(l.run_until([&] { return l.seen.size() == 2; }));
 	EXPECT_EQ(OGL_EV_CALL_GONE, l.seen[1].type);
 	EXPECT_EQ(l.seen[0].token, l.seen[1].token);
 	reply(l.seen[0].token);
 	EXPECT_EQ(1u, ogl_http_in_counts(h)->late_replies);
 }
 
-// The node shuts down: requests still waiting get their replies, one that
-// comes afterwards on a connection kept open is refused as not run, and then
-// every connection ends.
-TEST_F(HttpIn, ShutdownAnswersEverybodyAndThenDrains)
+// The node shuts down.  Waiting requests get their replies, a request that is
+// still in the listen backlog is refused as not executed, and then all
+// connections end.
+TEST_F(HttpIn, ShutdownAnswersOpenCallsAndDrains)
 {
 	const char *text = "GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n";
 
-	answer = false;
+	auto_reply = false;
 	start();
-	int waiting = dial(ogl_http_in_port(h));
-	put(waiting, text);
-	ASSERT_TRUE(l.until([&] { return l.seen.size() == 1; }));
-	int queued = dial(ogl_http_in_port(h));
-	put(queued, text);
+	int waiting = connect_to(ogl_http_in_port(h));
+	send_all(waiting, text);
+	ASSERT_TRUE(l.run_until([&] { return l.seen.size() == 1; }));
+	int queued = connect_to(ogl_http_in_port(h));
+	send_all(queued, text);
 	ogl_http_in_quiesce(h);
-	EXPECT_EQ(-1, dial(ogl_http_in_port(h)));
+	EXPECT_EQ(-1, connect_to(ogl_http_in_port(h)));
 	reply(l.seen[0].token);
-	ASSERT_TRUE(l.until([&] { return ogl_http_in_drained(h); }));
-	EXPECT_TRUE(has(get_all(waiting), "\r\n\r\ndone"));
-	std::string got = get_all(queued);
-	EXPECT_TRUE(has(got, "HTTP/1.1 503"));
-	EXPECT_TRUE(has(got, "Ogl-Verdict: not_run\r\n"));
-	EXPECT_TRUE(has(got, "Connection: close\r\n"));
+	ASSERT_TRUE(l.run_until([&] { return ogl_http_in_drained(h); }));
+	EXPECT_TRUE(contains(recv_all(waiting), "\r\n\r\ndone"));
+	std::string got = recv_all(queued);
+	EXPECT_TRUE(contains(got, "HTTP/1.1 503"));
+	EXPECT_TRUE(contains(got, "Ogl-Verdict: not_run\r\n"));
+	EXPECT_TRUE(contains(got, "Connection: close\r\n"));
 	EXPECT_EQ(1u, l.seen.size());
 	close(waiting);
 	close(queued);
 }
 
-// The daemon ends with calls unanswered (the hard limit): it must still end.
-TEST_F(HttpIn, EndsWithCallsWaiting)
+// The shutdown times out with calls unanswered; the daemon must still end.
+TEST_F(HttpIn, EndsWithUnansweredCalls)
 {
-	answer = false;
+	auto_reply = false;
 	start();
-	int fd = dial(ogl_http_in_port(h));
-	put(fd, "GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n");
-	ASSERT_TRUE(l.until([&] { return l.seen.size() == 1; }));
+	int fd = connect_to(ogl_http_in_port(h));
+	send_all(fd, "GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n");
+	ASSERT_TRUE(l.run_until([&] { return l.seen.size() == 1; }));
 	ogl_http_in_end(h);
 	h = nullptr;
-	EXPECT_EQ("", get_all(fd));
+	EXPECT_EQ("", recv_all(fd));
 	close(fd);
 }
--- a/test/test_daemon_http_out.cc
+++ b/test/test_daemon_http_out.cc
@@ -1,4 +1,4 @@
-// What becomes of requests to the platform, workers and executors.
+// Results of requests to the platform, workers and executors.
 #include <gtest/gtest.h>
 
 #include <mutex>
@@ -9,13 +9,14 @@
 #include "http_out.h"
 }
 
-// Serves each connection on a thread of its own.  The script gets the number
-// of the request (from 0, over all connections) and gives the raw answer; an
-// answer that ends in "#close" is cut there and the connection closed.
+// Serves each connection on its own thread.  The script is called with the
+// number of the request (from 0, over all connections) and the request, and
+// returns the raw answer.  At "#close" the answer is truncated and the
+// connection closed.
 struct Server {
 	using Script = std::function<std::string(int, const std::string &)>;
 	uint16_t port;
-	int lfd = listen_any(&port);
+	int lfd = listen_on_free_port(&port);
 	Script script;
 	std::atomic<int> requests{0};
 	std::atomic<bool> ended{false};
@@ -80,10 +81,10 @@
 			answer = script(requests++, req);
 			size_t cut = answer.find("#close");
 			if (cut == std::string::npos) {
-				put(fd, answer);
+				send_all(fd, answer);
 				continue;
 			}
-			put(fd, answer.substr(0, cut));
+			send_all(fd, answer.substr(0, cut));
 			shutdown(fd, SHUT_RDWR);
 			return;
 		}
@@ -107,7 +108,7 @@
 	{
 		h = ogl_http_out_init(
 		    l.loop, addr_of(platform).c_str(), l.sink(), l.log);
-		l.copy = [](const ogl_event *ev, Seen &s) {
+		l.record = [](const ogl_event *ev, Seen &s) {
 			if (ev->type == OGL_EV_EXEC) {
 				s.status = ev->u.exec.status;
 				s.text.assign(
@@ -123,13 +124,13 @@
 					    ev->u.read.entries[i].data.n);
 			}
 		};
-		l.turn = [this] { ogl_http_out_run(h); };
+		l.before_turn = [this] { ogl_http_out_run(h); };
 	}
 	~Out()
 	{
 		ogl_http_out_end(h);
 	}
-	Seen ask(void (*fn)(ogl_http_out *, const ogl_action *),
+	Seen run(void (*fn)(ogl_http_out *, const ogl_action *),
 	    const std::string &addr, const std::string &body,
 	    uint32_t timeout_ms = 5000)
 	{
@@ -148,51 +149,54 @@
 		ogl__worker_sync__init(a->sync);
 		fn(h, a);
 		ogl_actions_clear(&q);
-		EXPECT_TRUE(l.until([&] { return l.seen.size() > before; }));
+		EXPECT_TRUE(
+		    l.run_until([&] { return l.seen.size() > before; }));
 		return l.seen.back();
 	}
 };
 
-static const std::string tok = "Ogl-Token: 1\r\n";
+static const std::string token_header = "Ogl-Token: 1\r\n";
 
-TEST(HttpOut, ExecutorAnswersAreJudged)
+TEST(HttpOut, ClassifiesExecutorAnswers)
 {
 	struct {
 		const char *name;
 		std::string answer;
 		ogl_io io;
 	} cases[] = {
-	    {"whole", http(200, tok, "body"), OGL_IO_OK},
-	    {"own failure", http(500, tok, "boom"), OGL_IO_OK},
-	    {"no slot", http(503, tok + "Ogl-Verdict: not_run\r\n", ""),
+	    {"complete", http(200, token_header, "body"), OGL_IO_OK},
+	    {"executor error", http(500, token_header, "boom"), OGL_IO_OK},
+	    {"no slot",
+		http(503, token_header + "Ogl-Verdict: not_run\r\n", ""),
 		OGL_IO_REFUSED},
-	    {"another's", http(200, "Ogl-Token: 2\r\n", "body"), OGL_IO_LOST},
-	    {"nobody's", http(200, "", "body"), OGL_IO_LOST},
-	    {"another's refusal",
+	    {"wrong token", http(200, "Ogl-Token: 2\r\n", "body"), OGL_IO_LOST},
+	    {"no token", http(200, "", "body"), OGL_IO_LOST},
+	    {"refusal with wrong token",
 		http(503, "Ogl-Token: 2\r\nOgl-Verdict: not_run\r\n", ""),
 		OGL_IO_LOST},
-	    {"cut",
-		"HTTP/1.1 200 X\r\n" + tok +
+	    {"truncated body",
+		"HTTP/1.1 200 X\r\n" + token_header +
 		    "Content-Length: 9\r\n\r\nbo#close",
 		OGL_IO_LOST},
-	    {"cut in its headers", "HTTP/1.1 200 X\r\nOgl-Tok#close",
+	    {"truncated headers", "HTTP/1.1 200 X\r\nOgl-Tok#close",
 		OGL_IO_LOST},
-	    {"without a length", "HTTP/1.1 200 X\r\n" + tok + "\r\nbody#close",
+	    {"no length",
+		"HTTP/1.1 200 X\r\n" + token_header + "\r\nbody#close",
 		OGL_IO_LOST},
-	    {"no HTTP", "hello#close", OGL_IO_LOST},
-	    {"none", "#close", OGL_IO_LOST},
+	    {"not HTTP", "hello#close", OGL_IO_LOST},
+	    {"no answer", "#close", OGL_IO_LOST},
 	};
 
 	for (const auto &c : cases) {
 		Server s([&](int, const std::string &) { return c.answer; });
 		Out o(s.port);
-		Seen e = o.ask(ogl_http_out_exec, addr_of(s.port), "work");
+		Seen e = o.run(ogl_http_out_exec, addr_of(s.port), "work");
 		EXPECT_EQ(c.io, e.io) << c.name;
 		EXPECT_EQ(1, s.requests) << c.name;
 	}
 }
 
-TEST(HttpOut, RequestsCarryTheirHeadersAndBodyAndReuseAConnection)
+TEST(HttpOut, SendsHeadersAndBodyOnReusedConnection)
 {
 	std::string got;
 	Server s([&](int i, const std::string &req) {
@@ -203,7 +207,7 @@
 	Out o(s.port);
 
 	for (int i = 0; i < 3; i++) {
-		Seen e = o.ask(
+		Seen e = o.run(
 		    ogl_http_out_exec, addr_of(s.port), std::string("x\0y", 3));
 		EXPECT_EQ(OGL_IO_OK, e.io);
 		EXPECT_EQ(std::string("a\0b", 3), e.text);
@@ -216,11 +220,11 @@
 	EXPECT_EQ(std::string("\r\n\r\nx\0y", 7), got.substr(got.size() - 7));
 }
 
-// An executor takes a request on a connection that was used before, runs it
-// and dies before it answers.  The connection then ends without a byte of the
-// answer, which the HTTP library takes for a stale connection: it would send
-// the request again by itself, and a tanker would be booked twice.
-TEST(HttpOut, ARequestOnAReusedConnectionIsNeverSentTwice)
+// An executor receives a request on a reused connection, executes it and fails
+// before it answers.  The connection ends without a byte of the answer, which
+// libcurl takes for a stale connection: it would send the request again, and
+// the request would be executed twice.
+TEST(HttpOut, NeverResendsExecutorRequest)
 {
 	for (const char *body : {"work", ""}) {
 		Server s([&](int i, const std::string &) {
@@ -234,19 +238,19 @@
 		Out o(s.port);
 
 		EXPECT_EQ(OGL_IO_OK,
-		    o.ask(ogl_http_out_exec, addr_of(s.port), body).io);
+		    o.run(ogl_http_out_exec, addr_of(s.port), body).io);
 		EXPECT_EQ(OGL_IO_LOST,
-		    o.ask(ogl_http_out_exec, addr_of(s.port), body).io);
+		    o.run(ogl_http_out_exec, addr_of(s.port), body).io);
 		EXPECT_EQ(1u, ogl_http_out_counts(o.h)->resends_stopped);
 		EXPECT_EQ(2, s.requests);
 		EXPECT_EQ(OGL_IO_OK,
-		    o.ask(ogl_http_out_exec, addr_of(s.port), body).io);
+		    o.run(ogl_http_out_exec, addr_of(s.port), body).io);
 	}
 }
 
-// The platform restarts between two appends, and only a read may be repeated
-// behind our back: an append may be in the log already.
-TEST(HttpOut, OnlyReadsAreSentAgain)
+// The platform restarts between two requests.  libcurl may resend only a read:
+// an append may be in the log already.
+TEST(HttpOut, ResendsOnlyReads)
 {
 	const std::string page = "{\"first\":0,\"next\":0,\"records\":[]}";
 	Server s([&](int i, const std::string &req) {
@@ -256,34 +260,34 @@
 	});
 	Out o(s.port);
 
-	EXPECT_EQ(OGL_IO_OK, o.ask(ogl_http_out_append, "", "r").io);
-	EXPECT_EQ(OGL_IO_LOST, o.ask(ogl_http_out_append, "", "r").io);
+	EXPECT_EQ(OGL_IO_OK, o.run(ogl_http_out_append, "", "r").io);
+	EXPECT_EQ(OGL_IO_LOST, o.run(ogl_http_out_append, "", "r").io);
 	EXPECT_EQ(2, s.requests);
-	EXPECT_EQ(OGL_IO_OK, o.ask(ogl_http_out_append, "", "r").io);
-	EXPECT_EQ(OGL_IO_OK, o.ask(ogl_http_out_append, "", "r").io);
-	EXPECT_EQ(OGL_IO_OK, o.ask(ogl_http_out_read, "", "").io);
+	EXPECT_EQ(OGL_IO_OK, o.run(ogl_http_out_append, "", "r").io);
+	EXPECT_EQ(OGL_IO_OK, o.run(ogl_http_out_append, "", "r").io);
+	EXPECT_EQ(OGL_IO_OK, o.run(ogl_http_out_read, "", "").io);
 	EXPECT_EQ(6, s.requests);
 }
 
-// The target's host is gone and its port refuses.  The caller may be told
-// with certainty that nothing ran.
-TEST(HttpOut, ARefusedConnectionIsNotSent)
+// Nothing listens at the target's port.  The caller can be told with certainty
+// that nothing was executed.
+TEST(HttpOut, RefusedConnectionCountsAsNotSent)
 {
 	uint16_t port;
-	int fd = listen_any(&port);
+	int fd = listen_on_free_port(&port);
 
 	close(fd);
 	Out o(port);
 	EXPECT_EQ(OGL_IO_NOT_SENT,
-	    o.ask(ogl_http_out_exec, addr_of(port), "work").io);
-	EXPECT_EQ(OGL_IO_NOT_SENT, o.ask(ogl_http_out_append, "", "r").io);
+	    o.run(ogl_http_out_exec, addr_of(port), "work").io);
+	EXPECT_EQ(OGL_IO_NOT_SENT, o.run(ogl_http_out_append, "", "r").io);
 	EXPECT_EQ(OGL_IO_NOT_SENT,
-	    o.ask(ogl_http_out_exec, "host.example:80", "work").io);
+	    o.run(ogl_http_out_exec, "host.example:80", "work").io);
 }
 
-// The executor hangs with the request in its hands: nobody knows whether it
-// will run, so the timeout must not read as not sent.
-TEST(HttpOut, ATimeoutAfterSendingIsLost)
+// The executor hangs after it has received the request.  It may still execute
+// it, so the timeout must not count as not sent.
+TEST(HttpOut, TimeoutAfterSendingCountsAsLost)
 {
 	std::atomic<bool> go{false};
 	Server s([&](int, const std::string &) {
@@ -294,11 +298,11 @@
 	Out o(s.port);
 
 	EXPECT_EQ(OGL_IO_LOST,
-	    o.ask(ogl_http_out_exec, addr_of(s.port), "work", 100).io);
+	    o.run(ogl_http_out_exec, addr_of(s.port), "work", 100).io);
 	go = true;
 }
 
-TEST(HttpOut, PlatformAnswersAreJudged)
+TEST(HttpOut, ClassifiesPlatformAnswers)
 {
 	struct {
 		const char *name;
@@ -306,13 +310,13 @@
 		ogl_io append, read;
 	} cases[] = {
 	    {"offset", http(200, "", "{\"offset\":7}"), OGL_IO_OK, OGL_IO_LOST},
-	    {"negative", http(200, "", "{\"offset\":-7}"), OGL_IO_LOST,
+	    {"negative offset", http(200, "", "{\"offset\":-7}"), OGL_IO_LOST,
 		OGL_IO_LOST},
-	    {"rate", http(429, "", ""), OGL_IO_REFUSED, OGL_IO_REFUSED},
-	    {"gateway's 503", http(503, "", ""), OGL_IO_LOST, OGL_IO_LOST},
-	    {"own 503", http(503, "Ogl-Verdict: not_run\r\n", ""),
+	    {"rate limit", http(429, "", ""), OGL_IO_REFUSED, OGL_IO_REFUSED},
+	    {"plain 503", http(503, "", ""), OGL_IO_LOST, OGL_IO_LOST},
+	    {"503 with verdict", http(503, "Ogl-Verdict: not_run\r\n", ""),
 		OGL_IO_REFUSED, OGL_IO_REFUSED},
-	    {"records",
+	    {"repeated offset",
 		http(200, "",
 		    "{\"first\":3,\"next\":9,\"records\":["
 		    "{\"offset\":5,\"data\":\"YWI=\"},"
@@ -324,7 +328,7 @@
 		    "{\"first\":0,\"next\":1,\"records\":["
 		    "{\"offset\":0,\"data\":\"YWI\"}]}"),
 		OGL_IO_LOST, OGL_IO_LOST},
-	    {"good records",
+	    {"records",
 		http(200, "",
 		    "{\"first\":3,\"next\":9,\"records\":["
 		    "{\"offset\":5,\"data\":\"YWI=\"},"
@@ -335,8 +339,8 @@
 	for (const auto &c : cases) {
 		Server s([&](int, const std::string &) { return c.answer; });
 		Out o(s.port);
-		Seen a = o.ask(ogl_http_out_append, "", "r");
-		Seen r = o.ask(ogl_http_out_read, "", "");
+		Seen a = o.run(ogl_http_out_append, "", "r");
+		Seen r = o.run(ogl_http_out_read, "", "");
 		EXPECT_EQ(c.append, a.io) << c.name;
 		EXPECT_EQ(c.read, r.io) << c.name;
 		EXPECT_EQ(a.io == OGL_IO_OK ? 7u : 0u, a.number) << c.name;
@@ -344,10 +348,10 @@
 	}
 }
 
-// Somebody wrote records so large that a page of them is over the bound of an
-// answer.  Read with the same page size again and again, a node that starts
-// would never get past them and never become ready.
-TEST(HttpOut, APageThatIsTooLargeIsReadInSmallerOnes)
+// The log holds records so large that a page of them exceeds the limit of an
+// answer.  With an unchanged page size a starting node would never get past
+// them and never become ready.
+TEST(HttpOut, ReadsOversizedPageInSmallerPages)
 {
 	const std::string page = "{\"first\":0,\"next\":0,\"records\":[]}";
 	Server s([&](int, const std::string &req) {
@@ -357,23 +361,23 @@
 	Out o(s.port);
 	int tries = 0;
 
-	while (o.ask(ogl_http_out_read, "", "", 20000).io != OGL_IO_OK)
+	while (o.run(ogl_http_out_read, "", "", 20000).io != OGL_IO_OK)
 		ASSERT_LT(++tries, 10);
 	EXPECT_GT(tries, 0);
 }
 
-TEST(HttpOut, WorkerReportsAndHostsThatDoNotParseAreLost)
+TEST(HttpOut, MalformedReportsAndHostListsCountAsLost)
 {
 	std::string body = "{\"worker\":\"w1\",\"boot\":3}";
 	Server s([&](int, const std::string &) { return http(200, "", body); });
 	Out o(s.port);
 
 	EXPECT_EQ(
-	    OGL_IO_OK, o.ask(ogl_http_out_worker, addr_of(s.port), "").io);
-	EXPECT_EQ(OGL_IO_LOST, o.ask(ogl_http_out_hosts, "", "").io);
+	    OGL_IO_OK, o.run(ogl_http_out_worker, addr_of(s.port), "").io);
+	EXPECT_EQ(OGL_IO_LOST, o.run(ogl_http_out_hosts, "", "").io);
 	body = "{\"hosts\":[{\"name\":\"w1\",\"role\":\"worker\"}]}";
-	EXPECT_EQ(OGL_IO_OK, o.ask(ogl_http_out_hosts, "", "").io);
+	EXPECT_EQ(OGL_IO_OK, o.run(ogl_http_out_hosts, "", "").io);
 	EXPECT_EQ(
-	    OGL_IO_LOST, o.ask(ogl_http_out_worker, addr_of(s.port), "").io);
+	    OGL_IO_LOST, o.run(ogl_http_out_worker, addr_of(s.port), "").io);
 	EXPECT_EQ(2u, ogl_http_out_counts(o.h)->malformed);
 }
--- a/test/test_daemon_util.h
+++ b/test/test_daemon_util.h
@@ -1,5 +1,5 @@
-// What the daemon's tests share: the loop under test on the test's own
-// thread, its counterparts as plain blocking sockets on threads of their own.
+// Helpers of the daemon's tests.  The event loop under test runs on the test's
+// thread; servers and clients use blocking sockets on their own threads.
 #ifndef TEST_DAEMON_UTIL_H
 #define TEST_DAEMON_UTIL_H
 
@@ -20,7 +20,7 @@
 #include "sink.h"
 }
 
-// An event with copies of what it borrowed.
+// A received event, with copies of the data that it borrowed.
 struct Seen {
 	ogl_event_type type;
 	uint64_t token;
@@ -40,8 +40,8 @@
 	struct ev_loop *loop = ev_loop_new(EVFLAG_AUTO);
 	struct ogl_logger *log = ogl_logger_init(stderr, OGL_LOG_ERROR);
 	std::vector<Seen> seen;
-	std::function<void(const ogl_event *, Seen &)> copy;
-	std::function<void()> turn = [] {};
+	std::function<void(const ogl_event *, Seen &)> record;
+	std::function<void()> before_turn = [] {};
 	ev_timer tick;
 
 	Loop()
@@ -60,23 +60,24 @@
 		Loop *l = static_cast<Loop *>(ctx);
 		Seen s{ev->type, ev->token, ev->io, 0, 0, "", ""};
 
-		if (l->copy)
-			l->copy(ev, s);
+		if (l->record)
+			l->record(ev, s);
 		l->seen.push_back(s);
 	}
 	ogl_sink sink()
 	{
 		return ogl_sink{on_event, this};
 	}
-	// Turns the loop until done() or a generous limit; whether done.
-	bool until(const std::function<bool()> &done)
+	// Runs the loop until done() or a timeout of 20 s.  Returns whether
+	// done() was reached.
+	bool run_until(const std::function<bool()> &done)
 	{
 		ev_tstamp end = ev_time() + 20;
 
 		while (!done()) {
 			if (ev_time() > end)
 				return false;
-			turn();
+			before_turn();
 			ev_run(loop, EVRUN_ONCE);
 		}
 		return true;
@@ -84,7 +85,7 @@
 };
 
 static inline int
-dial(uint16_t port)
+connect_to(uint16_t port)
 {
 	sockaddr_in sa{};
 	timeval tv{15, 0};
@@ -102,7 +103,7 @@
 }
 
 static inline int
-listen_any(uint16_t *port)
+listen_on_free_port(uint16_t *port)
 {
 	sockaddr_in sa{};
 	socklen_t len = sizeof sa;
@@ -118,7 +119,7 @@
 }
 
 static inline bool
-put(int fd, const std::string &s)
+send_all(int fd, const std::string &s)
 {
 	size_t at = 0;
 
@@ -133,7 +134,7 @@
 }
 
 static inline std::string
-get_all(int fd)
+recv_all(int fd)
 {
 	std::string s;
 	char buf[4096];
