--- a/ctl/call.c
+++ b/ctl/call.c
@@ -1,5 +1,5 @@
 /*
- * Asking a node and telling the user when it said no.
+ * Requests to a node, with error messages for the user.
  */
 
 #include <inttypes.h>
@@ -8,7 +8,7 @@
 #include "ctl.h"
 #include "print.h"
 
-#define STATUS_REFUSED 400 /* and all above */
+#define STATUS_ERROR_MIN 400 /* lowest HTTP status of an error */
 
 void
 ctl_print_raw(const struct ctl_answer *a)
@@ -19,7 +19,7 @@
 }
 
 static enum ctl_exit
-say_unreachable(const struct ctl_answer *a)
+print_unreachable(const struct ctl_answer *a)
 {
 	fprintf(stderr, "oriolectl: no answer: %s\n", a->reason);
 	if (a->io == OGL_IO_LOST)
@@ -28,7 +28,7 @@
 }
 
 static void
-say_refusal(const struct ctl_answer *a)
+print_refusal(const struct ctl_answer *a)
 {
 	json_t *o = json_loadb(a->body->str, a->body->len, 0, NULL);
 	const char *error = json_string_value(json_object_get(o, "error"));
@@ -49,14 +49,14 @@
 enum ctl_exit
 ctl_call(struct ctl *c, const struct ctl_request *r, struct ctl_answer *a)
 {
-	ctl_http_ask(c->http, r, a);
+	ctl_http_send(c->http, r, a);
 	if (a->io != OGL_IO_OK)
-		return say_unreachable(a);
-	if (a->status < STATUS_REFUSED)
+		return print_unreachable(a);
+	if (a->status < STATUS_ERROR_MIN)
 		return CTL_OK;
 	if (c->json)
 		ctl_print_raw(a);
-	say_refusal(a);
+	print_refusal(a);
 	return CTL_REFUSED;
 }
 
--- a/ctl/http.c
+++ b/ctl/http.c
@@ -1,11 +1,12 @@
 /*
- * Requests to whichever node answers, over libcurl's easy interface.
+ * HTTP requests to the first node that answers, over libcurl's easy interface.
  *
- * The next node is asked only where nothing can have happened at the last
- * one: it was not reached, or it refused and said so.  After a lost answer
- * the request may have taken effect; asked again elsewhere, a second key
- * would be made or a second job started.  Then only a repeatable request
- * goes on; for another one the caller is told that it may have taken effect.
+ * The next node is tried only if the request has had no effect so far: the last
+ * node was not reached, or its verdict says that nothing was run.  After a lost
+ * answer the request may have taken effect, and repeating it at another node
+ * could create a second key or start a second job.  Only repeatable requests
+ * are sent again then; for others the caller is told that the request may have
+ * taken effect.
  */
 
 #include <curl/curl.h>
@@ -14,14 +15,14 @@
 #include "http.h"
 
 #define CONNECT_TIMEOUT_MS 3000L
-#define TIMEOUT_MS 60000L
-#define ANSWER_MAX ((size_t)64 * 1024 * 1024)
+#define REQUEST_TIMEOUT_MS 60000L
+#define ANSWER_MAX_BYTES ((size_t)64 * 1024 * 1024)
 #define STATUS_UNAVAILABLE 503
 
 struct ctl_http {
 	CURL *curl;
 	char **nodes;
-	char *auth; /* header, NULL without a key */
+	char *auth; /* Authorization header, NULL without a key */
 };
 
 static bool
@@ -76,11 +77,11 @@
 }
 
 static size_t
-take_body(char *data, size_t size, size_t n, void *arg)
+append_body(char *data, size_t size, size_t n, void *arg)
 {
 	GString *body = arg;
 
-	if (body->len + size * n > ANSWER_MAX)
+	if (body->len + size * n > ANSWER_MAX_BYTES)
 		return 0;
 	g_string_append_len(body, data, (gssize)(size * n));
 	return size * n;
@@ -109,7 +110,7 @@
 }
 
 static void
-set_body(CURL *curl, const struct ctl_request *r)
+set_method_and_body(CURL *curl, const struct ctl_request *r)
 {
 	if (strcmp(r->method, "GET") == 0)
 		return;
@@ -121,9 +122,9 @@
 	    curl, CURLOPT_POSTFIELDS, r->body.p != NULL ? r->body.p : "");
 }
 
-/* What is certain when a transfer failed. */
+/* Classifies a failed transfer by whether the node may have got the request. */
 static enum ogl_io
-what_failed(CURLcode code)
+io_result(CURLcode code)
 {
 	switch (code) {
 	case CURLE_OK:
@@ -138,7 +139,7 @@
 }
 
 static void
-ask_one(struct ctl_http *h, const char *node, const struct ctl_request *r,
+send_to_node(struct ctl_http *h, const char *node, const struct ctl_request *r,
     struct ctl_answer *a)
 {
 	struct curl_slist *headers = make_headers(h, r);
@@ -152,13 +153,13 @@
 	curl_easy_setopt(h->curl, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(
 	    h->curl, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
-	curl_easy_setopt(h->curl, CURLOPT_TIMEOUT_MS, TIMEOUT_MS);
+	curl_easy_setopt(h->curl, CURLOPT_TIMEOUT_MS, REQUEST_TIMEOUT_MS);
 	curl_easy_setopt(h->curl, CURLOPT_HTTPHEADER, headers);
-	curl_easy_setopt(h->curl, CURLOPT_WRITEFUNCTION, take_body);
+	curl_easy_setopt(h->curl, CURLOPT_WRITEFUNCTION, append_body);
 	curl_easy_setopt(h->curl, CURLOPT_WRITEDATA, a->body);
-	set_body(h->curl, r);
+	set_method_and_body(h->curl, r);
 	code = curl_easy_perform(h->curl);
-	a->io = what_failed(code);
+	a->io = io_result(code);
 	if (code != CURLE_OK) {
 		a->reason =
 		    g_strdup_printf("%s: %s", node, curl_easy_strerror(code));
@@ -172,9 +173,9 @@
 	curl_slist_free_all(headers);
 }
 
-/* Whether another node may be asked. */
+/* Whether the request may be sent to the next node. */
 static bool
-may_go_on(const struct ctl_request *r, const struct ctl_answer *a)
+may_try_next(const struct ctl_request *r, const struct ctl_answer *a)
 {
 	if (a->io == OGL_IO_NOT_SENT)
 		return true;
@@ -186,14 +187,14 @@
 }
 
 void
-ctl_http_ask(
+ctl_http_send(
     struct ctl_http *h, const struct ctl_request *r, struct ctl_answer *a)
 {
 	memset(a, 0, sizeof(*a));
 	for (size_t i = 0; h->nodes[i] != NULL; i++) {
 		ctl_answer_clear(a);
-		ask_one(h, h->nodes[i], r, a);
-		if (!may_go_on(r, a))
+		send_to_node(h, h->nodes[i], r, a);
+		if (!may_try_next(r, a))
 			return;
 	}
 }
--- a/ctl/http.h
+++ b/ctl/http.h
@@ -1,5 +1,5 @@
 /*
- * Requests to whichever node answers.
+ * HTTP requests to the first node that answers.
  */
 
 #ifndef CTL_HTTP_H
@@ -15,30 +15,33 @@
 
 struct ctl_request {
 	const char *method;
-	const char *path; /* with its query, escaped */
+	const char *path; /* escaped, with the query */
 	struct ogl_str body;
 	const char *headers[8]; /* "Name: value", NULL-ended */
-	bool repeatable;        /* to ask twice does no harm */
+	bool repeatable;        /* safe to send again */
 };
 
 struct ctl_answer {
-	enum ogl_io io; /* only OGL_IO_OK has what follows */
+	enum ogl_io io; /* status to retry_after_ms need OGL_IO_OK */
 	long status;
 	GString *body;
-	char *verdict;           /* Ogl-Verdict, "" without one */
-	uint64_t retry_after_ms; /* 0 none */
+	char *verdict;           /* Ogl-Verdict, "" if absent */
+	uint64_t retry_after_ms; /* 0 if absent */
 	char *reason;            /* why there is no answer */
 };
 
 struct ctl_http *ctl_http_init(const char *nodes, const char *key);
-/* Nodes are ip:port, with commas between; NULL when the list is no such. */
+/* nodes is a list of ip:port separated by commas, key is NULL or the caller's
+ * key.  Returns NULL if the list is malformed. */
 
 void ctl_http_end(struct ctl_http *h);
 
-void ctl_http_ask(
+void ctl_http_send(
     struct ctl_http *h, const struct ctl_request *r, struct ctl_answer *a);
-/* Asks the nodes in turn until one answers; fills the answer in. */
+/* Sends the request to the nodes in turn and fills in the answer.  Goes on with
+ * the next node only after a failure that makes it safe to send again. */
 
 void ctl_answer_clear(struct ctl_answer *a);
+/* Frees what the answer holds. */
 
 #endif
