--- a/ctl/logline.h
+++ b/ctl/logline.h
@@ -1,5 +1,5 @@
 /*
- * Log lines of nodes, as collected: `key=value` fields separated by spaces.
+ * Collected log lines of nodes: `key=value` fields separated by spaces.
  */
 
 #ifndef OGL_CTL_LOGLINE_H
@@ -8,16 +8,16 @@
 #include <stdbool.h>
 
 char *ctl_field(const char *line, const char *key);
-/* The value of ` key=` in a line, up to the next space, to be freed; NULL: not
- * there. */
+/* Returns the value of key in a line, which ends at the next space.  NULL if
+ * the key is missing.  The caller frees it with g_free(). */
 
 double ctl_field_number(const char *line, const char *key);
-/* The same as a number; 0: not there. */
+/* The same as a number, 0 if the key is missing. */
 
 typedef void ctl_line_fn(void *arg, const char *line);
 
 bool ctl_read_lines(const char *path, ctl_line_fn *each, void *arg);
-/* Calls each for every line of a file, "-" being standard input.  False when it
- * cannot be read, which is told on standard error. */
+/* Calls each for every line of a file, "-" being standard input.  Returns
+ * false, with a message on standard error, if the file cannot be opened. */
 
 #endif
