--- a/ctl/print.c
+++ b/ctl/print.c
@@ -1,7 +1,7 @@
 /*
- * JSON as readable text.  Nothing here knows what a node answers: a list of
- * objects becomes a table whose columns are their fields, so a new field
- * needs no new code.
+ * Prints JSON as readable text.  The code doesn't depend on the fields of
+ * answers, except for timestamps: a list of objects becomes a table whose
+ * columns are their fields, so a new field needs no new code.
  */
 
 #include <glib.h>
@@ -11,13 +11,13 @@
 
 #include "print.h"
 
-#define GAP 2 /* blanks between columns */
+#define COLUMN_GAP 2 /* spaces between columns */
 
-/* Fields that hold a moment rather than a length of time. */
-static const char *const moments[] = {"at_ms", "accepted_ms"};
+/* Fields with a time since the epoch, not a duration. */
+static const char *const timestamp_fields[] = {"at_ms", "accepted_ms"};
 
 static char *
-moment_text(json_int_t ms)
+timestamp_text(json_int_t ms)
 {
 	time_t sec = (time_t)(ms / 1000);
 	struct tm tm;
@@ -29,7 +29,8 @@
 	return g_strdup(text);
 }
 
-/* One cell; a control character would upset the terminal it is shown on. */
+/* The text of one table cell.  Control characters become spaces, since they
+ * could change the state of a terminal. */
 static char *
 cell_text(const char *field, const json_t *v)
 {
@@ -38,9 +39,10 @@
 
 	if (v == NULL || json_is_null(v))
 		return g_strdup("-");
-	for (size_t i = 0; i < G_N_ELEMENTS(moments); i++)
-		if (strcmp(field, moments[i]) == 0 && json_is_integer(v))
-			return moment_text(json_integer_value(v));
+	for (size_t i = 0; i < G_N_ELEMENTS(timestamp_fields); i++)
+		if (strcmp(field, timestamp_fields[i]) == 0 &&
+		    json_is_integer(v))
+			return timestamp_text(json_integer_value(v));
 	if (json_is_string(v)) {
 		text = g_strdup(json_string_value(v));
 	} else {
@@ -58,13 +60,13 @@
 is_table(const json_t *v)
 {
 	size_t i;
-	json_t *one;
+	json_t *item;
 
 	if (!json_is_array(v) || json_array_size(v) == 0)
 		return false;
-	json_array_foreach((json_t *)v, i, one)
+	json_array_foreach((json_t *)v, i, item)
 	{
-		if (!json_is_object(one))
+		if (!json_is_object(item))
 			return false;
 	}
 	return true;
@@ -110,7 +112,7 @@
 	return width;
 }
 
-/* The last column is not filled up, so that lines end with their text. */
+/* The last column is not padded, so that lines have no trailing spaces. */
 static void
 print_cell(FILE *out, const char *text, size_t width, bool last)
 {
@@ -119,7 +121,7 @@
 	fputs(text, out);
 	if (last)
 		fputc('\n', out);
-	for (; !last && n < width + GAP; n++)
+	for (; !last && n < width + COLUMN_GAP; n++)
 		fputc(' ', out);
 }
 
--- a/ctl/print.h
+++ b/ctl/print.h
@@ -1,5 +1,5 @@
 /*
- * JSON as readable text.
+ * Prints JSON as readable text.
  */
 
 #ifndef CTL_PRINT_H
@@ -9,10 +9,11 @@
 #include <stdio.h>
 
 void ctl_print(FILE *out, const json_t *v);
-/* A list of objects as a table, an object as lines and its lists as tables
- * below, anything else as it is. */
+/* Prints a list of objects as a table, an object as one line per field followed
+ * by a table for each list of objects in it, and any other value as it is. */
 
 void ctl_print_table(FILE *out, const json_t *rows);
-/* Columns are the objects' fields in the order in which they are met. */
+/* Prints a list of objects as a table.  The columns are their fields, in order
+ * of first occurrence. */
 
 #endif
