--- a/ctl/cmd_cell.c
+++ b/ctl/cmd_cell.c
@@ -1,5 +1,5 @@
 /*
- * Commands that show what a node knows of the cell.
+ * Commands that show the state of the cell, as known to a node.
  */
 
 #include "ctl.h"
--- a/ctl/cmd_settings.c
+++ b/ctl/cmd_settings.c
@@ -1,5 +1,5 @@
 /*
- * Commands of operators: teams, keys, the settings tree and its audit trail.
+ * Commands of operators: teams, keys, the settings tree and its audit log.
  */
 
 #include <inttypes.h>
@@ -11,11 +11,11 @@
 #include "print.h"
 
 #define JSON_TYPE "Content-Type: application/json"
-#define EDIT_MAX 16 /* changes of one command */
+#define EDIT_CHANGES_MAX 16 /* changes in one edit */
 
 /* ---- edits ------------------------------------------------------------ */
 
-/* Asks for a small part of the tree; each answer names the version. */
+/* Gets a small part of the settings: every answer contains the version. */
 static enum ctl_exit
 read_version(struct ctl *c, uint64_t *version)
 {
@@ -47,7 +47,8 @@
 	return CTL_OK;
 }
 
-/* Sends the changes as one edit, made from --base or the version in force. */
+/* Sends the changes as one edit.  Its base version is that of --base or the
+ * current one. */
 static enum ctl_exit
 send_edit(struct ctl *c, Ogl__Change **changes, size_t n)
 {
@@ -58,7 +59,7 @@
 	char *body;
 	size_t len;
 
-	e.base_version = c->base;
+	e.base_version = c->base_version;
 	if ((c->given & CTL_BASE) == 0) {
 		rc = read_version(c, &e.base_version);
 		if (rc != CTL_OK)
@@ -77,46 +78,46 @@
 	return rc;
 }
 
-/* A word as JSON text: itself when it is JSON, else a string, so that a
- * shell's quotes need no quotes within. */
+/* Converts an argument to JSON text.  An argument that is not JSON becomes a
+ * JSON string, so that users need not quote twice in a shell. */
 static char *
-value_text(const char *word)
+json_from_arg(const char *arg)
 {
-	json_t *v = json_loads(word, JSON_DECODE_ANY, NULL);
+	json_t *v = json_loads(arg, JSON_DECODE_ANY, NULL);
 	char *text;
 
 	if (v == NULL)
-		v = json_string(word);
+		v = json_string(arg);
 	text = json_dumps(v, JSON_COMPACT | JSON_ENCODE_ANY);
 	json_decref(v);
 	return text;
 }
 
-/* One change; an empty value removes. */
+/* Sends an edit of one change.  An empty value removes the setting. */
 static enum ctl_exit
-edit_one(struct ctl *c, const char *path, const char *value)
+send_change(struct ctl *c, const char *path, const char *value)
 {
 	Ogl__Change change = OGL__CHANGE__INIT;
-	Ogl__Change *list[1] = {&change};
+	Ogl__Change *changes[1] = {&change};
 
 	change.path = (char *)path;
 	change.value = (char *)value;
-	return send_edit(c, list, 1);
+	return send_edit(c, changes, 1);
 }
 
 static enum ctl_exit
-set_one(struct ctl *c, const char *path, const char *word)
+set_value(struct ctl *c, const char *path, const char *arg)
 {
 	enum ctl_exit rc;
 	char *value;
 
-	if (word[0] == '\0') {
+	if (arg[0] == '\0') {
 		fputs(
 		    "oriolectl: an empty value; use settings unset\n", stderr);
 		return CTL_USAGE;
 	}
-	value = value_text(word);
-	rc = edit_one(c, path, value);
+	value = json_from_arg(arg);
+	rc = send_change(c, path, value);
 	free(value);
 	return rc;
 }
@@ -133,9 +134,10 @@
 	return text;
 }
 
-/* {"a": 1} as rows {"path": "a", "value": 1, "from": ...}. */
+/* Converts {"a": 1} to rows {NAME: "a", "value": 1, "from": ...}.  origins is
+ * NULL or has the value of "from" for each key. */
 static json_t *
-rows_of(const json_t *values, const char *name, const json_t *froms)
+rows_from_object(const json_t *values, const char *name, const json_t *origins)
 {
 	json_t *rows = json_array();
 	const char *key;
@@ -145,9 +147,9 @@
 	{
 		json_t *row = json_pack("{s:s,s:O}", name, key, "value", v);
 
-		if (froms != NULL)
+		if (origins != NULL)
 			json_object_set(
-			    row, "from", json_object_get(froms, key));
+			    row, "from", json_object_get(origins, key));
 		json_array_append_new(rows, row);
 	}
 	return rows;
@@ -156,9 +158,9 @@
 static void
 print_settings(const json_t *o)
 {
-	json_t *set = rows_of(json_object_get(o, "set"), "path", NULL);
-	json_t *resolved = rows_of(json_object_get(o, "resolved"), "setting",
-	    json_object_get(o, "from"));
+	json_t *set = rows_from_object(json_object_get(o, "set"), "path", NULL);
+	json_t *resolved = rows_from_object(json_object_get(o, "resolved"),
+	    "setting", json_object_get(o, "from"));
 
 	printf("version %" JSON_INTEGER_FORMAT "\n",
 	    json_integer_value(json_object_get(o, "version")));
@@ -198,14 +200,14 @@
 run_settings_set(struct ctl *c, char **words, size_t n)
 {
 	(void)n;
-	return set_one(c, words[0], words[1]);
+	return set_value(c, words[0], words[1]);
 }
 
 static enum ctl_exit
 run_settings_unset(struct ctl *c, char **words, size_t n)
 {
 	(void)n;
-	return edit_one(c, words[0], "");
+	return send_change(c, words[0], "");
 }
 
 static enum ctl_exit
@@ -239,28 +241,30 @@
 	    "teams/", team, field != NULL ? "/" : "", field, NULL);
 }
 
-/* Adds one change to the list; the value is JSON text. */
+/* Adds a change to the list, which takes over path and value.  The value is
+ * JSON text. */
 static void
-add_change(Ogl__Change **list, size_t at, char *path, char *value)
+add_change(Ogl__Change **changes, size_t at, char *path, char *value)
 {
 	Ogl__Change *change = g_new(Ogl__Change, 1);
 
 	ogl__change__init(change);
 	change->path = path;
 	change->value = value;
-	list[at] = change;
+	changes[at] = change;
 }
 
-/* A team and what is set for it are one edit: no work of the team can start
- * between the two under settings that it is not meant to have. */
+/* The team and its settings are one edit.  With two edits the team's jobs could
+ * start under the default settings in between. */
 static enum ctl_exit
 run_team_add(struct ctl *c, char **words, size_t n)
 {
-	Ogl__Change *list[EDIT_MAX];
+	Ogl__Change *changes[EDIT_CHANGES_MAX];
 	enum ctl_exit rc = CTL_USAGE;
-	size_t made = 0;
+	size_t n_changes = 0;
 
-	add_change(list, made++, team_path(words[0], NULL), g_strdup("{}"));
+	add_change(
+	    changes, n_changes++, team_path(words[0], NULL), g_strdup("{}"));
 	for (size_t i = 1; i < n; i++) {
 		char *equals = strchr(words[i], '=');
 
@@ -270,13 +274,13 @@
 			goto out;
 		}
 		*equals = '\0';
-		add_change(list, made++, team_path(words[0], words[i]),
-		    value_text(equals + 1));
+		add_change(changes, n_changes++, team_path(words[0], words[i]),
+		    json_from_arg(equals + 1));
 	}
-	rc = send_edit(c, list, made);
+	rc = send_edit(c, changes, n_changes);
 out:
-	for (size_t i = 0; i < made; i++)
-		ogl__change__free_unpacked(list[i], NULL);
+	for (size_t i = 0; i < n_changes; i++)
+		ogl__change__free_unpacked(changes[i], NULL);
 	return rc;
 }
 
@@ -295,7 +299,7 @@
 run_team_set(struct ctl *c, char **words, size_t n)
 {
 	char *path = team_path(words[0], words[1]);
-	enum ctl_exit rc = set_one(c, path, words[2]);
+	enum ctl_exit rc = set_value(c, path, words[2]);
 
 	(void)n;
 	g_free(path);
@@ -306,15 +310,15 @@
 run_team_remove(struct ctl *c, char **words, size_t n)
 {
 	char *path = team_path(words[0], NULL);
-	enum ctl_exit rc = edit_one(c, path, "");
+	enum ctl_exit rc = send_change(c, path, "");
 
 	(void)n;
 	g_free(path);
 	return rc;
 }
 
-/* One row a team, with what is set for it; paths sort a team before its
- * fields, so its row is there when they come. */
+/* One row per team, with the team's settings.  The paths are sorted, so that a
+ * team comes before its fields. */
 static json_t *
 team_rows(const json_t *set)
 {
@@ -327,7 +331,7 @@
 	{
 		const char *slash = strrchr(path, '/');
 		json_t *row;
-		char *above;
+		char *parent;
 
 		if (json_is_object(v)) {
 			row =
@@ -336,11 +340,11 @@
 			json_array_append_new(rows, row);
 			continue;
 		}
-		above = g_strndup(path, (gsize)(slash - path));
-		row = json_object_get(by_path, above);
+		parent = g_strndup(path, (gsize)(slash - path));
+		row = json_object_get(by_path, parent);
 		if (row != NULL)
 			json_object_set(row, slash + 1, v);
-		g_free(above);
+		g_free(parent);
 	}
 	json_decref(by_path);
 	return rows;
@@ -430,7 +434,8 @@
 	return rc;
 }
 
-/* The first operator key of a cell is made before any node runs. */
+/* Works offline: the first operator key of a cell is made before any node
+ * runs, since its hash is part of the nodes' settings. */
 static enum ctl_exit
 run_key_hash(struct ctl *c, char **words, size_t n)
 {
@@ -458,7 +463,7 @@
 }
 
 const struct ctl_command ctl_settings_commands[] = {
-    {"team", "add", 1, EDIT_MAX, CTL_BASE, 0, false, run_team_add,
+    {"team", "add", 1, EDIT_CHANGES_MAX, CTL_BASE, 0, false, run_team_add,
 	"TEAM [FIELD=VALUE...]", "create a team, below another as a/b"},
     {"team", "show", 1, 1, 0, 0, false, run_team_show, "TEAM",
 	"what is set for a team and what holds"},
--- a/ctl/cmd_work.c
+++ b/ctl/cmd_work.c
@@ -10,10 +10,10 @@
 #include "ctl.h"
 #include "print.h"
 
-#define POLL_US 500000 /* between looks at a job that is waited for */
-#define ID_BYTES 12
+#define JOB_POLL_US 500000 /* between two reads of a job's state */
+#define REQUEST_ID_BYTES 12
 #define JSON_TYPE "Content-Type: application/json"
-#define STDIN_MAX ((size_t)64 * 1024 * 1024)
+#define STDIN_MAX_BYTES ((size_t)64 * 1024 * 1024)
 
 static char *
 job_path(const char *id)
@@ -45,18 +45,18 @@
 }
 
 /*
- * A lost answer leaves open whether the job was taken.  With an id, which is
- * made up when none is given, the same submission may be sent to the next
- * node and still makes one job.
+ * After a lost answer it is unknown whether the job was accepted.  A request
+ * id, generated unless one is given, makes it safe to repeat the submission at
+ * the next node: it still creates only one job.
  */
 static char *
-request_id(const struct ctl *c)
+make_request_id(const struct ctl *c)
 {
-	unsigned char random[ID_BYTES];
-	char hex[2 * ID_BYTES + 1];
+	unsigned char random[REQUEST_ID_BYTES];
+	char hex[2 * REQUEST_ID_BYTES + 1];
 
-	if (c->id != NULL)
-		return g_strdup(c->id);
+	if (c->request_id != NULL)
+		return g_strdup(c->request_id);
 	randombytes_buf(random, sizeof(random));
 	return g_strdup(
 	    sodium_bin2hex(hex, sizeof(hex), random, sizeof(random)));
@@ -116,9 +116,9 @@
 	(void)n;
 	if (!kind_from_name(c->kind, &s.kind))
 		return CTL_USAGE;
-	id = request_id(c);
-	res.cpu_milli = (uint32_t)c->cpu;
-	res.mem_mb = (uint32_t)c->mem;
+	id = make_request_id(c);
+	res.cpu_milli = (uint32_t)c->cpu_milli;
+	res.mem_mb = (uint32_t)c->mem_mb;
 	res.accel = (uint32_t)c->accel;
 	s.res = &res;
 	s.tasks = (uint32_t)c->tasks;
@@ -132,7 +132,7 @@
 	return rc;
 }
 
-/* ---- look, cancel, wait ----------------------------------------------- */
+/* ---- show, cancel, wait ----------------------------------------------- */
 
 static enum ctl_exit
 run_show(struct ctl *c, char **words, size_t n)
@@ -185,7 +185,7 @@
 }
 
 static bool
-ended(const char *state)
+has_ended(const char *state)
 {
 	return state != NULL &&
 	       (strcmp(state, "done") == 0 || strcmp(state, "broken") == 0 ||
@@ -203,23 +203,23 @@
 		struct ctl_answer a;
 		const char *state;
 		json_t *v = NULL;
-		bool over;
+		bool stop;
 
 		rc = ctl_get(c, path, &a);
 		if (rc == CTL_OK)
 			v = json_loadb(a.body->str, a.body->len, 0, NULL);
 		state = json_string_value(json_object_get(v, "state"));
-		over = rc != CTL_OK || ended(state);
-		if (rc == CTL_OK && over) {
+		stop = rc != CTL_OK || has_ended(state);
+		if (rc == CTL_OK && stop) {
 			print_answer(c, &a);
 			if (strcmp(state, "done") != 0)
 				rc = CTL_REFUSED;
 		}
 		json_decref(v);
 		ctl_answer_clear(&a);
-		if (over)
+		if (stop)
 			break;
-		usleep(POLL_US);
+		usleep(JOB_POLL_US);
 	}
 	g_free(path);
 	return rc;
@@ -231,12 +231,12 @@
 read_stdin(void)
 {
 	GString *s = g_string_new(NULL);
-	char part[4096];
+	char chunk[4096];
 	size_t n;
 
-	while (
-	    s->len < STDIN_MAX && (n = fread(part, 1, sizeof(part), stdin)) > 0)
-		g_string_append_len(s, part, (gssize)n);
+	while (s->len < STDIN_MAX_BYTES &&
+	       (n = fread(chunk, 1, sizeof(chunk), stdin)) > 0)
+		g_string_append_len(s, chunk, (gssize)n);
 	return s;
 }
 
@@ -249,20 +249,20 @@
 	    strcmp(words[0], "-") == 0 ? read_stdin() : g_string_new(words[0]);
 	char *kind = g_strconcat("Ogl-Kind: ", c->kind, NULL);
 	char *id = NULL;
-	size_t at = 0;
+	size_t n_headers = 0;
 	struct ctl_answer a;
 	enum ctl_exit rc;
 
 	(void)n;
 	r.body = (struct ogl_str){body->str, body->len};
-	r.repeatable = idempotent || c->id != NULL;
-	r.headers[at++] = "Content-Type: application/octet-stream";
-	r.headers[at++] = kind;
+	r.repeatable = idempotent || c->request_id != NULL;
+	r.headers[n_headers++] = "Content-Type: application/octet-stream";
+	r.headers[n_headers++] = kind;
 	if (idempotent)
-		r.headers[at++] = "Ogl-Idempotent: 1";
-	if (c->id != NULL) {
-		id = g_strconcat("Idempotency-Key: ", c->id, NULL);
-		r.headers[at++] = id;
+		r.headers[n_headers++] = "Ogl-Idempotent: 1";
+	if (c->request_id != NULL) {
+		id = g_strconcat("Idempotency-Key: ", c->request_id, NULL);
+		r.headers[n_headers++] = id;
 	}
 	rc = ctl_call(c, &r, &a);
 	if (rc == CTL_OK)
--- a/ctl/ctl.h
+++ b/ctl/ctl.h
@@ -1,8 +1,8 @@
 /*
- * oriolectl: the command line of operators and callers.
+ * oriolectl: the command line client of operators and callers.
  *
- * A command is a function in a table; it is given the words after its name,
- * asks a node over HTTP and prints what the node answers.
+ * Each command is a function in a table.  It gets the arguments after the
+ * command's name, sends requests to a node over HTTP and prints the answers.
  */
 
 #ifndef CTL_H
@@ -15,12 +15,12 @@
 
 enum ctl_exit {
 	CTL_OK = 0,
-	CTL_REFUSED = 1,    /* a node said no, or a job ended badly */
+	CTL_REFUSED = 1,    /* refused by a node, or the job failed */
 	CTL_USAGE = 2,      /* the command line is wrong */
-	CTL_UNREACHABLE = 3 /* no node answered */
+	CTL_UNREACHABLE = 3 /* no usable answer */
 };
 
-/* Options that only some commands take; a command names its own. */
+/* Options that only some commands accept, see struct ctl_command. */
 enum ctl_option {
 	CTL_BASE = 1 << 0,
 	CTL_KIND = 1 << 1,
@@ -36,16 +36,16 @@
 };
 
 struct ctl {
-	struct ctl_http *http; /* NULL for a command that needs no node */
-	bool json;             /* print answers as they came */
-	unsigned given;        /* enum ctl_option */
+	struct ctl_http *http; /* NULL for an offline command */
+	bool json;             /* print answers without formatting */
+	unsigned given;        /* options given: bits of enum ctl_option */
 	const char *kind;
 	const char *payload;
-	const char *id;
-	uint64_t base;
+	const char *request_id;
+	uint64_t base_version;
 	uint64_t tasks;
-	uint64_t cpu;
-	uint64_t mem;
+	uint64_t cpu_milli;
+	uint64_t mem_mb;
 	uint64_t accel;
 	uint64_t run_ms;
 };
@@ -53,35 +53,40 @@
 typedef enum ctl_exit (*ctl_fn)(struct ctl *c, char **words, size_t n);
 
 struct ctl_command {
-	const char *group; /* "team"; the whole name where sub is NULL */
-	const char *sub;   /* "add" */
+	const char *group; /* "team", or the whole name if sub is NULL */
+	const char *sub;   /* "add", or NULL */
 	size_t min_words;
 	size_t max_words;
-	unsigned takes; /* enum ctl_option */
-	unsigned needs;
-	bool offline;
+	unsigned options_allowed;  /* bits of enum ctl_option */
+	unsigned options_required; /* bits of enum ctl_option */
+	bool offline;              /* needs no node */
 	ctl_fn run;
-	const char *words; /* as shown in help */
+	const char *synopsis; /* arguments as shown in help */
 	const char *help;
 };
 
+/* Each table ends with a row whose group is NULL. */
 extern const struct ctl_command ctl_settings_commands[];
 extern const struct ctl_command ctl_work_commands[];
 extern const struct ctl_command ctl_cell_commands[];
 extern const struct ctl_command ctl_explain_commands[];
 extern const struct ctl_command ctl_losses_commands[];
-/* Each ends with a row whose group is NULL. */
 
 enum ctl_exit ctl_call(
     struct ctl *c, const struct ctl_request *r, struct ctl_answer *a);
-/* Asks a node; says on stderr why there is no good answer.  The answer is to
- * be cleared in any case. */
+/* Sends a request and fills in the answer.  Prints an error on stderr when no
+ * node answers or the request is refused.  The caller clears the answer with
+ * ctl_answer_clear() in every case. */
 
 enum ctl_exit ctl_get(struct ctl *c, const char *path, struct ctl_answer *a);
+/* The same for GET. */
 
 enum ctl_exit ctl_get_json(struct ctl *c, const char *path, json_t **v);
-/* The answer as JSON, or NULL with --json, when it was printed raw. */
+/* Sets *v to the parsed answer of a GET, to be released with json_decref().
+ * *v is NULL after an error, and with --json, where the answer is printed
+ * without formatting instead. */
 
 void ctl_print_raw(const struct ctl_answer *a);
+/* Prints the body and a line feed, unless the body ends with one. */
 
 #endif
--- a/ctl/main.c
+++ b/ctl/main.c
@@ -1,5 +1,5 @@
 /*
- * oriolectl: reads the command line and runs one command of the tables.
+ * oriolectl: parses the command line and runs a command of the tables.
  */
 
 #include <argp.h>
@@ -13,7 +13,7 @@
 
 #define WORDS_MAX 64
 
-/* Options without a letter. */
+/* Options without a short form. */
 enum {
 	OPT_FIRST = 256,
 	OPT_BASE = OPT_FIRST,
@@ -58,13 +58,13 @@
     {0},
 };
 
-/* The command line, read. */
-struct line {
+/* The parsed command line. */
+struct command_line {
 	struct ctl c;
 	const char *nodes;
 	const char *key;
 	char *words[WORDS_MAX];
-	size_t n;
+	size_t n_words;
 };
 
 static const struct ctl_command *const tables[] = {ctl_settings_commands,
@@ -72,7 +72,7 @@
     ctl_losses_commands};
 
 static uint64_t
-number(const char *arg, uint64_t max, struct argp_state *state)
+parse_number(const char *arg, uint64_t max, struct argp_state *state)
 {
 	uint64_t n = 0;
 
@@ -83,35 +83,35 @@
 }
 
 static void
-read_value(struct ctl *c, int opt, char *arg, struct argp_state *state)
+set_option(struct ctl *c, int opt, char *arg, struct argp_state *state)
 {
 	switch (opt) {
 	case OPT_BASE:
-		c->base = number(arg, INT64_MAX, state);
+		c->base_version = parse_number(arg, INT64_MAX, state);
 		break;
 	case OPT_KIND:
 		c->kind = arg;
 		break;
 	case OPT_TASKS:
-		c->tasks = number(arg, UINT32_MAX, state);
+		c->tasks = parse_number(arg, UINT32_MAX, state);
 		break;
 	case OPT_CPU:
-		c->cpu = number(arg, UINT32_MAX, state);
+		c->cpu_milli = parse_number(arg, UINT32_MAX, state);
 		break;
 	case OPT_MEM:
-		c->mem = number(arg, UINT32_MAX, state);
+		c->mem_mb = parse_number(arg, UINT32_MAX, state);
 		break;
 	case OPT_ACCEL:
-		c->accel = number(arg, UINT32_MAX, state);
+		c->accel = parse_number(arg, UINT32_MAX, state);
 		break;
 	case OPT_RUN_MS:
-		c->run_ms = number(arg, INT64_MAX, state);
+		c->run_ms = parse_number(arg, INT64_MAX, state);
 		break;
 	case OPT_PAYLOAD:
 		c->payload = arg;
 		break;
 	case OPT_ID:
-		c->id = arg;
+		c->request_id = arg;
 		break;
 	default:
 		break;
@@ -121,12 +121,12 @@
 static error_t
 parse_option(int opt, char *arg, struct argp_state *state)
 {
-	struct line *l = state->input;
+	struct command_line *l = state->input;
 
 	if (opt >= OPT_FIRST && opt <= OPT_IDEMPOTENT) {
-		/* enum ctl_option has the same order. */
+		/* enum ctl_option has the same order as the options. */
 		l->c.given |= 1U << (opt - OPT_FIRST);
-		read_value(&l->c, opt, arg, state);
+		set_option(&l->c, opt, arg, state);
 		return 0;
 	}
 	switch (opt) {
@@ -140,9 +140,9 @@
 		l->c.json = true;
 		return 0;
 	case ARGP_KEY_ARG:
-		if (l->n == WORDS_MAX)
+		if (l->n_words == WORDS_MAX)
 			argp_error(state, "too many words");
-		l->words[l->n++] = arg;
+		l->words[l->n_words++] = arg;
 		return 0;
 	case ARGP_KEY_NO_ARGS:
 		argp_error(state, "no command given");
@@ -160,10 +160,10 @@
 		     c++)
 			g_string_append_printf(text, "  %s%s%s %s\n      %s\n",
 			    c->group, c->sub != NULL ? " " : "",
-			    c->sub != NULL ? c->sub : "", c->words, c->help);
+			    c->sub != NULL ? c->sub : "", c->synopsis, c->help);
 }
 
-/* Replaces the text after the options by the tables' commands. */
+/* Replaces the help text after the options with the list of commands. */
 static char *
 filter_help(int key, const char *text, void *input)
 {
@@ -181,15 +181,16 @@
 }
 
 static bool
-is_command(const struct ctl_command *c, const struct line *l)
+is_command(const struct ctl_command *c, const struct command_line *l)
 {
 	if (strcmp(c->group, l->words[0]) != 0)
 		return false;
-	return c->sub == NULL || (l->n > 1 && strcmp(c->sub, l->words[1]) == 0);
+	return c->sub == NULL ||
+	       (l->n_words > 1 && strcmp(c->sub, l->words[1]) == 0);
 }
 
 static const struct ctl_command *
-find_command(const struct line *l)
+find_command(const struct command_line *l)
 {
 	for (size_t t = 0; t < G_N_ELEMENTS(tables); t++)
 		for (const struct ctl_command *c = tables[t]; c->group != NULL;
@@ -199,20 +200,20 @@
 	return NULL;
 }
 
-/* NULL when the words and options fit the command, else what is wrong. */
+/* Returns NULL if words and options fit the command, else an error message. */
 static const char *
-line_fault(const struct line *l, const struct ctl_command *cmd)
+usage_error(const struct command_line *l, const struct ctl_command *cmd)
 {
 	size_t n;
 
 	if (cmd == NULL)
 		return "no such command";
-	n = l->n - (cmd->sub != NULL ? 2 : 1);
+	n = l->n_words - (cmd->sub != NULL ? 2 : 1);
 	if (n < cmd->min_words || n > cmd->max_words)
 		return "wrong number of words";
-	if ((l->c.given & ~cmd->takes) != 0)
+	if ((l->c.given & ~cmd->options_allowed) != 0)
 		return "an option that the command does not take";
-	if ((cmd->needs & ~l->c.given) != 0)
+	if ((cmd->options_required & ~l->c.given) != 0)
 		return "an option is missing";
 	if (!cmd->offline && l->nodes == NULL)
 		return "no node: give --node or set OGL_NODE";
@@ -220,7 +221,7 @@
 }
 
 static enum ctl_exit
-run(struct line *l, const struct ctl_command *cmd)
+run_command(struct command_line *l, const struct ctl_command *cmd)
 {
 	size_t skip = cmd->sub != NULL ? 2 : 1;
 	enum ctl_exit rc;
@@ -233,7 +234,7 @@
 			return CTL_USAGE;
 		}
 	}
-	rc = cmd->run(&l->c, l->words + skip, l->n - skip);
+	rc = cmd->run(&l->c, l->words + skip, l->n_words - skip);
 	ctl_http_end(l->c.http);
 	if (fflush(stdout) != 0 && rc == CTL_OK) {
 		perror("oriolectl: output");
@@ -248,8 +249,8 @@
 	static const struct argp argp = {options, parse_option, "COMMAND...",
 	    "Asks a node of an orioleglade cell.\v", NULL, filter_help, NULL};
 	const struct ctl_command *cmd;
-	struct line l = {0};
-	const char *fault;
+	struct command_line l = {0};
+	const char *error;
 
 	argp_program_version = "oriolectl " OGL_VERSION;
 	argp_err_exit_status = CTL_USAGE;
@@ -261,10 +262,10 @@
 	l.key = getenv("OGL_KEY");
 	argp_parse(&argp, argc, argv, 0, NULL, &l);
 	cmd = find_command(&l);
-	fault = line_fault(&l, cmd);
-	if (fault != NULL) {
-		fprintf(stderr, "oriolectl: %s; see oriolectl --help\n", fault);
+	error = usage_error(&l, cmd);
+	if (error != NULL) {
+		fprintf(stderr, "oriolectl: %s; see oriolectl --help\n", error);
 		return CTL_USAGE;
 	}
-	return (int)run(&l, cmd);
+	return (int)run_command(&l, cmd);
 }
