--- a/ctl/cmd_explain.c
+++ b/ctl/cmd_explain.c
@@ -1,11 +1,11 @@
 /*
- * explain: the story of one job from collected log lines.
+ * explain: the history of one job, from collected log lines.
  *
- * Lines of any number of nodes are read, in any order.  Those that name the
- * job are kept, and beside them what happened meanwhile to the cell (who owned
- * it, the store) and to the workers that its tasks ran on.  They are printed by
- * time, which is only as good as the nodes' clocks, and a cause is drawn from
- * what they say.
+ * The lines may come from any number of nodes, in any order.  Those that name
+ * the job are kept, and so are lines from the same period about the cell (its
+ * owner and its store) and about the workers that ran the job's tasks.  They are
+ * printed in order of their timestamps, which is only as accurate as the nodes'
+ * clocks.  The cause of the job's end is derived from them.
  */
 
 #include <stdio.h>
@@ -14,23 +14,25 @@
 #include "ctl.h"
 #include "logline.h"
 
-#define BEFORE_S 3.0 /* of the cell, before the job is first named */
-#define AFTER_S 0.5
+/* Lines about cell and workers are kept from this long before the first line
+ * that names the job until this long after the last one. */
+#define CONTEXT_BEFORE_S 3.0
+#define CONTEXT_AFTER_S 0.5
 
 struct entry {
-	double ts;
+	double ts;   /* seconds since the epoch */
 	char *text;  /* the whole line */
 	char *event; /* part.event */
 	char *worker;
-	bool of_job;
+	bool of_job; /* the line names the job */
 };
 
-struct story {
+struct timeline {
 	const char *id;
 	GPtrArray *entries; /* struct entry */
-	double from;
-	double to;
-	unsigned left_out; /* lines that a node says it left out */
+	double first_ts;    /* of the lines that name the job */
+	double last_ts;
+	unsigned gaps; /* lines that report lines left out by a node */
 };
 
 static void
@@ -55,9 +57,9 @@
 }
 
 static void
-take_line(void *arg, const char *line)
+add_line(void *arg, const char *line)
 {
-	struct story *s = arg;
+	struct timeline *s = arg;
 	char *ts = ctl_field(line, "ts");
 	char *part = ctl_field(line, "part");
 	char *event = ctl_field(line, "event");
@@ -86,32 +88,34 @@
 	return x->ts < y->ts ? -1 : x->ts > y->ts;
 }
 
-/* Workers that the job's lines name. */
+/* Returns the set of workers in the lines that name the job, and sets the time
+ * range of these lines. */
 static GHashTable *
-workers_of(struct story *s)
+collect_workers(struct timeline *s)
 {
 	GHashTable *set = g_hash_table_new(g_str_hash, g_str_equal);
 	guint i;
 
-	s->from = G_MAXDOUBLE;
+	s->first_ts = G_MAXDOUBLE;
 	for (i = 0; i < s->entries->len; i++) {
 		struct entry *e = s->entries->pdata[i];
 
 		if (!e->of_job)
 			continue;
-		s->from = MIN(s->from, e->ts);
-		s->to = MAX(s->to, e->ts);
+		s->first_ts = MIN(s->first_ts, e->ts);
+		s->last_ts = MAX(s->last_ts, e->ts);
 		if (e->worker != NULL)
 			g_hash_table_add(set, e->worker);
 	}
 	return set;
 }
 
-/* What else bears on a job while it was under way. */
+/* Whether a line names the job or may explain what happened to it. */
 static bool
-bears_on(const struct story *s, const struct entry *e, GHashTable *workers)
+is_relevant(
+    const struct timeline *s, const struct entry *e, GHashTable *workers)
 {
-	static const char *const cell[] = {"lead.ownership_won",
+	static const char *const cell_events[] = {"lead.ownership_won",
 	    "lead.ownership_lost", "lead.owner_unable", "owner.cell_taken_over",
 	    "owner.settled", "front.store_lost", "front.store_regained",
 	    "front.zone_evacuated", "front.zone_taken_back",
@@ -121,12 +125,13 @@
 
 	if (e->of_job)
 		return true;
-	if (e->ts < s->from - BEFORE_S || e->ts > s->to + AFTER_S)
+	if (e->ts < s->first_ts - CONTEXT_BEFORE_S ||
+	    e->ts > s->last_ts + CONTEXT_AFTER_S)
 		return false;
 	if (e->worker != NULL && g_str_has_prefix(e->event, "fleet."))
 		return g_hash_table_contains(workers, e->worker);
-	for (i = 0; i < G_N_ELEMENTS(cell); i++) {
-		if (strcmp(e->event, cell[i]) == 0)
+	for (i = 0; i < G_N_ELEMENTS(cell_events); i++) {
+		if (strcmp(e->event, cell_events[i]) == 0)
 			return true;
 	}
 	return false;
@@ -140,37 +145,38 @@
 	const struct entry *ended;
 	const struct entry *refused;
 	const struct entry *given_up;
-	unsigned takeovers; /* while the job was under way */
-	unsigned failed;
-	unsigned lost;
-	GString *failed_on;
-	GString *lost_on;
+	unsigned takeovers; /* of the cell, since the first line of the job */
+	unsigned failed_runs;
+	unsigned lost_runs; /* the lease or the worker was lost */
+	GString *failed_workers;
+	GString *lost_workers;
 };
 
 static void
-note_end(struct cause *c, const struct entry *e)
+record_run_end(struct cause *c, const struct entry *e)
 {
 	char *how = ctl_field(e->text, "how");
 
 	if (g_strcmp0(how, "failed") == 0) {
-		c->failed++;
-		g_string_append_printf(
-		    c->failed_on, " %s", e->worker != NULL ? e->worker : "?");
+		c->failed_runs++;
+		g_string_append_printf(c->failed_workers, " %s",
+		    e->worker != NULL ? e->worker : "?");
 	} else if (g_strcmp0(how, "lapsed") == 0) {
-		c->lost++;
-		g_string_append_printf(
-		    c->lost_on, " %s", e->worker != NULL ? e->worker : "?");
+		c->lost_runs++;
+		g_string_append_printf(c->lost_workers, " %s",
+		    e->worker != NULL ? e->worker : "?");
 	}
 	g_free(how);
 }
 
 static void
-note(struct story *s, struct cause *c, const struct entry *e)
+record_event(struct timeline *s, struct cause *c, const struct entry *e)
 {
-	if (strcmp(e->event, "owner.cell_taken_over") == 0 && e->ts >= s->from)
+	if (strcmp(e->event, "owner.cell_taken_over") == 0 &&
+	    e->ts >= s->first_ts)
 		c->takeovers++;
 	if (strcmp(e->event, "log.lines_left_out") == 0)
-		s->left_out++;
+		s->gaps++;
 	if (!e->of_job)
 		return;
 	if (strcmp(e->event, "owner.job_accepted") == 0)
@@ -180,7 +186,7 @@
 		c->started = e;
 	else if (strcmp(e->event, "owner.run_ended") == 0 ||
 		 strcmp(e->event, "owner.end_found") == 0)
-		note_end(c, e);
+		record_run_end(c, e);
 	else if (strcmp(e->event, "owner.job_ended") == 0)
 		c->ended = e;
 	else if (strcmp(e->event, "owner.job_refused") == 0)
@@ -190,7 +196,7 @@
 }
 
 static void
-tell_details(const struct cause *c)
+print_details(const struct cause *c)
 {
 	if (c->started != NULL && c->accepted != NULL)
 		printf("  first start %.0f ms after it was accepted\n",
@@ -198,17 +204,17 @@
 	if (c->takeovers > 0)
 		printf("  the cell was taken over %u times meanwhile\n",
 		    c->takeovers);
-	if (c->failed > 0)
-		printf(
-		    "  %u runs failed, on%s\n", c->failed, c->failed_on->str);
-	if (c->lost > 0)
+	if (c->failed_runs > 0)
+		printf("  %u runs failed, on%s\n", c->failed_runs,
+		    c->failed_workers->str);
+	if (c->lost_runs > 0)
 		printf("  %u runs were lost with their workers or leases,"
 		       " on%s\n",
-		    c->lost, c->lost_on->str);
+		    c->lost_runs, c->lost_workers->str);
 }
 
 static void
-tell_end(const struct cause *c)
+print_end(const struct cause *c)
 {
 	char *state = ctl_field(c->ended->text, "state");
 	char *why = ctl_field(c->ended->text, "why");
@@ -219,7 +225,7 @@
 	g_free(why);
 }
 
-/* What the owner's words for a refusal mean. */
+/* Explains the reason that the owner logs for a refusal. */
 static const char *
 refusal_text(const char *why)
 {
@@ -241,12 +247,12 @@
 }
 
 static void
-tell_cause(const struct story *s, const struct cause *c)
+print_cause(const struct timeline *s, const struct cause *c)
 {
 	char *why;
 
 	if (c->ended != NULL) {
-		tell_end(c);
+		print_end(c);
 	} else if (c->accepted != NULL) {
 		puts("cause: accepted, and no end of it is in these lines");
 	} else if (c->refused != NULL) {
@@ -261,67 +267,67 @@
 	} else {
 		puts("cause: not to be told from these lines");
 	}
-	tell_details(c);
-	if (s->left_out > 0)
-		puts("  nodes left lines out meanwhile: the story may lack "
-		     "some");
+	print_details(c);
+	if (s->gaps > 0)
+		puts("  nodes left lines out meanwhile: some may be "
+		     "missing here");
 }
 
 static enum ctl_exit
-tell(struct story *s)
+print_timeline(struct timeline *s)
 {
-	GHashTable *workers = workers_of(s);
+	GHashTable *workers = collect_workers(s);
 	struct cause c = {0};
-	unsigned named = 0;
+	unsigned job_lines = 0;
 	guint i;
 
-	c.failed_on = g_string_new(NULL);
-	c.lost_on = g_string_new(NULL);
+	c.failed_workers = g_string_new(NULL);
+	c.lost_workers = g_string_new(NULL);
 	g_ptr_array_sort(s->entries, by_time);
 	for (i = 0; i < s->entries->len; i++) {
 		struct entry *e = s->entries->pdata[i];
 
-		if (!bears_on(s, e, workers))
+		if (!is_relevant(s, e, workers))
 			continue;
-		named += e->of_job;
-		note(s, &c, e);
-		if (s->from < G_MAXDOUBLE)
-			printf("%+9.3f %c %s\n", e->ts - s->from,
+		job_lines += e->of_job;
+		record_event(s, &c, e);
+		if (s->first_ts < G_MAXDOUBLE)
+			printf("%+9.3f %c %s\n", e->ts - s->first_ts,
 			    e->of_job ? '*' : ' ', strchr(e->text, ' ') + 1);
 	}
-	if (named > 0)
-		tell_cause(s, &c);
+	if (job_lines > 0)
+		print_cause(s, &c);
 	else
 		fprintf(stderr, "oriolectl: no line names job %s\n", s->id);
-	g_string_free(c.failed_on, TRUE);
-	g_string_free(c.lost_on, TRUE);
+	g_string_free(c.failed_workers, TRUE);
+	g_string_free(c.lost_workers, TRUE);
 	g_hash_table_unref(workers);
-	return named > 0 ? CTL_OK : CTL_REFUSED;
+	return job_lines > 0 ? CTL_OK : CTL_REFUSED;
 }
 
 static enum ctl_exit
 explain(struct ctl *c, char **words, size_t n)
 {
-	struct story s = {.id = words[0]};
+	struct timeline s = {.id = words[0]};
 	enum ctl_exit rc = CTL_OK;
 	size_t i;
 
 	(void)c;
 	s.entries = g_ptr_array_new_with_free_func(entry_free);
 	for (i = 1; i < n && rc == CTL_OK; i++) {
-		if (!ctl_read_lines(words[i], take_line, &s))
+		if (!ctl_read_lines(words[i], add_line, &s))
 			rc = CTL_USAGE;
 	}
 	if (n == 1)
-		ctl_read_lines("-", take_line, &s);
+		ctl_read_lines("-", add_line, &s);
 	if (rc == CTL_OK)
-		rc = tell(&s);
+		rc = print_timeline(&s);
 	g_ptr_array_unref(s.entries);
 	return rc;
 }
 
 const struct ctl_command ctl_explain_commands[] = {
     {"explain", NULL, 1, 60, 0, 0, true, explain, "JOB [FILE...]",
-	"tells a job's story from collected log lines"},
+	"shows a job's history from collected log lines"},
     {0},
 };
