--- a/ctl/cmd_losses.c
+++ b/ctl/cmd_losses.c
@@ -1,17 +1,17 @@
 /*
  * losses: what made jobs late, over all jobs of collected log lines.
  *
- * The owner logs each time that the reason changes for which a step's tasks do
- * not run (stage_waits), so the time between two such lines of a step is lost
- * for the first one's reason.  Runs that failed are lost time as well, and so is
- * the time until the store had taken the job.  Of each step the longest run that
- * was done counts; what these take beyond the job's declared run time is put down
- * as "long-runs": slow workers, estimates too low.  What is left is "other":
- * orders and answers on their way, and the time without an owner.
+ * The owner logs a line (stage_waits) whenever the reason changes why a step's
+ * tasks don't run.  The time between two such lines of a step is attributed to
+ * the reason in the first one.  Failed runs are lost time as well, and so is
+ * the time that the store took to accept the job.  "long-runs" is the sum of
+ * the longest successful run of each step minus the job's declared run time:
+ * it is due to slow workers or low estimates.  The rest is "other": messages in
+ * transit, and time without an owner.
  *
- * Lines may come from several nodes but have to be in the order of time within
- * each file; after a change of owner a step's reason goes on until the next
- * owner names one.
+ * Lines may come from several nodes but must be sorted by time within each
+ * file.  After a change of owner a step's reason stays in effect until the next
+ * owner logs one.
  */
 
 #include <stdio.h>
@@ -20,10 +20,12 @@
 #include "ctl.h"
 #include "logline.h"
 
-/* After so many objectives a job is worth nothing to its caller. */
-#define LATE_MAX 3
-#define BUCKET_S 10.0
+/* A job that takes longer than this multiple of its objective is too late: the
+ * result has no value to the caller any more. */
+#define TOO_LATE_OBJECTIVES 3
+#define INTERVAL_S 10.0 /* late jobs are counted per interval */
 
+/* Those before FAILED_RUNS are the reasons in stage_waits. */
 enum reason {
 	STORE,
 	SETTLE,
@@ -41,51 +43,52 @@
 static const char *const reason_names[REASONS] = {"store", "settle", "limit",
     "advice", "ticket", "room", "apart", "failed-runs", "long-runs", "other"};
 
-enum fate {
+enum outcome {
 	IN_TIME,
 	LATE,
 	TOO_LATE,
-	OPEN, /* no end in these lines */
+	OPEN, /* the lines don't include its end */
 	FAILED,
 	CANCELLED,
-	FATES
+	OUTCOMES
 };
 
-static const char *const fate_names[FATES] = {
+static const char *const outcome_names[OUTCOMES] = {
     "in-time", "late", "too-late", "open", "failed", "cancelled"};
 
-/* A step that waits. */
-struct waiting {
+/* Why a step waits.  Times with suffix _s are seconds since the epoch. */
+struct step_wait {
 	enum reason reason;
-	double since;
+	double since_s;
 };
 
 struct job {
 	char *queue;
-	double accepted;
+	double accepted_s; /* received by the owner, not yet stored */
 	double objective_ms;
-	double chain_ms;
-	bool over;
-	double ended;
-	char *state;         /* NULL: no end seen */
-	GHashTable *waiting; /* task -> struct waiting */
-	GHashTable *runs;    /* step -> double, longest run that was done, ms */
+	double chain_ms; /* longest chain of run times, declared or measured */
+	bool over_rate;
+	double ended_s;
+	char *state;       /* NULL until the end is read */
+	GHashTable *waits; /* step -> struct step_wait */
+	GHashTable *runs; /* step -> double, its longest successful run in ms */
 	double lost_ms[REASONS];
 };
 
-/* Jobs of a queue, within their teams' rates. */
+/* Sums over the jobs of a queue.  Jobs beyond their team's rate are counted in
+ * beyond_rate only. */
 struct queue {
-	unsigned jobs[FATES];
-	unsigned beyond; /* beyond the rate, and not looked at further */
-	unsigned blamed[REASONS];
-	double lost_ms[REASONS];
-	GHashTable *moments; /* bucket -> unsigned[REASONS] */
+	unsigned jobs[OUTCOMES];
+	unsigned beyond_rate;
+	unsigned late_jobs[REASONS]; /* by the main reason */
+	double lost_ms[REASONS];     /* of the late jobs */
+	GHashTable *intervals; /* index -> unsigned[REASONS], as late_jobs */
 };
 
-struct day {
+struct report {
 	GHashTable *jobs;   /* id -> struct job */
 	GHashTable *queues; /* name -> struct queue */
-	double from;        /* earliest acceptance */
+	double start_s;     /* earliest accepted_s */
 };
 
 static void
@@ -95,7 +98,7 @@
 
 	g_free(j->queue);
 	g_free(j->state);
-	g_hash_table_unref(j->waiting);
+	g_hash_table_unref(j->waits);
 	g_hash_table_unref(j->runs);
 	g_free(j);
 }
@@ -105,71 +108,72 @@
 {
 	struct queue *q = p;
 
-	g_hash_table_unref(q->moments);
+	g_hash_table_unref(q->intervals);
 	g_free(q);
 }
 
 /* ---- reading ---------------------------------------------------------- */
 
 static void
-take_accepted(struct day *d, const char *id, const char *line)
+add_job(struct report *rep, const char *id, const char *line)
 {
 	struct job *j;
 
-	if (g_hash_table_contains(d->jobs, id))
+	if (g_hash_table_contains(rep->jobs, id))
 		return;
 	j = g_new0(struct job, 1);
 	j->queue = ctl_field(line, "queue");
 	j->lost_ms[STORE] = ctl_field_number(line, "store_ms");
-	j->accepted = ctl_field_number(line, "ts") - j->lost_ms[STORE] / 1e3;
+	j->accepted_s = ctl_field_number(line, "ts") - j->lost_ms[STORE] / 1e3;
 	j->objective_ms = ctl_field_number(line, "objective_ms");
 	j->chain_ms = ctl_field_number(line, "chain_ms");
-	j->over = ctl_field_number(line, "over_rate") != 0;
-	j->waiting =
+	j->over_rate = ctl_field_number(line, "over_rate") != 0;
+	j->waits =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	j->runs =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	g_hash_table_insert(d->jobs, g_strdup(id), j);
-	d->from = MIN(d->from, j->accepted);
+	g_hash_table_insert(rep->jobs, g_strdup(id), j);
+	rep->start_s = MIN(rep->start_s, j->accepted_s);
 }
 
 static void
-wait_over(struct job *j, const char *task, double ts)
+end_wait(struct job *j, const char *task, double ts)
 {
-	struct waiting *w = g_hash_table_lookup(j->waiting, task);
+	struct step_wait *w = g_hash_table_lookup(j->waits, task);
 
 	if (w != NULL)
-		j->lost_ms[w->reason] += MAX(ts - w->since, 0) * 1e3;
-	g_hash_table_remove(j->waiting, task);
+		j->lost_ms[w->reason] += MAX(ts - w->since_s, 0) * 1e3;
+	g_hash_table_remove(j->waits, task);
 }
 
 static void
-take_waits(struct job *j, const char *line)
+record_wait(struct job *j, const char *line)
 {
 	double ts = ctl_field_number(line, "ts");
 	char *task = ctl_field(line, "task");
 	char *why = ctl_field(line, "why");
-	struct waiting *w;
+	struct step_wait *w;
 	int r;
 
 	if (task != NULL && why != NULL) {
-		wait_over(j, task, ts);
+		end_wait(j, task, ts);
 		for (r = 0; r < FAILED_RUNS; r++) {
 			if (strcmp(why, reason_names[r]) != 0)
 				continue;
-			w = g_new(struct waiting, 1);
+			w = g_new(struct step_wait, 1);
 			w->reason = (enum reason)r;
-			w->since = ts;
-			g_hash_table_insert(j->waiting, g_strdup(task), w);
+			w->since_s = ts;
+			g_hash_table_insert(j->waits, g_strdup(task), w);
 		}
 	}
 	g_free(task);
 	g_free(why);
 }
 
-/* The task is named OCCURRENCE.STEP.INDEX. */
+/* The task's name is OCCURRENCE.STEP.INDEX; without the index it names the
+ * step. */
 static void
-take_done(struct job *j, const char *line)
+record_successful_run(struct job *j, const char *line)
 {
 	char *step = ctl_field(line, "task");
 	char *index = step != NULL ? strrchr(step, '.') : NULL;
@@ -190,21 +194,21 @@
 }
 
 static void
-take_run_end(struct job *j, const char *line)
+record_run_end(struct job *j, const char *line)
 {
 	char *how = ctl_field(line, "how");
 
 	if (g_strcmp0(how, "failed") == 0 || g_strcmp0(how, "lapsed") == 0)
 		j->lost_ms[FAILED_RUNS] += ctl_field_number(line, "age_ms");
 	else if (g_strcmp0(how, "done") == 0)
-		take_done(j, line);
+		record_successful_run(j, line);
 	g_free(how);
 }
 
-/* The end tells the objective by what the runs took; what was declared may be
- * far off. */
+/* The line of the job's end has the objective computed from measured run times;
+ * the declared ones may be far off. */
 static void
-take_measured(struct job *j, const char *line)
+record_measured_objective(struct job *j, const char *line)
 {
 	double objective = ctl_field_number(line, "objective_ms");
 
@@ -215,7 +219,7 @@
 }
 
 static void
-take_end(struct job *j, const char *line)
+record_job_end(struct job *j, const char *line)
 {
 	GHashTableIter it;
 	gpointer p;
@@ -223,20 +227,20 @@
 	if (j->state != NULL)
 		return;
 	j->state = ctl_field(line, "state");
-	j->ended = ctl_field_number(line, "ts");
-	take_measured(j, line);
-	g_hash_table_iter_init(&it, j->waiting);
+	j->ended_s = ctl_field_number(line, "ts");
+	record_measured_objective(j, line);
+	g_hash_table_iter_init(&it, j->waits);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		const struct waiting *w = p;
+		const struct step_wait *w = p;
 
-		j->lost_ms[w->reason] += MAX(j->ended - w->since, 0) * 1e3;
+		j->lost_ms[w->reason] += MAX(j->ended_s - w->since_s, 0) * 1e3;
 	}
 }
 
 static void
-take_line(void *arg, const char *line)
+read_line(void *arg, const char *line)
 {
-	struct day *d = arg;
+	struct report *rep = arg;
 	char *event = ctl_field(line, "event");
 	char *id = ctl_field(line, "job");
 	struct job *j;
@@ -244,16 +248,16 @@
 	if (event == NULL || id == NULL)
 		goto out;
 	if (strcmp(event, "job_accepted") == 0)
-		take_accepted(d, id, line);
-	j = g_hash_table_lookup(d->jobs, id);
+		add_job(rep, id, line);
+	j = g_hash_table_lookup(rep->jobs, id);
 	if (j == NULL)
 		goto out;
 	if (strcmp(event, "stage_waits") == 0)
-		take_waits(j, line);
+		record_wait(j, line);
 	else if (strcmp(event, "run_ended") == 0)
-		take_run_end(j, line);
+		record_run_end(j, line);
 	else if (strcmp(event, "job_ended") == 0)
-		take_end(j, line);
+		record_job_end(j, line);
 out:
 	g_free(event);
 	g_free(id);
@@ -262,13 +266,13 @@
 /* ---- summing up ------------------------------------------------------- */
 
 static double
-age_ms(const struct job *j)
+job_ms(const struct job *j)
 {
-	return (j->ended - j->accepted) * 1e3;
+	return (j->ended_s - j->accepted_s) * 1e3;
 }
 
-static enum fate
-fate_of(const struct job *j)
+static enum outcome
+job_outcome(const struct job *j)
 {
 	if (j->state == NULL)
 		return OPEN;
@@ -276,40 +280,42 @@
 		return CANCELLED;
 	if (strcmp(j->state, "completed") != 0)
 		return FAILED;
-	if (age_ms(j) <= j->objective_ms)
+	if (job_ms(j) <= j->objective_ms)
 		return IN_TIME;
-	return age_ms(j) <= LATE_MAX * j->objective_ms ? LATE : TOO_LATE;
+	return job_ms(j) <= TOO_LATE_OBJECTIVES * j->objective_ms ? LATE
+								  : TOO_LATE;
 }
 
 static struct queue *
-queue_of(struct day *d, const char *name)
+get_queue(struct report *rep, const char *name)
 {
-	struct queue *q = g_hash_table_lookup(d->queues, name);
+	struct queue *q = g_hash_table_lookup(rep->queues, name);
 
 	if (q != NULL)
 		return q;
 	q = g_new0(struct queue, 1);
-	q->moments = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-	g_hash_table_insert(d->queues, g_strdup(name), q);
+	q->intervals = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+	g_hash_table_insert(rep->queues, g_strdup(name), q);
 	return q;
 }
 
 static unsigned *
-moment_of(struct queue *q, int bucket)
+interval_counts(struct queue *q, int index)
 {
-	gpointer key = GINT_TO_POINTER(bucket);
-	unsigned *counts = g_hash_table_lookup(q->moments, key);
+	gpointer key = GINT_TO_POINTER(index);
+	unsigned *counts = g_hash_table_lookup(q->intervals, key);
 
 	if (counts == NULL) {
 		counts = g_new0(unsigned, REASONS);
-		g_hash_table_insert(q->moments, key, counts);
+		g_hash_table_insert(q->intervals, key, counts);
 	}
 	return counts;
 }
 
-/* Steps may run beside each other, so at most what nothing else accounts for. */
+/* Run time beyond the declared one.  The sum is too high if steps run at the
+ * same time, so it is limited to the time that has no other reason. */
 static double
-long_runs_ms(const struct job *j, double most)
+long_runs_ms(const struct job *j, double limit_ms)
 {
 	double ms = -j->chain_ms;
 	GHashTableIter it;
@@ -318,50 +324,51 @@
 	g_hash_table_iter_init(&it, j->runs);
 	while (g_hash_table_iter_next(&it, NULL, &longest))
 		ms += *(const double *)longest;
-	return CLAMP(ms, 0, most);
+	return CLAMP(ms, 0, limit_ms);
 }
 
-/* Puts a late job down to what took most of its time. */
+/* Counts a late job under the reason that took most of its time. */
 static void
-blame(struct day *d, struct queue *q, struct job *j)
+attribute_delay(struct report *rep, struct queue *q, struct job *j)
 {
-	double other = age_ms(j) - j->chain_ms;
-	int r, most = OTHER;
+	double other_ms = job_ms(j) - j->chain_ms;
+	int r, main_reason = OTHER;
 
 	for (r = 0; r < LONG_RUNS; r++)
-		other -= j->lost_ms[r];
-	other = MAX(other, 0);
-	j->lost_ms[LONG_RUNS] = long_runs_ms(j, other);
-	j->lost_ms[OTHER] = other - j->lost_ms[LONG_RUNS];
+		other_ms -= j->lost_ms[r];
+	other_ms = MAX(other_ms, 0);
+	j->lost_ms[LONG_RUNS] = long_runs_ms(j, other_ms);
+	j->lost_ms[OTHER] = other_ms - j->lost_ms[LONG_RUNS];
 	for (r = 0; r < REASONS; r++) {
 		q->lost_ms[r] += j->lost_ms[r];
-		if (j->lost_ms[r] > j->lost_ms[most])
-			most = r;
+		if (j->lost_ms[r] > j->lost_ms[main_reason])
+			main_reason = r;
 	}
-	q->blamed[most]++;
-	moment_of(q, (int)((j->accepted - d->from) / BUCKET_S))[most]++;
+	q->late_jobs[main_reason]++;
+	interval_counts(q,
+	    (int)((j->accepted_s - rep->start_s) / INTERVAL_S))[main_reason]++;
 }
 
 static void
-sum_up(struct day *d)
+summarize_jobs(struct report *rep)
 {
 	GHashTableIter it;
 	gpointer p;
 
-	g_hash_table_iter_init(&it, d->jobs);
+	g_hash_table_iter_init(&it, rep->jobs);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct job *j = p;
 		struct queue *q =
-		    queue_of(d, j->queue != NULL ? j->queue : "?");
-		enum fate f = fate_of(j);
+		    get_queue(rep, j->queue != NULL ? j->queue : "?");
+		enum outcome o = job_outcome(j);
 
-		if (j->over) {
-			q->beyond++;
+		if (j->over_rate) {
+			q->beyond_rate++;
 			continue;
 		}
-		q->jobs[f]++;
-		if (f == LATE || f == TOO_LATE)
-			blame(d, q, j);
+		q->jobs[o]++;
+		if (o == LATE || o == TOO_LATE)
+			attribute_delay(rep, q, j);
 	}
 }
 
@@ -387,16 +394,18 @@
 }
 
 static void
-print_moments(const struct queue *q)
+print_intervals(const struct queue *q)
 {
-	GList *keys = g_list_sort(g_hash_table_get_keys(q->moments), by_number);
+	GList *keys =
+	    g_list_sort(g_hash_table_get_keys(q->intervals), by_number);
 	GList *at;
 	char head[48];
 
 	for (at = keys; at != NULL; at = at->next) {
-		g_snprintf(head, sizeof head,
-		    "    from %4.0f s:", GPOINTER_TO_INT(at->data) * BUCKET_S);
-		print_reasons(head, g_hash_table_lookup(q->moments, at->data));
+		g_snprintf(head, sizeof head, "    from %4.0f s:",
+		    GPOINTER_TO_INT(at->data) * INTERVAL_S);
+		print_reasons(
+		    head, g_hash_table_lookup(q->intervals, at->data));
 	}
 	g_list_free(keys);
 }
@@ -408,16 +417,16 @@
 	int i;
 
 	printf("queue %s:", name);
-	for (i = 0; i < FATES; i++) {
+	for (i = 0; i < OUTCOMES; i++) {
 		if (q->jobs[i] > 0)
-			printf("  %s %u", fate_names[i], q->jobs[i]);
+			printf("  %s %u", outcome_names[i], q->jobs[i]);
 	}
-	if (q->beyond > 0)
-		printf("  beyond-rate %u", q->beyond);
+	if (q->beyond_rate > 0)
+		printf("  beyond-rate %u", q->beyond_rate);
 	putchar('\n');
 	if (late == 0)
 		return;
-	print_reasons("  mostly for:", q->blamed);
+	print_reasons("  mostly for:", q->late_jobs);
 	printf("  ms a late job:");
 	for (i = 0; i < REASONS; i++) {
 		if (q->lost_ms[i] / late >= 1)
@@ -425,45 +434,46 @@
 			    "  %s %.0f", reason_names[i], q->lost_ms[i] / late);
 	}
 	putchar('\n');
-	print_moments(q);
+	print_intervals(q);
 }
 
 static void
-print_day(struct day *d)
+print_report(struct report *rep)
 {
-	GList *names =
-	    g_list_sort(g_hash_table_get_keys(d->queues), (GCompareFunc)strcmp);
+	GList *names = g_list_sort(
+	    g_hash_table_get_keys(rep->queues), (GCompareFunc)strcmp);
 	GList *at;
 
 	for (at = names; at != NULL; at = at->next)
-		print_queue(at->data, g_hash_table_lookup(d->queues, at->data));
+		print_queue(
+		    at->data, g_hash_table_lookup(rep->queues, at->data));
 	g_list_free(names);
 }
 
 static enum ctl_exit
 losses(struct ctl *c, char **words, size_t n)
 {
-	struct day d = {.from = G_MAXDOUBLE};
+	struct report rep = {.start_s = G_MAXDOUBLE};
 	enum ctl_exit rc = CTL_OK;
 	size_t i;
 
 	(void)c;
-	d.jobs =
+	rep.jobs =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, job_free);
-	d.queues =
+	rep.queues =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, queue_free);
 	for (i = 0; i < n && rc == CTL_OK; i++) {
-		if (!ctl_read_lines(words[i], take_line, &d))
+		if (!ctl_read_lines(words[i], read_line, &rep))
 			rc = CTL_USAGE;
 	}
 	if (n == 0)
-		ctl_read_lines("-", take_line, &d);
+		ctl_read_lines("-", read_line, &rep);
 	if (rc == CTL_OK) {
-		sum_up(&d);
-		print_day(&d);
+		summarize_jobs(&rep);
+		print_report(&rep);
 	}
-	g_hash_table_unref(d.queues);
-	g_hash_table_unref(d.jobs);
+	g_hash_table_unref(rep.queues);
+	g_hash_table_unref(rep.jobs);
 	return rc;
 }
 
