--- a/ctl/cmd_explain.c
+++ b/ctl/cmd_explain.c
@@ -3,9 +3,9 @@
  *
  * The lines may come from any number of nodes, in any order.  Those that name
  * the job are kept, and so are lines from the same period about the cell (its
- * owner and its store) and about the workers that ran the job's tasks.  They are
- * printed in order of their timestamps, which is only as accurate as the nodes'
- * clocks.  The cause of the job's end is derived from them.
+ * owner and its store) and about the workers that ran the job's tasks.  They
+ * are printed in order of their timestamps, which is only as accurate as the
+ * nodes' clocks.  The cause of the job's end is derived from them.
  */
 
 #include <stdio.h>
