--- a/daemon/cell_host.c
+++ b/daemon/cell_host.c
@@ -1,11 +1,11 @@
 /*
  * Everything runs in one thread.  Before the loop waits, the node is stepped
- * and whatever it wanted is begun, so that what one event brings about goes
- * out in one turn.
+ * and the I/O that it requested is started, so that everything that follows
+ * from an event is sent in the same iteration of the loop.
  *
- * The node's clock is CLOCK_BOOTTIME: while a machine is suspended the
- * monotonic clock stands still, and ownership, leases and the age of the
- * configuration would seem younger than they are.
+ * The node's clock is CLOCK_BOOTTIME.  CLOCK_MONOTONIC doesn't advance while a
+ * machine is suspended, so that ownership, leases and the configuration would
+ * seem more recent than they are.
  */
 
 #include <ev.h>
@@ -21,16 +21,16 @@
 #include "node.h"
 #include "peer.h"
 
-#define ROUNDS_MAX 16
-#define BODY_MAX ((size_t)256 * 1024) /* the operator's bound on bodies */
-#define BODIES_MAX ((size_t)24 * 1024 * 1024)
-#define HEADERS_MAX (20 * 1024)
-/* From not being ready any more until the balancer has seen it twice. */
-#define LINGER_S 2.4
+#define STEPS_PER_ITERATION_MAX 16
+#define BODY_MAX_BYTES ((size_t)256 * 1024) /* limit set by the operator */
+#define BODIES_MAX_BYTES ((size_t)24 * 1024 * 1024) /* of all open requests */
+#define HEADERS_MAX_BYTES (20 * 1024)
+/* The frontend accepts connections for this long after the node stops being
+ * ready, until the load balancer has seen two failed readiness checks. */
+#define NOT_READY_WAIT_S 2.4
 #define STOP_MARGIN_S 0.5 /* before the platform kills the process */
 #define SETTINGS_POLL_S 2.0
-/* Below it bytes are dearer than the processor time that it takes to make them
- * fewer. */
+/* On slower links it pays to spend processor time on sending fewer bytes. */
 #define COMPRESS_BELOW_KBPS 20000
 #define DRAIN_POLL_S 0.05
 
@@ -38,22 +38,22 @@
 	struct ev_loop *loop;
 	struct ogl_logger *log;
 	struct ogl_logline *lines;
-	struct ogl_measures *metrics;
+	struct ogl_measures *measures;
 	struct ogl_http_client *http;
 	struct platform *platform;
-	struct ogl_http_in *front;
-	struct ogl_http_in *ready;
-	struct ogl_http_in *measures;
+	struct ogl_http_in *frontend_in;
+	struct ogl_http_in *ready_in;
+	struct ogl_http_in *metrics_in; /* NULL if it can't listen */
 	struct ogl_peer *peer;
 	struct cell_node *node;
 	struct cell_ops ops;
 	char *settings_path;
 	uint32_t grace_ms;
 	ev_prepare prepare;
-	ev_timer wake;
-	ev_timer poll;
-	ev_timer drain;
-	ev_tstamp stop_at; /* 0: not stopping */
+	ev_timer wake_timer;
+	ev_timer settings_poll;
+	ev_timer drain_timer;
+	ev_tstamp stopping_since; /* 0 if not stopping */
 	bool quiesced;
 };
 
@@ -69,13 +69,13 @@
 }
 
 static ogl_time
-now_of(void *ctx)
+boot_time(void *ctx)
 {
 	(void)ctx;
 	return read_clock(CLOCK_BOOTTIME);
 }
 
-/* ---- what the node asks for ------------------------------------------- */
+/* ---- callbacks of the node -------------------------------------------- */
 
 static void
 on_reply(void *ctx, uint64_t token, const struct cell_answer *a)
@@ -91,7 +91,7 @@
 	    .content_type = "application/json"};
 
 	act.data = platform_answer_body(a);
-	ogl_http_in_reply(h->front, &act);
+	ogl_http_in_reply(h->frontend_in, &act);
 	g_bytes_unref(act.data);
 }
 
@@ -124,7 +124,7 @@
 {
 	struct ogl_cell_host *h = ctx;
 
-	ogl_logline_put(h->lines, part, event, text, now_of(NULL),
+	ogl_logline_put(h->lines, part, event, text, boot_time(NULL),
 	    read_clock(CLOCK_REALTIME));
 }
 
@@ -133,7 +133,7 @@
 {
 	struct ogl_cell_host *h = ctx;
 
-	ogl_measures_count(h->metrics, name, by);
+	ogl_measures_count(h->measures, name, by);
 }
 
 static void
@@ -141,10 +141,10 @@
 {
 	struct ogl_cell_host *h = ctx;
 
-	ogl_measures_observe(h->metrics, name, ms);
+	ogl_measures_observe(h->measures, name, ms);
 }
 
-/* ---- what the sockets bring ------------------------------------------- */
+/* ---- events of sockets ------------------------------------------------ */
 
 static enum cell_method
 method_of(struct ogl_str m)
@@ -182,22 +182,22 @@
 		r.key = ev->u.call.key;
 		r.body = ev->u.call.body;
 		r.budget_ms = (uint32_t)MIN(ev->u.call.budget_ms, 600000);
-		cell_node_call(h->node, ev->token, &r, now_of(NULL));
+		cell_node_call(h->node, ev->token, &r, boot_time(NULL));
 		break;
 	case OGL_EV_CALL_GONE:
 		cell_node_gone(h->node, ev->token);
 		break;
 	case OGL_EV_PEER:
-		cell_node_peer(h->node, ev->u.peer.data, now_of(NULL));
+		cell_node_peer(h->node, ev->u.peer.data, boot_time(NULL));
 		break;
 	default:
 		break;
 	}
 }
 
-/* Nothing but readiness and metrics is served on the ports of our own. */
+/* The internal ports serve nothing but readiness and metrics. */
 static void
-on_stray_call(void *ctx, const struct ogl_event *ev)
+on_internal_call(void *ctx, const struct ogl_event *ev)
 {
 	struct ogl_http_in *in = *(struct ogl_http_in **)ctx;
 	struct ogl_action act = {.type = OGL_ACT_REPLY,
@@ -214,19 +214,19 @@
 {
 	struct ogl_cell_host *h = ctx;
 
-	return cell_node_ready(h->node, now_of(NULL));
+	return cell_node_ready(h->node, boot_time(NULL));
 }
 
 static char *
 metrics_text(void *ctx)
 {
 	struct ogl_cell_host *h = ctx;
-	char *own = ogl_measures_text(h->metrics);
-	GString *s = g_string_new(own);
+	char *text = ogl_measures_text(h->measures);
+	GString *s = g_string_new(text);
 	GHashTableIter it;
 	gpointer kind, v;
 
-	g_free(own);
+	g_free(text);
 	g_string_append_printf(s,
 	    "ogl_peer_sent_bytes_total %" G_GUINT64_FORMAT
 	    "\nogl_peer_received_bytes_total %" G_GUINT64_FORMAT "\n",
@@ -251,26 +251,27 @@
 /* ---- the loop --------------------------------------------------------- */
 
 static bool
-run_round(struct ogl_cell_host *h)
+run_http(struct ogl_cell_host *h)
 {
-	bool front = ogl_http_in_run(h->front);
-	bool ready = ogl_http_in_run(h->ready);
-	bool measures = h->measures != NULL && ogl_http_in_run(h->measures);
+	bool frontend = ogl_http_in_run(h->frontend_in);
+	bool ready = ogl_http_in_run(h->ready_in);
+	bool metrics = h->metrics_in != NULL && ogl_http_in_run(h->metrics_in);
 	bool out = ogl_http_client_run(h->http);
 
-	return front || ready || measures || out;
+	return frontend || ready || metrics || out;
 }
 
 static void
 set_wake(struct ogl_cell_host *h)
 {
-	ogl_time now = now_of(NULL);
+	ogl_time now = boot_time(NULL);
 	ogl_time at = cell_node_wake(h->node, now);
 
-	ev_timer_stop(h->loop, &h->wake);
+	ev_timer_stop(h->loop, &h->wake_timer);
 	ev_now_update(h->loop);
-	ev_timer_set(&h->wake, at > now ? (ev_tstamp)(at - now) / 1e6 : 0., 0.);
-	ev_timer_start(h->loop, &h->wake);
+	ev_timer_set(
+	    &h->wake_timer, at > now ? (ev_tstamp)(at - now) / 1e6 : 0., 0.);
+	ev_timer_start(h->loop, &h->wake_timer);
 }
 
 static void
@@ -281,10 +282,10 @@
 
 	(void)loop;
 	(void)events;
-	for (round = 0; round < ROUNDS_MAX; round++) {
+	for (round = 0; round < STEPS_PER_ITERATION_MAX; round++) {
 		cell_node_step(
-		    h->node, now_of(NULL), read_clock(CLOCK_REALTIME));
-		if (!run_round(h))
+		    h->node, boot_time(NULL), read_clock(CLOCK_REALTIME));
+		if (!run_http(h))
 			break;
 	}
 	set_wake(h);
@@ -325,7 +326,7 @@
 }
 
 static void
-on_poll(struct ev_loop *loop, ev_timer *w, int events)
+on_settings_poll(struct ev_loop *loop, ev_timer *w, int events)
 {
 	struct ogl_cell_host *h = w->data;
 
@@ -341,44 +342,44 @@
 on_drain(struct ev_loop *loop, ev_timer *w, int events)
 {
 	struct ogl_cell_host *h = w->data;
-	ev_tstamp since = ev_now(loop) - h->stop_at;
-	bool late = since > h->grace_ms / 1e3 - STOP_MARGIN_S;
+	ev_tstamp since = ev_now(loop) - h->stopping_since;
+	bool timed_out = since > h->grace_ms / 1e3 - STOP_MARGIN_S;
 
 	(void)events;
-	if (since < LINGER_S && !late)
+	if (since < NOT_READY_WAIT_S && !timed_out)
 		return;
 	if (!h->quiesced) {
 		h->quiesced = true;
-		ogl_http_in_quiesce(h->front);
+		ogl_http_in_quiesce(h->frontend_in);
 		return;
 	}
-	if (!late &&
-	    (!cell_node_stopped(h->node) || !ogl_http_in_drained(h->front)))
+	if (!timed_out && (!cell_node_stopped(h->node) ||
+			      !ogl_http_in_drained(h->frontend_in)))
 		return;
-	on_log(h, "host", "stopped", late ? "complete=0" : "complete=1");
+	on_log(h, "host", "stopped", timed_out ? "complete=0" : "complete=1");
 	ev_break(loop, EVBREAK_ALL);
 }
 
 void
 ogl_cell_host_stop(struct ogl_cell_host *h)
 {
-	if (h->stop_at > 0)
+	if (h->stopping_since > 0)
 		return;
-	h->stop_at = ev_now(h->loop);
+	h->stopping_since = ev_now(h->loop);
 	on_log(h, "host", "stopping", "");
-	cell_node_stop(h->node, now_of(NULL));
-	ogl_http_in_closing(h->front);
-	ev_timer_start(h->loop, &h->drain);
+	cell_node_stop(h->node, boot_time(NULL));
+	ogl_http_in_closing(h->frontend_in);
+	ev_timer_start(h->loop, &h->drain_timer);
 }
 
-/* ---- beginning and end ------------------------------------------------ */
+/* ---- start and end ---------------------------------------------------- */
 
 static struct ogl_http_in *
-listen_own(struct ogl_cell_host *h, const char *addr, struct ogl_http_in **self,
-    GError **error)
+listen_internal(struct ogl_cell_host *h, const char *addr,
+    struct ogl_http_in **self, GError **error)
 {
 	struct ogl_http_in_limits limits;
-	struct ogl_sink sink = {on_stray_call, self};
+	struct ogl_sink sink = {on_internal_call, self};
 	struct ogl_http_in_ops ops = {is_ready, metrics_text, h};
 
 	ogl_http_in_limits_default(&limits);
@@ -389,7 +390,7 @@
 }
 
 static struct ogl_http_in *
-listen_front(struct ogl_cell_host *h, const char *addr, GError **error)
+listen_frontend(struct ogl_cell_host *h, const char *addr, GError **error)
 {
 	struct ogl_http_in_limits limits;
 	struct ogl_sink sink = {on_event, h};
@@ -397,9 +398,9 @@
 
 	ogl_http_in_limits_default(&limits);
 	limits.calls_only = true;
-	limits.body_max = BODY_MAX;
-	limits.body_total_max = BODIES_MAX;
-	limits.header_max = HEADERS_MAX;
+	limits.body_max = BODY_MAX_BYTES;
+	limits.body_total_max = BODIES_MAX_BYTES;
+	limits.header_max = HEADERS_MAX_BYTES;
 	limits.budget_header = platform_deadline_header;
 	return ogl_http_in_init(
 	    h->loop, addr, &limits, sink, ops, h->log, error);
@@ -417,14 +418,14 @@
 	ogl_peer_expect(h->peer, &ogl__cell_msg__descriptor);
 	if (s->link_kbps > 0 && s->link_kbps < COMPRESS_BELOW_KBPS)
 		ogl_peer_compress(h->peer);
-	h->front = listen_front(h, s->frontend, error);
-	if (h->front == NULL)
+	h->frontend_in = listen_frontend(h, s->frontend, error);
+	if (h->frontend_in == NULL)
 		return false;
-	h->ready = listen_own(h, s->ready, &h->ready, error);
-	if (h->ready == NULL)
+	h->ready_in = listen_internal(h, s->ready, &h->ready_in, error);
+	if (h->ready_in == NULL)
 		return false;
-	h->measures = listen_own(h, s->metrics, &h->measures, NULL);
-	if (h->measures == NULL)
+	h->metrics_in = listen_internal(h, s->metrics, &h->metrics_in, NULL);
+	if (h->metrics_in == NULL)
 		on_log(h, "host", "metrics_unserved", s->metrics);
 	return true;
 }
@@ -440,7 +441,7 @@
 	    .limits = s->limits};
 
 	randombytes_buf(&c.seed, sizeof c.seed);
-	h->platform = platform_init(h->http, s, now_of, NULL);
+	h->platform = platform_init(h->http, s, boot_time, NULL);
 	platform_fill(h->platform, &h->ops);
 	h->ops.reply = on_reply;
 	h->ops.peer_send = on_peer_send;
@@ -464,7 +465,7 @@
 	h->grace_ms = s->grace_ms;
 	h->log = ogl_logger_init(stderr, OGL_LOG_WARN);
 	h->lines = ogl_logline_init(STDOUT_FILENO, s->name);
-	h->metrics = ogl_measures_init();
+	h->measures = ogl_measures_init();
 	h->http = ogl_http_client_init(loop);
 	make_node(h, s);
 	if (!listen_all(h, s, error)) {
@@ -472,13 +473,14 @@
 		return NULL;
 	}
 	ev_prepare_init(&h->prepare, on_prepare);
-	ev_init(&h->wake, on_wake);
-	ev_timer_init(&h->poll, on_poll, SETTINGS_POLL_S, SETTINGS_POLL_S);
-	ev_timer_init(&h->drain, on_drain, DRAIN_POLL_S, DRAIN_POLL_S);
+	ev_init(&h->wake_timer, on_wake);
+	ev_timer_init(&h->settings_poll, on_settings_poll, SETTINGS_POLL_S,
+	    SETTINGS_POLL_S);
+	ev_timer_init(&h->drain_timer, on_drain, DRAIN_POLL_S, DRAIN_POLL_S);
 	h->prepare.data = h;
-	h->wake.data = h;
-	h->poll.data = h;
-	h->drain.data = h;
+	h->wake_timer.data = h;
+	h->settings_poll.data = h;
+	h->drain_timer.data = h;
 	return h;
 }
 
@@ -487,7 +489,7 @@
 {
 	on_log(h, "host", "started", "version=" OGL_VERSION);
 	ev_prepare_start(h->loop, &h->prepare);
-	ev_timer_start(h->loop, &h->poll);
+	ev_timer_start(h->loop, &h->settings_poll);
 }
 
 void
@@ -496,17 +498,17 @@
 	if (h == NULL)
 		return;
 	ev_prepare_stop(h->loop, &h->prepare);
-	ev_timer_stop(h->loop, &h->wake);
-	ev_timer_stop(h->loop, &h->poll);
-	ev_timer_stop(h->loop, &h->drain);
+	ev_timer_stop(h->loop, &h->wake_timer);
+	ev_timer_stop(h->loop, &h->settings_poll);
+	ev_timer_stop(h->loop, &h->drain_timer);
 	ogl_http_client_end(h->http);
-	ogl_http_in_end(h->front);
-	ogl_http_in_end(h->ready);
-	ogl_http_in_end(h->measures);
+	ogl_http_in_end(h->frontend_in);
+	ogl_http_in_end(h->ready_in);
+	ogl_http_in_end(h->metrics_in);
 	ogl_peer_end(h->peer);
 	cell_node_end(h->node);
 	platform_end(h->platform);
-	ogl_measures_end(h->metrics);
+	ogl_measures_end(h->measures);
 	ogl_logline_end(h->lines);
 	ogl_logger_end(h->log);
 	g_free(h->settings_path);
--- a/daemon/cell_main.c
+++ b/daemon/cell_main.c
@@ -1,5 +1,5 @@
 /*
- * orioleglade-cell: a node of a cell on the users' platform.
+ * orioleglade-cell: runs a node of a cell on the users' platform.
  *
  * Exit status: 0 after a shutdown, 1 when it could not start, 2 when the
  * settings file is wrong.
