--- a/daemon/config.c
+++ b/daemon/config.c
@@ -1,8 +1,8 @@
 /*
- * One table names every field: where it stands in the file, its type, its
- * range and where its value goes.  A second table names the contradictions
- * between numbers that are each in range.  The check walks both to their end
- * whatever it finds, so that an operator mends a file in one go.
+ * One table lists every field: its place in the file, its type, its range and
+ * where its value is stored.  A second table lists the relations that timings
+ * must satisfy.  The check always goes through both tables to the end, so that
+ * an operator sees all faults of a file at once.
  */
 
 #include <jansson.h>
@@ -34,7 +34,7 @@
 	enum field_type type;
 	bool required;
 	size_t offset; /* in struct ogl_config */
-	uint32_t min;
+	uint32_t min;  /* of the number; of the port for addresses */
 	uint32_t max;
 };
 
@@ -69,22 +69,22 @@
     TIMING(exec_slots, 1, 100000),
 };
 
-/* value * times must be at most the limit, or below it when strict. */
-struct contradiction {
+/* value * factor must be at most the limit, or below it if strict. */
+struct timing_rule {
 	const char *value;
-	uint32_t times;
+	uint32_t factor;
 	bool strict;
 	const char *limit;
 };
 
-static const struct contradiction contradictions[] = {
-    /* A lease must outlive two lost renewals. */
+static const struct timing_rule timing_rules[] = {
+    /* A lease must not expire after two lost renewals. */
     {"sync_ms", 3, false, "lease_ms"},
-    /* An owner cut off must stop starting work while the leases it gave
-     * still hold, and well before a stranger may claim its shard. */
+    /* An owner cut off from the log must stop starting work while the leases
+     * it granted are valid, well before a non-successor claims its shard. */
     {"right_ms", 1, true, "lease_ms"},
     {"lease_ms", 1, true, "late_claim_ms"},
-    /* A member is probed at least once while it is under suspicion. */
+    /* A suspected member is probed at least once before it is declared dead. */
     {"probe_ms", 1, true, "suspect_ms"},
 };
 
@@ -106,7 +106,7 @@
 	return g_strdup_printf("%s.%s", section, name);
 }
 
-/* ---- one reader a type; each gives NULL or what is allowed ------------ */
+/* ---- readers of the types; they return NULL or what is allowed -------- */
 
 static bool
 is_name(const char *s)
@@ -131,9 +131,9 @@
 }
 
 static char *
-read_name(const struct field *f, const json_t *v, void *to)
+read_name(const struct field *f, const json_t *v, void *value)
 {
-	char **s = to;
+	char **s = value;
 
 	(void)f;
 	if (!json_is_string(v) || !is_name(json_string_value(v)))
@@ -144,9 +144,9 @@
 }
 
 static char *
-read_addr(const struct field *f, const json_t *v, void *to)
+read_addr(const struct field *f, const json_t *v, void *value)
 {
-	char **s = to;
+	char **s = value;
 
 	if (!json_is_string(v) || !is_addr(json_string_value(v), f->min))
 		return g_strdup(
@@ -157,7 +157,7 @@
 }
 
 static char *
-read_hash(const struct field *f, const json_t *v, void *to)
+read_hash(const struct field *f, const json_t *v, void *value)
 {
 	const char *s = json_string_value(v);
 
@@ -165,24 +165,24 @@
 	if (s == NULL || strlen(s) != HASH_HEX_BYTES ||
 	    strspn(s, "0123456789abcdef") != HASH_HEX_BYTES)
 		return g_strdup("64 hex digits in lower case");
-	memcpy(to, s, HASH_HEX_BYTES + 1);
+	memcpy(value, s, HASH_HEX_BYTES + 1);
 	return NULL;
 }
 
 static char *
-read_level(const struct field *f, const json_t *v, void *to)
+read_level(const struct field *f, const json_t *v, void *value)
 {
 	(void)f;
 	if (!json_is_string(v) ||
-	    !ogl_log_level_parse(json_string_value(v), to))
+	    !ogl_log_level_parse(json_string_value(v), value))
 		return g_strdup("error, warn, info or debug");
 	return NULL;
 }
 
 static char *
-read_seeds(const struct field *f, const json_t *v, void *to)
+read_seeds(const struct field *f, const json_t *v, void *value)
 {
-	char ***seeds = to;
+	char ***seeds = value;
 	GPtrArray *list;
 	size_t i;
 
@@ -206,13 +206,13 @@
 }
 
 static char *
-read_u32(const struct field *f, const json_t *v, void *to)
+read_u32(const struct field *f, const json_t *v, void *value)
 {
 	json_int_t n = json_integer_value(v);
 
 	if (!json_is_integer(v) || n < f->min || n > f->max)
 		return g_strdup_printf("integer from %u to %u", f->min, f->max);
-	*(uint32_t *)to = (uint32_t)n;
+	*(uint32_t *)value = (uint32_t)n;
 	return NULL;
 }
 
@@ -227,7 +227,7 @@
     [FIELD_U32] = read_u32,
 };
 
-/* ---- the walk --------------------------------------------------------- */
+/* ---- the check of a file ---------------------------------------------- */
 
 static bool
 is_section(const char *name)
@@ -311,20 +311,20 @@
 }
 
 static void
-check_contradiction(const struct contradiction *k, const struct ogl_config *c,
+check_timing_rule(const struct timing_rule *r, const struct ogl_config *c,
     struct ogl_faults *faults)
 {
-	uint64_t value = timing(c, k->value);
-	uint64_t limit = timing(c, k->limit);
+	uint64_t value = timing(c, r->value);
+	uint64_t limit = timing(c, r->limit);
 	char *path, *text, *allowed;
 
-	if (value * k->times + (k->strict ? 1 : 0) <= limit)
+	if (value * r->factor + (r->strict ? 1 : 0) <= limit)
 		return;
-	path = field_path("timings", k->value);
+	path = field_path("timings", r->value);
 	text = g_strdup_printf("%" G_GUINT64_FORMAT, value);
 	allowed = g_strdup_printf("at most %" G_GUINT64_FORMAT
 				  " beside %s of %" G_GUINT64_FORMAT,
-	    (limit - (k->strict ? 1 : 0)) / k->times, k->limit, limit);
+	    (limit - (r->strict ? 1 : 0)) / r->factor, r->limit, limit);
 	ogl_faults_add(faults, path, text, allowed);
 	g_free(path);
 	g_free(text);
@@ -339,8 +339,8 @@
 	check_names(root, NULL, faults);
 	for (i = 0; i < G_N_ELEMENTS(fields); i++)
 		read_field(&fields[i], root, c, faults);
-	for (i = 0; i < G_N_ELEMENTS(contradictions); i++)
-		check_contradiction(&contradictions[i], c, faults);
+	for (i = 0; i < G_N_ELEMENTS(timing_rules); i++)
+		check_timing_rule(&timing_rules[i], c, faults);
 }
 
 static void
--- a/daemon/config.h
+++ b/daemon/config.h
@@ -1,5 +1,5 @@
 /*
- * The daemon's settings file: JSON, checked whole.  Every fault is reported,
+ * The daemon's settings file in JSON.  All faults in it are reported together,
  * each with its path, the value found and what is allowed there.
  */
 #ifndef OGL_CONFIG_H
@@ -9,24 +9,25 @@
 #include "orioleglade.h"
 
 struct ogl_config {
-	struct ogl_node_config node; /* borrows from this struct */
+	struct ogl_node_config node; /* refers to the fields below */
 	char *name;
 	char *addr;
 	char *zone;
 	char *listen_http;
 	char *listen_peer;
 	char *platform;
-	char **seeds; /* NULL at the end */
+	char **seeds; /* ends with NULL; NULL without seeds */
 	enum ogl_log_level log_level;
 };
 
 struct ogl_config *ogl_config_parse(
     struct ogl_str text, uint64_t boot, struct ogl_faults *faults);
-/* NULL with every fault added when anything is wrong. */
+/* Parses and checks a settings file.  boot identifies this start of the node.
+ * Returns NULL and adds all faults if there are any. */
 
 struct ogl_config *ogl_config_read(
     const char *path, uint64_t boot, struct ogl_faults *faults);
-/* The same from a file. */
+/* The same, from a file. */
 
 void ogl_config_free(struct ogl_config *c);
 
--- a/test/test_daemon_config.cc
+++ b/test/test_daemon_config.cc
@@ -1,4 +1,4 @@
-// The settings file.
+// The parser of the daemon's settings file.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -8,7 +8,7 @@
 #include "config.h"
 }
 
-static const char good[] = R"({
+static const char valid_file[] = R"({
   "node": {"name": "n1", "addr": "127.0.0.1:7001", "zone": "z1"},
   "listen": {"http": "0.0.0.0:8001", "peer": "0.0.0.0:7001"},
   "platform": "127.0.0.1:9000",
@@ -35,10 +35,10 @@
 	return paths;
 }
 
-TEST(Config, AGoodFileFillsEveryField)
+TEST(Config, FillsEveryField)
 {
 	ogl_faults *f = ogl_faults_new();
-	ogl_config *c = ogl_config_parse(ogl_str(good), 77, f);
+	ogl_config *c = ogl_config_parse(ogl_str(valid_file), 77, f);
 
 	ASSERT_EQ(0u, ogl_faults_count(f))
 	    << ogl_faults_path(f, 0) << ": " << ogl_faults_allowed(f, 0);
@@ -55,9 +55,9 @@
 	ogl_faults_free(f);
 }
 
-// An operator writes a file with many slips.  Told of one at a time, he would
-// need as many restarts; he is told of all of them.
-TEST(Config, EveryFaultIsToldAtOnce)
+// A file with many faults.  If only the first one was reported, an operator
+// would need a restart for each of them.
+TEST(Config, ReportsAllFaultsAtOnce)
 {
 	std::multiset<std::string> want = {"node.name", "node.adr", "node.addr",
 	    "node.zone", "listen", "listen.http", "listen.peer", "platform",
@@ -77,11 +77,11 @@
 	})"));
 }
 
-// Each number is in its range, yet one lost sync would end every lease, and
-// an owner cut off would go on longer than the leases that it gave.
-TEST(Config, NumbersThatContradictEachOtherAreFaults)
+// Each number is in its range, but the leases would end after two lost syncs,
+// and an owner that is cut off would go on for as long as the leases it granted.
+TEST(Config, RejectsTimingsThatContradictEachOther)
 {
-	std::string text = good;
+	std::string text = valid_file;
 	size_t at = text.find("\"sync_ms\": 1000, \"right_ms\": 4000");
 
 	ASSERT_NE(std::string::npos, at);
@@ -91,7 +91,7 @@
 	EXPECT_EQ(1u, got.count("timings.right_ms"));
 }
 
-TEST(Config, WhatIsNoObjectIsOneFault)
+TEST(Config, ReportsOneFaultUnlessObject)
 {
 	EXPECT_EQ(1u, fault_paths("{\"node\":").size());
 	EXPECT_EQ(1u, fault_paths("[]").size());
