--- a/daemon/logger.c
+++ b/daemon/logger.c
@@ -1,7 +1,7 @@
 /*
- * A line is put together in one buffer and written with one call, so that
- * lines of several processes sharing the stream do not mix.  Lines longer
- * than the buffer are cut.
+ * A line is assembled in a buffer and written with one call, so that lines of
+ * several processes that share the stream do not mix.  Lines longer than the
+ * buffer are cut off.
  */
 
 #include <glib/gprintf.h>
@@ -14,7 +14,7 @@
 #define LINE_MAX_BYTES 1024
 
 struct ogl_logger {
-	FILE *to;
+	FILE *out;
 	enum ogl_log_level level;
 };
 
@@ -26,11 +26,11 @@
 };
 
 struct ogl_logger *
-ogl_logger_init(FILE *to, enum ogl_log_level level)
+ogl_logger_init(FILE *out, enum ogl_log_level level)
 {
 	struct ogl_logger *l = g_new0(struct ogl_logger, 1);
 
-	l->to = to;
+	l->out = out;
 	l->level = level;
 	return l;
 }
@@ -62,7 +62,7 @@
 }
 
 static size_t
-put_stamp(char *line, size_t cap)
+put_timestamp(char *line, size_t cap)
 {
 	struct timespec ts;
 	struct tm tm;
@@ -87,7 +87,7 @@
 
 	if (level > l->level)
 		return;
-	n = put_stamp(line, sizeof line);
+	n = put_timestamp(line, sizeof line);
 	m = snprintf(
 	    line + n, sizeof line - n, "%s %s: ", level_names[level], prefix);
 	if (m > 0)
@@ -102,6 +102,6 @@
 			line[i] = ' ';
 	}
 	line[n++] = '\n';
-	fwrite(line, 1, n, l->to);
-	fflush(l->to);
+	fwrite(line, 1, n, l->out);
+	fflush(l->out);
 }
--- a/daemon/logger.h
+++ b/daemon/logger.h
@@ -1,4 +1,4 @@
-/* One line an event on standard error: time, level, prefix, sentence. */
+/* Writes one line per event to a stream: time, level, prefix, sentence. */
 #ifndef OGL_LOGGER_H
 #define OGL_LOGGER_H
 
@@ -14,12 +14,12 @@
 void ogl_logger_set_level(struct ogl_logger *l, enum ogl_log_level level);
 
 bool ogl_log_level_parse(const char *name, enum ogl_log_level *level);
-/* "error", "warn", "info" or "debug"; false for anything else. */
+/* Parses "error", "warn", "info" or "debug"; returns false for others. */
 
 void ogl_log(struct ogl_logger *l, enum ogl_log_level level, const char *prefix,
     const char *fmt, ...) G_GNUC_PRINTF(4, 5);
-/* Writes the line unless its level is below the logger's.  Line feeds and
- * other control characters become spaces: what a peer or caller sent can't
- * forge a second line. */
+/* Writes the line unless it is less severe than the logger's level.  Line feeds
+ * and other control characters become spaces, so that text from a peer or
+ * caller can't forge a second line. */
 
 #endif
--- a/daemon/main.c
+++ b/daemon/main.c
@@ -1,5 +1,5 @@
 /*
- * orioleglade: the daemon of an entry host.
+ * orioleglade: the daemon that runs on an entry host.
  *
  * Exit status: 0 after a complete shutdown, 1 when it could not start or
  * could not end in time, 2 when the settings file is wrong.
@@ -14,7 +14,7 @@
 #include "config.h"
 #include "dispatch.h"
 
-#define PREFIX "daemon"
+#define LOG_PREFIX "daemon"
 #define EXIT_SETTINGS 2
 
 enum option_key {
@@ -148,14 +148,14 @@
 	d.loop = ev_default_loop(EVFLAG_AUTO);
 	d.dispatch = ogl_dispatch_init(d.loop, d.log);
 	if (!make_parts(&d, c, &error)) {
-		ogl_log(d.log, OGL_LOG_ERROR, PREFIX, "Can't start: %s.",
+		ogl_log(d.log, OGL_LOG_ERROR, LOG_PREFIX, "Can't start: %s.",
 		    error->message);
 		goto out;
 	}
 	watch_signal(&d, &d.term, SIGTERM);
 	watch_signal(&d, &d.intr, SIGINT);
 	ogl_dispatch_begin(d.dispatch, &d.parts);
-	ogl_log(d.log, OGL_LOG_INFO, PREFIX,
+	ogl_log(d.log, OGL_LOG_INFO, LOG_PREFIX,
 	    "Node %s serves callers on port %u and peers on port %u.", c->name,
 	    ogl_http_in_port(d.parts.http_in), ogl_peer_port(d.parts.peer));
 	ev_run(d.loop, 0);
