--- a/daemon/logline.c
+++ b/daemon/logline.c
@@ -1,9 +1,9 @@
 /*
- * Each event (part and name) has a budget of lines a second; a burst of one
- * kind can't push out the rare lines that explain it.  Lines are gathered in a
- * buffer and written when the loop comes round, in pieces small enough that a
- * pipe which polls writable takes them whole; a reader that has stopped costs
- * nothing but the lines that no longer fit.
+ * The lines per second of each event (part and name) are limited, so that a
+ * burst of one event can't displace the rare lines that explain it.  Lines are
+ * buffered and written once per iteration of the loop, in blocks that are small
+ * enough for a pipe that polls as writable to take them whole.  If the reader
+ * stops, lines that no longer fit in the buffer are left out.
  */
 
 #include <poll.h>
@@ -12,21 +12,22 @@
 
 #include "logline.h"
 
-#define LINES_A_SECOND 250 /* of one event */
-#define BUFFER_MAX ((size_t)256 * 1024)
-#define PIECE 4096 /* PIPE_BUF: written whole or not at all */
+#define LINES_PER_SECOND_MAX 250 /* of one event */
+#define BUFFER_MAX_BYTES ((size_t)256 * 1024)
+#define WRITE_MAX_BYTES 4096 /* PIPE_BUF: writes up to this are atomic */
 
-struct budget {
-	ogl_time since;
+/* The lines of an event in the current second. */
+struct event_budget {
+	ogl_time second_start;
 	unsigned used;
-	uint64_t left_out; /* in the second that began at since */
+	uint64_t left_out; /* in this second */
 };
 
 struct ogl_logline {
 	int fd;
 	char *node;
 	GString *buffer;
-	GHashTable *budgets; /* part.event -> struct budget */
+	GHashTable *budgets; /* part.event -> struct event_budget */
 	uint64_t left_out;
 };
 
@@ -55,23 +56,23 @@
 	g_free(l);
 }
 
-static struct budget *
+static struct event_budget *
 budget_of(struct ogl_logline *l, const char *part, const char *event)
 {
 	char name[96];
-	struct budget *b;
+	struct event_budget *b;
 
 	g_snprintf(name, sizeof name, "%s.%s", part, event);
 	b = g_hash_table_lookup(l->budgets, name);
 	if (b == NULL) {
-		b = g_new0(struct budget, 1);
+		b = g_new0(struct event_budget, 1);
 		g_hash_table_insert(l->budgets, g_strdup(name), b);
 	}
 	return b;
 }
 
 static void
-clean(char *p, size_t n)
+blank_control_chars(char *p, size_t n)
 {
 	size_t i;
 
@@ -82,12 +83,12 @@
 }
 
 static void
-put(struct ogl_logline *l, const char *part, const char *event,
+append_line(struct ogl_logline *l, const char *part, const char *event,
     const char *text, ogl_time wall)
 {
 	size_t at = l->buffer->len;
 
-	if (at > BUFFER_MAX) {
+	if (at > BUFFER_MAX_BYTES) {
 		l->left_out++;
 		return;
 	}
@@ -95,7 +96,7 @@
 	    "ts=%" G_GINT64_FORMAT ".%03d node=%s part=%s event=%s %s",
 	    wall / OGL_SEC, (int)(wall / OGL_MS % 1000), l->node, part, event,
 	    text);
-	clean(l->buffer->str + at, l->buffer->len - at);
+	blank_control_chars(l->buffer->str + at, l->buffer->len - at);
 	g_string_append_c(l->buffer, '\n');
 }
 
@@ -103,27 +104,27 @@
 ogl_logline_put(struct ogl_logline *l, const char *part, const char *event,
     const char *text, ogl_time now, ogl_time wall)
 {
-	struct budget *b = budget_of(l, part, event);
-	char more[96];
+	struct event_budget *b = budget_of(l, part, event);
+	char fields[96];
 
-	if (now - b->since >= OGL_SEC) {
+	if (now - b->second_start >= OGL_SEC) {
 		if (b->left_out > 0) {
-			g_snprintf(more, sizeof more,
+			g_snprintf(fields, sizeof fields,
 			    "of=%s.%s lines=%" G_GUINT64_FORMAT, part, event,
 			    b->left_out);
-			put(l, "log", "lines_left_out", more, wall);
+			append_line(l, "log", "lines_left_out", fields, wall);
 		}
-		b->since = now;
+		b->second_start = now;
 		b->used = 0;
 		b->left_out = 0;
 	}
-	if (b->used >= LINES_A_SECOND) {
+	if (b->used >= LINES_PER_SECOND_MAX) {
 		b->left_out++;
 		l->left_out++;
 		return;
 	}
 	b->used++;
-	put(l, part, event, text, wall);
+	append_line(l, part, event, text, wall);
 }
 
 static bool
@@ -137,17 +138,17 @@
 void
 ogl_logline_flush(struct ogl_logline *l)
 {
-	size_t done = 0;
+	size_t written = 0;
 
-	while (done < l->buffer->len && writable(l->fd)) {
-		size_t n = MIN(l->buffer->len - done, PIECE);
-		ssize_t put = write(l->fd, l->buffer->str + done, n);
+	while (written < l->buffer->len && writable(l->fd)) {
+		size_t n = MIN(l->buffer->len - written, WRITE_MAX_BYTES);
+		ssize_t rc = write(l->fd, l->buffer->str + written, n);
 
-		if (put <= 0)
+		if (rc <= 0)
 			break;
-		done += (size_t)put;
+		written += (size_t)rc;
 	}
-	g_string_erase(l->buffer, 0, (gssize)done);
+	g_string_erase(l->buffer, 0, (gssize)written);
 }
 
 uint64_t
--- a/daemon/logline.h
+++ b/daemon/logline.h
@@ -1,6 +1,7 @@
 /*
  * Structured log lines: time, node, part and event, then `key=value` pairs.
- * Bounded in number and never blocking: what is left out is counted and told.
+ * The number of lines is limited, and writing never blocks.  Lines that are
+ * left out are counted, and the count is logged.
  */
 #ifndef OGL_LOGLINE_H
 #define OGL_LOGLINE_H
@@ -10,18 +11,20 @@
 struct ogl_logline;
 
 struct ogl_logline *ogl_logline_init(int fd, const char *node);
-/* The descriptor stays the caller's. */
+/* The caller closes fd, after ogl_logline_end(). */
 void ogl_logline_end(struct ogl_logline *l);
-/* Writes what it can without waiting. */
+/* Writes what fd takes without blocking, and frees l. */
 
 void ogl_logline_put(struct ogl_logline *l, const char *part, const char *event,
     const char *text, ogl_time now, ogl_time wall);
-/* One line; control characters become spaces.  Beyond its event's budget the
- * line is left out. */
+/* Adds a line; control characters in it become spaces.  The line is left out if
+ * its event has reached its limit for this second.  now is the node's clock,
+ * wall the time since the epoch. */
 
 void ogl_logline_flush(struct ogl_logline *l);
-/* Writes as much as the descriptor takes at once. */
+/* Writes what fd takes without blocking. */
 
 uint64_t ogl_logline_left_out(const struct ogl_logline *l);
+/* Number of lines left out so far. */
 
 #endif
