--- a/daemon/logpage.c
+++ b/daemon/logpage.c
@@ -1,6 +1,6 @@
 /*
- * Records are decoded one behind the other into one array of bytes.  That
- * moves while it grows, so the entries are pointed at it at the end.
+ * All records are decoded into one byte array.  The array may move while it
+ * grows, so the entries' pointers are set after the last record.
  */
 
 #include <jansson.h>
@@ -11,7 +11,7 @@
 #include "logpage.h"
 
 static json_t *
-load(struct ogl_str text)
+load_json(struct ogl_str text)
 {
 	struct ogl_faults *faults = ogl_faults_new();
 	json_t *root = ogl_json_load(text, "", faults);
@@ -32,7 +32,7 @@
 }
 
 static bool
-decode(GByteArray *to, const json_t *data, size_t *n)
+append_base64(GByteArray *to, const json_t *data, size_t *n)
 {
 	size_t at = to->len;
 	size_t len = json_string_length(data);
@@ -49,35 +49,35 @@
 }
 
 static bool
-parse_entry(struct ogl_logpage *p, const json_t *v, uint64_t lowest,
+parse_entry(struct ogl_logpage *p, const json_t *v, uint64_t offset_min,
     struct ogl_log_entry *e)
 {
-	return get_u64(v, "offset", &e->offset) && e->offset >= lowest &&
+	return get_u64(v, "offset", &e->offset) && e->offset >= offset_min &&
 	       e->offset < p->next &&
-	       decode(p->bytes, json_object_get(v, "data"), &e->data.n);
+	       append_base64(p->bytes, json_object_get(v, "data"), &e->data.n);
 }
 
 static bool
 parse_entries(struct ogl_logpage *p, const json_t *list)
 {
 	size_t n = json_array_size(list);
-	uint64_t lowest = 0;
+	uint64_t offset_min = 0;
 	size_t i;
 
 	p->entries = g_new0(struct ogl_log_entry, n + 1);
 	p->bytes = g_byte_array_new();
 	for (i = 0; i < n; i++) {
 		if (!parse_entry(
-			p, json_array_get(list, i), lowest, &p->entries[i]))
+			p, json_array_get(list, i), offset_min, &p->entries[i]))
 			return false;
-		lowest = p->entries[i].offset + 1;
+		offset_min = p->entries[i].offset + 1;
 	}
 	p->n = n;
 	return true;
 }
 
 static void
-point_entries(struct ogl_logpage *p)
+set_entry_pointers(struct ogl_logpage *p)
 {
 	const char *at = (const char *)p->bytes->data;
 	size_t i;
@@ -91,7 +91,7 @@
 bool
 ogl_logpage_parse(struct ogl_logpage *p, struct ogl_str text)
 {
-	json_t *root = load(text);
+	json_t *root = load_json(text);
 	const json_t *list = json_object_get(root, "records");
 	bool ok;
 
@@ -99,7 +99,7 @@
 	ok = json_is_array(list) && get_u64(root, "first", &p->first) &&
 	     get_u64(root, "next", &p->next) && parse_entries(p, list);
 	if (ok)
-		point_entries(p);
+		set_entry_pointers(p);
 	json_decref(root);
 	return ok;
 }
@@ -116,7 +116,7 @@
 bool
 ogl_logpage_appended(struct ogl_str text, uint64_t *offset)
 {
-	json_t *root = load(text);
+	json_t *root = load_json(text);
 	bool ok = get_u64(root, "offset", offset);
 
 	json_decref(root);
