--- a/daemon/measures.c
+++ b/daemon/measures.c
@@ -1,15 +1,16 @@
-/* Buckets are fixed, so that histograms of several nodes can be added up. */
+/* All histograms have the same buckets, so that those of several nodes can be
+ * added up. */
 
 #include "measures.h"
 
-static const uint64_t bounds[] = {
+static const uint64_t bounds_ms[] = {
     1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10000, 30000};
 
-#define NBOUNDS G_N_ELEMENTS(bounds)
+#define N_BOUNDS G_N_ELEMENTS(bounds_ms)
 
 struct histogram {
-	uint64_t buckets[NBOUNDS + 1]; /* the last: above all bounds */
-	uint64_t sum;
+	uint64_t buckets[N_BOUNDS + 1]; /* the last is above all bounds */
+	uint64_t sum_ms;
 	uint64_t count;
 };
 
@@ -62,32 +63,32 @@
 		h = g_new0(struct histogram, 1);
 		g_hash_table_insert(m->histograms, (char *)(uintptr_t)name, h);
 	}
-	for (i = 0; i < NBOUNDS && ms > bounds[i]; i++)
+	for (i = 0; i < N_BOUNDS && ms > bounds_ms[i]; i++)
 		;
 	h->buckets[i]++;
-	h->sum += ms;
+	h->sum_ms += ms;
 	h->count++;
 }
 
 static void
 put_histogram(GString *s, const char *name, const struct histogram *h)
 {
-	uint64_t below = 0;
+	uint64_t cumulative = 0;
 	size_t i;
 
 	g_string_append_printf(s, "# TYPE ogl_%s histogram\n", name);
-	for (i = 0; i < NBOUNDS; i++) {
-		below += h->buckets[i];
+	for (i = 0; i < N_BOUNDS; i++) {
+		cumulative += h->buckets[i];
 		g_string_append_printf(s,
 		    "ogl_%s_bucket{le=\"%" G_GUINT64_FORMAT
 		    "\"} %" G_GUINT64_FORMAT "\n",
-		    name, bounds[i], below);
+		    name, bounds_ms[i], cumulative);
 	}
 	g_string_append_printf(s,
 	    "ogl_%s_bucket{le=\"+Inf\"} %" G_GUINT64_FORMAT
 	    "\nogl_%s_sum %" G_GUINT64_FORMAT
 	    "\nogl_%s_count %" G_GUINT64_FORMAT "\n",
-	    name, h->count, name, h->sum, name, h->count);
+	    name, h->count, name, h->sum_ms, name, h->count);
 }
 
 char *
--- a/daemon/measures.h
+++ b/daemon/measures.h
@@ -1,4 +1,4 @@
-/* Counters and latency histograms by name, as Prometheus text. */
+/* Counters and latency histograms by name, in Prometheus text format. */
 #ifndef OGL_MEASURES_H
 #define OGL_MEASURES_H
 
@@ -12,9 +12,9 @@
 void ogl_measures_count(struct ogl_measures *m, const char *name, uint64_t by);
 void ogl_measures_observe(
     struct ogl_measures *m, const char *name, uint64_t ms);
-/* Names are literals; they are not copied. */
+/* Names are not copied, so they must be string literals. */
 
 char *ogl_measures_text(const struct ogl_measures *m);
-/* g_free */
+/* Returns the metrics as text, to be freed with g_free(). */
 
 #endif
--- a/test/test_daemon_lines.cc
+++ b/test/test_daemon_lines.cc
@@ -1,4 +1,4 @@
-/* Structured log lines and metrics: their form and their bounds. */
+/* Structured log lines and metrics: format and limits. */
 
 #include <gtest/gtest.h>
 
@@ -40,7 +40,7 @@
 		return s;
 	}
 
-	int in() const
+	int write_end() const
 	{
 		return fd_[1];
 	}
@@ -52,7 +52,7 @@
 TEST(LogLine, HasTimeNodePartAndEvent)
 {
 	Pipe p;
-	struct ogl_logline *l = ogl_logline_init(p.in(), "n1");
+	struct ogl_logline *l = ogl_logline_init(p.write_end(), "n1");
 
 	ogl_logline_put(l, "owner", "job_ended", "job=1 why=\"a\nb\"", 0,
 	    12 * OGL_SEC + 34 * OGL_MS);
@@ -62,12 +62,12 @@
 	    p.read_all());
 }
 
-/* One kind of event comes in masses.  It must not push out the rare lines that
- * explain it, and what was left out is told. */
-TEST(LogLine, KeepsEachEventToItsBudget)
+/* A burst of one event must not displace the rare lines that explain it, and
+ * the number of lines left out must be logged. */
+TEST(LogLine, LimitsLinesOfEachEvent)
 {
 	Pipe p;
-	struct ogl_logline *l = ogl_logline_init(p.in(), "n1");
+	struct ogl_logline *l = ogl_logline_init(p.write_end(), "n1");
 	std::string s;
 
 	for (int i = 0; i < 1000; i++) {
@@ -85,12 +85,12 @@
 	    s.find("event=lines_left_out of=a.many lines=750"));
 }
 
-/* Whoever reads the lines has stopped.  The process goes on, at the cost of
- * the lines that no longer fit. */
-TEST(LogLine, DoesNotWaitForAReaderThatStopped)
+/* The reader of the lines has stopped.  The process must not block but leave
+ * out the lines that no longer fit. */
+TEST(LogLine, DoesNotBlockOnStoppedReader)
 {
 	Pipe p;
-	struct ogl_logline *l = ogl_logline_init(p.in(), "n1");
+	struct ogl_logline *l = ogl_logline_init(p.write_end(), "n1");
 	std::string text(200, 'x');
 
 	for (int i = 0; i < 20000; i++) {
@@ -101,7 +101,7 @@
 	ogl_logline_end(l);
 }
 
-TEST(Metrics, CountAndBucket)
+TEST(Metrics, WritesCountersAndHistograms)
 {
 	struct ogl_measures *m = ogl_measures_init();
 	char *text;
