--- a/test/test_ctl.cc
+++ b/test/test_ctl.cc
@@ -1,4 +1,4 @@
-// oriolectl against scripted nodes on loopback.
+// oriolectl against scripted HTTP servers on loopback.
 #include <gtest/gtest.h>
 
 #include <arpa/inet.h>
@@ -34,15 +34,15 @@
 	return fd;
 }
 
-// What a node answers to one request; an empty status cuts the connection
-// after the request was read.
+// A node's answer to one request.  With an empty status the node closes the
+// connection after it has read the request.
 struct Answer {
 	std::string status;
 	std::string body;
 	std::string headers;
 };
 
-// A node that answers its requests in order and keeps what it was asked.
+// A node that gives its answers in order and keeps the requests.
 class Node
 {
       public:
@@ -59,8 +59,8 @@
 	}
 
 	std::string addr;
-	std::vector<std::string> asked; // "METHOD path body"
-	std::vector<std::string> heads;
+	std::vector<std::string> requests; // "METHOD path body"
+	std::vector<std::string> headers;
 
       private:
 	void serve()
@@ -70,14 +70,14 @@
 
 			if (c < 0)
 				return;
-			take(c);
+			read_request(c);
 			if (!a.status.empty())
-				answer(c, a);
+				send_answer(c, a);
 			close(c);
 		}
 	}
 
-	void take(int c)
+	void read_request(int c)
 	{
 		std::string in;
 		char part[4096];
@@ -98,11 +98,11 @@
 		std::string line = in.substr(0, in.find(" HTTP/"));
 		std::string body = in.substr(end + 4);
 
-		asked.push_back(body.empty() ? line : line + " " + body);
-		heads.push_back(in.substr(0, end));
+		requests.push_back(body.empty() ? line : line + " " + body);
+		headers.push_back(in.substr(0, end));
 	}
 
-	static void answer(int c, const Answer &a)
+	static void send_answer(int c, const Answer &a)
 	{
 		std::string out =
 		    "HTTP/1.1 " + a.status + " x\r\n" + a.headers +
@@ -120,7 +120,7 @@
 };
 
 std::string
-nowhere()
+unused_addr()
 {
 	std::string addr;
 
@@ -130,7 +130,7 @@
 
 struct Outcome {
 	int status;
-	std::string out; // and stderr
+	std::string out; // stdout and stderr
 };
 
 Outcome
@@ -157,7 +157,7 @@
 
 } // namespace
 
-TEST(Ctl, AnEditIsMadeFromTheVersionInForce)
+TEST(Ctl, EditHasCurrentVersionAsBase)
 {
 	Node node(
 	    {{"200", R"({"version":7})", ""}, {"200", R"({"version":9})", ""}});
@@ -172,15 +172,15 @@
 		R"({"path":"teams/north","value":"{}"},)"
 		R"({"path":"teams/north/share","value":"2"},)"
 		R"({"path":"teams/north/limit_tasks","value":"\"none\""}]})"}),
-	    node.asked);
+	    node.requests);
 	EXPECT_NE(std::string::npos,
-	    node.heads[1].find("Authorization: Bearer og_k1_secret"));
+	    node.headers[1].find("Authorization: Bearer og_k1_secret"));
 }
 
-// Another operator changed the path since the version this one looked at.
-// The command ends with status 1 and shows which path, so that nobody takes
-// the change for made.
-TEST(Ctl, ARefusedEditIsTold)
+// Another operator changed the path after the base version.  The command must
+// end with status 1 and show the path, so that nobody believes that the change
+// was made.
+TEST(Ctl, ReportsRefusedEdit)
 {
 	Node node({{"409",
 	    R"({"error":"conflict","verdict":"not_run","retry_after_ms":0,)"
@@ -195,12 +195,12 @@
 		  "path               value                 allowed\n"
 		  "teams/north/share  changed at version 8  later\n",
 	    r.out);
-	ASSERT_EQ(1u, node.asked.size());
+	ASSERT_EQ(1u, node.requests.size());
 	EXPECT_NE(
-	    std::string::npos, node.asked[0].find(R"({"base_version":7,)"));
+	    std::string::npos, node.requests[0].find(R"({"base_version":7,)"));
 }
 
-TEST(Ctl, TreesAndListsAreShownAsTables)
+TEST(Ctl, PrintsTreesAndListsAsTables)
 {
 	Node node({{"200",
 		       R"({"version":3,"path":"teams","set":{"teams/a":{},)"
@@ -232,11 +232,11 @@
 	    ctl(node.addr, "audit 1").out);
 	EXPECT_EQ("hosts:\nname  leaving\nw1    false\n",
 	    ctl(node.addr, "hosts").out);
-	EXPECT_EQ("GET /v1/settings?path=teams/a", node.asked[1]);
-	EXPECT_EQ("GET /v1/audit?from=1", node.asked[2]);
+	EXPECT_EQ("GET /v1/settings?path=teams/a", node.requests[1]);
+	EXPECT_EQ("GET /v1/audit?from=1", node.requests[2]);
 }
 
-TEST(Ctl, ANewKeyStandsAloneOnTheFirstLine)
+TEST(Ctl, PrintsNewKeyOnLineOfItsOwn)
 {
 	Node node(
 	    {{"201", R"({"key":"og_k2_x","id":"k2"})", ""}, {"200", "", ""}});
@@ -245,10 +245,10 @@
 	EXPECT_EQ("withdrawn k2\n", ctl(node.addr, "key withdraw k2").out);
 	EXPECT_EQ(
 	    (Lines{R"(POST /v1/keys {"team":"north"})", "DELETE /v1/keys/k2"}),
-	    node.asked);
+	    node.requests);
 }
 
-TEST(Ctl, AFirstOperatorKeyNeedsNoNode)
+TEST(Ctl, MakesFirstOperatorKeyWithoutNode)
 {
 	Outcome r = ctl("", "key hash");
 	size_t nl = r.out.find('\n');
@@ -261,58 +261,59 @@
 	EXPECT_NE(r.out, ctl("", "key hash").out);
 }
 
-// The first node is gone, the second is about to stop and says that it did
-// nothing.  An operator's script goes on with the third and notices nothing.
-TEST(Ctl, TheNextNodeIsAskedWhereNothingHappened)
+// The first node can't be reached, the second is about to stop and answers that
+// it did nothing.  The request must succeed at the third without an error.
+TEST(Ctl, TriesNextNodeIfRequestHadNoEffect)
 {
-	Node leaving(
+	Node stopping(
 	    {{"503", R"({"error":"leaving"})", "Ogl-Verdict: not_run\r\n"}});
 	Node node({{"201", R"({"key":"og_k2_x","id":"k2"})", ""}});
-	Outcome r = ctl(nowhere() + "," + leaving.addr + "," + node.addr,
+	Outcome r = ctl(unused_addr() + "," + stopping.addr + "," + node.addr,
 	    "key create north");
 
 	EXPECT_EQ("og_k2_x\nk2\n", r.out);
 	EXPECT_EQ(0, r.status);
-	EXPECT_EQ(leaving.asked, node.asked);
+	EXPECT_EQ(stopping.requests, node.requests);
 }
 
-// A node dies after it read the request.  Were the next one asked, a second
-// key would be in force that nobody knows of; the user is told instead.
-TEST(Ctl, ALostAnswerIsNotAskedForAgain)
+// A node crashes after it has read the request.  Repeating the request at the
+// next node could create a second key that nobody knows of, so the user is told
+// that it may have taken effect.
+TEST(Ctl, DoesNotRepeatRequestAfterLostAnswer)
 {
-	Node dying({{"", "", ""}});
+	Node crashing({{"", "", ""}});
 	Node node({});
-	Outcome r = ctl(dying.addr + "," + node.addr, "key create north");
+	Outcome r = ctl(crashing.addr + "," + node.addr, "key create north");
 
 	EXPECT_EQ(3, r.status);
 	EXPECT_NE(std::string::npos, r.out.find("it may have taken effect"));
-	EXPECT_EQ(1u, dying.asked.size());
+	EXPECT_EQ(1u, crashing.requests.size());
 }
 
-// The same with a job.  Its submission carries an id, so the next node may be
-// asked and still no second job starts.
-TEST(Ctl, ASubmissionIsSentAgainUnderItsId)
+// The same with a job.  Its submission has an id, so it can be repeated at the
+// next node without starting a second job.
+TEST(Ctl, RepeatsSubmissionWithSameId)
 {
-	Node dying({{"", "", ""}});
+	Node crashing({{"", "", ""}});
 	Node node({{"202", R"({"job":"j1","state":"queued"})", ""}});
-	Outcome r = ctl(dying.addr + "," + node.addr,
+	Outcome r = ctl(crashing.addr + "," + node.addr,
 	    "job submit --kind gang --tasks 4 --cpu 500 --mem 64 --run-ms 9 "
 	    "--restartable --payload 'a b'");
 
 	EXPECT_EQ(0, r.status) << r.out;
 	EXPECT_EQ("job    j1\nstate  queued\n", r.out);
-	ASSERT_EQ(1u, node.asked.size());
-	EXPECT_EQ(dying.asked, node.asked);
+	ASSERT_EQ(1u, node.requests.size());
+	EXPECT_EQ(crashing.requests, node.requests);
 	EXPECT_EQ(
-	    0u, node.asked[0].find(
+	    0u, node.requests[0].find(
 		    R"(POST /v1/jobs {"kind":"gang","tasks":4,"res":)"
 		    R"({"cpu_milli":500,"mem_mb":64,"accel":0},"run_ms":9,)"
 		    R"("payload":"a b","restartable":true,"request_id":")"))
-	    << node.asked[0];
-	EXPECT_NE(std::string::npos, node.heads[0].find("Idempotency-Key: "));
+	    << node.requests[0];
+	EXPECT_NE(std::string::npos, node.headers[0].find("Idempotency-Key: "));
 }
 
-TEST(Ctl, WaitingEndsWithTheJob)
+TEST(Ctl, WaitEndsWithJob)
 {
 	Node node({{"200", R"({"job":"j","state":"queued"})", ""},
 	    {"200", R"({"job":"j","state":"broken"})", ""},
@@ -320,23 +321,23 @@
 
 	EXPECT_EQ(1, ctl(node.addr, "job wait j").status);
 	EXPECT_EQ(0, ctl(node.addr, "--json job wait j").status);
-	EXPECT_EQ(3u, node.asked.size());
+	EXPECT_EQ(3u, node.requests.size());
 }
 
-TEST(Ctl, ARequestCarriesItsKindAndId)
+TEST(Ctl, RequestHasKindAndId)
 {
 	Node node({{"200", "answer", "Ogl-Verdict: ran\r\n"}});
 	Outcome r = ctl(
 	    node.addr, "request --kind lookup --idempotent --id r1 'the body'");
 
 	EXPECT_EQ("answer\n", r.out);
-	EXPECT_EQ((Lines{"POST /v1/requests the body"}), node.asked);
+	EXPECT_EQ((Lines{"POST /v1/requests the body"}), node.requests);
 	for (const char *want :
 	    {"Ogl-Kind: lookup", "Ogl-Idempotent: 1", "Idempotency-Key: r1"})
-		EXPECT_NE(std::string::npos, node.heads[0].find(want));
+		EXPECT_NE(std::string::npos, node.headers[0].find(want));
 }
 
-TEST(Ctl, AWrongCommandLineAsksNobody)
+TEST(Ctl, RejectsWrongCommandLine)
 {
 	const char *bad[] = {"", "team", "team add", "team list x",
 	    "team list --mem 5", "job submit --kind gang", "job show a b",
--- a/test/test_ctl_explain.cc
+++ b/test/test_ctl_explain.cc
@@ -26,9 +26,9 @@
 	return out;
 }
 
-/* Lines come from files of several nodes, in no order, with lines of other
- * jobs between.  The story is told by time and names the lost worker. */
-TEST(Explain, TellsAJobThatLostAWorkerAcrossATakeover)
+/* Unsorted lines of several nodes and jobs.  Those of the job and its worker
+ * are printed by time, and the cause names the lost worker and the takeover. */
+TEST(Explain, ShowsLostWorkerAndTakeover)
 {
 	int status;
 	std::string out = explain(
@@ -43,7 +43,7 @@
 	    "ts=10.250 node=a part=owner event=run_started job=1 task=0.0.0 "
 	    "run=1 worker=w4 age_ms=0\n"
 	    "ts=10.300 node=a part=owner event=job_accepted job=11 epoch=1\n"
-	    "not a line of ours\n",
+	    "not a log line\n",
 	    "1", &status);
 
 	EXPECT_EQ(0, status);
@@ -66,7 +66,7 @@
 	    out);
 }
 
-TEST(Explain, NamesARefusalAndLinesLeftOut)
+TEST(Explain, ReportsRefusalAndLinesLeftOut)
 {
 	int status;
 	std::string out = explain(
@@ -83,7 +83,7 @@
 	EXPECT_NE(std::string::npos, out.find("nodes left lines out"));
 }
 
-TEST(Explain, NamesARefusalUnderLoad)
+TEST(Explain, ReportsRefusalUnderLoad)
 {
 	int status;
 	std::string out =
@@ -97,7 +97,7 @@
 		     "beyond its rate\n"));
 }
 
-TEST(Explain, SaysWhenNoLineNamesTheJob)
+TEST(Explain, ReportsJobThatNoLineNames)
 {
 	int status;
 
@@ -107,9 +107,10 @@
 	EXPECT_EQ(1, status);
 }
 
-/* Guards against a job's wait that no line explains: its workers' zone was
- * evacuated. */
-TEST(Explain, ShowsZonesThatWereEvacuatedMeanwhile)
+/* A job waits because its workers' zone was evacuated.  The lines about the
+ * evacuation don't name the job but must be shown, as nothing else explains the
+ * wait. */
+TEST(Explain, ShowsZoneEvacuationDuringJob)
 {
 	int status;
 	std::string out = explain(
--- a/test/test_ctl_losses.cc
+++ b/test/test_ctl_losses.cc
@@ -25,10 +25,10 @@
 }
 
 std::string
-accepted(const std::string &id, const std::string &ts, int over)
+accepted(const std::string &id, const std::string &ts, int over_rate)
 {
 	return "ts=" + ts + " node=a part=owner event=job_accepted job=" + id +
-	       " queue=q chain_ms=1000 over_rate=" + std::to_string(over) +
+	       " queue=q chain_ms=1000 over_rate=" + std::to_string(over_rate) +
 	       " objective_ms=2000\n";
 }
 
@@ -46,7 +46,7 @@
 	       " task=0.0 why=" + why + "\n";
 }
 
-TEST(Losses, PutsLateJobsDownToWhatTookMostOfTheirTime)
+TEST(Losses, CountsLateJobsByMainReason)
 {
 	int status;
 	std::string out = losses(
@@ -59,7 +59,7 @@
 		ended("3", "29.0", "completed") + accepted("4", "21.0", 1) +
 		ended("4", "99.0", "completed") + accepted("5", "22.0", 0) +
 		accepted("6", "22.0", 0) + ended("6", "22.5", "cancelled") +
-		"no line of ours\n",
+		"not a log line\n",
 	    &status);
 
 	EXPECT_EQ(0, status);
@@ -73,9 +73,9 @@
 	    out);
 }
 
-/* The owner is lost while a step waits: its reason goes on until the next owner
- * names one. */
-TEST(Losses, AWaitGoesOnOverAChangeOfOwner)
+/* The owner is lost while a step waits: the reason stays in effect until the
+ * next owner logs one. */
+TEST(Losses, WaitGoesOnAcrossOwnerChange)
 {
 	int status;
 	std::string out = losses(
@@ -87,7 +87,7 @@
 	EXPECT_NE(std::string::npos, out.find("store 2000  settle 500"));
 }
 
-TEST(Losses, RunsThatTakeLongerThanDeclaredAreTold)
+TEST(Losses, ReportsRunsLongerThanDeclared)
 {
 	int status;
 	std::string run =
@@ -106,8 +106,9 @@
 	    out.find("ms a late job:  store 500  long-runs 1200  other 300"));
 }
 
-/* Guards against an account by declared run times, which may be far off. */
-TEST(Losses, GoesByTheObjectiveThatTheEndTells)
+/* Declared run times may be far off.  The objective in the line of the job's
+ * end, computed from measured run times, must replace the declared one. */
+TEST(Losses, UsesObjectiveOfJobEnd)
 {
 	int status;
 	std::string out =
@@ -124,7 +125,7 @@
 	EXPECT_NE(std::string::npos, out.find("other 1200"));
 }
 
-TEST(Losses, AFileThatCannotBeReadIsTold)
+TEST(Losses, ReportsUnreadableFile)
 {
 	char buf[256] = "";
 	FILE *p =
