--- a/ctl/cmd_settings.c
+++ b/ctl/cmd_settings.c
@@ -60,7 +60,7 @@
 	size_t len;
 
 	e.base_version = c->base_version;
-	if ((c->given & CTL_BASE) == 0) {
+	if ((c->options_given & CTL_BASE) == 0) {
 		rc = read_version(c, &e.base_version);
 		if (rc != CTL_OK)
 			return rc;
--- a/ctl/cmd_work.c
+++ b/ctl/cmd_work.c
@@ -123,7 +123,7 @@
 	s.res = &res;
 	s.tasks = (uint32_t)c->tasks;
 	s.run_ms = c->run_ms;
-	s.restartable = (c->given & CTL_RESTARTABLE) != 0;
+	s.restartable = (c->options_given & CTL_RESTARTABLE) != 0;
 	if (c->payload != NULL)
 		s.payload = (char *)c->payload;
 	s.request_id = id;
@@ -244,7 +244,7 @@
 run_request(struct ctl *c, char **words, size_t n)
 {
 	struct ctl_request r = {.method = "POST", .path = "/v1/requests"};
-	bool idempotent = (c->given & CTL_IDEMPOTENT) != 0;
+	bool idempotent = (c->options_given & CTL_IDEMPOTENT) != 0;
 	GString *body =
 	    strcmp(words[0], "-") == 0 ? read_stdin() : g_string_new(words[0]);
 	char *kind = g_strconcat("Ogl-Kind: ", c->kind, NULL);
--- a/ctl/ctl.h
+++ b/ctl/ctl.h
@@ -36,9 +36,9 @@
 };
 
 struct ctl {
-	struct ctl_http *http; /* NULL for an offline command */
-	bool json;             /* print answers without formatting */
-	unsigned given;        /* options given: bits of enum ctl_option */
+	struct ctl_http *http;  /* NULL for an offline command */
+	bool json;              /* print answers without formatting */
+	unsigned options_given; /* bits of enum ctl_option */
 	const char *kind;
 	const char *payload;
 	const char *request_id;
--- a/ctl/main.c
+++ b/ctl/main.c
@@ -125,7 +125,7 @@
 
 	if (opt >= OPT_FIRST && opt <= OPT_IDEMPOTENT) {
 		/* enum ctl_option has the same order as the options. */
-		l->c.given |= 1U << (opt - OPT_FIRST);
+		l->c.options_given |= 1U << (opt - OPT_FIRST);
 		set_option(&l->c, opt, arg, state);
 		return 0;
 	}
@@ -211,9 +211,9 @@
 	n = l->n_words - (cmd->sub != NULL ? 2 : 1);
 	if (n < cmd->min_words || n > cmd->max_words)
 		return "wrong number of words";
-	if ((l->c.given & ~cmd->options_allowed) != 0)
+	if ((l->c.options_given & ~cmd->options_allowed) != 0)
 		return "an option that the command does not take";
-	if ((cmd->options_required & ~l->c.given) != 0)
+	if ((cmd->options_required & ~l->c.options_given) != 0)
 		return "an option is missing";
 	if (!cmd->offline && l->nodes == NULL)
 		return "no node: give --node or set OGL_NODE";
