--- a/daemon/cell_host.c
+++ b/daemon/cell_host.c
@@ -23,7 +23,7 @@
 
 #define STEPS_PER_ITERATION_MAX 16
 #define BODY_MAX_BYTES ((size_t)256 * 1024) /* limit set by the operator */
-#define BODIES_MAX_BYTES ((size_t)24 * 1024 * 1024) /* of all open requests */
+#define BODIES_MAX_BYTES ((size_t)24 * 1024 * 1024) /* held at once */
 #define HEADERS_MAX_BYTES (20 * 1024)
 /* The frontend accepts connections for this long after the node stops being
  * ready, until the load balancer has seen two failed readiness checks. */
--- a/daemon/config.h
+++ b/daemon/config.h
@@ -22,8 +22,9 @@
 
 struct ogl_config *ogl_config_parse(
     struct ogl_str text, uint64_t boot, struct ogl_faults *faults);
-/* Parses and checks a settings file.  boot identifies this start of the node.
- * Returns NULL and adds all faults if there are any. */
+/* Parses and checks a settings file.  boot is a number that increases
+ * with each start of the node.  Returns NULL and adds all faults if there are
+ * any. */
 
 struct ogl_config *ogl_config_read(
     const char *path, uint64_t boot, struct ogl_faults *faults);
