--- a/src/follow.c
+++ b/src/follow.c
@@ -1,23 +1,24 @@
 /*
  * Following the settings.
  *
- * Every node tails the stream `settings`; log order decides which of two
- * edits made from one version counts.  One append carries one record, so
- * that an append's offset + 1 is the version its edit makes.
+ * Every node tails the stream `settings`.  Of two edits made from one version,
+ * the first in log order takes effect.  One append carries one record, so that
+ * an append's offset + 1 is the version its edit makes.
  *
- * How current the tree is.  A read that reached the end shows it as of the
- * time the read was sent.  A node cut off from the log learns from peers:
- * the answer to a probe of ours tells the peer's version and how long ago it
- * knew to be current.  When it is newer than ours we ask for a snapshot.
+ * How current the tree is.  A read that reached the end of the stream shows
+ * that the tree is current as of the time the read was sent.  A node without
+ * log contact learns it from its peers: the answer to its probe contains the
+ * peer's version and how long ago that was current.  If the version is newer
+ * than its own, the node asks that peer for a snapshot.
  *
- * When the log is down for all, nobody can have accepted an edit.  That is
- * known only if every member says so, each in answer to a probe of ours; a
- * member that does not answer may be the one that still reaches the log.  A
- * member that died while the log was up is evicted by a record: what it
- * writes later counts for nobody, so it need not be heard.  One that was
- * only cut off is readmitted by a record of another node, not its own: so a
- * node that reached the log after the eviction knows of the readmission, and
- * who relies on its word that the log is down learns that it knows more.
+ * When the log is down for all members, none can have accepted an edit.  A node
+ * knows this only if every member says so, each in answer to the node's probe;
+ * a member that does not answer may still reach the log.  A member that died
+ * while the log was up is evicted by a record.  Its later edits then have no
+ * effect anywhere, so its answer is not needed.  A member that was only cut off
+ * is readmitted by a record of another node, never by its own.  So a member
+ * that reached the log after the eviction knows of the readmission, and a node
+ * that relies on that member's report of a log outage sees its newer version.
  */
 
 #include <stdlib.h>
@@ -28,15 +29,16 @@
 #include "stream.h"
 
 enum {
-	TOKEN_PART = 2,
-	POLL_MS = 250,
-	DOWN_MS = 1000, /* without an answer so long: the log is down */
-	PULL_EVERY_MS = 300,
+	TOKEN_PART = 2,     /* top byte of this module's tokens */
+	POLL_MAX_MS = 250,  /* longest time between two reads */
+	LOG_DOWN_MS = 1000, /* the log is down if it is silent for so long */
+	SNAPSHOT_REQUEST_EVERY_MS = 300, /* at most */
 	EVICT_EVERY_MS = 1000,
-	EVICT_AFTER_MS = 3000, /* of log contact: probes were answered by now */
-	READMIT_S = 2,         /* an evicted node must live so long */
-	SNAP_EDITS = 500,      /* edits between two snapshots at most */
-	SETTINGS_RANK = 0xfffffffe /* rank for the writer of snapshots */
+	EVICT_MIN_CONTACT_MS = 3000, /* time for live nodes to answer probes */
+	READMIT_MIN_S = 2,           /* an evicted node must be alive so long */
+	SNAPSHOT_EDITS = 500,        /* most edits between two snapshots */
+	/* Shard number that ranks nodes for the upkeep of the stream. */
+	SETTINGS_RANK_SHARD = 0xfffffffe
 };
 
 struct ogl_follow {
@@ -47,19 +49,19 @@
 	const struct ogl_follow_ops *ops;
 	void *ctx;
 	struct ogl_stream *stream;
-	bool complete;       /* the tree is whole, not just its later edits */
-	GPtrArray *early;    /* Ogl__Record, edits read before any snapshot */
-	GArray *early_at;    /* their offsets */
-	GQueue *waiters;     /* uint64_t *, of our edits in order */
-	GHashTable *evicted; /* "name/boot" */
+	bool complete;       /* the tree has every edit up to last_change */
+	GPtrArray *deferred; /* Ogl__Record, read before any snapshot */
+	GArray *deferred_offsets; /* their offsets */
+	GQueue *waiters;     /* uint64_t *, of this node's edits in order */
+	GHashTable *evicted; /* set of "name/boot" */
 	bool self_evicted;
-	uint64_t change; /* offset + 1 of the last edit or eviction */
-	ogl_time contact;
-	ogl_time contact_since; /* unbroken */
-	ogl_time fresh_peers;
-	ogl_time next_pull;
+	uint64_t last_change; /* offset + 1 of the last edit or eviction */
+	ogl_time last_contact;
+	ogl_time contact_since;  /* start of log contact without a gap */
+	ogl_time fresh_by_peers; /* as ogl_follow_fresh, known from peers */
+	ogl_time next_request;
 	ogl_time next_evict;
-	ogl_time snap_at;
+	ogl_time snapshot_at;
 	uint32_t edits_since;
 };
 
@@ -70,7 +72,7 @@
 }
 
 static char *
-identity(const char *name, uint64_t boot)
+eviction_key(const char *name, uint64_t boot)
 {
 	return g_strdup_printf("%s/%" G_GUINT64_FORMAT, name, boot);
 }
@@ -78,7 +80,7 @@
 static bool
 is_evicted(const struct ogl_follow *f, const char *name, uint64_t boot)
 {
-	char *id = identity(name, boot);
+	char *id = eviction_key(name, boot);
 	bool yes = g_hash_table_contains(f->evicted, id);
 
 	g_free(id);
@@ -122,7 +124,7 @@
 		f->counters->edits++;
 		f->ops->changed(f->ctx, now);
 	}
-	f->change = MAX(f->change, offset + 1);
+	f->last_change = MAX(f->last_change, offset + 1);
 	if (is_ours(f, r))
 		answer_waiter(f, offset + 1, error, now);
 	g_clear_error(&error);
@@ -131,7 +133,7 @@
 static void
 apply_evict(struct ogl_follow *f, const Ogl__Evict *e)
 {
-	char *id = identity(e->node, e->boot);
+	char *id = eviction_key(e->node, e->boot);
 
 	if (e->boot == f->cfg->boot && strcmp(e->node, f->cfg->name) == 0)
 		f->self_evicted = !e->lifted;
@@ -143,27 +145,28 @@
 	}
 }
 
-/* Whether the edit that makes this version counted, by the audit trail. */
+/* Whether the edit that makes this version is in the audit trail, that is,
+ * took effect. */
 static bool
-counted(const struct ogl_follow *f, uint64_t version)
+edit_took_effect(const struct ogl_follow *f, uint64_t version)
 {
 	char *trail = ogl_settings_audit(f->settings, version);
-	char *word =
+	char *version_field =
 	    g_strdup_printf("\"version\":%" G_GUINT64_FORMAT ",", version);
-	bool yes = trail != NULL && strstr(trail, word) != NULL;
+	bool yes = trail != NULL && strstr(trail, version_field) != NULL;
 
-	g_free(word);
+	g_free(version_field);
 	g_free(trail);
 	return yes;
 }
 
-/* An edit of our own that a snapshot got here before. */
+/* Answers the waiter of this node's edit that a snapshot already covers. */
 static void
-answer_known(struct ogl_follow *f, uint64_t version, ogl_time now)
+answer_covered_edit(struct ogl_follow *f, uint64_t version, ogl_time now)
 {
 	GError *error = NULL;
 
-	if (!counted(f, version))
+	if (!edit_took_effect(f, version))
 		g_set_error(&error, OGL_ERROR, OGL_ERROR_DENIED,
 		    "it had no effect: this node had been evicted, or another "
 		    "edit came first");
@@ -172,10 +175,10 @@
 }
 
 /*
- * An edit or an eviction not yet known by way of a snapshot.  One that a
- * snapshot has covered must not be looked at again: whether its writer was
- * evicted then can't be told from who is now, and the tree would come to
- * differ from everybody else's, for good.
+ * Applies an edit or an eviction, unless a snapshot already covers it.  The set
+ * of evicted nodes may have changed since such a record was written, so its
+ * writer might now be judged differently, and this node's tree would differ
+ * from that of all other nodes permanently.
  */
 static void
 apply_change(
@@ -183,37 +186,39 @@
 {
 	bool edit = r->body_case == OGL__RECORD__BODY_EDIT;
 
-	if (offset + 1 <= f->change) {
+	if (offset + 1 <= f->last_change) {
 		if (edit && is_ours(f, r))
-			answer_known(f, offset + 1, now);
+			answer_covered_edit(f, offset + 1, now);
 		return;
 	}
-	/* Two nodes cut off from each other evict one another.  The first in
-	 * log order counts; were both out, none could readmit any. */
+	/* Two nodes cut off from each other evict each other.  Only the first
+	 * eviction in log order takes effect; if both nodes were evicted,
+	 * neither could readmit the other. */
 	if (edit)
 		apply_edit(f, r, offset, now);
 	else if (!is_evicted(f, r->writer, r->boot))
 		apply_evict(f, r->evict);
-	f->change = offset + 1;
+	f->last_change = offset + 1;
 }
 
 static void
-apply_early(struct ogl_follow *f, ogl_time now)
+apply_deferred(struct ogl_follow *f, ogl_time now)
 {
-	for (guint i = 0; i < f->early->len; i++)
-		apply_change(f, g_ptr_array_index(f->early, i),
-		    g_array_index(f->early_at, uint64_t, i), now);
-	g_ptr_array_set_size(f->early, 0);
-	g_array_set_size(f->early_at, 0);
+	for (guint i = 0; i < f->deferred->len; i++)
+		apply_change(f, g_ptr_array_index(f->deferred, i),
+		    g_array_index(f->deferred_offsets, uint64_t, i), now);
+	g_ptr_array_set_size(f->deferred, 0);
+	g_array_set_size(f->deferred_offsets, 0);
 }
 
-/* Takes a snapshot's tree and evictions in place of ours. */
+/* Replaces the tree and the evictions by those of a snapshot.  Returns whether
+ * that succeeded. */
 static bool
 replace_by(struct ogl_follow *f, const Ogl__SettingsSnap *s)
 {
 	struct ogl_str tree = {(const char *)s->tree.data, s->tree.len};
 
-	/* A tree no newer than ours is no reason to take it. */
+	/* Only a newer tree is loaded. */
 	if (s->version > ogl_settings_version(f->settings) &&
 	    !ogl_settings_load(f->settings, tree, NULL))
 		return false;
@@ -221,20 +226,20 @@
 	f->self_evicted = false;
 	for (size_t i = 0; i < s->n_evicted; i++)
 		apply_evict(f, s->evicted[i]);
-	f->change = s->change;
+	f->last_change = s->change;
 	return true;
 }
 
 static void
-load_snap(struct ogl_follow *f, const Ogl__SettingsSnap *s, ogl_time now)
+load_snapshot(struct ogl_follow *f, const Ogl__SettingsSnap *s, ogl_time now)
 {
-	/* After a gap the log's snapshot may be older than what a peer gave
-	 * us.  It then only closes the gap: what it lacks we have, and what
-	 * is newer than ours comes from the records after it. */
-	if (s->change >= f->change && !replace_by(f, s))
+	/* After a gap, the log's snapshot may be older than one received from
+	 * a peer.  It then only closes the gap: the tree already has what the
+	 * snapshot lacks, and newer edits come in the records after it. */
+	if (s->change >= f->last_change && !replace_by(f, s))
 		return;
 	f->complete = true;
-	apply_early(f, now);
+	apply_deferred(f, now);
 	f->ops->changed(f->ctx, now);
 }
 
@@ -251,38 +256,39 @@
 		if (f->complete) {
 			apply_change(f, r, offset, now);
 		} else {
-			g_ptr_array_add(f->early, ogl_message_copy(&r->base));
-			g_array_append_val(f->early_at, offset);
+			g_ptr_array_add(
+			    f->deferred, ogl_message_copy(&r->base));
+			g_array_append_val(f->deferred_offsets, offset);
 		}
 		break;
 	case OGL__RECORD__BODY_SETTINGS_SNAP:
-		/* Its own age counts, not when we came to read it: nodes
-		 * that restart often would otherwise put the next one off
-		 * until retention has passed the last. */
+		/* Its time of writing counts, not that of reading.
+		 * Otherwise nodes that restart often would delay the next
+		 * snapshot until retention has dropped the last one. */
 		f->edits_since = 0;
-		f->snap_at = MIN(now, (ogl_time)(r->at_ms * OGL_MS));
+		f->snapshot_at = MIN(now, (ogl_time)(r->at_ms * OGL_MS));
 		if (!f->complete)
-			load_snap(f, r->settings_snap, now);
+			load_snapshot(f, r->settings_snap, now);
 		break;
 	default:
 		break;
 	}
 }
 
-/* Retention passed edits we had not read: our tree is old until the next
- * snapshot, but it is never taken back to an older one. */
+/* Handles edits that log retention dropped unread.  The tree stays old until
+ * the next snapshot; it is never replaced by an older one. */
 static void
 on_gap(void *ctx, uint64_t first)
 {
 	struct ogl_follow *f = ctx;
 
-	if (first > f->change)
+	if (first > f->last_change)
 		f->complete = false;
 }
 
 static const struct ogl_stream_ops stream_ops = {on_record, on_gap};
 
-/* ---- life ------------------------------------------------------------- */
+/* ---- interface -------------------------------------------------------- */
 
 struct ogl_follow *
 ogl_follow_init(const struct ogl_node_config *c, struct ogl_settings *s,
@@ -300,9 +306,9 @@
 	f->stream = ogl_stream_init(
 	    "settings", (uint64_t)TOKEN_PART << 56, c, &stream_ops, f);
 	ogl_stream_single(f->stream);
-	ogl_stream_poll(f->stream, POLL_MS, now);
-	f->early = g_ptr_array_new_with_free_func(record_free);
-	f->early_at = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	ogl_stream_poll(f->stream, POLL_MAX_MS, now);
+	f->deferred = g_ptr_array_new_with_free_func(record_free);
+	f->deferred_offsets = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	f->waiters = g_queue_new();
 	f->evicted =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -315,8 +321,8 @@
 	if (f == NULL)
 		return;
 	ogl_stream_end(f->stream);
-	g_ptr_array_free(f->early, TRUE);
-	g_array_free(f->early_at, TRUE);
+	g_ptr_array_free(f->deferred, TRUE);
+	g_array_free(f->deferred_offsets, TRUE);
 	g_queue_free_full(f->waiters, g_free);
 	g_hash_table_destroy(f->evicted);
 	g_free(f);
@@ -331,7 +337,7 @@
 ogl_time
 ogl_follow_contact(const struct ogl_follow *f)
 {
-	return f->contact;
+	return f->last_contact;
 }
 
 uint64_t
@@ -343,7 +349,7 @@
 static bool
 log_down(const struct ogl_follow *f, ogl_time now)
 {
-	return now - f->contact > DOWN_MS * OGL_MS;
+	return now - f->last_contact > LOG_DOWN_MS * OGL_MS;
 }
 
 bool
@@ -379,7 +385,7 @@
 	if (ev->io == OGL_IO_OK) {
 		if (log_down(f, now))
 			f->contact_since = now;
-		f->contact = now;
+		f->last_contact = now;
 	} else {
 		f->counters->log_errors++;
 	}
@@ -389,7 +395,7 @@
 /* ---- snapshots and peers ---------------------------------------------- */
 
 static Ogl__SettingsSnap *
-make_snap(const struct ogl_follow *f)
+make_snapshot(const struct ogl_follow *f)
 {
 	Ogl__SettingsSnap *s = malloc(sizeof *s);
 	char *dump = ogl_settings_dump(f->settings);
@@ -398,7 +404,7 @@
 
 	ogl__settings_snap__init(s);
 	s->version = ogl_settings_version(f->settings);
-	s->change = f->change;
+	s->change = f->last_change;
 	s->tree.len = strlen(dump);
 	s->tree.data = malloc(s->tree.len + 1);
 	memcpy(s->tree.data, dump, s->tree.len + 1);
@@ -431,18 +437,20 @@
 	if (p->fact->state == OGL__MEMBER_FACT__STATE__alive &&
 	    p->fact->log_age_ms == 0 &&
 	    !is_evicted(c->f, p->fact->name, p->fact->boot) &&
-	    ogl_member_rank(c->f->member, p->fact->name, SETTINGS_RANK) >
+	    ogl_member_rank(c->f->member, p->fact->name, SETTINGS_RANK_SHARD) >
 		c->own)
 		c->best = false;
 }
 
-/* Whether this node looks after the settings stream: snapshots, evictions.
- * Two that both think so do no harm, the work is then done twice. */
+/* Whether this node maintains the settings stream, that is, writes snapshots
+ * and evictions.  If two nodes do so at once the work is done twice, which is
+ * harmless. */
 static bool
-is_keeper(const struct ogl_follow *f)
+is_maintainer(const struct ogl_follow *f)
 {
-	struct rank_ctx c = {
-	    f, ogl_member_rank(f->member, f->cfg->name, SETTINGS_RANK), true};
+	struct rank_ctx c = {f,
+	    ogl_member_rank(f->member, f->cfg->name, SETTINGS_RANK_SHARD),
+	    true};
 
 	ogl_member_each(f->member, rank_one, &c);
 	return c.best && !f->self_evicted;
@@ -454,16 +462,17 @@
 	Ogl__Record *r;
 
 	if (!f->complete || ogl_settings_version(f->settings) == 0 ||
-	    (f->edits_since < SNAP_EDITS &&
-		now - f->snap_at < f->cfg->snapshot_ms * OGL_MS) ||
-	    log_down(f, now) || !ogl_stream_idle(f->stream) || !is_keeper(f))
+	    (f->edits_since < SNAPSHOT_EDITS &&
+		now - f->snapshot_at < f->cfg->snapshot_ms * OGL_MS) ||
+	    log_down(f, now) || !ogl_stream_idle(f->stream) ||
+	    !is_maintainer(f))
 		return;
-	f->snap_at = now;
+	f->snapshot_at = now;
 	r = malloc(sizeof *r);
 	ogl__record__init(r);
 	r->at_ms = (uint64_t)(now / OGL_MS);
 	r->body_case = OGL__RECORD__BODY_SETTINGS_SNAP;
-	r->settings_snap = make_snap(f);
+	r->settings_snap = make_snapshot(f);
 	ogl_stream_add(f->stream, r, now);
 }
 
@@ -473,7 +482,7 @@
 };
 
 static void
-evict_one(void *ctx, const struct ogl_peer *p)
+evict_or_readmit(void *ctx, const struct ogl_peer *p)
 {
 	struct evict_ctx *c = ctx;
 	Ogl__Record *r;
@@ -481,7 +490,7 @@
 	bool evicted = is_evicted(c->f, p->fact->name, p->fact->boot);
 	bool dead = p->fact->state == OGL__MEMBER_FACT__STATE__dead;
 	bool lives = p->fact->state == OGL__MEMBER_FACT__STATE__alive &&
-		     c->now - p->changed >= READMIT_S * OGL_SEC;
+		     c->now - p->changed >= READMIT_MIN_S * OGL_SEC;
 
 	if (!(evicted ? lives : dead))
 		return;
@@ -498,59 +507,60 @@
 }
 
 static void
-evict_dead(struct ogl_follow *f, ogl_time now)
+update_evictions(struct ogl_follow *f, ogl_time now)
 {
 	struct evict_ctx c = {f, now};
 
-	/* A node that was itself cut off thinks the others dead when it
-	 * reaches the log again; it must have had the time to hear them. */
+	/* A node that was cut off holds the others for dead when it reaches
+	 * the log again.  It waits until it has had time to hear from them. */
 	if (now < f->next_evict || !f->complete || log_down(f, now) ||
-	    now - f->contact_since < EVICT_AFTER_MS * OGL_MS ||
-	    ogl_stream_pending(f->stream) > 0 || !is_keeper(f))
+	    now - f->contact_since < EVICT_MIN_CONTACT_MS * OGL_MS ||
+	    ogl_stream_pending(f->stream) > 0 || !is_maintainer(f))
 		return;
 	f->next_evict = now + EVICT_EVERY_MS * OGL_MS;
-	ogl_member_each(f->member, evict_one, &c);
+	ogl_member_each(f->member, evict_or_readmit, &c);
 }
 
-/* ---- being current ---------------------------------------------------- */
+/* ---- how current the settings are ------------------------------------- */
 
-struct fresh_ctx {
+struct peer_check {
 	struct ogl_follow *f;
 	ogl_time now;
-	ogl_time all_down;            /* as of when all say the log is down */
+	ogl_time all_down_at;         /* as of then, all report a log outage */
 	const struct ogl_peer *ahead; /* a peer with a newer version */
 	bool newer_found;
 };
 
 static void
-fresh_one(void *ctx, const struct ogl_peer *p)
+check_peer(void *ctx, const struct ogl_peer *p)
 {
-	struct fresh_ctx *c = ctx;
+	struct peer_check *c = ctx;
 	struct ogl_follow *f = c->f;
-	uint64_t ours = f->change;
+	uint64_t ours = f->last_change;
 
 	if (p->fact->state == OGL__MEMBER_FACT__STATE__left ||
 	    (p->fact->state == OGL__MEMBER_FACT__STATE__dead &&
 		is_evicted(f, p->fact->name, p->fact->boot)))
 		return;
-	c->all_down = MIN(c->all_down, p->down_since != 0 ? p->asked : 0);
+	c->all_down_at =
+	    MIN(c->all_down_at, p->down_since != 0 ? p->acked_probe_sent : 0);
 	if (MAX(p->fact->settings_version, p->current_version) > ours)
 		c->ahead = p;
-	else if (p->asked > 0 && p->current_at > f->fresh_peers)
-		f->fresh_peers = p->current_at;
+	else if (p->acked_probe_sent > 0 && p->current_at > f->fresh_by_peers)
+		f->fresh_by_peers = p->current_at;
 }
 
 static void
-pull(struct ogl_follow *f, const struct ogl_peer *p, ogl_time now,
+request_snapshot(struct ogl_follow *f, const struct ogl_peer *p, ogl_time now,
     struct ogl_actions *out)
 {
 	Ogl__PeerMsg msg = OGL__PEER_MSG__INIT;
 	Ogl__SettingsNews n = OGL__SETTINGS_NEWS__INIT;
 
-	if (now < f->next_pull)
+	if (now < f->next_request)
 		return;
-	f->next_pull = now + PULL_EVERY_MS * OGL_MS;
-	n.version = f->change;
+	f->next_request = now + SNAPSHOT_REQUEST_EVERY_MS * OGL_MS;
+	n.version = f->last_change;
 	msg.body_case = OGL__PEER_MSG__BODY_SETTINGS_NEWS;
 	msg.settings_news = &n;
 	ogl_member_send(f->member, p->fact->addr, &msg, out);
@@ -564,14 +574,14 @@
 	Ogl__SettingsNews n = OGL__SETTINGS_NEWS__INIT;
 
 	if (news->snap != NULL) {
-		if (news->snap->change > f->change)
-			load_snap(f, news->snap, now);
+		if (news->snap->change > f->last_change)
+			load_snapshot(f, news->snap, now);
 		return;
 	}
-	if (!f->complete || f->change <= news->version)
+	if (!f->complete || f->last_change <= news->version)
 		return;
-	n.version = f->change;
-	n.snap = make_snap(f);
+	n.version = f->last_change;
+	n.snap = make_snapshot(f);
 	msg.body_case = OGL__PEER_MSG__BODY_SETTINGS_NEWS;
 	msg.settings_news = &n;
 	ogl_member_send(f->member, from->fact->addr, &msg, out);
@@ -579,21 +589,22 @@
 }
 
 static void
-look_at_peers(struct ogl_follow *f, ogl_time now, struct ogl_actions *out)
+check_peers(struct ogl_follow *f, ogl_time now, struct ogl_actions *out)
 {
-	struct fresh_ctx c = {.f = f, .now = now, .all_down = OGL_NEVER};
+	struct peer_check c = {.f = f, .now = now, .all_down_at = OGL_NEVER};
 	bool down = log_down(f, now);
 
 	ogl_member_probe_all(f->member, down);
 	if (!down)
 		return;
-	ogl_member_each(f->member, fresh_one, &c);
-	/* With no other member left there is nobody who could have accepted
-	 * anything. */
+	ogl_member_each(f->member, check_peer, &c);
+	/* Without any other member, all_down_at is OGL_NEVER: no other node
+	 * can have accepted an edit. */
 	if (c.ahead != NULL)
-		pull(f, c.ahead, now, out);
-	else if (f->contact != 0)
-		f->fresh_peers = MAX(f->fresh_peers, MIN(c.all_down, now));
+		request_snapshot(f, c.ahead, now, out);
+	else if (f->last_contact != 0)
+		f->fresh_by_peers =
+		    MAX(f->fresh_by_peers, MIN(c.all_down_at, now));
 }
 
 ogl_time
@@ -602,34 +613,34 @@
 	(void)now;
 	if (!f->complete)
 		return 0;
-	return MAX(ogl_stream_current(f->stream), f->fresh_peers);
+	return MAX(ogl_stream_current(f->stream), f->fresh_by_peers);
 }
 
-/* What we tell others of ourselves. */
+/* Fills in the settings and log fields of this node's own fact. */
 static void
 fill_fact(struct ogl_follow *f, ogl_time now)
 {
 	Ogl__MemberFact *own = ogl_member_own(f->member);
 	ogl_time age = now - ogl_follow_fresh(f, now);
 
-	own->settings_version = f->change;
+	own->settings_version = f->last_change;
 	own->settings_age_ms = (uint32_t)MIN(age / OGL_MS, UINT32_MAX);
 	own->log_age_ms =
 	    log_down(f, now)
-		? (uint32_t)MIN((now - f->contact) / OGL_MS, UINT32_MAX)
+		? (uint32_t)MIN((now - f->last_contact) / OGL_MS, UINT32_MAX)
 		: 0;
 }
 
 void
 ogl_follow_tick(struct ogl_follow *f, ogl_time now, struct ogl_actions *out)
 {
-	/* A stream that nobody has written to yet is whole as it is. */
+	/* The tree of an empty stream is complete. */
 	if (ogl_stream_current(f->stream) > 0 &&
 	    ogl_stream_offset(f->stream) == 0)
 		f->complete = true;
-	look_at_peers(f, now, out);
+	check_peers(f, now, out);
 	write_snapshot(f, now);
-	evict_dead(f, now);
+	update_evictions(f, now);
 	ogl_stream_tick(f->stream, now, out);
 	fill_fact(f, now);
 }
--- a/src/follow.h
+++ b/src/follow.h
@@ -1,4 +1,4 @@
-/* The settings tree as one node follows it, and how current that is. */
+/* One node's copy of the settings tree, and how current the copy is. */
 
 #ifndef OGL_FOLLOW_H
 #define OGL_FOLLOW_H
@@ -10,8 +10,10 @@
 struct ogl_follow;
 
 struct ogl_follow_ops {
+	/* The tree may have changed. */
 	void (*changed)(void *ctx, ogl_time now);
-	/* An edit sent by ogl_follow_edit took effect, or lost a race. */
+	/* An edit of ogl_follow_edit took effect as this version; or it had no
+	 * effect, for example because another edit came first: error is set. */
 	void (*edited)(void *ctx, uint64_t waiter, uint64_t version,
 	    const GError *error, ogl_time now);
 };
@@ -26,20 +28,23 @@
 ogl_time ogl_follow_next(const struct ogl_follow *f);
 
 bool ogl_follow_token(uint64_t token);
+/* Whether an action with this token was made by this module. */
 void ogl_follow_event(
     struct ogl_follow *f, const struct ogl_event *ev, ogl_time now);
 void ogl_follow_news(struct ogl_follow *f, const struct ogl_peer *from,
     const Ogl__SettingsNews *news, ogl_time now, struct ogl_actions *out);
+/* Handles a peer's request for a snapshot, or the snapshot it answers with. */
 
 bool ogl_follow_edit(
     struct ogl_follow *f, const Ogl__Edit *e, uint64_t waiter, ogl_time now);
-/* Queues an edit; false when this node may not write now. */
+/* Appends an edit to the log; the waiter is answered through ops->edited.
+ * Returns false when this node may not write now. */
 
 ogl_time ogl_follow_fresh(const struct ogl_follow *f, ogl_time now);
-/* No edit accepted before this time is missing here. */
+/* Returns a time before which no accepted edit is missing in the tree. */
 
 ogl_time ogl_follow_contact(const struct ogl_follow *f);
-/* The last time the log answered. */
+/* Returns when the log last answered. */
 
 uint64_t ogl_follow_appends(const struct ogl_follow *f);
 
--- a/src/member.c
+++ b/src/member.c
@@ -1,26 +1,25 @@
 /*
- * Membership by probes and gossip.
+ * Membership by probes and gossip, after the SWIM protocol.
  *
- * Each probe period one member is probed, in an order shuffled per round, so
- * that every member is probed within one round and the cost a node does not
- * grow with the cell.  A probe unanswered after one period is asked again of
- * a few others; unanswered after two periods, the member becomes a suspect,
- * and after suspect_ms dead.  A suspect that hears of it raises its
- * incarnation, which overrules the suspicion.
+ * In each probe period one member is probed, in an order shuffled per round.
+ * So every member is probed once in a round, and the cost for a node does not
+ * grow with the cell.  A probe unanswered after one period is repeated through
+ * a few other members.  A member that has not answered after two periods
+ * becomes a suspect, and after suspect_ms it is dead.  A suspect that learns
+ * of the suspicion raises its incarnation, which overrules the suspicion.
  *
- * Facts spread by riding on every message: each fact that changed is told a
- * number of times that grows with the logarithm of the cell, then rests.  The
- * sender's own fact rides on every message.  Of two facts on one node the
- * one with the larger (boot, incarnation, beat) wins; within equal ones the
- * worse state wins.  Yet a node that we hold for alive is never dead at the
- * word of another: that one may have been cut off itself, hold the whole cell
- * for dead, and come back.  Its word makes a suspect, which has the time to
- * refute it; taken at once, every shard of the cell was claimed anew and its
- * nodes evicted.
+ * Facts are piggybacked on messages.  A changed fact is sent a number of times
+ * that grows with the logarithm of the cell's size; the sender's own fact is
+ * in every message.  Of two facts on one node that with the larger boot wins,
+ * then that with the larger incarnation, the worse state and the larger beat.
+ * A report of death does not make a live node dead at once, though, only
+ * suspect, which leaves it time to refute the report.  The reporter may have
+ * been cut off itself and hold the whole cell for dead.  When such reports
+ * were accepted at once, all shards were claimed again and all nodes evicted.
  *
- * What a member says of its log contact counts only in answer to a probe of
- * ours, dated back to when we sent the probe: a message may have lain in a
- * buffer for long, and an old "I have no news" must not pass for a new one.
+ * What a member reports on its log contact counts only in an answer to a probe
+ * of this node, and as of the time at which the probe was sent.  A message may
+ * be delayed in a buffer, and an old report must not be taken for a new one.
  */
 
 #include <string.h>
@@ -30,11 +29,11 @@
 #include "random.h"
 
 enum {
-	FACTS_A_MESSAGE = 8,  /* bounds what rides on one message */
-	RELAYS = 3,           /* members asked for an indirect probe */
-	SEED_PERIODS = 4,     /* seeds are tried every so many periods */
-	FIRST_TO_TELL = 1000, /* above any count of tell_times */
-	FORGET_SEC = 3600     /* a dead member is forgotten after it */
+	MAX_EXTRA_FACTS = 8,    /* piggybacked on one message */
+	INDIRECT_PROBES = 3,    /* members asked to repeat a probe */
+	SEED_EVERY_PERIODS = 4, /* probe periods between probes of the seeds */
+	MAX_SENDS = 1000,       /* above any result of retransmit_count() */
+	FORGET_DEAD_S = 3600    /* a dead or left member is forgotten then */
 };
 
 struct ogl_member {
@@ -42,11 +41,11 @@
 	struct ogl_random rnd;
 	Ogl__MemberFact *own;
 	GHashTable *peers; /* name -> struct ogl_peer */
-	GPtrArray *order;  /* names left in this probe round */
+	GPtrArray *round;  /* names not yet probed in this round */
 	GPtrArray *sorted; /* struct ogl_peer by name */
 	ogl_time next;
 	uint64_t seq;
-	uint32_t periods;
+	uint32_t period_count;
 	bool probe_all;
 };
 
@@ -74,7 +73,7 @@
 	m->own = ogl_message_copy(&f.base);
 	m->peers =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, peer_free);
-	m->order = g_ptr_array_new_with_free_func(g_free);
+	m->round = g_ptr_array_new_with_free_func(g_free);
 	m->sorted = g_ptr_array_new();
 	m->next = now;
 	return m;
@@ -85,7 +84,7 @@
 {
 	if (m == NULL)
 		return;
-	g_ptr_array_free(m->order, TRUE);
+	g_ptr_array_free(m->round, TRUE);
 	g_ptr_array_free(m->sorted, TRUE);
 	g_hash_table_destroy(m->peers);
 	ogl__member_fact__free_unpacked(m->own, NULL);
@@ -144,9 +143,10 @@
 	    ogl_random_hash(name, strlen(name)) ^ ogl_random_mix(shard + 1));
 }
 
-/* Times a fact is told: thrice the logarithm of the cell's size. */
+/* How often a changed fact is sent: three times the binary logarithm of the
+ * cell's size. */
 static uint32_t
-tell_times(const struct ogl_member *m)
+retransmit_count(const struct ogl_member *m)
 {
 	uint32_t lg = 1;
 
@@ -158,31 +158,31 @@
 /* ---- sending ---------------------------------------------------------- */
 
 static gint
-more_to_tell(gconstpointer a, gconstpointer b)
+by_sends_left(gconstpointer a, gconstpointer b)
 {
 	const struct ogl_peer *pa = *(struct ogl_peer *const *)a;
 	const struct ogl_peer *pb = *(struct ogl_peer *const *)b;
 
-	if (pa->tell != pb->tell)
-		return pa->tell > pb->tell ? -1 : 1;
+	if (pa->sends_left != pb->sends_left)
+		return pa->sends_left > pb->sends_left ? -1 : 1;
 	return strcmp(pa->fact->name, pb->fact->name);
 }
 
-/* The facts that still need telling, those told least first. */
+/* Returns the facts that still have to be sent, those sent least first. */
 static GPtrArray *
-facts_to_tell(struct ogl_member *m)
+facts_to_send(struct ogl_member *m)
 {
 	GPtrArray *pick = g_ptr_array_new();
 
 	for (guint i = 0; i < m->sorted->len; i++) {
 		struct ogl_peer *p = g_ptr_array_index(m->sorted, i);
 
-		if (p->tell > 0)
+		if (p->sends_left > 0)
 			g_ptr_array_add(pick, p);
 	}
-	g_ptr_array_sort(pick, more_to_tell);
-	if (pick->len > FACTS_A_MESSAGE)
-		g_ptr_array_set_size(pick, FACTS_A_MESSAGE);
+	g_ptr_array_sort(pick, by_sends_left);
+	if (pick->len > MAX_EXTRA_FACTS)
+		g_ptr_array_set_size(pick, MAX_EXTRA_FACTS);
 	return pick;
 }
 
@@ -190,8 +190,8 @@
 ogl_member_send(struct ogl_member *m, const char *addr, Ogl__PeerMsg *msg,
     struct ogl_actions *out)
 {
-	GPtrArray *pick = facts_to_tell(m);
-	Ogl__MemberFact *facts[FACTS_A_MESSAGE + 1];
+	GPtrArray *pick = facts_to_send(m);
+	Ogl__MemberFact *facts[MAX_EXTRA_FACTS + 1];
 	struct ogl_action *a;
 	uint8_t *buf;
 	size_t n;
@@ -201,7 +201,7 @@
 	for (guint i = 0; i < pick->len; i++) {
 		struct ogl_peer *p = g_ptr_array_index(pick, i);
 
-		p->tell--;
+		p->sends_left--;
 		facts[msg->n_facts++] = p->fact;
 	}
 	msg->facts = facts;
@@ -233,7 +233,7 @@
 	ogl_member_send(m, addr, &msg, out);
 }
 
-/* ---- taking in facts -------------------------------------------------- */
+/* ---- receiving facts -------------------------------------------------- */
 
 static int
 cmp_u64(uint64_t a, uint64_t b)
@@ -247,10 +247,10 @@
 {
 	p->fact->state = st;
 	p->changed = now;
-	p->tell = tell_times(m);
+	p->sends_left = retransmit_count(m);
 }
 
-/* Above zero when a overrules b. */
+/* Returns a value above zero when a overrules b. */
 static int
 fact_cmp(const Ogl__MemberFact *a, const Ogl__MemberFact *b)
 {
@@ -285,27 +285,28 @@
 	g_hash_table_insert(m->peers, g_strdup(f->name), p);
 	g_ptr_array_add(m->sorted, p);
 	g_ptr_array_sort(m->sorted, by_name);
-	p->tell = tell_times(m);
+	p->sends_left = retransmit_count(m);
 	return p;
 }
 
 static void
-peer_take(struct ogl_member *m, struct ogl_peer *p, const Ogl__MemberFact *f,
+peer_update(struct ogl_member *m, struct ogl_peer *p, const Ogl__MemberFact *f,
     ogl_time now)
 {
 	if (p->fact->state != f->state || p->fact->boot != f->boot)
 		p->changed = now;
 	if (p->fact->boot != f->boot) {
-		p->asked = 0;
+		p->acked_probe_sent = 0;
 		p->probe_sent = 0;
 	}
 	ogl__member_fact__free_unpacked(p->fact, NULL);
 	p->fact = ogl_message_copy(&f->base);
 	p->heard = now;
-	p->tell = tell_times(m);
+	p->sends_left = retransmit_count(m);
 }
 
-/* Somebody doubts us: only a higher incarnation of ours overrules it. */
+/* Refutes a fact that this node is suspect or dead, by a higher
+ * incarnation. */
 static void
 refute(struct ogl_member *m, const Ogl__MemberFact *f)
 {
@@ -318,10 +319,10 @@
 	m->own->beat++;
 }
 
-/* Whether the fact tells of the death of one that we held for alive a moment
- * ago. */
+/* Whether the fact reports the death of a node that is alive here, or that
+ * became a suspect less than half of suspect_ms ago. */
 static bool
-rash(const struct ogl_member *m, const struct ogl_peer *p,
+premature_death(const struct ogl_member *m, const struct ogl_peer *p,
     const Ogl__MemberFact *f, ogl_time now)
 {
 	if (f->state != OGL__MEMBER_FACT__STATE__dead ||
@@ -333,12 +334,12 @@
 }
 
 static struct ogl_peer *
-take_fact(struct ogl_member *m, const Ogl__MemberFact *f, ogl_time now)
+merge_fact(struct ogl_member *m, const Ogl__MemberFact *f, ogl_time now)
 {
 	struct ogl_peer *p;
 
 	if (f->name[0] == '\0' || f->state > OGL__MEMBER_FACT__STATE__left)
-		return NULL; /* a state we have no name for */
+		return NULL; /* no name, or an unknown state */
 	if (strcmp(f->name, m->own->name) == 0) {
 		refute(m, f);
 		return NULL;
@@ -346,19 +347,19 @@
 	p = ogl_member_find(m, f->name);
 	if (p == NULL)
 		return peer_new(m, f, now);
-	if (rash(m, p, f, now)) {
+	if (premature_death(m, p, f, now)) {
 		if (p->fact->state == OGL__MEMBER_FACT__STATE__alive)
 			set_state(m, p, OGL__MEMBER_FACT__STATE__suspect, now);
 	} else if (fact_cmp(f, p->fact) > 0) {
-		peer_take(m, p, f, now);
+		peer_update(m, p, f, now);
 	}
 	return p;
 }
 
-/* What a node says of itself changes all the time in small ways (load, ages)
- * that are not worth spreading; they are taken from its own mouth only. */
+/* Updates a node's fact from a message of that node itself.  Load and ages in
+ * it change all the time and are not worth spreading through other nodes. */
 static void
-take_own_words(struct ogl_peer *p, const Ogl__MemberFact *said)
+update_from_itself(struct ogl_peer *p, const Ogl__MemberFact *said)
 {
 	if (fact_cmp(said, p->fact) != 0)
 		return;
@@ -367,21 +368,22 @@
 }
 
 static void
-take_ack(struct ogl_peer *p, const Ogl__MemberFact *said, uint64_t seq)
+handle_ack(struct ogl_peer *p, const Ogl__MemberFact *said, uint64_t seq)
 {
 	if (p->probe_sent == 0 || seq != p->probe_seq)
 		return;
-	p->asked = p->probe_sent;
+	p->acked_probe_sent = p->probe_sent;
 	p->probe_sent = 0;
-	p->current_at = p->asked - said->settings_age_ms * OGL_MS;
+	p->current_at = p->acked_probe_sent - said->settings_age_ms * OGL_MS;
 	p->current_version = said->settings_version;
-	p->down_since =
-	    said->log_age_ms == 0 ? 0 : p->asked - said->log_age_ms * OGL_MS;
+	p->down_since = said->log_age_ms == 0
+			    ? 0
+			    : p->acked_probe_sent - said->log_age_ms * OGL_MS;
 }
 
-/* Answers a probe, or passes an indirect one on to its target. */
+/* Answers a probe, or forwards an indirect probe to its target. */
 static void
-take_probe(struct ogl_member *m, struct ogl_peer *from, const Ogl__Probe *pr,
+handle_probe(struct ogl_member *m, struct ogl_peer *from, const Ogl__Probe *pr,
     struct ogl_actions *out)
 {
 	const struct ogl_peer *t;
@@ -395,14 +397,15 @@
 		send_probe(m, t->fact->addr, pr->seq, "", false, out);
 }
 
-/* A node we hold for dead speaks: it must learn of that to refute it, so the
- * fact rides first on a message to it. */
+/* Tells a node that sent a message although it is suspect or dead here, so
+ * that it can refute this.  Its fact is put first in the message. */
 static void
-tell_subject(struct ogl_member *m, struct ogl_peer *p, struct ogl_actions *out)
+notify_presumed_dead(
+    struct ogl_member *m, struct ogl_peer *p, struct ogl_actions *out)
 {
-	p->tell += 2 * FIRST_TO_TELL;
+	p->sends_left += 2 * MAX_SENDS;
 	send_probe(m, p->fact->addr, 0, "", true, out);
-	p->tell -= 2 * FIRST_TO_TELL;
+	p->sends_left -= 2 * MAX_SENDS;
 }
 
 struct ogl_peer *
@@ -413,12 +416,12 @@
 	const Ogl__MemberFact *said = NULL;
 
 	for (size_t i = 0; i < msg->n_facts; i++) {
-		struct ogl_peer *p = take_fact(m, msg->facts[i], now);
+		struct ogl_peer *p = merge_fact(m, msg->facts[i], now);
 
 		if (i == 0 && p != NULL) {
 			from = p;
 			said = msg->facts[0];
-			take_own_words(p, said);
+			update_from_itself(p, said);
 		}
 	}
 	if (from == NULL || from->fact->boot != msg->boot)
@@ -426,12 +429,12 @@
 	from->heard = now;
 	if (from->fact->state != OGL__MEMBER_FACT__STATE__alive &&
 	    from->fact->state != OGL__MEMBER_FACT__STATE__left)
-		tell_subject(m, from, out);
+		notify_presumed_dead(m, from, out);
 	if (msg->body_case == OGL__PEER_MSG__BODY_PROBE) {
 		if (msg->probe->ack)
-			take_ack(from, said, msg->probe->seq);
+			handle_ack(from, said, msg->probe->seq);
 		else
-			take_probe(m, from, msg->probe, out);
+			handle_probe(m, from, msg->probe, out);
 	}
 	return from;
 }
@@ -439,11 +442,12 @@
 /* ---- probing ---------------------------------------------------------- */
 
 static void
-ask_relays(struct ogl_member *m, struct ogl_peer *p, struct ogl_actions *out)
+send_indirect_probes(
+    struct ogl_member *m, struct ogl_peer *p, struct ogl_actions *out)
 {
 	guint n = m->sorted->len;
 
-	for (int i = 0; i < RELAYS && n > 1; i++) {
+	for (int i = 0; i < INDIRECT_PROBES && n > 1; i++) {
 		guint k = (guint)(ogl_random_next(&m->rnd) % n);
 		struct ogl_peer *r = g_ptr_array_index(m->sorted, k);
 
@@ -452,7 +456,7 @@
 		send_probe(
 		    m, r->fact->addr, p->probe_seq, p->fact->name, false, out);
 	}
-	p->relayed = true;
+	p->indirect_sent = true;
 }
 
 static void
@@ -468,34 +472,35 @@
 	}
 	if (p->probe_sent == 0 || !state_alive(p->fact->state))
 		return;
-	/* Anything heard since the probe went out proves it lives. */
+	/* Any message since the probe was sent proves that it is alive. */
 	if (now - p->probe_sent >= 2 * period && p->heard < p->probe_sent) {
 		set_state(m, p, OGL__MEMBER_FACT__STATE__suspect, now);
 		p->probe_sent = 0;
-	} else if (now - p->probe_sent >= period && !p->relayed) {
-		ask_relays(m, p, out);
+	} else if (now - p->probe_sent >= period && !p->indirect_sent) {
+		send_indirect_probes(m, p, out);
 	}
 }
 
-/* Probes in shuffled rounds: each member once before any twice. */
+/* Returns the next member to probe, or NULL.  Each live member comes once in
+ * a round, in random order. */
 static struct ogl_peer *
 next_in_round(struct ogl_member *m)
 {
 	struct ogl_peer *p;
 	char *name;
 
-	if (m->order->len == 0) {
+	if (m->round->len == 0) {
 		for (guint i = 0; i < m->sorted->len; i++) {
 			p = g_ptr_array_index(m->sorted, i);
 			if (state_alive(p->fact->state))
 				g_ptr_array_add(
-				    m->order, g_strdup(p->fact->name));
+				    m->round, g_strdup(p->fact->name));
 		}
 	}
-	if (m->order->len == 0)
+	if (m->round->len == 0)
 		return NULL;
 	name = g_ptr_array_steal_index_fast(
-	    m->order, (guint)(ogl_random_next(&m->rnd) % m->order->len));
+	    m->round, (guint)(ogl_random_next(&m->rnd) % m->round->len));
 	p = ogl_member_find(m, name);
 	g_free(name);
 	return p;
@@ -518,14 +523,14 @@
 		return;
 	p->probe_sent = now;
 	p->probe_seq = ++m->seq;
-	p->relayed = false;
+	p->indirect_sent = false;
 	send_probe(m, p->fact->addr, p->probe_seq, "", false, out);
 }
 
-/* Seeds are greeted again and again, so that parted halves find each other
- * although each holds the other for dead. */
+/* Probes the seeds.  It is repeated forever, so that the two sides of a network
+ * partition find each other again although each holds the other for dead. */
 static void
-greet_seeds(struct ogl_member *m, struct ogl_actions *out)
+probe_seeds(struct ogl_member *m, struct ogl_actions *out)
 {
 	const struct ogl_node_config *c = m->cfg;
 
@@ -536,13 +541,13 @@
 }
 
 static void
-forget_old(struct ogl_member *m, ogl_time now)
+forget_dead(struct ogl_member *m, ogl_time now)
 {
 	for (guint i = m->sorted->len; i > 0; i--) {
 		struct ogl_peer *p = g_ptr_array_index(m->sorted, i - 1);
 
 		if (state_alive(p->fact->state) ||
-		    now - p->changed < FORGET_SEC * OGL_SEC)
+		    now - p->changed < FORGET_DEAD_S * OGL_SEC)
 			continue;
 		g_ptr_array_remove_index(m->sorted, i - 1);
 		g_hash_table_remove(m->peers, p->fact->name);
@@ -561,9 +566,9 @@
 		probe_one(m, next_in_round(m), now, out);
 	for (guint i = 0; m->probe_all && i < m->sorted->len; i++)
 		probe_one(m, g_ptr_array_index(m->sorted, i), now, out);
-	if (m->periods++ % SEED_PERIODS == 0)
-		greet_seeds(m, out);
-	forget_old(m, now);
+	if (m->period_count++ % SEED_EVERY_PERIODS == 0)
+		probe_seeds(m, out);
+	forget_dead(m, now);
 }
 
 ogl_time
