--- a/src/shardview.c
+++ b/src/shardview.c
@@ -1,5 +1,6 @@
-/* What operators see of a shard: the shard itself, its queue, its workers,
- * each as a JSON list that the asked node joins with those of other shards. */
+/* Operators' views of a shard: the shard itself, its queue and its workers.
+ * Each is a JSON list; the node that took the call joins the lists of all
+ * shards. */
 
 #include <string.h>
 
