--- a/src/claim.c
+++ b/src/claim.c
@@ -1,9 +1,10 @@
 /*
- * Who should own a shard, and claiming it.
+ * Choice of a shard's owner, and the claim.
  *
- * The live node of the highest rendezvous weight should.  Once gossip knows
- * of no owner that lives and means to stay, that node reads the shard's
- * stream to its end and appends a claim naming the epoch it found there.
+ * The live node with the highest rendezvous weight should own the shard.  When
+ * gossip knows of no owner that is alive and keeps the shard, that node reads
+ * the shard's stream to its end and appends a claim that names the epoch it
+ * found there.
  */
 
 #include <stdlib.h>
@@ -12,9 +13,9 @@
 #include "shard_impl.h"
 
 enum {
-	CONTESTED_MS = 30000, /* an owner that wrote after its death */
-	SKEW_MS = 500,        /* of hosts' clocks, for that */
-	UNAWARE_MS = 3000,    /* an owner by the log that does not say so */
+	RECENT_WRITE_MS = 30000, /* an owner that wrote within this is alive */
+	CLOCK_SKEW_MS = 500,     /* between the clocks of two hosts */
+	GOSSIP_WAIT_MS = 3000,   /* for gossip to confirm the log's owner */
 };
 
 void
@@ -27,10 +28,11 @@
 	sh->known_offered = offered;
 }
 
+/* Keeps the node if it is alive and ranks above the candidate so far. */
 static void
-better(void *ctx, const struct ogl_peer *p)
+consider_candidate(void *ctx, const struct ogl_peer *p)
 {
-	struct ogl_best *b = ctx;
+	struct ogl_candidate *b = ctx;
 	uint64_t r = ogl_member_rank(b->m, p->fact->name, b->shard);
 
 	if (p->fact->state != OGL__MEMBER_FACT__STATE__alive ||
@@ -42,37 +44,36 @@
 	b->changed = p->changed;
 }
 
-/* The best placed of the other live nodes. */
-struct ogl_best
-ogl_claim_best_other(const struct ogl_shard *sh)
+struct ogl_candidate
+ogl_claim_top_candidate(const struct ogl_shard *sh)
 {
-	struct ogl_best b = {.m = sh->env->member, .shard = sh->index};
+	struct ogl_candidate b = {.m = sh->env->member, .shard = sh->index};
 
-	ogl_member_each(sh->env->member, better, &b);
+	ogl_member_each(sh->env->member, consider_candidate, &b);
 	return b;
 }
 
 static bool
-we_are_best(const struct ogl_shard *sh)
+ranks_first(const struct ogl_shard *sh)
 {
-	struct ogl_best b = ogl_claim_best_other(sh);
+	struct ogl_candidate b = ogl_claim_top_candidate(sh);
 
 	return b.name == NULL ||
 	       ogl_member_rank(b.m, sh->env->cfg->name, sh->index) > b.rank;
 }
 
-/* The two best placed live nodes besides ourselves. */
 size_t
-ogl_claim_successors(const struct ogl_shard *sh, char *names[OGL_NAMED])
+ogl_claim_successors(
+    const struct ogl_shard *sh, char *names[OGL_MAX_SUCCESSORS])
 {
-	struct ogl_best b = ogl_claim_best_other(sh);
+	struct ogl_candidate b = ogl_claim_top_candidate(sh);
 	size_t n = 0;
 
 	if (b.name != NULL) {
 		names[n++] = strdup(b.name);
-		struct ogl_best second = {
+		struct ogl_candidate second = {
 		    .m = b.m, .shard = sh->index, .skip = b.name};
-		ogl_member_each(b.m, better, &second);
+		ogl_member_each(b.m, consider_candidate, &second);
 		if (second.name != NULL)
 			names[n++] = strdup(second.name);
 	}
@@ -84,14 +85,14 @@
 {
 	Ogl__Record *r = ogl_shard_record(sh, now);
 	Ogl__Claim *c = malloc(sizeof *c);
-	char *names[OGL_NAMED];
+	char *names[OGL_MAX_SUCCESSORS];
 
 	ogl__claim__init(c);
 	c->prev_epoch = sh->state->epoch;
 	c->late = sh->state->epoch != 0 &&
-		  !ogl_right_successor(sh, sh->env->cfg->name);
+		  !ogl_right_is_successor(sh, sh->env->cfg->name);
 	c->n_successors = ogl_claim_successors(sh, names);
-	c->successors = calloc(OGL_NAMED, sizeof(char *));
+	c->successors = calloc(OGL_MAX_SUCCESSORS, sizeof(char *));
 	for (size_t i = 0; i < c->n_successors; i++)
 		c->successors[i] = names[i];
 	r->epoch = 0;
@@ -101,9 +102,9 @@
 	sh->claim_sent = true;
 }
 
-/* Whether the node that gossip names as owner is there and means to stay. */
+/* Whether the owner named by gossip is alive and does not offer the shard. */
 static bool
-owner_lives(const struct ogl_shard *sh)
+owner_stays(const struct ogl_shard *sh)
 {
 	return sh->known_owner != NULL && !sh->known_offered &&
 	       ogl_member_alive(sh->env->member, sh->known_owner);
@@ -114,39 +115,40 @@
 {
 	ogl_time grace = 3 * sh->env->cfg->probe_ms * OGL_MS;
 
-	if (owner_lives(sh)) {
+	if (owner_stays(sh)) {
 		sh->ownerless_since = 0;
 		return;
 	}
 	if (sh->ownerless_since == 0)
 		sh->ownerless_since = now;
-	/* Unknown, not dead: the news may be under way. */
+	/* The owner is unknown, not dead: gossip may not have arrived yet. */
 	if (sh->known_owner == NULL && now - sh->ownerless_since < grace)
 		return;
-	if (!sh->stopping && now >= sh->holding && we_are_best(sh))
+	if (!sh->stopping && now >= sh->no_claim_until && ranks_first(sh))
 		ogl_shard_start_reading(sh, now);
 }
 
-/* The owner wrote to the log after we had judged its node dead, and not long
- * ago: it lives, we are only cut off from it.  Were we to claim now, it would
- * do likewise, and the shard would go to and fro without ever doing its work
- * for as long as the two of us are apart. */
+/* Whether the owner wrote to the log recently and after this node took it for
+ * dead.  It is then alive and only unreachable from here.  If this node claimed
+ * the shard, the owner would claim it back, and the shard would change owners
+ * without doing any work for as long as the two cannot reach each other. */
 static bool
 wrote_since_death(
     const struct ogl_shard *sh, const struct ogl_peer *p, ogl_time now)
 {
-	/* A record's time is its writer's word: it may be any number. */
+	/* The time in a record is set by its writer and may have any value. */
 	uint64_t wrote = sh->state->owner_ms;
 	uint64_t at = (uint64_t)(now / OGL_MS);
 	uint64_t died = (uint64_t)(p->changed / OGL_MS);
 
 	return p->fact->state == OGL__MEMBER_FACT__STATE__dead &&
-	       wrote > died + SKEW_MS && wrote < at + CONTESTED_MS &&
-	       at < wrote + CONTESTED_MS;
+	       wrote > died + CLOCK_SKEW_MS && wrote < at + RECENT_WRITE_MS &&
+	       at < wrote + RECENT_WRITE_MS;
 }
 
-/* The log names a live owner that gossip does not know as such: it may just
- * have claimed, or have a claim whose answer it never got. */
+/* Whether the owner named by the log may be alive although gossip does not
+ * know it as the owner.  It may have claimed a moment ago, or have lost the
+ * answer to its claim. */
 static bool
 log_owner_may_live(const struct ogl_shard *sh, ogl_time now)
 {
@@ -159,7 +161,7 @@
 		return false;
 	if (wrote_since_death(sh, p, now))
 		return true;
-	return now - sh->ownerless_since < UNAWARE_MS * OGL_MS &&
+	return now - sh->ownerless_since < GOSSIP_WAIT_MS * OGL_MS &&
 	       p->fact->boot == sh->state->owner_boot &&
 	       p->fact->state == OGL__MEMBER_FACT__STATE__alive &&
 	       sh->state->epoch > sh->known_epoch;
@@ -168,29 +170,30 @@
 void
 ogl_claim_reader_tick(struct ogl_shard *sh, ogl_time now)
 {
-	/* A claim that is out may yet take effect: its fate comes first. */
-	if (!sh->claim_sent && owner_lives(sh) &&
+	/* A claim that was sent may still take effect, so the role is kept
+	 * until its outcome is known. */
+	if (!sh->claim_sent && owner_stays(sh) &&
 	    sh->known_epoch >= sh->state->epoch) {
 		ogl_shard_leave_role(sh, now);
 		return;
 	}
 	if (sh->claim_sent) {
-		/* Rival claim read first: ours no longer names the epoch. */
+		/* A rival claim came first, so ours names an old epoch. */
 		if (sh->state->epoch != 0 && !ogl_shard_still_owner(sh) &&
 		    ogl_stream_idle(sh->stream) &&
 		    ogl_stream_pending(sh->stream) == 0)
 			ogl_shard_leave_role(sh, now);
 		return;
 	}
-	if (!ogl_shard_log_up(sh, now) || now < sh->holding ||
+	if (!ogl_shard_log_up(sh, now) || now < sh->no_claim_until ||
 	    log_owner_may_live(sh, now))
 		return;
 	if (!sh->state->complete && ogl_stream_offset(sh->stream) > 0) {
 		ogl_shard_log(sh, OGL_LOG_ERROR,
 		    "no whole snapshot is retained, starting empty");
 		sh->state->complete = true;
-		/* Named in the claim, so that an owner who lives after all
-		 * sees that it is superseded. */
+		/* The claim names this epoch, so that an owner that is still
+		 * alive sees that it is superseded. */
 		sh->state->epoch = sh->state->guess_epoch;
 	}
 	send_claim(sh, now);
--- a/src/right.c
+++ b/src/right.c
@@ -1,10 +1,11 @@
 /*
- * An owner's right to act: to start tasks and to renew leases.
+ * An owner's right to act, that is, to start tasks and to renew leases.
  *
- * It ends right_ms after the last look at the log that showed no rival claim.
- * While the log does not answer, the owner asks every named successor not to
- * claim for a while, and goes on as long as all of them promise it; dated
- * back to when it asked, since an answer may have lain in a buffer.
+ * The right ends right_ms after the last read of the log that showed no rival
+ * claim.  While the log does not answer, the owner asks every named successor
+ * to promise not to claim for a while, and may act as long as all of them
+ * promise.  A promise counts from the time it was asked for, because its
+ * answer may have been delayed in a buffer.
  */
 
 #include <string.h>
@@ -12,9 +13,9 @@
 #include "shard_impl.h"
 
 enum {
-	PROMISE_EVERY_MS = 500,
-	PROMISE_AFTER_MS = 700, /* without contact so long, ask for promises */
-	LOG_UP_MS = 1500        /* contact within this time: the log is up */
+	PROMISE_EVERY_MS = 500, /* between two requests for promises */
+	PROMISE_AFTER_MS = 700, /* without log contact, before the first one */
+	LOG_UP_MS = 1500        /* the log is up if it answered within this */
 };
 
 bool
@@ -30,8 +31,8 @@
 	ogl_time contact = ogl_stream_current(sh->stream);
 	ogl_time until = contact + c->right_ms * OGL_MS;
 
-	/* Whoever is not named successor claims late, so where none is named
-	 * nobody need promise. */
+	/* A claimant that is not a named successor waits late_claim_ms, so no
+	 * promise is needed when no successor is named. */
 	if (sh->state->successors->len == 0)
 		until = contact + c->late_claim_ms * OGL_MS;
 	until = MAX(
@@ -40,7 +41,7 @@
 }
 
 bool
-ogl_right_successor(const struct ogl_shard *sh, const char *name)
+ogl_right_is_successor(const struct ogl_shard *sh, const char *name)
 {
 	for (guint i = 0; i < sh->state->successors->len; i++) {
 		const char *s = g_ptr_array_index(sh->state->successors, i);
@@ -64,24 +65,23 @@
 	pr.shard = sh->index;
 	pr.epoch = epoch;
 	pr.seq = seq;
-	pr.hold_ms = OGL_HOLD_MS;
+	pr.hold_ms = OGL_PROMISE_MS;
 	pr.given = given;
 	msg.body_case = OGL__PEER_MSG__BODY_PROMISE;
 	msg.promise = &pr;
 	ogl_member_send(sh->env->member, p->fact->addr, &msg, sh->env->out);
 }
 
-/* Asks every successor to hold still while the log does not answer us. */
 void
-ogl_right_ask(struct ogl_shard *sh, ogl_time now)
+ogl_right_ask_promises(struct ogl_shard *sh, ogl_time now)
 {
 	ogl_time age = now - ogl_stream_current(sh->stream);
 
-	if (age < PROMISE_AFTER_MS * OGL_MS || now < sh->promise_next)
+	if (age < PROMISE_AFTER_MS * OGL_MS || now < sh->next_promise_ask)
 		return;
-	sh->promise_next = now + PROMISE_EVERY_MS * OGL_MS;
+	sh->next_promise_ask = now + PROMISE_EVERY_MS * OGL_MS;
 	sh->promise_seq++;
-	sh->promise_sent = now;
+	sh->promise_asked_at = now;
 	for (guint i = 0; i < sh->state->successors->len; i++)
 		send_promise(sh, g_ptr_array_index(sh->state->successors, i),
 		    sh->state->epoch, sh->promise_seq, false);
@@ -91,21 +91,21 @@
 take_promise(struct ogl_shard *sh, const char *from, const Ogl__Promise *p)
 {
 	ogl_time *until;
-	ogl_time least = OGL_NEVER;
+	ogl_time earliest = OGL_NEVER;
 
 	if (p->epoch != sh->state->epoch || p->seq != sh->promise_seq ||
-	    !ogl_right_successor(sh, from))
+	    !ogl_right_is_successor(sh, from))
 		return;
 	until = g_new(ogl_time, 1);
-	*until = sh->promise_sent + p->hold_ms * OGL_MS;
+	*until = sh->promise_asked_at + p->hold_ms * OGL_MS;
 	g_hash_table_replace(sh->promises, g_strdup(from), until);
 	for (guint i = 0; i < sh->state->successors->len; i++) {
 		until = g_hash_table_lookup(
 		    sh->promises, g_ptr_array_index(sh->state->successors, i));
-		least = MIN(least, until != NULL ? *until : 0);
+		earliest = MIN(earliest, until != NULL ? *until : 0);
 	}
-	if (least != OGL_NEVER)
-		sh->promise_until = least;
+	if (earliest != OGL_NEVER)
+		sh->promise_until = earliest;
 }
 
 void
@@ -117,9 +117,9 @@
 			take_promise(sh, from, p);
 		return;
 	}
-	/* We cannot promise what we have sent already. */
+	/* A node whose claim is already sent can't promise not to claim. */
 	if (sh->role == OGL_ROLE_OWNER || sh->claim_sent)
 		return;
-	sh->holding = now + p->hold_ms * OGL_MS;
+	sh->no_claim_until = now + p->hold_ms * OGL_MS;
 	send_promise(sh, from, p->epoch, p->seq, true);
 }
--- a/src/shard.c
+++ b/src/shard.c
@@ -1,25 +1,26 @@
 /*
- * One shard: who owns it, and what its owner does.
+ * One shard: its ownership, and the work of its owner.
  *
  * Ownership.  Every node knows from gossip who owns a shard.  When that node
  * is dead, has left or offers the shard, the live node with the highest
  * rendezvous weight reads the shard's stream to its end and appends a claim
- * that names the epoch it found.  The first such claim in log order counts;
- * its claimant learns so by reading it back, and so does the old owner.
+ * that names the epoch it found.  The first such claim in log order is valid.
+ * The claimant and the old owner both learn this by reading it.
  *
- * Fencing.  The new owner contacts every worker recorded as in use under its
- * epoch.  One that answers will obey no older epoch and tells all it runs.
- * Tasks of jobs accepted before the claim are in limbo, that is, not started
- * anywhere, until each of these workers has answered or its leases are
- * surely over.  The old owner's right to act ends right_ms after it last saw
- * the end of the stream without a claim, so that is claimed_at + right_ms +
- * lease_ms and a margin.
+ * Fencing.  The new owner contacts, under its epoch, every worker recorded as
+ * in use.  A worker that answers obeys no older epoch from then on and reports
+ * all its tasks.  Until each of these workers has answered or its leases have
+ * certainly ended, the shard recovers: no waiting task of a job accepted
+ * before the claim is started.  The old owner's right to act ends right_ms
+ * after it last saw the end of the stream without a claim, so all leases have
+ * ended at claimed_at + right_ms + lease_ms plus a margin.
  *
- * Outage.  While the log is down nobody can claim, but an owner cannot tell
- * that from being cut off alone.  It may go on beyond right_ms as long as
- * every named successor promises not to claim; a claim by anybody else waits
- * out late_claim_ms before it trusts silent workers' leases to be over, and
- * no owner lives on promises longer than that after its last log contact.
+ * Log outage.  While the log is down nobody can claim, but an owner cannot
+ * tell this from a loss of its own connection.  It may act beyond right_ms as
+ * long as every named successor promises not to claim, yet never longer than
+ * late_claim_ms after its last log contact.  A claimant that is not a named
+ * successor therefore waits late_claim_ms instead of right_ms before it takes
+ * the leases of silent workers for ended.
  */
 
 #include <stdarg.h>
@@ -29,13 +30,14 @@
 #include "shard_impl.h"
 
 enum {
-	TOKEN_PART = 1,            /* top byte of a shard's tokens */
-	OWNER_POLL_MS = 300,       /* an owner looks for rival claims */
-	OFFER_POLL_MS = 50,        /* and more often once it offers the shard */
-	READER_POLL_MS = 100,      /* a claimant waits for its claim */
-	OUTRANKED_S = 10,          /* a better placed node must live so long */
-	HOPELESS_EVERY_MS = 10000, /* between looks for jobs past hope */
-	LIMITS_EVERY_MS = 250,
+	TOKEN_PART = 1, /* top byte of a shard's tokens */
+	/* Longest time between two reads of the stream: */
+	OWNER_POLL_MS = 300,  /* by an owner, to find rival claims */
+	OFFER_POLL_MS = 50,   /* by an owner that offers the shard */
+	READER_POLL_MS = 100, /* by a claimant */
+	OUTRANKED_MIN_S = 10, /* a higher-ranked node must be alive so long */
+	INFEASIBLE_EVERY_MS = 10000, /* between searches for infeasible jobs */
+	MAINTENANCE_EVERY_MS = 250,  /* limits, successors, rank, snapshot */
 };
 
 void
@@ -80,7 +82,6 @@
 	return sh;
 }
 
-/* Back to a node that has nothing to do with the shard. */
 void
 ogl_shard_leave_role(struct ogl_shard *sh, ogl_time now)
 {
@@ -161,9 +162,10 @@
 	ogl_stream_add(sh->stream, r, now);
 }
 
-/* Only ends of the task's own making tell something of its worker. */
+/* Reports a task's end to the placer, if the task ended by itself; only then
+ * does the end say something about the worker. */
 static void
-tell_placer(struct ogl_shard *sh, const struct ogl_job *j,
+report_to_placer(struct ogl_shard *sh, const struct ogl_job *j,
     const struct ogl_task *t, Ogl__TaskState state, ogl_time now)
 {
 	const struct ogl_session *s;
@@ -186,7 +188,7 @@
 
 	if (t->ending)
 		return;
-	tell_placer(sh, j, t, state, now);
+	report_to_placer(sh, j, t, state, now);
 	ogl_sched_unbind(sh, j, i,
 	    state == OGL__TASK_STATE__succeeded ||
 		state == OGL__TASK_STATE__stopped ||
@@ -205,7 +207,7 @@
 	ogl_shard_append(sh, r, now);
 }
 
-/* ---- what takes effect ------------------------------------------------ */
+/* ---- records that take effect ----------------------------------------- */
 
 static bool
 claim_is_ours(const struct ogl_shard *sh, const Ogl__Record *r)
@@ -215,20 +217,20 @@
 	return r->boot == c->boot && strcmp(r->writer, c->name) == 0;
 }
 
-/* The latest end of anything an earlier owner may still renew or start. */
+/* Latest time at which a lease given or renewed by an earlier owner ends. */
 static ogl_time
-limbo_end(const struct ogl_shard *sh, bool late, ogl_time now)
+recovery_deadline(const struct ogl_shard *sh, bool late, ogl_time now)
 {
 	const struct ogl_node_config *c = sh->env->cfg;
 	ogl_time right = (late ? c->late_claim_ms : c->right_ms) * OGL_MS;
 	ogl_time lease = c->lease_ms * OGL_MS;
 
-	right = MAX(right, OGL_HOLD_MS * OGL_MS);
+	right = MAX(right, OGL_PROMISE_MS * OGL_MS);
 	return now + right + lease + lease / 10 + OGL_SEC;
 }
 
 static void
-inherit_jobs(struct ogl_shard *sh)
+mark_inherited_jobs(struct ogl_shard *sh)
 {
 	GHashTableIter it;
 	void *v;
@@ -251,13 +253,13 @@
 	sh->claim_sent = false;
 	sh->claimed_at = now;
 	sh->limbo = true;
-	sh->limbo_until = limbo_end(sh, r->claim->late, now);
+	sh->limbo_until = recovery_deadline(sh, r->claim->late, now);
 	sh->outranked_since = 0;
 	sh->promise_until = 0;
-	sh->promise_next = 0;
-	/* Not a whole period later: with owners that change more often than
-	 * that nobody would ever write one, until retention had passed all
-	 * and the jobs were lost. */
+	sh->next_promise_ask = 0;
+	/* The first snapshot is due one second after the claim.  After a whole
+	 * period, no snapshot would be written while the owner changes more
+	 * often than that, and the jobs would be lost to log retention. */
 	sh->snapshot_at = now - c->snapshot_ms * OGL_MS + OGL_SEC;
 	sh->promises =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -266,7 +268,7 @@
 	ogl_shardcall_init(sh);
 	ogl_escrow_init(sh, now);
 	ogl_sched_settings(sh, now);
-	inherit_jobs(sh);
+	mark_inherited_jobs(sh);
 	ogl_sessions_hosts(sh, now);
 	ogl_stream_poll(sh->stream, OWNER_POLL_MS, now);
 	sh->env->counters->claims++;
@@ -282,11 +284,11 @@
 	       strcmp(sh->state->owner, sh->env->cfg->name) == 0;
 }
 
-/* Whether to act on what is read.  Once a rival claim has been read, all
- * that follows is the successor's: its intent for a request id that waits
- * here too must not send the request from here a second time. */
+/* Whether records that are read take effect here.  After a rival claim all
+ * records are the new owner's.  Its intent for a request id that also waits
+ * here must not make this node send the request a second time. */
 static bool
-acts(const struct ogl_shard *sh)
+is_current_owner(const struct ogl_shard *sh)
 {
 	return sh->role == OGL_ROLE_OWNER && ogl_shard_still_owner(sh);
 }
@@ -301,7 +303,8 @@
 			become_owner(sh, r, now);
 		return;
 	}
-	/* Superseded; the tick lets go, for we are inside the stream now. */
+	/* The role is left later: the stream can't be freed from within its
+	 * own callback. */
 	sh->env->counters->lost_shards++;
 	ogl_shard_log(sh, OGL_LOG_WARN, "taken over by %s", r->writer);
 }
@@ -311,8 +314,8 @@
 {
 	struct ogl_shard *sh = ctx;
 
-	if (acts(sh))
-		ogl_shardcall_job(sh, j, now);
+	if (is_current_owner(sh))
+		ogl_shardcall_job_accepted(sh, j, now);
 }
 
 static void
@@ -320,8 +323,8 @@
 {
 	struct ogl_shard *sh = ctx;
 
-	if (acts(sh))
-		ogl_shardcall_cancelled(sh, j, now);
+	if (is_current_owner(sh))
+		ogl_shardcall_job_cancelled(sh, j, now);
 }
 
 static void
@@ -333,7 +336,7 @@
 	const struct ogl_session *s;
 
 	(void)now;
-	if (!acts(sh))
+	if (!is_current_owner(sh))
 		return;
 	if (t->worker < sh->sessions->len && t->ending) {
 		s = g_ptr_array_index(sh->sessions, t->worker);
@@ -351,7 +354,7 @@
 {
 	struct ogl_shard *sh = ctx;
 
-	if (acts(sh))
+	if (is_current_owner(sh))
 		ogl_sched_intended(sh, j, i, attempt, now);
 }
 
@@ -360,8 +363,8 @@
 {
 	struct ogl_shard *sh = ctx;
 
-	if (acts(sh))
-		ogl_shardcall_referred(sh, r, now);
+	if (is_current_owner(sh))
+		ogl_shardcall_job_referred(sh, r, now);
 }
 
 static void
@@ -369,8 +372,8 @@
 {
 	struct ogl_shard *sh = ctx;
 
-	if (acts(sh))
-		ogl_shardcall_id(sh, r, now);
+	if (is_current_owner(sh))
+		ogl_shardcall_id_recorded(sh, r, now);
 }
 
 static void
@@ -378,7 +381,7 @@
 {
 	struct ogl_shard *sh = ctx;
 
-	if (acts(sh))
+	if (is_current_owner(sh))
 		ogl_session_worker(sh, name, on, now);
 }
 
@@ -387,7 +390,7 @@
 {
 	struct ogl_shard *sh = ctx;
 
-	if (acts(sh))
+	if (is_current_owner(sh))
 		ogl_escrow_recorded(sh, a, now);
 }
 
@@ -403,10 +406,10 @@
     .allot = hook_allot,
 };
 
-/* What we hold is no base to go on from.  A reader starts over; an owner for
- * whom this comes true is no owner any more. */
+/* Handles a state that later records can't be applied to.  A reader replaces
+ * it by `with`; an owner loses its ownership. */
 static void
-start_over(struct ogl_shard *sh, struct ogl_state *with)
+reset_state(struct ogl_shard *sh, struct ogl_state *with)
 {
 	if (sh->role == OGL_ROLE_OWNER) {
 		g_free(sh->state->owner);
@@ -426,17 +429,17 @@
 	if (ogl_state_stale(sh->state, r)) {
 		ogl_shard_log(sh, OGL_LOG_WARN,
 		    "the snapshot read was a superseded owner's");
-		start_over(sh, ogl_state_anew(r));
+		reset_state(sh, ogl_state_anew(r));
 	}
 	ogl_state_apply(sh->state, r, offset, &hooks, sh, now);
 }
 
-/* Retention passed what we had not read. */
+/* Log retention dropped records that had not been read. */
 static void
 on_gap(void *ctx, uint64_t first)
 {
 	(void)first;
-	start_over(ctx, ogl_state_new());
+	reset_state(ctx, ogl_state_new());
 }
 
 static const struct ogl_stream_ops stream_ops = {on_record, on_gap};
@@ -456,11 +459,11 @@
 
 /* ---- owning ----------------------------------------------------------- */
 
-/* A task whose start was recorded, that no worker names and none silent can
- * still run, has run to an end nobody saw or was never sent.  It must not run
- * twice, so it ends here, and its verdict says that it may have run. */
+/* Ends the tasks whose start was recorded but which no worker reports and no
+ * silent worker can still run.  Such a task ended unseen or was never sent.
+ * It must not run twice, so its verdict says that it may have run. */
 static void
-end_unknown_starts(struct ogl_shard *sh, struct ogl_job *j, ogl_time now)
+lapse_unknown_starts(struct ogl_shard *sh, struct ogl_job *j, ogl_time now)
 {
 	for (uint32_t i = 0; i < j->ntasks; i++) {
 		struct ogl_task *t = &j->tasks[i];
@@ -472,14 +475,14 @@
 }
 
 static void
-end_limbo(struct ogl_shard *sh, ogl_time now)
+end_recovery(struct ogl_shard *sh, ogl_time now)
 {
 	ogl_time right = sh->claimed_at + sh->env->cfg->right_ms * OGL_MS;
 	GHashTableIter it;
 	void *v;
 
-	/* A worker that restarts forgets our epoch and would obey the old
-	 * owner again, so its right must be over in any case. */
+	/* A worker that restarts forgets the new epoch and would obey the old
+	 * owner again, so the old owner's right to act must have ended too. */
 	if (now < right || (now < sh->limbo_until && ogl_sessions_unknown(sh)))
 		return;
 	sh->limbo = false;
@@ -487,37 +490,38 @@
 	g_hash_table_iter_init(&it, sh->state->jobs);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		if (((struct ogl_job *)v)->inherited)
-			end_unknown_starts(sh, v, now);
+			lapse_unknown_starts(sh, v, now);
 		ogl_sched_enqueue(sh, v, now);
 	}
 	ogl_shard_log(sh, OGL_LOG_INFO, "ready after %" G_GINT64_FORMAT " ms",
 	    (now - sh->claimed_at) / OGL_MS);
 }
 
-struct forget {
+struct prune_ctx {
 	struct ogl_shard *sh;
 	uint64_t before_ms;
 };
 
 static void
-forget_of_team(void *ctx, const char *team, const struct ogl_team_view *view)
+prune_team(void *ctx, const char *team, const struct ogl_team_view *view)
 {
-	struct forget *f = ctx;
+	struct prune_ctx *f = ctx;
 
 	ogl_state_keep_newest(
 	    f->sh->state, team, view->idle_keep_jobs, f->before_ms);
 }
 
-/* What nobody will ask for any more is left out of the snapshot. */
+/* Forgets jobs and request ids past their retention, so that the snapshot
+ * doesn't contain them. */
 static void
-forget_old(struct ogl_shard *sh, ogl_time now)
+prune_state(struct ogl_shard *sh, ogl_time now)
 {
 	uint64_t at_ms = (uint64_t)(now / OGL_MS);
 	uint32_t keep_ms = sh->env->cfg->id_keep_ms;
-	struct forget f = {sh, at_ms > keep_ms ? at_ms - keep_ms : 0};
+	struct prune_ctx f = {sh, at_ms > keep_ms ? at_ms - keep_ms : 0};
 
 	ogl_state_prune(sh->state, at_ms, keep_ms);
-	ogl_settings_each_team(sh->env->settings, forget_of_team, &f);
+	ogl_settings_each_team(sh->env->settings, prune_team, &f);
 }
 
 static void
@@ -533,7 +537,7 @@
 		return;
 	sh->snapshot_at = now;
 	sh->state->records = 0;
-	forget_old(sh, now);
+	prune_state(sh, now);
 	parts = ogl_state_snapshot(sh->state, (uint64_t)now);
 	for (guint i = parts->len; i > 0; i--) {
 		Ogl__Record *r = g_ptr_array_index(parts, i - 1);
@@ -545,12 +549,12 @@
 	g_ptr_array_free(parts, TRUE);
 }
 
-/* A successor that died is replaced in the list while the log is up, for in
- * an outage it could not promise anything. */
+/* Replaces successors that died.  This is done while the log is up, since in
+ * an outage a dead successor could not promise anything. */
 static void
 renew_successors(struct ogl_shard *sh, ogl_time now)
 {
-	char *names[OGL_NAMED];
+	char *names[OGL_MAX_SUCCESSORS];
 	size_t n;
 	bool same;
 	Ogl__Record *r;
@@ -560,7 +564,7 @@
 	n = ogl_claim_successors(sh, names);
 	same = n == sh->state->successors->len;
 	for (size_t i = 0; same && i < n; i++)
-		same = ogl_right_successor(sh, names[i]);
+		same = ogl_right_is_successor(sh, names[i]);
 	if (same) {
 		for (size_t i = 0; i < n; i++)
 			free(names[i]);
@@ -570,22 +574,22 @@
 	r->body_case = OGL__RECORD__BODY_SUCCESSORS;
 	r->successors = malloc(sizeof *r->successors);
 	ogl__successors__init(r->successors);
-	r->successors->nodes = calloc(OGL_NAMED, sizeof(char *));
+	r->successors->nodes = calloc(OGL_MAX_SUCCESSORS, sizeof(char *));
 	for (size_t i = 0; i < n; i++)
 		r->successors->nodes[i] = names[i];
 	r->successors->n_nodes = n;
 	ogl_shard_append(sh, r, now);
 }
 
-/* Offers the shard to a node that should own it and has lived for a while. */
+/* Offers the shard once a higher-ranked node has been alive long enough. */
 static void
-watch_rank(struct ogl_shard *sh, ogl_time now)
+update_outranked(struct ogl_shard *sh, ogl_time now)
 {
-	struct ogl_best b = ogl_claim_best_other(sh);
+	struct ogl_candidate b = ogl_claim_top_candidate(sh);
 	bool outranked =
 	    b.name != NULL &&
 	    b.rank > ogl_member_rank(b.m, sh->env->cfg->name, sh->index) &&
-	    now - b.changed >= OUTRANKED_S * OGL_SEC;
+	    now - b.changed >= OUTRANKED_MIN_S * OGL_SEC;
 	bool before = sh->outranked_since != 0;
 
 	if (outranked != before) {
@@ -609,21 +613,21 @@
 owner_tick(struct ogl_shard *sh, ogl_time now)
 {
 	requeue_jobs(sh, now);
-	ogl_right_ask(sh, now);
+	ogl_right_ask_promises(sh, now);
 	ogl_sessions_tick(sh, now);
 	if (sh->limbo)
-		end_limbo(sh, now);
+		end_recovery(sh, now);
 	ogl_escrow_tick(sh, now);
-	if (now >= sh->next_limits) {
-		sh->next_limits = now + LIMITS_EVERY_MS * OGL_MS;
+	if (now >= sh->next_maintenance) {
+		sh->next_maintenance = now + MAINTENANCE_EVERY_MS * OGL_MS;
 		ogl_sched_limits(sh, now);
 		renew_successors(sh, now);
-		watch_rank(sh, now);
+		update_outranked(sh, now);
 		write_snapshot(sh, now);
 	}
-	if (now >= sh->next_hopeless) {
-		sh->next_hopeless = now + HOPELESS_EVERY_MS * OGL_MS;
-		ogl_shardcall_hopeless(sh, now);
+	if (now >= sh->next_infeasible) {
+		sh->next_infeasible = now + INFEASIBLE_EVERY_MS * OGL_MS;
+		ogl_shardcall_cancel_infeasible(sh, now);
 	}
 	if (sh->place_due && ogl_shard_may_act(sh, now)) {
 		ogl_sched_place(sh, now);
@@ -656,7 +660,7 @@
 	if (sh->stream != NULL)
 		t = MIN(t, ogl_stream_next(sh->stream));
 	if (sh->role == OGL_ROLE_OWNER) {
-		t = MIN(t, sh->next_limits);
+		t = MIN(t, sh->next_maintenance);
 		t = MIN(t, ogl_escrow_next(sh));
 		t = MIN(t, ogl_sessions_next(sh));
 		t = MIN(t, ogl_sched_lend_next(sh));
--- a/src/shard_impl.h
+++ b/src/shard_impl.h
@@ -1,5 +1,4 @@
-/* Inside of a shard, shared by shard.c, session.c, sched.c, shardcall.c and
- * escrow.c; nobody else includes it. */
+/* Internals of a shard, for the files of src/ that implement it only. */
 
 #ifndef OGL_SHARD_IMPL_H
 #define OGL_SHARD_IMPL_H
@@ -9,55 +8,55 @@
 #include "stream.h"
 
 enum {
-	OGL_SYNC_TIMEOUT_MS = 1000, /* for one message to a worker */
-	OGL_START_MS = 3000,        /* a start command is good for so long */
-	OGL_SYNC_GAP_MS = 20,       /* shortest time between two syncs */
-	OGL_SYNC_TASKS = 200        /* starts and acks in one sync at most */
+	OGL_SYNC_TIMEOUT_MS = 1000, /* for the answer to one sync */
+	OGL_START_MS = 3000,        /* a start command is valid this long */
+	OGL_SYNC_GAP_MS = 20,       /* least time between two syncs */
+	OGL_SYNC_TASKS = 200        /* most starts and acks in one sync */
 };
 
-/* One task, named without its string. */
+/* Reference to one task of a job. */
 struct ogl_tref {
 	struct ogl_job *job;
 	uint32_t index;
 };
 
-/* One worker as the owner knows it. */
+/* The owner's connection to one worker. */
 struct ogl_session {
 	char *name;
 	char *addr;
 	char *zone;
 	char *rack;
-	uint32_t number; /* in sh->sessions */
-	uint32_t place;  /* in sh->placer; valid when placed */
-	bool placed;     /* the placer knows it */
+	uint32_t number; /* index in sh->sessions */
+	uint32_t place;  /* index in sh->placer, valid when placed */
+	bool placed;     /* the placer has an entry for it */
 	bool on;         /* recorded as in use, so starts are allowed */
-	bool asked_on;   /* the record is on its way */
-	bool known;      /* it told all it runs, in this epoch */
-	bool want_full;  /* ask for a full report next */
+	bool asked_on;   /* the record of its use is not confirmed yet */
+	bool known;      /* it reported all its tasks in this epoch */
+	bool want_full;  /* the next sync asks for a full report */
 	bool leaving;
-	bool says_leaving; /* by its own newest report */
-	bool gone;         /* no list names it and nothing is left there */
+	bool says_leaving; /* according to its newest report */
+	bool gone;         /* not in the host list, and no task left */
 	uint64_t boot;
-	uint64_t clock_ms;  /* its clock, as last told */
-	ogl_time clock_at;  /* when that was received */
-	ogl_time lease_end; /* latest end of any lease we gave, our clock */
-	ogl_time heard;     /* last answer */
+	uint64_t clock_ms;  /* the worker's clock as last reported */
+	ogl_time clock_at;  /* when clock_ms was received */
+	ogl_time lease_end; /* latest end of its leases by our clock */
+	ogl_time heard;     /* time of its last answer */
 	ogl_time next_sync;
 	ogl_time sent_at;
-	uint64_t token; /* of the sync under way, 0 none */
+	uint64_t token; /* of the sync in progress, 0 for none */
 	uint64_t seq;
 	uint32_t fails;
-	GPtrArray *tasks; /* struct ogl_tref *, bound here */
-	GPtrArray *stops; /* Ogl__TaskStop *, to be sent until obeyed */
-	GPtrArray *acks;  /* Ogl__TaskAck *, to be sent once */
+	GPtrArray *tasks; /* struct ogl_tref *, tasks bound to the worker */
+	GPtrArray *stops; /* Ogl__TaskStop *, sent until the task stops */
+	GPtrArray *acks;  /* Ogl__TaskAck *, sent once */
 	struct ogl_res capacity;
 	struct ogl_res used; /* as last reported */
 };
 
-/* Work in the queue. */
+/* The task or gang behind one entry of the queue. */
 struct ogl_work_ref {
 	struct ogl_job *job;
-	uint32_t index; /* first task; a gang means all that wait */
+	uint32_t index; /* the task; for a gang its first waiting task */
 };
 
 struct ogl_shard {
@@ -66,27 +65,28 @@
 	enum ogl_role role;
 	bool stopping;
 
-	/* Gossip's view. */
+	/* Ownership as known from gossip. */
 	char *known_owner;
 	uint64_t known_epoch;
 	bool known_offered;
-	ogl_time ownerless_since; /* 0 while an owner is known to live */
-	ogl_time outranked_since; /* owner: a better placed node lives */
+	ogl_time ownerless_since; /* 0 while the known owner is alive */
+	ogl_time outranked_since; /* since when a higher-ranked node is alive,
+				     0 for none; owner only */
 
 	struct ogl_stream *stream;
 	struct ogl_state *state;
 	bool claim_sent;
 
-	/* Owner's. */
+	/* The owner's state. */
 	ogl_time claimed_at;
-	ogl_time limbo_until; /* older leases are over by then at the latest */
-	bool limbo;           /* some worker in use has not told its tasks */
-	ogl_time promise_until;
-	ogl_time promise_next;
-	GHashTable *promises; /* successor -> ogl_time *, promised until */
+	ogl_time limbo_until; /* all earlier leases have ended by then */
+	bool limbo; /* tasks of earlier owners may run unknown to us */
+	ogl_time promise_until; /* every successor promised up to then */
+	ogl_time next_promise_ask;
+	GHashTable *promises; /* successor -> ogl_time *, end of its promise */
 	uint64_t promise_seq;
-	ogl_time promise_sent;
-	ogl_time holding; /* as a successor: we promised until then */
+	ogl_time promise_asked_at;
+	ogl_time no_claim_until; /* end of our own promise, as a successor */
 	ogl_time snapshot_at;
 	uint32_t next_job;
 	uint64_t next_work;
@@ -95,25 +95,26 @@
 	struct ogl_place *placer;
 	struct ogl_queue *queue;
 	struct ogl_lend *lend;
-	GArray *missed;        /* uint64_t, work that found no room, by turn */
-	GPtrArray *sessions;   /* struct ogl_session, by number */
-	GPtrArray *by_place;   /* struct ogl_session, by placer's number */
-	GHashTable *by_worker; /* name -> struct ogl_session */
-	GHashTable *by_token;  /* token -> struct ogl_session */
-	GHashTable *works;     /* number -> struct ogl_work_ref */
-	GHashTable *held;      /* team path -> uint64_t * tasks placed */
-	GHashTable *submits;   /* job id -> GArray of waiters */
-	GHashTable *pending_ids; /* request key -> job id, on its way */
+	GArray *missed; /* uint64_t, work that didn't fit, in queue order */
+	GPtrArray *sessions;     /* struct ogl_session, by number */
+	GPtrArray *by_place;     /* struct ogl_session, by index in placer */
+	GHashTable *by_worker;   /* name -> struct ogl_session */
+	GHashTable *by_token;    /* token -> struct ogl_session */
+	GHashTable *works;       /* number -> struct ogl_work_ref */
+	GHashTable *held;        /* team path -> uint64_t *, tasks placed */
+	GHashTable *submits;     /* job id -> GArray of waiters */
+	GHashTable *pending_ids; /* request key -> id of a job that is not
+				    on the log yet */
 	GHashTable *referrals;   /* request key -> GArray of waiters */
 	GHashTable *cancels;     /* job id -> GArray of waiters */
-	GHashTable *flights;     /* request id -> struct ogl_flight */
+	GHashTable *inflight;    /* request id -> struct ogl_inflight */
 	struct ogl_escrow *escrow;
 	ogl_time next_hosts;
-	ogl_time sessions_due; /* no session has anything to do before */
-	ogl_time next_limits;
-	ogl_time next_hopeless;
-	bool place_due;     /* something changed: try to place */
-	GPtrArray *requeue; /* jobs with tasks that may wait again */
+	ogl_time sessions_due; /* no session has work before this time */
+	ogl_time next_maintenance;
+	ogl_time next_infeasible;
+	bool place_due;     /* placement is to be tried again */
+	GPtrArray *requeue; /* jobs that may have tasks to queue again */
 	uint64_t nplaced;
 };
 
@@ -136,30 +137,31 @@
 void ogl_session_ack(struct ogl_shard *sh, const char *worker, const char *job,
     uint32_t index, uint32_t attempt);
 bool ogl_sessions_unknown(const struct ogl_shard *sh);
+/* Whether some worker in use has not reported its tasks in this epoch. */
 
 /* ---- sched.c ---------------------------------------------------------- */
 
 void ogl_sched_init(struct ogl_shard *sh);
 void ogl_sched_end(struct ogl_shard *sh);
 void ogl_sched_place(struct ogl_shard *sh, ogl_time now);
-/* Starts what can start. */
+/* Starts queued work that fits on a worker and within the limits. */
 void ogl_sched_enqueue(struct ogl_shard *sh, struct ogl_job *j, ogl_time now);
-/* Queues what waits and is not queued. */
+/* Queues the job's waiting tasks that are not queued yet. */
 void ogl_sched_unqueue(struct ogl_shard *sh, struct ogl_job *j);
 bool ogl_sched_bind(struct ogl_shard *sh, struct ogl_session *s,
     struct ogl_job *j, uint32_t i, uint32_t attempt, ogl_time now);
-/* A task was found running on a worker. */
+/* Binds a task that was found running on a worker to that worker. */
 void ogl_sched_unbind(
     struct ogl_shard *sh, struct ogl_job *j, uint32_t i, bool ok, ogl_time now);
-/* It no longer runs there. */
+/* Undoes the binding of a task that no longer runs. */
 void ogl_sched_intended(struct ogl_shard *sh, struct ogl_job *j, uint32_t i,
     uint32_t attempt, ogl_time now);
-/* The record that a task is about to start has taken effect. */
+/* Called when the intent to start a task has taken effect on the log. */
 void ogl_sched_stop_job(
     struct ogl_shard *sh, struct ogl_job *j, Ogl__StopMode mode, ogl_time now);
 void ogl_sched_settings(struct ogl_shard *sh, ogl_time now);
 void ogl_sched_limits(struct ogl_shard *sh, ogl_time now);
-/* Stops what is above a lowered limit. */
+/* Stops tasks of teams that are above a lowered limit. */
 uint64_t ogl_sched_held(const struct ogl_shard *sh, const char *team);
 void ogl_sched_stop_task(struct ogl_shard *sh, struct ogl_job *j, uint32_t i,
     Ogl__StopMode mode, ogl_time now);
@@ -168,7 +170,7 @@
 /* ---- sched_lend.c ----------------------------------------------------- */
 
 void ogl_sched_lend(struct ogl_shard *sh, ogl_time now);
-/* Takes lent room back where a team lacks its share. */
+/* Preempts tasks on lent capacity when a team lacks its share. */
 ogl_time ogl_sched_lend_next(const struct ogl_shard *sh);
 bool ogl_sched_was_taken(
     const struct ogl_shard *sh, const struct ogl_job *j, uint32_t i);
@@ -177,14 +179,16 @@
 
 void ogl_shardcall_init(struct ogl_shard *sh);
 void ogl_shardcall_end(struct ogl_shard *sh, ogl_time now);
-/* Gives every waiter its final answer: the shard is lost. */
-void ogl_shardcall_job(struct ogl_shard *sh, struct ogl_job *j, ogl_time now);
-void ogl_shardcall_cancelled(
+/* Answers every waiter, since the node no longer owns the shard. */
+void ogl_shardcall_job_accepted(
     struct ogl_shard *sh, struct ogl_job *j, ogl_time now);
-void ogl_shardcall_hopeless(struct ogl_shard *sh, ogl_time now);
-void ogl_shardcall_referred(
+void ogl_shardcall_job_cancelled(
+    struct ogl_shard *sh, struct ogl_job *j, ogl_time now);
+void ogl_shardcall_cancel_infeasible(struct ogl_shard *sh, ogl_time now);
+void ogl_shardcall_job_referred(
     struct ogl_shard *sh, const Ogl__JobReferred *r, ogl_time now);
-void ogl_shardcall_id(struct ogl_shard *sh, struct ogl_idrec *r, ogl_time now);
+void ogl_shardcall_id_recorded(
+    struct ogl_shard *sh, struct ogl_idrec *r, ogl_time now);
 
 /* ---- escrow.c --------------------------------------------------------- */
 
@@ -193,10 +197,10 @@
 void ogl_escrow_tick(struct ogl_shard *sh, ogl_time now);
 ogl_time ogl_escrow_next(const struct ogl_shard *sh);
 uint64_t ogl_escrow_allowed(const struct ogl_shard *sh, const char *team);
-/* Most tasks of the team (its subteams included) that this shard may have
- * placed now; UINT64_MAX without a limit. */
+/* Returns how many tasks of the team, its subteams included, this shard may
+ * have placed now; UINT64_MAX without a limit. */
 void ogl_escrow_want(struct ogl_shard *sh, const char *team, uint64_t tasks);
-/* The team could use so many more than allowed. */
+/* Notes that the team could use so many tasks more than it is allowed. */
 void ogl_escrow_recorded(
     struct ogl_shard *sh, const Ogl__Allot *a, ogl_time now);
 void ogl_escrow_msg(
@@ -204,30 +208,34 @@
 
 /* ---- right.c ---------------------------------------------------------- */
 
-#define OGL_HOLD_MS 3000 /* a promise not to claim lasts so long */
+#define OGL_PROMISE_MS 3000 /* duration of a promise not to claim */
 
-bool ogl_right_successor(const struct ogl_shard *sh, const char *name);
-/* The claim in force names it as successor. */
-void ogl_right_ask(struct ogl_shard *sh, ogl_time now);
-/* Asks the successors for promises when the log has been silent. */
+bool ogl_right_is_successor(const struct ogl_shard *sh, const char *name);
+/* Whether the owner's records name the node as a successor. */
+void ogl_right_ask_promises(struct ogl_shard *sh, ogl_time now);
+/* Asks the successors for promises while the log doesn't answer. */
 
 /* ---- claim.c ---------------------------------------------------------- */
 
-#define OGL_NAMED 2 /* successors named */
+#define OGL_MAX_SUCCESSORS 2 /* named by a claim */
 
-struct ogl_best {
+/* Search for the highest-ranked node other than this one. */
+struct ogl_candidate {
 	const struct ogl_member *m;
 	uint32_t shard;
-	const char *skip; /* leave out this node */
-	const char *name;
+	const char *skip; /* node to leave out, NULL for none */
+	const char *name; /* highest-ranked node so far, NULL for none */
 	uint64_t rank;
-	ogl_time changed;
+	ogl_time changed; /* when its membership state last changed */
 };
 
-struct ogl_best ogl_claim_best_other(const struct ogl_shard *sh);
-/* The best placed of the other live nodes; name NULL when there is none. */
-size_t ogl_claim_successors(const struct ogl_shard *sh, char *names[OGL_NAMED]);
-/* The best placed live nodes besides ourselves; free each name. */
+struct ogl_candidate ogl_claim_top_candidate(const struct ogl_shard *sh);
+/* Returns the highest-ranked of the other live nodes; its name is NULL when
+ * there is none. */
+size_t ogl_claim_successors(
+    const struct ogl_shard *sh, char *names[OGL_MAX_SUCCESSORS]);
+/* Stores the highest-ranked of the other live nodes in names and returns
+ * their number.  The caller frees each name. */
 void ogl_claim_none_tick(struct ogl_shard *sh, ogl_time now);
 void ogl_claim_reader_tick(struct ogl_shard *sh, ogl_time now);
 
@@ -235,19 +243,20 @@
 
 void ogl_shard_start_reading(struct ogl_shard *sh, ogl_time now);
 void ogl_shard_leave_role(struct ogl_shard *sh, ogl_time now);
-/* Back to a node that has nothing to do with the shard. */
+/* Returns to OGL_ROLE_NONE and frees what the role held. */
 bool ogl_shard_still_owner(const struct ogl_shard *sh);
-/* The claim in force, as far as read, is our own. */
+/* Whether the newest valid claim that was read is this node's. */
 Ogl__Record *ogl_shard_record(struct ogl_shard *sh, ogl_time now);
-/* An empty record under our epoch; pass it to ogl_shard_append. */
+/* Returns an empty record under the current epoch, for ogl_shard_append. */
 void ogl_shard_append(struct ogl_shard *sh, Ogl__Record *r, ogl_time now);
 bool ogl_shard_may_act(const struct ogl_shard *sh, ogl_time now);
-/* We may start tasks and renew leases: no other owner can have waited out
- * our right. */
+/* Whether this owner may start tasks and renew leases, because no later
+ * owner can have waited out its right to act. */
 bool ogl_shard_log_up(const struct ogl_shard *sh, ogl_time now);
+/* Whether the log answered a short time ago. */
 void ogl_shard_task_end(struct ogl_shard *sh, struct ogl_job *j, uint32_t i,
     Ogl__TaskState state, const char *reason, ogl_time now);
-/* Puts a placed task's end on its way to the log. */
+/* Unbinds a task and appends the record of its end to the log. */
 void ogl_shard_log(struct ogl_shard *sh, enum ogl_log_level level,
     const char *fmt, ...) G_GNUC_PRINTF(3, 4);
 
--- a/src/shardcall.c
+++ b/src/shardcall.c
@@ -1,23 +1,22 @@
 /*
- * What a shard's owner answers to callers, directly or through the node they
- * asked.
+ * Calls to the owner of a shard, made directly or through another node.
  *
- * A job is accepted once its record has taken effect on the log; only then
- * does its submitter hear so.  A submitter's request id is remembered with
- * the job: the same id again gives the same job.
+ * A job is accepted, and its submitter answered, once the job's record has
+ * taken effect on the log.  The submitter's request id is kept with the job:
+ * a repeated submission under the same id gives the same job.
  *
  * A submission under the caller's own id goes first to the shard that the id
- * belongs to, its home.  The asked node suggests a shard with room; the home
- * records which shard the id is referred to, and answers with it.  The same
- * id again is referred to the same shard, whatever is suggested, until that
- * shard has said that it can never run the job.  So one id gives one job, and
- * yet jobs go where there is room.
+ * belongs to, its home.  The node that took the call suggests a shard with
+ * room.  The home records the shard that the id is referred to and answers
+ * with it.  A repeated submission is referred to the same shard, whatever is
+ * suggested, until that shard refuses the job because it can never run it.
+ * So one id gives one job, and jobs still go to shards with room.
  *
  * A short request that must not run twice is recorded as an intent before it
- * is sent to an executor, and its outcome afterwards.  The same id again
- * gets the recorded outcome, joins the flight under way, or, when an earlier
- * owner wrote the intent and no outcome is known, hears that it may have
- * run.  It is never sent a second time.
+ * is sent to an executor, and its outcome is recorded afterwards.  A repeated
+ * request gets the recorded outcome, or waits for the one in flight.  When an
+ * earlier owner recorded the intent and no outcome is known, the answer is
+ * that the request may have run.  It is never sent a second time.
  */
 
 #include <stdlib.h>
@@ -27,19 +26,19 @@
 #include "shard_impl.h"
 
 enum {
-	MOST_TASKS = 10000,    /* tasks in one job */
-	MOST_WAITING = 200000, /* work waiting in one shard */
-	RETRY_OWNER_MS = 300,  /* come back when an owner may be there */
-	RETRY_LOG_MS = 1000,   /* come back when the log may be up */
-	RETRY_FULL_MS = 5000,
-	HOPELESS_S = 60,  /* without any worker that could hold it */
-	UNHEARD_FAILS = 3 /* a worker silent so often is not waited for */
+	MAX_JOB_TASKS = 10000,
+	MAX_QUEUED_WORK = 200000, /* length of a shard's queue */
+	RETRY_OWNER_MS = 300,     /* the shard may have a ready owner by then */
+	RETRY_LOG_MS = 1000,      /* the log may be up again by then */
+	RETRY_FULL_MS = 5000,     /* the queue may be shorter by then */
+	INFEASIBLE_MIN_S = 60, /* a job infeasible for so long is cancelled */
+	UNRESPONSIVE_FAILS = 3 /* failed syncs: don't wait for the worker */
 };
 
-#define REFUSED_HERE "it can never run: its shard refused it for good"
+#define REFUSED_ERROR "it can never run: its shard refused it for good"
 
-/* A short request on its way, by its id. */
-struct ogl_flight {
+/* A short request in flight; its id is the key. */
+struct ogl_inflight {
 	char *id;
 	char *team;
 	char *work_kind;
@@ -50,9 +49,9 @@
 };
 
 static void
-flight_free(void *v)
+inflight_free(void *v)
 {
-	struct ogl_flight *f = v;
+	struct ogl_inflight *f = v;
 
 	g_free(f->id);
 	g_free(f->team);
@@ -79,8 +78,8 @@
 	    g_str_hash, g_str_equal, g_free, waiters_free);
 	sh->cancels = g_hash_table_new_full(
 	    g_str_hash, g_str_equal, g_free, waiters_free);
-	sh->flights =
-	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, flight_free);
+	sh->inflight =
+	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, inflight_free);
 }
 
 /* ---- replies ---------------------------------------------------------- */
@@ -207,9 +206,9 @@
 	refuse_table(sh, sh->submits, error);
 	refuse_table(sh, sh->cancels, error);
 	refuse_table(sh, sh->referrals, error);
-	g_hash_table_iter_init(&it, sh->flights);
+	g_hash_table_iter_init(&it, sh->inflight);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		struct ogl_flight *f = v;
+		struct ogl_inflight *f = v;
 
 		refuse_all(sh, f->waiters,
 		    f->sent ? OGL_MAY_HAVE_RUN : OGL_NOT_RUN, error);
@@ -218,7 +217,7 @@
 	g_clear_pointer(&sh->pending_ids, g_hash_table_destroy);
 	g_clear_pointer(&sh->cancels, g_hash_table_destroy);
 	g_clear_pointer(&sh->referrals, g_hash_table_destroy);
-	g_clear_pointer(&sh->flights, g_hash_table_destroy);
+	g_clear_pointer(&sh->inflight, g_hash_table_destroy);
 }
 
 static void
@@ -247,26 +246,26 @@
 	g_hash_table_iter_init(&it, sh->referrals);
 	while (g_hash_table_iter_next(&it, NULL, &v))
 		drop_waiter(v, waiter);
-	g_hash_table_iter_init(&it, sh->flights);
+	g_hash_table_iter_init(&it, sh->inflight);
 	while (g_hash_table_iter_next(&it, NULL, &v))
-		drop_waiter(((struct ogl_flight *)v)->waiters, waiter);
+		drop_waiter(((struct ogl_inflight *)v)->waiters, waiter);
 }
 
 /* ---- jobs ------------------------------------------------------------- */
 
-/* Why the job could never run here, NULL when it could. */
+/* Returns why this shard's workers can never run the job, or NULL. */
 static const char *
-never_reason(struct ogl_shard *sh, const Ogl__Submit *s)
+infeasible_reason(struct ogl_shard *sh, const Ogl__Submit *s)
 {
 	struct ogl_ask ask = {.kind = s->kind};
-	uint32_t together = s->kind == OGL__KIND__gang ? s->tasks : 1;
+	uint32_t tasks_at_once = s->kind == OGL__KIND__gang ? s->tasks : 1;
 
 	if (s->res != NULL) {
 		ask.res.cpu_milli = s->res->cpu_milli;
 		ask.res.mem_mb = s->res->mem_mb;
 		ask.res.accel = s->res->accel;
 	}
-	switch (ogl_place_never(sh->placer, &ask, together)) {
+	switch (ogl_place_never(sh->placer, &ask, tasks_at_once)) {
 	case OGL_NEVER_NO_WORKER:
 		return "it can never run: no worker is large enough for "
 		       "one task";
@@ -279,6 +278,7 @@
 	}
 }
 
+/* Returns why the team's limit never lets the job run, or NULL. */
 static const char *
 limit_reason(struct ogl_shard *sh, const char *team, const Ogl__Submit *s)
 {
@@ -317,7 +317,8 @@
 		g_free(id);
 }
 
-/* Whether the id is known: answers from the job, or joins its submitters. */
+/* Returns whether the id has a job, or one that is not on the log yet, and if
+ * so answers the waiter, now or with the other submitters. */
 static bool
 known_request(struct ogl_shard *sh, const char *team, const char *request_id,
     uint64_t waiter)
@@ -349,7 +350,7 @@
 }
 
 void
-ogl_shardcall_referred(
+ogl_shardcall_job_referred(
     struct ogl_shard *sh, const Ogl__JobReferred *r, ogl_time now)
 {
 	GArray *w = g_hash_table_lookup(sh->referrals, r->request);
@@ -359,7 +360,7 @@
 		uint64_t waiter = g_array_index(w, uint64_t, i);
 
 		if (r->refused)
-			refuse(sh, waiter, 422, OGL_NOT_RUN, 0, REFUSED_HERE);
+			refuse(sh, waiter, 422, OGL_NOT_RUN, 0, REFUSED_ERROR);
 		else
 			reply_referral(sh, waiter, r->shard);
 	}
@@ -382,7 +383,8 @@
 	ogl_shard_append(sh, r, now);
 }
 
-/* Whether the submission belongs to another shard, or will in a moment. */
+/* Returns whether the submission is referred to another shard, and if so
+ * answers the waiter, now or once the referral is on the log. */
 static bool
 refer(struct ogl_shard *sh, const struct ogl_ask_call *c, const char *id,
     ogl_time now)
@@ -410,10 +412,11 @@
 }
 
 /*
- * Whether this shard has refused the id before.  Its refusal must stand: the
- * home has referred the id to another shard since, and a second caller may
- * still come by the first referral.  Were the job taken here after all, say
- * because a larger worker has come, one id would give two jobs.
+ * Returns whether this shard refused the id earlier, and if so answers the
+ * waiter.  The refusal is permanent.  The home may have referred the id to
+ * another shard since, while a second caller still follows the first referral.
+ * If the job were accepted here now, for example because a larger worker was
+ * added, one id would give two jobs.
  */
 static bool
 refused_before(
@@ -430,16 +433,17 @@
 	if (g_hash_table_contains(sh->referrals, key))
 		add_waiter(sh->referrals, key, c->waiter);
 	else if (r != NULL && r->refused)
-		refuse(sh, c->waiter, 422, OGL_NOT_RUN, 0, REFUSED_HERE);
+		refuse(sh, c->waiter, 422, OGL_NOT_RUN, 0, REFUSED_ERROR);
 	else
 		yes = false;
 	g_free(key);
 	return yes;
 }
 
-/* Answers once the refusal is on the log. */
+/* Records a permanent refusal.  The waiter is answered once it is on the
+ * log. */
 static void
-refuse_for_good(struct ogl_shard *sh, const struct ogl_ask_call *c,
+record_refusal(struct ogl_shard *sh, const struct ogl_ask_call *c,
     const char *id, ogl_time now)
 {
 	char *key = ogl_request_key(c->team, id);
@@ -449,9 +453,9 @@
 	g_free(key);
 }
 
-/* Whether something may yet turn up that the job would fit. */
+/* Whether workers that might fit a job have not reported yet. */
 static bool
-workers_unsettled(const struct ogl_shard *sh)
+workers_unreported(const struct ogl_shard *sh)
 {
 	if (sh->limbo)
 		return true;
@@ -459,7 +463,7 @@
 		const struct ogl_session *s =
 		    g_ptr_array_index(sh->sessions, i);
 
-		if (!s->known && !s->gone && s->fails < UNHEARD_FAILS)
+		if (!s->known && !s->gone && s->fails < UNRESPONSIVE_FAILS)
 			return true;
 	}
 	return false;
@@ -473,7 +477,7 @@
 	    &ogl__submit__descriptor, c->body, faults);
 	const char *why = NULL;
 
-	if (s == NULL || s->tasks == 0 || s->tasks > MOST_TASKS ||
+	if (s == NULL || s->tasks == 0 || s->tasks > MAX_JOB_TASKS ||
 	    s->kind == OGL__KIND__request) {
 		refuse(sh, c->waiter, 422, OGL_NOT_RUN, 0, "not a job");
 		goto out;
@@ -488,19 +492,19 @@
 	if (refer(sh, c, s->request_id, now) ||
 	    refused_before(sh, c, s->request_id))
 		goto out;
-	if (ogl_queue_length(sh->queue) > MOST_WAITING) {
+	if (ogl_queue_length(sh->queue) > MAX_QUEUED_WORK) {
 		refuse(sh, c->waiter, 503, OGL_NOT_RUN, RETRY_FULL_MS,
 		    "too much work waits already");
 		goto out;
 	}
 	why = limit_reason(sh, c->team, s);
 	if (why == NULL)
-		why = never_reason(sh, s);
-	if (why != NULL && workers_unsettled(sh))
+		why = infeasible_reason(sh, s);
+	if (why != NULL && workers_unreported(sh))
 		refuse(sh, c->waiter, 503, OGL_NOT_RUN, RETRY_OWNER_MS,
 		    "the workers are not all known yet");
 	else if (why != NULL && c->referred)
-		refuse_for_good(sh, c, s->request_id, now);
+		record_refusal(sh, c, s->request_id, now);
 	else if (why != NULL)
 		refuse(sh, c->waiter, 422, OGL_NOT_RUN, 0, why);
 	else
@@ -512,7 +516,8 @@
 }
 
 void
-ogl_shardcall_job(struct ogl_shard *sh, struct ogl_job *j, ogl_time now)
+ogl_shardcall_job_accepted(
+    struct ogl_shard *sh, struct ogl_job *j, ogl_time now)
 {
 	GArray *w = g_hash_table_lookup(sh->submits, j->id);
 	char *key;
@@ -563,7 +568,7 @@
 	g_free(views);
 }
 
-/* Whether no task of the job can have started under any owner. */
+/* Whether no task of the job can have started, under any owner. */
 static bool
 never_started(const struct ogl_shard *sh, const struct ogl_job *j)
 {
@@ -576,14 +581,15 @@
 	return !j->inherited;
 }
 
-/* Ends the job by a record; a reason tells that its caller did not ask. */
+/* Records the job's cancellation.  The reason is empty when the caller asked
+ * for it. */
 static void
 record_cancel(
     struct ogl_shard *sh, struct ogl_job *j, const char *reason, ogl_time now)
 {
 	Ogl__Record *r;
 
-	/* From here on nothing of it is started, so not_run stays true. */
+	/* No task is started from here on, so a not_run verdict stays true. */
 	j->cancelling = true;
 	ogl_sched_unqueue(sh, j);
 	r = ogl_shard_record(sh, now);
@@ -611,15 +617,16 @@
 		record_cancel(sh, j, "", now);
 }
 
-/* Ends jobs that no worker of the shard has been able to hold for a while:
- * their callers would wait for ever, and know better where else to go. */
+/* Cancels jobs that have been infeasible on this shard's workers for
+ * INFEASIBLE_MIN_S.  Their callers would wait forever otherwise, and can
+ * submit the job elsewhere. */
 void
-ogl_shardcall_hopeless(struct ogl_shard *sh, ogl_time now)
+ogl_shardcall_cancel_infeasible(struct ogl_shard *sh, ogl_time now)
 {
 	GHashTableIter it;
 	void *v;
 
-	if (workers_unsettled(sh) || !ogl_shard_log_up(sh, now))
+	if (workers_unreported(sh) || !ogl_shard_log_up(sh, now))
 		return;
 	g_hash_table_iter_init(&it, sh->state->jobs);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
@@ -628,18 +635,19 @@
 
 		if (ogl_job_ended(j) || j->cancelling || j->nplaced > 0)
 			continue;
-		why = never_reason(sh, j->spec);
+		why = infeasible_reason(sh, j->spec);
 		if (why == NULL)
 			j->never_since = 0;
 		else if (j->never_since == 0)
 			j->never_since = now;
-		else if (now - j->never_since >= HOPELESS_S * OGL_SEC)
+		else if (now - j->never_since >= INFEASIBLE_MIN_S * OGL_SEC)
 			record_cancel(sh, j, why, now);
 	}
 }
 
 void
-ogl_shardcall_cancelled(struct ogl_shard *sh, struct ogl_job *j, ogl_time now)
+ogl_shardcall_job_cancelled(
+    struct ogl_shard *sh, struct ogl_job *j, ogl_time now)
 {
 	GArray *w = g_hash_table_lookup(sh->cancels, j->id);
 
@@ -674,10 +682,10 @@
 }
 
 static void
-start_flight(struct ogl_shard *sh, const struct ogl_ask_call *c, const char *id,
-    ogl_time now)
+record_intent(struct ogl_shard *sh, const struct ogl_ask_call *c,
+    const char *id, ogl_time now)
 {
-	struct ogl_flight *f = g_new0(struct ogl_flight, 1);
+	struct ogl_inflight *f = g_new0(struct ogl_inflight, 1);
 	Ogl__Record *r = ogl_shard_record(sh, now);
 
 	f->id = g_strdup(id);
@@ -687,7 +695,7 @@
 	f->budget_ms = c->budget_ms;
 	f->waiters = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	g_array_append_val(f->waiters, c->waiter);
-	g_hash_table_insert(sh->flights, f->id, f);
+	g_hash_table_insert(sh->inflight, f->id, f);
 	r->body_case = OGL__RECORD__BODY_ID_INTENT;
 	r->id_intent = malloc(sizeof *r->id_intent);
 	ogl__id_intent__init(r->id_intent);
@@ -701,7 +709,7 @@
 {
 	char *id = ogl_request_key(c->team, c->request_id);
 	struct ogl_idrec *r = g_hash_table_lookup(sh->state->ids, id);
-	struct ogl_flight *f = g_hash_table_lookup(sh->flights, id);
+	struct ogl_inflight *f = g_hash_table_lookup(sh->inflight, id);
 
 	if (f != NULL)
 		g_array_append_val(f->waiters, c->waiter);
@@ -716,14 +724,15 @@
 		    "the log can't be reached, so it can't be made sure "
 		    "that it runs once");
 	else
-		start_flight(sh, c, id, now);
+		record_intent(sh, c, id, now);
 	g_free(id);
 }
 
 void
-ogl_shardcall_id(struct ogl_shard *sh, struct ogl_idrec *r, ogl_time now)
+ogl_shardcall_id_recorded(
+    struct ogl_shard *sh, struct ogl_idrec *r, ogl_time now)
 {
-	struct ogl_flight *f = g_hash_table_lookup(sh->flights, r->id);
+	struct ogl_inflight *f = g_hash_table_lookup(sh->inflight, r->id);
 
 	if (f == NULL)
 		return;
@@ -731,7 +740,7 @@
 		for (guint i = 0; i < f->waiters->len; i++)
 			reply_outcome(
 			    sh, g_array_index(f->waiters, uint64_t, i), r);
-		g_hash_table_remove(sh->flights, r->id);
+		g_hash_table_remove(sh->inflight, r->id);
 		return;
 	}
 	if (f->sent)
@@ -741,21 +750,22 @@
 	    f->work_kind, f->body, f->budget_ms, now);
 }
 
-/* The outcome is answered at once; its record follows.  Should we die in
- * between, a repetition hears "may have run", which is true.  A request that
- * certainly did not run gives its id free again. */
+/* Answers the waiters at once and records the outcome after that.  If the
+ * owner fails in between, a repeated request is answered "may have run", which
+ * is true.  The id of a request that certainly did not run can be used
+ * again. */
 void
 ogl_shard_outcome(struct ogl_shard *sh, const char *id, enum ogl_verdict v,
     uint32_t status, uint64_t retry_after_ms, GBytes *body, ogl_time now)
 {
-	struct ogl_flight *f;
+	struct ogl_inflight *f;
 	Ogl__Record *r;
 	gsize n;
 	const void *data = g_bytes_get_data(body, &n);
 
 	if (sh->role != OGL_ROLE_OWNER)
 		return;
-	f = g_hash_table_lookup(sh->flights, id);
+	f = g_hash_table_lookup(sh->inflight, id);
 	if (f == NULL)
 		return;
 	for (guint i = 0; i < f->waiters->len; i++)
@@ -776,7 +786,7 @@
 	ogl_shard_append(sh, r, now);
 }
 
-/* ---- which call ------------------------------------------------------- */
+/* ---- dispatch by path ------------------------------------------------- */
 
 void
 ogl_shard_call(struct ogl_shard *sh, const struct ogl_ask_call *c, ogl_time now)
