--- a/test/test_cluster.cc
+++ b/test/test_cluster.cc
@@ -1,4 +1,5 @@
-/* A whole cell: ownership, jobs and requests, with every kind of node loss. */
+/* A whole simulated cell: shard ownership, jobs and requests, with loss, stop
+ * and replacement of nodes. */
 
 #include <gtest/gtest.h>
 
@@ -17,7 +18,7 @@
 	fake_cluster *c = nullptr;
 	std::string key;
 
-	void up(const fake_cluster_config &cfg = three)
+	void start(const fake_cluster_config &cfg = three)
 	{
 		c = fake_cluster_init(&cfg);
 		fake_cluster_run(c, 8 * OGL_SEC);
@@ -68,7 +69,7 @@
 		return s;
 	}
 
-	bool becomes(uint32_t node, const std::string &job,
+	bool reaches_state(uint32_t node, const std::string &job,
 	    const std::string &want, int seconds)
 	{
 		for (int i = 0; i < seconds * 2; i++) {
@@ -100,15 +101,15 @@
 	}
 };
 
-TEST_F(Cluster, ComesUpWithEachShardOwnedOnce)
+TEST_F(Cluster, EachShardHasAnOwnerAfterStart)
 {
-	ASSERT_NO_FATAL_FAILURE(up());
+	ASSERT_NO_FATAL_FAILURE(start());
 	expect_owned();
 }
 
 TEST_F(Cluster, AnswersAShortRequest)
 {
-	ASSERT_NO_FATAL_FAILURE(up());
+	ASSERT_NO_FATAL_FAILURE(start());
 	const fake_call *k = ask(2, "POST", "/v1/requests", "hello", "", true);
 
 	EXPECT_EQ(k->status, 200u);
@@ -118,7 +119,7 @@
 
 TEST_F(Cluster, RunsARequestIdOnce)
 {
-	ASSERT_NO_FATAL_FAILURE(up());
+	ASSERT_NO_FATAL_FAILURE(start());
 	const fake_call *a = ask(0, "POST", "/v1/requests", "book", "id1");
 	const fake_call *b = ask(2, "POST", "/v1/requests", "book", "id1");
 
@@ -130,22 +131,22 @@
 
 TEST_F(Cluster, RunsJobsOfEveryKind)
 {
-	ASSERT_NO_FATAL_FAILURE(up());
+	ASSERT_NO_FATAL_FAILURE(start());
 	std::string batch = submit(0, "batch", 6, 2000);
 	std::string gang = submit(1, "gang", 4, 2000);
 	std::string service = submit(2, "service", 2, 3000);
 
-	EXPECT_TRUE(becomes(1, batch, "done", 20));
-	EXPECT_TRUE(becomes(2, gang, "done", 20));
-	EXPECT_TRUE(becomes(0, service, "done", 20));
+	EXPECT_TRUE(reaches_state(1, batch, "done", 20));
+	EXPECT_TRUE(reaches_state(2, gang, "done", 20));
+	EXPECT_TRUE(reaches_state(0, service, "done", 20));
 }
 
-TEST_F(Cluster, CancelsAJobThatRuns)
+TEST_F(Cluster, CancelsARunningJob)
 {
-	ASSERT_NO_FATAL_FAILURE(up());
+	ASSERT_NO_FATAL_FAILURE(start());
 	std::string job = submit(0, "batch", 3, 600000);
 
-	EXPECT_TRUE(becomes(0, job, "active", 10));
+	EXPECT_TRUE(reaches_state(0, job, "active", 10));
 	fake_cluster_run(c, 2 * OGL_SEC);
 	EXPECT_EQ(ask(1, "DELETE", "/v1/jobs/" + job)->status, 200u);
 	fake_cluster_run(c, 3 * OGL_SEC);
@@ -153,12 +154,12 @@
 	EXPECT_EQ(fake_cluster_team_running(c, "north"), 0u);
 }
 
-TEST_F(Cluster, EndsAJobOnceAfterItsOwnerDied)
+TEST_F(Cluster, RunsEachTaskOnceAfterOwnerLoss)
 {
-	/* A host dies while the tasks of a job run.  Another node takes the
-	 * shard over, finds them on their workers and lets them end; the
-	 * caller sees his job done once, a little later at most. */
-	ASSERT_NO_FATAL_FAILURE(up());
+	/* The owner of the job's shard fails while the tasks run.  The new
+	 * owner must find the tasks on their workers and let them end, not
+	 * start them again. */
+	ASSERT_NO_FATAL_FAILURE(start());
 	std::string job = submit(0, "batch", 4, 15000);
 	uint32_t owner =
 	    (uint32_t)fake_cluster_owner(c, (uint32_t)(job[1] - '0'));
@@ -166,19 +167,18 @@
 	fake_cluster_run(c, 3 * OGL_SEC);
 	EXPECT_EQ(fake_cluster_team_running(c, "north"), 4u);
 	fake_cluster_kill(c, owner);
-	EXPECT_TRUE(becomes((owner + 1) % 3, job, "done", 40));
+	EXPECT_TRUE(reaches_state((owner + 1) % 3, job, "done", 40));
 	for (int i = 0; i < 4; i++)
 		EXPECT_EQ(fake_cluster_starts(
 			      c, (job + "." + std::to_string(i)).c_str()),
 		    1u);
 }
 
-TEST_F(Cluster, CarriesOnWithAllNodesReplaced)
+TEST_F(Cluster, CompletesAJobAfterAllNodesAreReplaced)
 {
-	/* Every host of the system is lost at once and replaced by new ones
-	 * under other names.  What was accepted is on the platform's log, so
-	 * the caller's job ends all the same. */
-	ASSERT_NO_FATAL_FAILURE(up());
+	/* All nodes are lost at once and replaced by nodes with other names.
+	 * An accepted job is on the platform's log, so it must still end. */
+	ASSERT_NO_FATAL_FAILURE(start());
 	std::string job = submit(0, "batch", 4, 20000);
 
 	fake_cluster_run(c, 3 * OGL_SEC);
@@ -189,14 +189,14 @@
 		fake_cluster_start(c, i, ("m" + std::to_string(i)).c_str());
 	fake_cluster_run(c, 10 * OGL_SEC);
 	expect_owned();
-	EXPECT_TRUE(becomes(0, job, "done", 60));
+	EXPECT_TRUE(reaches_state(0, job, "done", 60));
 }
 
-TEST_F(Cluster, HandsOverAtAGracefulStop)
+TEST_F(Cluster, GracefulStopHandsShardsOver)
 {
-	/* A host is taken out of service.  Its shards pass to the others
-	 * within moments and no call is cut. */
-	ASSERT_NO_FATAL_FAILURE(up());
+	/* A node is stopped gracefully.  The other nodes must own its shards
+	 * within 5 seconds, no call may be cut, and the job must still end. */
+	ASSERT_NO_FATAL_FAILURE(start());
 	std::string job = submit(0, "batch", 4, 10000);
 	uint32_t owner =
 	    (uint32_t)fake_cluster_owner(c, (uint32_t)(job[1] - '0'));
@@ -205,18 +205,18 @@
 	fake_cluster_run(c, 5 * OGL_SEC);
 	EXPECT_FALSE(fake_cluster_alive(c, owner));
 	expect_owned();
-	EXPECT_TRUE(becomes((owner + 1) % 3, job, "done", 30));
+	EXPECT_TRUE(reaches_state((owner + 1) % 3, job, "done", 30));
 }
 
-TEST_F(Cluster, SameSeedGivesTheSameHistory)
+TEST_F(Cluster, SameSeedGivesTheSameTrace)
 {
-	ASSERT_NO_FATAL_FAILURE(up());
+	ASSERT_NO_FATAL_FAILURE(start());
 	submit(0, "batch", 6, 2000);
 	fake_cluster_kill(c, 1);
 	fake_cluster_run(c, 10 * OGL_SEC);
 	std::string first = fake_cluster_trace(c);
 	fake_cluster_end(c);
-	ASSERT_NO_FATAL_FAILURE(up());
+	ASSERT_NO_FATAL_FAILURE(start());
 	submit(0, "batch", 6, 2000);
 	fake_cluster_kill(c, 1);
 	fake_cluster_run(c, 10 * OGL_SEC);
