--- a/test/test_cluster_state.cc
+++ b/test/test_cluster_state.cc
@@ -1,4 +1,5 @@
-/* What a reader that begins in mid-stream makes of a shard's records. */
+/* State of a shard as built by a reader that starts in the middle of the
+ * shard's stream. */
 
 #include <gtest/gtest.h>
 
@@ -48,13 +49,13 @@
 	ogl_state_apply(st, &r, offset, nullptr, nullptr, 0);
 }
 
-TEST(ClusterState, PassesOverASupersededOwnersSnapshot)
+TEST(ClusterState, IgnoresASnapshotOfASupersededOwner)
 {
-	/* An owner is paused with a snapshot on its way; another node claims
-	 * the shard before that arrives.  A node that starts reading there
-	 * must not take the old owner's word, or it would hold every later
-	 * claim to be invalid and its own to be valid: two owners for good,
-	 * and jobs done twice or forgotten. */
+	/* An owner is suspended while it appends a snapshot, and another node
+	 * claims the shard before the snapshot reaches the log.  If a reader
+	 * that starts there used the snapshot, it would take every later claim
+	 * for invalid and its own for valid: two owners permanently, and jobs
+	 * run twice or forgotten. */
 	ogl_state *st = ogl_state_new();
 
 	read_claim(st, "b", 5, 10);
@@ -67,10 +68,10 @@
 	ogl_state_free(st);
 }
 
-TEST(ClusterState, SeesThatItsSnapshotWasStale)
+TEST(ClusterState, DetectsAStaleSnapshotFromLaterRecords)
 {
-	/* The same, but retention has dropped the claim already.  The first
-	 * record of the true owner shows that the snapshot was old. */
+	/* As above, but log retention has already dropped the claim.  The first
+	 * record of the new owner shows that the snapshot is stale. */
 	ogl_state *st = ogl_state_new();
 	Ogl__Record own = record_by("a", 5);
 	Ogl__Record later = record_by("b", 11);
@@ -86,7 +87,7 @@
 	ogl_state_free(st);
 }
 
-TEST(ClusterState, ForgetsTheOldestEndedJobsOfATeamFirst)
+TEST(ClusterState, DropsTheOldestEndedJobsOfATeamFirst)
 {
 	ogl_state *st = ogl_state_new();
 	Ogl__Record r = record_by("a", 1);
@@ -115,7 +116,7 @@
 	ogl_state_keep_newest(st, "t", 1, 1001);
 	EXPECT_EQ(nullptr, g_hash_table_lookup(st->jobs, "s0-1-1"));
 	EXPECT_EQ(nullptr, g_hash_table_lookup(st->by_request, "t|r1"));
-	/* Too young to go, though above the number. */
+	/* Ended too recently to be dropped, although above the limit. */
 	EXPECT_NE(nullptr, g_hash_table_lookup(st->jobs, "s0-1-2"));
 	EXPECT_NE(nullptr, g_hash_table_lookup(st->jobs, "s0-1-3"));
 	ogl_state_keep_newest(st, "t", 1, 5000);
