--- a/test/test_rejoin.cc
+++ b/test/test_rejoin.cc
@@ -1,4 +1,4 @@
-// A node that was cut off, or taken for dead, comes back to a living cell.
+// Return of a node that was cut off or taken for dead.
 #include <gtest/gtest.h>
 
 #include "fake_cluster.h"
@@ -19,11 +19,11 @@
 	fake_cluster_cut(c, node, FAKE_HOSTS, 0, cut);
 }
 
-// One node loses both its peers and the log for some seconds, then has all
-// back.  Each side has taken the other for dead, and writes that down; a node
-// that is written down as dead has its edits passed over.  Operators then
-// noticed that one node, or all but one, answered each edit with 503 for good.
-TEST(Rejoin, EveryNodeTakesEditsAfterOneWasCutOff)
+// One node loses its peers, the log and the host list for 6 seconds, three
+// times.  Each side takes the other for dead and records its eviction, and the
+// edits of an evicted node have no effect.  Guards against one node, or all
+// but one, refusing each edit with 503 permanently afterwards.
+TEST(Rejoin, AllNodesAcceptEditsAfterOneWasCutOff)
 {
 	for (uint32_t node = 0; node < three.nodes; node++) {
 		fake_cluster *c = fake_cluster_init(&three);
@@ -48,9 +48,9 @@
 	}
 }
 
-// A node is paused until the others have written it down as dead, and its
-// log contact never seemed lost to itself.
-TEST(Rejoin, APausedNodeTakesEditsAgain)
+// A node is suspended until the others have recorded its eviction, while the
+// node itself never notices a loss of log contact.  It must be readmitted.
+TEST(Rejoin, ASuspendedNodeAcceptsEditsAgain)
 {
 	fake_cluster *c = fake_cluster_init(&three);
 
