--- a/src/shard_impl.h
+++ b/src/shard_impl.h
@@ -20,7 +20,7 @@
 	uint32_t index;
 };
 
-/* The owner's connection to one worker. */
+/* One worker, as known to the shard's owner. */
 struct ogl_session {
 	char *name;
 	char *addr;
