--- a/src/node.c
+++ b/src/node.c
@@ -1,8 +1,8 @@
 /*
- * A node: the composition of its parts.  Each event goes to the part it is
- * for, by its type and the part named in its token; then every part whose
- * time has come is ticked.  The parts speak to each other through the tables
- * of functions below, never through sockets or clocks.
+ * A node and its parts.  Each event is passed to one part, which is chosen by
+ * the event's type and the part number in its token; then every part that is
+ * due is ticked.  The parts call each other through the tables of functions
+ * below, never through sockets or clocks.
  */
 
 #include <sodium.h>
@@ -13,18 +13,18 @@
 #include "node_impl.h"
 
 enum {
-	HOSTS_PART = 4,
-	HOSTS_EVERY_MS = 1000,
+	TOKEN_PART = 4, /* top byte of the tokens of host list fetches */
+	HOSTS_INTERVAL_MS = 1000, /* between fetches of the host list */
 	HOSTS_TIMEOUT_MS = 1500,
-	HOST_FORGET_S = 600, /* an unlisted host is forgotten after it */
-	LOG_APPENDS_S = 240, /* by the shards of a cell together */
-	BASE_MS = 50,        /* between two ticks of everything */
-	STOP_MOST_S = 10,    /* a shutdown waits so long for others */
+	UNLISTED_KEEP_S = 600,   /* to keep workers that left the list */
+	LOG_APPENDS_PER_S = 240, /* by the shards of a cell together */
+	FULL_TICK_MS = 50,       /* between ticks of all parts */
+	SHUTDOWN_TIMEOUT_S = 10, /* for other nodes to claim our shards */
 	LEFT_SENDS = 3
 };
 
 /* A message from one shard of this node to another. */
-struct inner_msg {
+struct local_msg {
 	uint32_t shard;
 	GBytes *data;
 };
@@ -71,7 +71,7 @@
 	       n->cfg.stale_ms * OGL_MS;
 }
 
-/* ---- what the parts ask of the node ----------------------------------- */
+/* ---- functions that the parts call ------------------------------------ */
 
 static void
 op_reply(void *ctx, uint32_t shard, uint64_t waiter, uint32_t status,
@@ -88,15 +88,16 @@
 	ogl_calls_dispatch(ctx, shard, id, team, work_kind, body, budget_ms);
 }
 
-/* To the owner of a shard: to our own by way of a list, so that no part is
- * entered from within itself; to another node as a message. */
+/* Sends a message to a shard's owner.  If this node owns the shard, the
+ * message is queued until all shards are ticked, so that no part is re-entered;
+ * otherwise it goes to the owner's node, if one is known. */
 static void
 op_send(void *ctx, uint32_t shard, Ogl__PeerMsg *msg)
 {
 	struct ogl_node *n = ctx;
 	const struct ogl_owner *o = &n->owners[shard];
 	const struct ogl_peer *p;
-	struct inner_msg *im;
+	struct local_msg *lm;
 	uint8_t *buf;
 	size_t len;
 
@@ -105,10 +106,10 @@
 		len = ogl__peer_msg__get_packed_size(msg);
 		buf = g_malloc(len + 1);
 		ogl__peer_msg__pack(msg, buf);
-		im = g_new0(struct inner_msg, 1);
-		im->shard = shard;
-		im->data = g_bytes_new_take(buf, len);
-		g_queue_push_tail(n->inner, im);
+		lm = g_new0(struct local_msg, 1);
+		lm->shard = shard;
+		lm->data = g_bytes_new_take(buf, len);
+		g_queue_push_tail(n->local_msgs, lm);
 		return;
 	}
 	p = o->name != NULL ? ogl_member_find(n->member, o->name) : NULL;
@@ -147,7 +148,7 @@
 
 static const struct ogl_reqs_ops reqs_ops = {reqs_done};
 
-/* ---- life ------------------------------------------------------------- */
+/* ---- init and end ----------------------------------------------------- */
 
 static void
 host_free(void *v)
@@ -184,9 +185,9 @@
 	if (n->cfg.entropy == NULL)
 		n->cfg.entropy = sodium_entropy;
 	/* However many shards there are, their group commits together stay
-	 * within what the platform's log takes. */
+	 * within the rate of appends that the platform's log accepts. */
 	n->cfg.commit_ms =
-	    MAX(n->cfg.commit_ms, n->cfg.shards * 1000 / LOG_APPENDS_S);
+	    MAX(n->cfg.commit_ms, n->cfg.shards * 1000 / LOG_APPENDS_PER_S);
 }
 
 static void
@@ -231,7 +232,7 @@
 	    ogl_random_next(&n->rnd), &reqs_ops, n);
 	n->hosts =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, host_free);
-	n->inner = g_queue_new();
+	n->local_msgs = g_queue_new();
 	n->key_texts =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	n->calls = ogl_calls_init(n);
@@ -240,12 +241,12 @@
 }
 
 static void
-inner_free(void *v)
+local_msg_free(void *v)
 {
-	struct inner_msg *im = v;
+	struct local_msg *lm = v;
 
-	g_bytes_unref(im->data);
-	g_free(im);
+	g_bytes_unref(lm->data);
+	g_free(lm);
 }
 
 void
@@ -255,7 +256,7 @@
 
 	if (n == NULL)
 		return;
-	/* Parts that end may still speak; nobody listens. */
+	/* Parts may still emit actions while they end; these are dropped. */
 	ogl_actions_init(&none);
 	n->out = &none;
 	n->env.out = &none;
@@ -271,7 +272,7 @@
 	ogl_member_end(n->member);
 	ogl_settings_end(n->settings);
 	g_hash_table_destroy(n->hosts);
-	g_queue_free_full(n->inner, inner_free);
+	g_queue_free_full(n->local_msgs, local_msg_free);
 	g_hash_table_destroy(n->key_texts);
 	ogl_actions_clear(&none);
 	g_free(n->name);
@@ -284,22 +285,22 @@
 /* ---- hosts ------------------------------------------------------------ */
 
 static void
-ask_hosts(struct ogl_node *n)
+fetch_hosts(struct ogl_node *n)
 {
 	struct ogl_action *a;
 
-	if (n->hosts_token != 0 &&
-	    n->now - n->hosts_sent < 2 * HOSTS_TIMEOUT_MS * OGL_MS)
+	if (n->hosts_fetch_token != 0 &&
+	    n->now - n->hosts_fetch_sent < 2 * HOSTS_TIMEOUT_MS * OGL_MS)
 		return;
-	if (n->now < n->next_hosts)
+	if (n->now < n->next_hosts_fetch)
 		return;
 	a = ogl_actions_new(n->out, OGL_ACT_HOSTS);
 	a->timeout_ms = HOSTS_TIMEOUT_MS;
 	a->token =
-	    (uint64_t)HOSTS_PART << 56 | ((uint64_t)n->now & 0xffffffffffff);
-	n->hosts_token = a->token;
-	n->hosts_sent = n->now;
-	n->next_hosts = n->now + HOSTS_EVERY_MS * OGL_MS;
+	    (uint64_t)TOKEN_PART << 56 | ((uint64_t)n->now & 0xffffffffffff);
+	n->hosts_fetch_token = a->token;
+	n->hosts_fetch_sent = n->now;
+	n->next_hosts_fetch = n->now + HOSTS_INTERVAL_MS * OGL_MS;
 }
 
 static void
@@ -312,7 +313,7 @@
 }
 
 static void
-take_host(struct ogl_node *n, const Ogl__Host *in)
+update_host(struct ogl_node *n, const Ogl__Host *in)
 {
 	struct ogl_host *h = g_hash_table_lookup(n->hosts, in->name);
 
@@ -333,10 +334,11 @@
 		    n->reqs, h->name, h->addr, h->zone, h->leaving, n->now);
 }
 
-/* A host the list no longer names: an executor gets nothing more; a worker
- * is remembered for a while, since tasks may still hold leases there. */
+/* Tells whether a host that is missing from the newest list is to be removed.
+ * An executor gets no more requests.  A worker is kept for a while, since
+ * tasks may still hold leases there. */
 static gboolean
-unlisted(gpointer key, gpointer value, gpointer ctx)
+remove_unlisted(gpointer key, gpointer value, gpointer ctx)
 {
 	struct ogl_node *n = ctx;
 	struct ogl_host *h = value;
@@ -347,7 +349,7 @@
 	if (h->role == OGL__HOST_ROLE__executor)
 		ogl_reqs_target_gone(n->reqs, h->name);
 	return h->role != OGL__HOST_ROLE__worker ||
-	       n->now - h->listed_at > HOST_FORGET_S * OGL_SEC;
+	       n->now - h->listed_at > UNLISTED_KEEP_S * OGL_SEC;
 }
 
 static void
@@ -356,9 +358,9 @@
 	GHashTableIter it;
 	void *v;
 
-	if (ev->token != n->hosts_token)
+	if (ev->token != n->hosts_fetch_token)
 		return;
-	n->hosts_token = 0;
+	n->hosts_fetch_token = 0;
 	if (ev->io != OGL_IO_OK || ev->u.hosts == NULL)
 		return;
 	n->hosts_at = n->now;
@@ -366,8 +368,8 @@
 	while (g_hash_table_iter_next(&it, NULL, &v))
 		((struct ogl_host *)v)->listed = false;
 	for (size_t i = 0; i < ev->u.hosts->n_hosts; i++)
-		take_host(n, ev->u.hosts->hosts[i]);
-	g_hash_table_foreach_remove(n->hosts, unlisted, n);
+		update_host(n, ev->u.hosts->hosts[i]);
+	g_hash_table_foreach_remove(n->hosts, remove_unlisted, n);
 }
 
 /* ---- owners ----------------------------------------------------------- */
@@ -380,7 +382,7 @@
 }
 
 static void
-owner_from(void *ctx, const struct ogl_peer *p)
+owners_from_peer(void *ctx, const struct ogl_peer *p)
 {
 	struct ogl_node *n = ctx;
 
@@ -405,13 +407,13 @@
 	}
 }
 
-/* Works out from all facts who owns what; the highest epoch is right. */
+/* Finds each shard's owner in the members' facts: the highest epoch counts. */
 static void
 find_owners(struct ogl_node *n)
 {
 	for (uint32_t i = 0; i < n->cfg.shards; i++)
 		clear_owner(&n->owners[i]);
-	ogl_member_each(n->member, owner_from, n);
+	ogl_member_each(n->member, owners_from_peer, n);
 	for (uint32_t i = 0; i < n->cfg.shards; i++) {
 		struct ogl_owner *o = &n->owners[i];
 
@@ -431,9 +433,9 @@
 	}
 }
 
-/* What we own goes into our own fact; a change of ownership is spread. */
+/* Writes the shards that we own into our own fact; changes are gossiped. */
 static void
-tell_owned(struct ogl_node *n)
+update_own_fact(struct ogl_node *n)
 {
 	Ogl__MemberFact *own = ogl_member_own(n->member);
 	Ogl__ShardFact **list;
@@ -467,7 +469,7 @@
 /* ---- peers ------------------------------------------------------------ */
 
 static void
-on_shard_msg(struct ogl_node *n, const Ogl__PeerMsg *msg)
+on_escrow_msg(struct ogl_node *n, const Ogl__PeerMsg *msg)
 {
 	uint32_t shard;
 	uint64_t h;
@@ -509,7 +511,7 @@
 		break;
 	case OGL__PEER_MSG__BODY_ALLOT_ASK:
 	case OGL__PEER_MSG__BODY_ALLOT_GIVE:
-		on_shard_msg(n, msg);
+		on_escrow_msg(n, msg);
 		break;
 	case OGL__PEER_MSG__BODY_SETTINGS_NEWS:
 		ogl_follow_news(
@@ -523,25 +525,25 @@
 }
 
 static void
-drain_inner(struct ogl_node *n)
+deliver_local_msgs(struct ogl_node *n)
 {
-	struct inner_msg *im;
+	struct local_msg *lm;
 
-	while ((im = g_queue_pop_head(n->inner)) != NULL) {
+	while ((lm = g_queue_pop_head(n->local_msgs)) != NULL) {
 		gsize len;
-		const uint8_t *p = g_bytes_get_data(im->data, &len);
+		const uint8_t *p = g_bytes_get_data(lm->data, &len);
 		Ogl__PeerMsg *msg = ogl__peer_msg__unpack(NULL, len, p);
 
-		ogl_shard_escrow(n->shards[im->shard], msg, n->now);
+		ogl_shard_escrow(n->shards[lm->shard], msg, n->now);
 		ogl__peer_msg__free_unpacked(msg, NULL);
-		inner_free(im);
+		local_msg_free(lm);
 	}
 }
 
 /* ---- shutdown --------------------------------------------------------- */
 
 static void
-tell_left(void *ctx, const struct ogl_peer *p)
+announce_left(void *ctx, const struct ogl_peer *p)
 {
 	struct ogl_node *n = ctx;
 	Ogl__PeerMsg msg = OGL__PEER_MSG__INIT;
@@ -551,18 +553,18 @@
 }
 
 static void
-begin_stop(struct ogl_node *n)
+begin_shutdown(struct ogl_node *n)
 {
 	if (n->stopping)
 		return;
 	n->stopping = true;
-	n->stop_at = n->now;
+	n->stop_began = n->now;
 	ogl_member_own(n->member)->state = OGL__MEMBER_FACT__STATE__left;
 	ogl_member_changed(n->member);
 	for (uint32_t i = 0; i < n->cfg.shards; i++)
 		ogl_shard_stop(n->shards[i], n->now);
-	tell_owned(n);
-	ogl_member_each(n->member, tell_left, n);
+	update_own_fact(n);
+	ogl_member_each(n->member, announce_left, n);
 	ogl_node_log(n, "node", OGL_LOG_INFO, "shutdown begins");
 }
 
@@ -583,14 +585,15 @@
 		++*(size_t *)ctx;
 }
 
-/* Done when nothing is under way and others hold our shards; when nobody
- * else lives, or they don't claim in time, what lasts is on the log. */
+/* The shutdown is complete when no call is open and other nodes own our
+ * shards.  It also completes when no other node is alive or none claims them
+ * in time: all that must be kept is in the log. */
 static void
-check_stop(struct ogl_node *n)
+check_shutdown(struct ogl_node *n)
 {
 	size_t others = 0;
 	bool idle = ogl_calls_live(n) == 0 && ogl_reqs_live(n->reqs) == 0;
-	bool late = n->now - n->stop_at >= STOP_MOST_S * OGL_SEC;
+	bool late = n->now - n->stop_began >= SHUTDOWN_TIMEOUT_S * OGL_SEC;
 
 	if (!n->stopping || n->exited || !idle)
 		return;
@@ -598,7 +601,7 @@
 	if (!owns_nothing(n) && others > 0 && !late)
 		return;
 	n->exited = true;
-	ogl_member_each(n->member, tell_left, n);
+	ogl_member_each(n->member, announce_left, n);
 	ogl_node_log(n, "node", OGL_LOG_INFO, "shutdown is complete");
 	ogl_actions_new(n->out, OGL_ACT_EXIT);
 }
@@ -637,7 +640,7 @@
 			ogl_follow_event(n->follow, ev, n->now);
 		break;
 	case OGL_EV_STOP:
-		begin_stop(n);
+		begin_shutdown(n);
 		break;
 	case OGL_EV_TIMER:
 	default:
@@ -646,7 +649,7 @@
 }
 
 static void
-spread_settings(struct ogl_node *n)
+apply_settings(struct ogl_node *n)
 {
 	if (!n->settings_changed)
 		return;
@@ -657,17 +660,17 @@
 }
 
 static void
-base_tick(struct ogl_node *n)
+full_tick(struct ogl_node *n)
 {
-	if (n->now < n->next_base)
+	if (n->now < n->next_full_tick)
 		return;
-	n->next_base = n->now + BASE_MS * OGL_MS;
-	tell_owned(n);
+	n->next_full_tick = n->now + FULL_TICK_MS * OGL_MS;
+	update_own_fact(n);
 	find_owners(n);
-	ask_hosts(n);
+	fetch_hosts(n);
 }
 
-/* Counts what leaves with this step, from the action at `a` on. */
+/* Counts appends and peer messages of this step, whose actions begin at a. */
 static void
 count_actions(struct ogl_node *n, const struct ogl_action *a)
 {
@@ -691,26 +694,26 @@
 	n->out = out;
 	n->env.out = out;
 	on_event(n, ev);
-	base_tick(n);
+	full_tick(n);
 	ogl_follow_tick(n->follow, n->now, out);
-	spread_settings(n);
+	apply_settings(n);
 	for (uint32_t i = 0; i < n->cfg.shards; i++) {
-		if (n->next_base == n->now + BASE_MS * OGL_MS ||
+		if (n->next_full_tick == n->now + FULL_TICK_MS * OGL_MS ||
 		    ogl_shard_next(n->shards[i]) <= n->now)
 			ogl_shard_tick(n->shards[i], n->now);
 	}
-	drain_inner(n);
+	deliver_local_msgs(n);
 	ogl_member_tick(n->member, n->now, out);
 	ogl_calls_tick(n);
 	ogl_reqs_tick(n->reqs, n->now, out);
-	check_stop(n);
+	check_shutdown(n);
 	count_actions(n, *first);
 }
 
 ogl_time
 ogl_node_next_wake(const struct ogl_node *n)
 {
-	ogl_time t = MIN(n->next_base, ogl_member_next(n->member));
+	ogl_time t = MIN(n->next_full_tick, ogl_member_next(n->member));
 
 	t = MIN(t, ogl_follow_next(n->follow));
 	t = MIN(t, ogl_reqs_next(n->reqs));
--- a/src/node_impl.h
+++ b/src/node_impl.h
@@ -1,4 +1,4 @@
-/* Inside of a node, shared by node.c, calls.c and opcalls.c only. */
+/* Internals of a node, included by node.c, calls.c and opcalls.c only. */
 
 #ifndef OGL_NODE_IMPL_H
 #define OGL_NODE_IMPL_H
@@ -10,13 +10,13 @@
 #include "reqs.h"
 #include "shard.h"
 
-/* Who owns a shard, as gossip tells. */
+/* The owner of a shard, as known from the members' facts. */
 struct ogl_owner {
-	char *name; /* NULL: nobody known */
+	char *name; /* NULL: no owner is known */
 	uint64_t epoch;
-	uint64_t free_cpu;
-	bool ready;
-	bool offered;
+	uint64_t free_cpu; /* thousandths of a processor */
+	bool ready;        /* it knows which tasks run */
+	bool offered;      /* it wants another node to claim the shard */
 };
 
 struct ogl_calls;
@@ -39,23 +39,23 @@
 	ogl_time started;
 	ogl_time now;            /* of the present step */
 	struct ogl_actions *out; /* of the present step */
-	ogl_time next_hosts;
-	uint64_t hosts_token; /* 0: no fetch under way */
-	ogl_time hosts_sent;
-	ogl_time hosts_at; /* newest list */
-	ogl_time next_base;
+	ogl_time next_hosts_fetch;
+	uint64_t hosts_fetch_token; /* 0: no fetch is under way */
+	ogl_time hosts_fetch_sent;
+	ogl_time hosts_at; /* when the newest list was received */
+	ogl_time next_full_tick;
 	bool settings_changed;
 	bool stopping;
-	ogl_time stop_at;
+	ogl_time stop_began;
 	bool exited;
-	GQueue *inner; /* struct inner_msg: shard to shard within this node */
-	GHashTable *key_texts; /* waiter -> new key, until its edit counts */
+	GQueue *local_msgs; /* struct local_msg, between shards of this node */
+	GHashTable *key_texts; /* waiter -> new key, until its edit applies */
 };
 
 void ogl_node_log(struct ogl_node *n, const char *part,
     enum ogl_log_level level, const char *fmt, ...) G_GNUC_PRINTF(4, 5);
 bool ogl_node_stale(const struct ogl_node *n, ogl_time now);
-/* The settings can't be shown to be current. */
+/* Whether the settings have not been known to be current for stale_ms. */
 
 /* ---- calls.c: callers' and forwarded calls ---------------------------- */
 
@@ -69,7 +69,7 @@
 
 void ogl_calls_waiter(struct ogl_node *n, uint32_t shard, uint64_t waiter,
     uint32_t status, enum ogl_verdict v, uint64_t retry_after_ms, GBytes *body);
-/* A local shard answers. */
+/* A local shard answers the call that waits as waiter. */
 void ogl_calls_forward(
     struct ogl_node *n, const struct ogl_peer *from, const Ogl__Forward *f);
 void ogl_calls_forward_reply(struct ogl_node *n, const struct ogl_peer *from,
@@ -83,7 +83,7 @@
 
 /* ---- opcalls.c: operators' calls -------------------------------------- */
 
-/* What an operator's call came to; body is taken over. */
+/* The answer to an operator's call; the function's caller frees body. */
 struct ogl_op_reply {
 	uint32_t status;
 	enum ogl_verdict verdict;
@@ -93,7 +93,7 @@
 
 typedef void (*ogl_op_fn)(struct ogl_node *n, const struct ogl_event *ev,
     const char *arg, uint64_t waiter, struct ogl_op_reply *r);
-/* Fills in r, or leaves status 0 when ogl_calls_edited will answer. */
+/* Fills in r, or leaves status 0 if ogl_calls_edited will answer later. */
 
 void ogl_op_settings_get(struct ogl_node *n, const struct ogl_event *ev,
     const char *arg, uint64_t waiter, struct ogl_op_reply *r);
@@ -112,6 +112,6 @@
 void ogl_op_status(struct ogl_node *n, const struct ogl_event *ev,
     const char *arg, uint64_t waiter, struct ogl_op_reply *r);
 char *ogl_op_key_text(struct ogl_node *n, uint64_t waiter);
-/* The key made for this waiter, shown once; NULL when it made none. */
+/* The key made for this waiter, returned once; NULL if it made none; g_free. */
 
 #endif
