--- a/src/state.c
+++ b/src/state.c
@@ -1,18 +1,18 @@
 /*
- * A shard's state as its stream tells it.  Every reader of the stream comes
- * to the same state, for whether a record counts depends on the records
- * before it alone:
+ * The state of a shard, rebuilt from its stream.  Every reader of the stream
+ * comes to the same state, since whether a record is valid depends only on
+ * the records before it:
  *
- *  - A claim counts when it was made from the epoch in force.  Of two rival
+ *  - A claim is valid if it was made from the epoch in force.  Of two rival
  *    claims the first in log order wins; the other names an epoch that is no
  *    longer in force.  The claim's offset + 1 becomes the epoch.
- *  - Any other record counts when its writer, boot and epoch are the owner's.
- *    An owner that was paused and superseded may still get records into the
- *    log; they are passed over by everyone, itself included.
+ *  - Any other record is valid if its writer, boot and epoch are the owner's.
+ *    An owner that was suspended and superseded may still append records;
+ *    every reader ignores them, that owner included.
  *
- * The whole state is written again from time to time as a snapshot in parts;
- * a reader that begins in the middle passes over everything until it has
- * read one whole snapshot.
+ * The whole state is written from time to time as a snapshot in parts.  A
+ * reader that begins in mid-stream ignores all other records until it has
+ * read one complete snapshot.
  */
 
 #include <stdlib.h>
@@ -22,13 +22,13 @@
 #include "state.h"
 
 enum {
-	STATUS_LEAST = 100, /* of HTTP */
-	STATUS_MOST = 999,
-	MOST_TASKS = 10000,      /* of a job; a record of more is damaged */
-	FAILED_TRIES = 3,        /* a restartable task may fail so often */
-	SNAP_JOBS = 500,         /* jobs and ids in one part of a snapshot */
-	ENDED_JOB_KEEP_S = 3600, /* ended jobs can be asked for so long */
-	REFERRAL_KEEP_S = 86400, /* an id may be repeated for so long */
+	HTTP_STATUS_MIN = 100,
+	HTTP_STATUS_MAX = 999,
+	JOB_TASKS_MAX = 10000,   /* a record with more is damaged */
+	MAX_FAILURES = 3,        /* of a restartable task; then it has failed */
+	SNAP_PART_ENTRIES = 500, /* jobs and ids in one part of a snapshot */
+	ENDED_JOB_KEEP_S = 3600, /* ended jobs can be queried for so long */
+	REFERRAL_KEEP_S = 86400, /* callers may repeat an id for so long */
 };
 
 static void
@@ -134,7 +134,7 @@
 	struct ogl_job *j;
 
 	if (a == NULL || a->spec == NULL || a->spec->tasks == 0 ||
-	    a->spec->tasks > MOST_TASKS ||
+	    a->spec->tasks > JOB_TASKS_MAX ||
 	    g_hash_table_contains(st->jobs, a->job))
 		return NULL;
 	j = g_new0(struct ogl_job, 1);
@@ -153,7 +153,7 @@
 	return j;
 }
 
-/* Whether a task that came to this end is done with for good. */
+/* Whether a task that ended in this state is never started again. */
 static bool
 end_is_final(
     const struct ogl_job *j, const struct ogl_task *t, Ogl__TaskState end)
@@ -161,13 +161,13 @@
 	if (end == OGL__TASK_STATE__succeeded || j->cancelled)
 		return true;
 	if (j->spec->kind == OGL__KIND__gang && j->nended > j->nsucceeded)
-		return true; /* it lost a member for good */
+		return true; /* a member has failed for good */
 	if (end == OGL__TASK_STATE__refused)
 		return false;
 	if (!j->spec->restartable)
 		return end != OGL__TASK_STATE__checkpointed;
 	if (end == OGL__TASK_STATE__failed)
-		return t->tries >= FAILED_TRIES;
+		return t->failures >= MAX_FAILURES;
 	return false;
 }
 
@@ -205,7 +205,7 @@
 	t->attempt = e->attempt;
 	t->intended = false;
 	if (e->state == OGL__TASK_STATE__failed)
-		t->tries++;
+		t->failures++;
 	if (end_is_final(j, t, e->state)) {
 		task_finish(j, t, e->state, e->reason);
 		if (j->nended == j->ntasks && j->ended_ms == 0)
@@ -320,7 +320,7 @@
 /* ---- request ids ------------------------------------------------------ */
 
 static struct ogl_idrec *
-idrec_get(struct ogl_state *st, const char *id)
+idrec_get_or_add(struct ogl_state *st, const char *id)
 {
 	struct ogl_idrec *r = g_hash_table_lookup(st->ids, id);
 
@@ -335,7 +335,7 @@
 bool
 ogl_answer_is_sane(uint32_t status)
 {
-	return status >= STATUS_LEAST && status <= STATUS_MOST;
+	return status >= HTTP_STATUS_MIN && status <= HTTP_STATUS_MAX;
 }
 
 static void
@@ -404,7 +404,7 @@
 /* ---- snapshots -------------------------------------------------------- */
 
 static void
-load_job(struct ogl_state *st, const Ogl__JobSnap *s)
+load_snapshot_job(struct ogl_state *st, const Ogl__JobSnap *s)
 {
 	struct ogl_job *j = job_add(st, s->job);
 
@@ -418,7 +418,7 @@
 		    t->state > OGL__TASK_STATE__refused)
 			continue;
 		j->tasks[t->index].attempt = t->attempt;
-		j->tasks[t->index].tries = (uint8_t)t->tries;
+		j->tasks[t->index].failures = (uint8_t)t->tries;
 		j->tasks[t->index].intended = t->intended;
 		if (t->ended)
 			task_finish(
@@ -432,12 +432,12 @@
 }
 
 static void
-load_part(struct ogl_state *st, const Ogl__ShardSnap *s)
+load_snapshot_part(struct ogl_state *st, const Ogl__ShardSnap *s)
 {
 	for (size_t i = 0; i < s->n_jobs; i++)
-		load_job(st, s->jobs[i]);
+		load_snapshot_job(st, s->jobs[i]);
 	for (size_t i = 0; i < s->n_ids; i++) {
-		struct ogl_idrec *r = idrec_get(st, s->ids[i]->id);
+		struct ogl_idrec *r = idrec_get_or_add(st, s->ids[i]->id);
 
 		r->at_ms = s->ids[i]->at_ms;
 		if (s->ids[i]->has_outcome && s->ids[i]->outcome != NULL)
@@ -460,33 +460,33 @@
 	}
 }
 
-/* Takes the parts in order; a part out of order spoils the snapshot, and the
- * reader waits for the next one. */
+/* Adds a part if it is the next one, and ignores it otherwise: if a part is
+ * missing, the reader waits for the next snapshot. */
 static void
-take_part(struct ogl_state *st, const Ogl__ShardSnap *s)
+add_snapshot_part(struct ogl_state *st, const Ogl__ShardSnap *s)
 {
 	struct ogl_state *b;
 
 	if (s->part == 0) {
 		ogl_state_free(st->building);
 		st->building = ogl_state_new();
-		st->building_snap = s->snap;
-		st->building_next = 0;
+		st->building_number = s->snap;
+		st->building_next_part = 0;
 	}
 	b = st->building;
-	if (b == NULL || s->snap != st->building_snap ||
-	    s->part != st->building_next)
+	if (b == NULL || s->snap != st->building_number ||
+	    s->part != st->building_next_part)
 		return;
-	load_part(b, s);
-	st->building_next++;
-	if (st->building_next < s->parts)
+	load_snapshot_part(b, s);
+	st->building_next_part++;
+	if (st->building_next_part < s->parts)
 		return;
 	st->building = NULL;
 	if (b->epoch < st->least_epoch) {
 		ogl_state_free(b);
 		return;
 	}
-	/* The finished one takes the place of the empty one. */
+	/* The complete snapshot replaces the empty state. */
 	struct ogl_state old = *st;
 	*st = *b;
 	*b = old;
@@ -495,15 +495,15 @@
 	st->complete = true;
 }
 
-struct snap_ctx {
+struct snapshot_writer {
 	GPtrArray *records;
 	Ogl__ShardSnap *part;
-	size_t room; /* jobs and ids that still go into the part */
+	size_t space; /* jobs and ids that the part can still hold */
 	uint64_t snap;
 };
 
 static Ogl__ShardSnap *
-new_part(struct snap_ctx *c)
+new_part(struct snapshot_writer *c)
 {
 	Ogl__Record *r = malloc(sizeof *r);
 
@@ -513,11 +513,11 @@
 	ogl__shard_snap__init(r->shard_snap);
 	r->shard_snap->snap = c->snap;
 	r->shard_snap->part = c->records->len;
-	r->shard_snap->jobs = calloc(SNAP_JOBS, sizeof(void *));
-	r->shard_snap->ids = calloc(SNAP_JOBS, sizeof(void *));
+	r->shard_snap->jobs = calloc(SNAP_PART_ENTRIES, sizeof(void *));
+	r->shard_snap->ids = calloc(SNAP_PART_ENTRIES, sizeof(void *));
 	g_ptr_array_add(c->records, r);
 	c->part = r->shard_snap;
-	c->room = SNAP_JOBS;
+	c->space = SNAP_PART_ENTRIES;
 	return c->part;
 }
 
@@ -543,13 +543,14 @@
 		const struct ogl_task *t = &j->tasks[i];
 		Ogl__TaskSnap *ts;
 
-		if (t->phase != OGL_TASK_ENDED && t->tries == 0 && !t->intended)
+		if (t->phase != OGL_TASK_ENDED && t->failures == 0 &&
+		    !t->intended)
 			continue;
 		ts = malloc(sizeof *ts);
 		ogl__task_snap__init(ts);
 		ts->index = i;
 		ts->attempt = t->attempt;
-		ts->tries = t->tries;
+		ts->tries = t->failures;
 		ts->intended = t->intended;
 		ts->ended = t->phase == OGL_TASK_ENDED;
 		ts->state = t->end;
@@ -585,7 +586,7 @@
 	return s;
 }
 
-/* Workers, allotments and ownership go into the first part. */
+/* Ownership, referrals, workers and allotments go into the first part. */
 static void
 snap_head(const struct ogl_state *st, Ogl__ShardSnap *p)
 {
@@ -623,20 +624,21 @@
 		    ogl_message_copy(&((Ogl__Allot *)v)->base);
 }
 
-/* The part that has room for one more job or id. */
+/* The part to add one more job or id to; begins a new one if it is full. */
 static Ogl__ShardSnap *
-part_with_room(struct snap_ctx *c)
+part_with_space(struct snapshot_writer *c)
 {
-	if (c->room == 0)
+	if (c->space == 0)
 		new_part(c);
-	c->room--;
+	c->space--;
 	return c->part;
 }
 
 GPtrArray *
 ogl_state_snapshot(const struct ogl_state *st, uint64_t now_ms)
 {
-	struct snap_ctx c = {.records = g_ptr_array_new(), .snap = now_ms};
+	struct snapshot_writer c = {
+	    .records = g_ptr_array_new(), .snap = now_ms};
 	Ogl__ShardSnap *p;
 	GHashTableIter it;
 	void *v;
@@ -644,12 +646,12 @@
 	snap_head(st, new_part(&c));
 	g_hash_table_iter_init(&it, st->jobs);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		p = part_with_room(&c);
+		p = part_with_space(&c);
 		p->jobs[p->n_jobs++] = snap_job(v);
 	}
 	g_hash_table_iter_init(&it, st->ids);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		p = part_with_room(&c);
+		p = part_with_space(&c);
 		p->ids[p->n_ids++] = snap_id(v);
 	}
 	for (guint i = 0; i < c.records->len; i++) {
@@ -660,10 +662,10 @@
 	return c.records;
 }
 
-/* ---- forgetting ------------------------------------------------------- */
+/* ---- pruning ---------------------------------------------------------- */
 
 static gboolean
-job_is_old(gpointer key, gpointer value, gpointer now_ms)
+job_expired(gpointer key, gpointer value, gpointer now_ms)
 {
 	const struct ogl_job *j = value;
 
@@ -673,16 +675,16 @@
 }
 
 static gboolean
-id_is_old(gpointer key, gpointer value, gpointer oldest_ms)
+id_expired(gpointer key, gpointer value, gpointer oldest_ms)
 {
 	(void)key;
 	return ((struct ogl_idrec *)value)->at_ms < *(uint64_t *)oldest_ms;
 }
 
-/* Without its referral an id sent again could lead to another shard and give
- * a second job, so referrals are kept for as long as callers may repeat. */
+/* Without its referral a repeated id could go to another shard and create a
+ * second job, so referrals are kept for as long as callers may repeat ids. */
 static gboolean
-referral_is_old(gpointer key, gpointer value, gpointer oldest_ms)
+referral_expired(gpointer key, gpointer value, gpointer oldest_ms)
 {
 	(void)key;
 	return ((Ogl__JobReferred *)value)->at_ms < *(uint64_t *)oldest_ms;
@@ -711,8 +713,8 @@
 }
 
 void
-ogl_state_keep_newest(
-    struct ogl_state *st, const char *team, uint32_t most, uint64_t before_ms)
+ogl_state_keep_newest(struct ogl_state *st, const char *team, uint32_t max_jobs,
+    uint64_t before_ms)
 {
 	GPtrArray *ended = g_ptr_array_new();
 	GHashTableIter it;
@@ -727,7 +729,7 @@
 			g_ptr_array_add(ended, v);
 	}
 	g_ptr_array_sort(ended, newest_end_first);
-	for (guint i = most; i < ended->len; i++) {
+	for (guint i = max_jobs; i < ended->len; i++) {
 		struct ogl_job *j = g_ptr_array_index(ended, i);
 
 		if (j->ended_ms < before_ms)
@@ -741,19 +743,19 @@
 {
 	uint64_t oldest = now_ms > id_keep_ms ? now_ms - id_keep_ms : 0;
 
-	g_hash_table_foreach_remove(st->by_request, job_is_old, &now_ms);
-	g_hash_table_foreach_remove(st->jobs, job_is_old, &now_ms);
-	g_hash_table_foreach_remove(st->ids, id_is_old, &oldest);
+	g_hash_table_foreach_remove(st->by_request, job_expired, &now_ms);
+	g_hash_table_foreach_remove(st->jobs, job_expired, &now_ms);
+	g_hash_table_foreach_remove(st->ids, id_expired, &oldest);
 	oldest = now_ms > REFERRAL_KEEP_S * 1000ull
 		     ? now_ms - REFERRAL_KEEP_S * 1000ull
 		     : 0;
-	g_hash_table_foreach_remove(st->referred, referral_is_old, &oldest);
+	g_hash_table_foreach_remove(st->referred, referral_expired, &oldest);
 }
 
 /* ---- one record ------------------------------------------------------- */
 
 static void
-apply_owned(struct ogl_state *st, const Ogl__Record *r,
+apply_owners_record(struct ogl_state *st, const Ogl__Record *r,
     const struct ogl_state_hooks *hooks, void *ctx, ogl_time now)
 {
 	struct ogl_job *j;
@@ -779,17 +781,17 @@
 		apply_referred(st, r->job_referred, hooks, ctx, now);
 		break;
 	case OGL__RECORD__BODY_ID_INTENT:
-		id = idrec_get(st, r->id_intent->id);
+		id = idrec_get_or_add(st, r->id_intent->id);
 		id->at_ms = r->id_intent->at_ms;
 		if (hooks != NULL)
 			hooks->id(ctx, id, now);
 		break;
 	case OGL__RECORD__BODY_ID_OUTCOME:
-		id = idrec_get(st, r->id_outcome->id);
+		id = idrec_get_or_add(st, r->id_outcome->id);
 		idrec_outcome(id, r->id_outcome);
 		if (hooks != NULL)
 			hooks->id(ctx, id, now);
-		/* What certainly did not run may be asked for again. */
+		/* What certainly did not run may be requested again. */
 		if (id->verdict == OGL__VERDICT__not_run)
 			g_hash_table_remove(st->ids, id->id);
 		break;
@@ -813,32 +815,33 @@
 }
 
 static bool
-by_owner(const struct ogl_state *st, const Ogl__Record *r)
+written_by_owner(const struct ogl_state *st, const Ogl__Record *r)
 {
 	return st->epoch != 0 && r->epoch == st->epoch &&
 	       r->boot == st->owner_boot && strcmp(r->writer, st->owner) == 0;
 }
 
-/* The epoch that was in force before the record, as its writer knew it. */
+/* The epoch that the writer knew to be in force when it wrote the record. */
 static uint64_t
-epoch_known(const Ogl__Record *r)
+writers_epoch(const Ogl__Record *r)
 {
 	return r->body_case == OGL__RECORD__BODY_CLAIM ? r->claim->prev_epoch
 						       : r->epoch;
 }
 
 /*
- * A reader that begins in mid-stream looks for the first whole snapshot.  An
- * owner paused with a snapshot on its way may be superseded before that
- * arrives; taking it, one would hold every claim since then to be invalid
- * and one's own, made from the old epoch, to be valid: two owners for good.
- * So the records passed over are watched for the least epoch that a snapshot
- * must have.
+ * A reader that begins in mid-stream looks for the first complete snapshot.
+ * An owner that is suspended while its snapshot is being appended may be
+ * superseded before the snapshot is stored.  A reader that accepted it would
+ * take all claims since then as invalid and its own claim, made from the old
+ * epoch, as valid, and the shard would have two owners permanently.  So the
+ * records before the snapshot give the least epoch that it must have.
  */
 static void
-pass_over(struct ogl_state *st, const Ogl__Record *r, uint64_t offset)
+apply_while_incomplete(
+    struct ogl_state *st, const Ogl__Record *r, uint64_t offset)
 {
-	uint64_t known = epoch_known(r);
+	uint64_t known = writers_epoch(r);
 
 	if (r->body_case == OGL__RECORD__BODY_CLAIM) {
 		st->least_epoch = MAX(st->least_epoch, known + 1);
@@ -848,7 +851,7 @@
 	}
 	if (r->body_case == OGL__RECORD__BODY_SHARD_SNAP &&
 	    known >= st->least_epoch)
-		take_part(st, r->shard_snap);
+		add_snapshot_part(st, r->shard_snap);
 	if (st->complete)
 		return;
 	st->least_epoch = MAX(st->least_epoch, known);
@@ -858,7 +861,7 @@
 bool
 ogl_state_stale(const struct ogl_state *st, const Ogl__Record *r)
 {
-	return st->complete && epoch_known(r) > st->epoch;
+	return st->complete && writers_epoch(r) > st->epoch;
 }
 
 struct ogl_state *
@@ -866,7 +869,7 @@
 {
 	struct ogl_state *st = ogl_state_new();
 
-	st->least_epoch = epoch_known(r);
+	st->least_epoch = writers_epoch(r);
 	st->guess_epoch = st->least_epoch;
 	return st;
 }
@@ -878,16 +881,16 @@
 	if (offset == 0)
 		st->complete = true;
 	if (!st->complete) {
-		pass_over(st, r, offset);
+		apply_while_incomplete(st, r, offset);
 		return;
 	}
 	st->records++;
-	if (by_owner(st, r))
+	if (written_by_owner(st, r))
 		st->owner_ms = r->at_ms;
 	if (r->body_case == OGL__RECORD__BODY_CLAIM)
 		apply_claim(st, r, offset, hooks, ctx, now);
 	else if (r->body_case == OGL__RECORD__BODY_SHARD_SNAP)
-		st->records = by_owner(st, r) ? 0 : st->records;
-	else if (by_owner(st, r))
-		apply_owned(st, r, hooks, ctx, now);
+		st->records = written_by_owner(st, r) ? 0 : st->records;
+	else if (written_by_owner(st, r))
+		apply_owners_record(st, r, hooks, ctx, now);
 }
--- a/src/state.h
+++ b/src/state.h
@@ -1,4 +1,4 @@
-/* What a shard's stream says: claims, jobs, request ids, workers in use. */
+/* A shard's state, rebuilt from its stream: claims, jobs, ids, workers. */
 
 #ifndef OGL_STATE_H
 #define OGL_STATE_H
@@ -10,23 +10,23 @@
 enum ogl_task_phase {
 	OGL_TASK_WAITING, /* to be started */
 	OGL_TASK_PLACED,  /* bound to a worker by the owner */
-	OGL_TASK_ENDED    /* for good; see end */
+	OGL_TASK_ENDED    /* never to be started again; see end */
 };
 
 struct ogl_task {
 	uint8_t phase;    /* enum ogl_task_phase */
-	uint8_t end;      /* Ogl__TaskState, valid when ended */
-	bool ending;      /* owner: its end is on the way to the log */
-	bool running;     /* owner: the worker said that it runs */
-	bool stopping;    /* owner: told to stop */
-	bool sent;        /* owner: a start of this attempt went out */
-	bool intended;    /* an attempt to start it is on the log */
-	bool held;        /* owner: waits for that record to take effect */
-	uint8_t tries;    /* attempts that failed by themselves */
+	uint8_t end;      /* Ogl__TaskState, valid in OGL_TASK_ENDED */
+	bool ending;      /* owner: its end is being appended */
+	bool running;     /* owner: the worker reported that it runs */
+	bool stopping;    /* owner: it is to be stopped */
+	bool sent;        /* owner: a start of this attempt was sent */
+	bool intended;    /* the log holds the intent to start it */
+	bool held;        /* owner: not sent until that record applies */
+	uint8_t failures; /* attempts that ended as failed */
 	uint32_t attempt; /* newest attempt known */
 	uint32_t worker;  /* owner: session number while placed */
-	ogl_time since;   /* owner: when it began to wait or run */
-	uint64_t work;    /* owner: number in the queue, 0 none */
+	ogl_time since;   /* owner: when it began to wait or was bound */
+	uint64_t work;    /* owner: number in the queue, 0: none */
 	char *reason;
 };
 
@@ -35,23 +35,23 @@
 	char *team;
 	Ogl__Submit *spec;
 	uint64_t accepted_ms;
-	uint64_t ended_ms; /* 0 while it lives */
+	uint64_t ended_ms; /* 0 until it ends */
 	uint32_t ntasks;
 	struct ogl_task *tasks;
 	uint32_t nended;
 	uint32_t nsucceeded;
-	uint32_t nlost;   /* ended without anyone knowing how far they ran */
+	uint32_t nlost;   /* ended as lapsed: unknown how far they ran */
 	uint32_t nplaced; /* owner: tasks bound to workers */
 	bool cancelled;
 	Ogl__Verdict cancel_verdict;
-	char *cancel_reason;  /* ended by its owner, NULL by its caller */
-	ogl_time never_since; /* owner: since when no worker could hold it */
-	bool cancelling;      /* owner: the cancel is on the way to the log */
-	bool inherited;       /* owner: accepted before our claim */
+	char *cancel_reason;  /* by the owner; NULL: by a caller */
+	ogl_time never_since; /* owner: since when no worker can hold it */
+	bool cancelling;      /* owner: the cancel is being appended */
+	bool inherited;       /* owner: accepted by an earlier owner */
 	uint64_t number;      /* owner: for placement and spreading */
 };
 
-/* One request id. */
+/* A request id and the answer to its request. */
 struct ogl_idrec {
 	char *id;
 	uint64_t at_ms;
@@ -62,8 +62,8 @@
 };
 
 struct ogl_state {
-	bool complete;  /* all that is retained has been understood */
-	uint64_t epoch; /* offset + 1 of the claim in force, 0 none */
+	bool complete;  /* read from the stream's start or a snapshot */
+	uint64_t epoch; /* offset + 1 of the claim in force, 0: none */
 	uint32_t claims;
 	char *owner;
 	uint64_t owner_boot;
@@ -72,25 +72,25 @@
 	GHashTable *by_request; /* team/request id -> struct ogl_job */
 	GHashTable *referred;   /* team/request id -> Ogl__JobReferred */
 	GHashTable *ids;        /* id -> struct ogl_idrec */
-	GHashTable *workers;    /* name -> addr: the owner may start there */
+	GHashTable *workers;    /* name -> addr, in use: tasks may run there */
 	GHashTable *allots;     /* team -> Ogl__Allot */
-	/* A snapshot being read. */
+	/* The snapshot that is being read, NULL: none. */
 	struct ogl_state *building;
-	uint64_t building_snap;
-	uint32_t building_next;
+	uint64_t building_number; /* its Ogl__ShardSnap.snap */
+	uint32_t building_next_part;
 	uint64_t records; /* applied since the last snapshot */
-	/* While incomplete: what the records passed over tell. */
-	uint64_t least_epoch; /* the epoch in force is this or newer */
-	uint64_t guess_epoch; /* and probably this one */
+	/* While incomplete: learned from records before the snapshot. */
+	uint64_t least_epoch; /* the epoch in force is at least this */
+	uint64_t guess_epoch; /* the epoch in force is probably this */
 	uint64_t owner_ms;    /* at_ms of the owner's newest record */
 };
 
-/* What the owner wants to know when something takes effect. */
+/* Called for the owner when a record takes effect. */
 struct ogl_state_hooks {
 	void (*claimed)(void *ctx, const Ogl__Record *r, ogl_time now);
 	void (*job)(void *ctx, struct ogl_job *j, ogl_time now);
 	void (*cancelled)(void *ctx, struct ogl_job *j, ogl_time now);
-	/* Before the task's phase changes; `final` tells whether for good. */
+	/* Called before the task's phase changes. */
 	void (*task_ended)(void *ctx, struct ogl_job *j, uint32_t i,
 	    const Ogl__TaskEnded *e, ogl_time now);
 	void (*intent)(void *ctx, struct ogl_job *j, uint32_t i,
@@ -107,27 +107,29 @@
 void ogl_state_apply(struct ogl_state *st, const Ogl__Record *r,
     uint64_t offset, const struct ogl_state_hooks *hooks, void *ctx,
     ogl_time now);
-/* Applies one record if it is valid: a claim made from the epoch in force,
- * or anything else by the owner under its epoch.  hooks may be NULL. */
+/* Applies the record at this offset if it is valid: a claim made from the
+ * epoch in force, or any other record by the owner under its epoch.  hooks
+ * may be NULL; they are called with ctx and now. */
 
 bool ogl_state_stale(const struct ogl_state *st, const Ogl__Record *r);
-/* The record is proof that an epoch newer than ours was in force before it,
- * so that what we hold was built on an owner superseded by then. */
+/* Whether the record proves that an epoch newer than st's was in force when
+ * it was written, so that st follows an owner that is superseded. */
 
 struct ogl_state *ogl_state_anew(const Ogl__Record *r);
-/* An empty state to start over with after such a record. */
+/* An empty, incomplete state to replace one that r proved to be stale. */
 
 void ogl_state_prune(
     struct ogl_state *st, uint64_t now_ms, uint32_t id_keep_ms);
-/* Forgets jobs long ended and request ids kept long enough. */
+/* Removes jobs that ended an hour ago, request ids older than id_keep_ms and
+ * referrals older than a day. */
 
-void ogl_state_keep_newest(
-    struct ogl_state *st, const char *team, uint32_t most, uint64_t before_ms);
-/* Forgets ended jobs of the team, oldest first, until at most so many are
- * left; none that ended at before_ms or later. */
+void ogl_state_keep_newest(struct ogl_state *st, const char *team,
+    uint32_t max_jobs, uint64_t before_ms);
+/* Removes ended jobs of the team, oldest first, until at most max_jobs are
+ * left; jobs that ended at before_ms or later are kept. */
 
 GPtrArray *ogl_state_snapshot(const struct ogl_state *st, uint64_t now_ms);
-/* The whole state as records (Ogl__Record), ready to be queued. */
+/* The whole state as new Ogl__Records, to be passed to ogl_stream_add. */
 
 bool ogl_job_ended(const struct ogl_job *j);
 void ogl_job_view(const struct ogl_job *j, Ogl__JobView *v);
@@ -137,7 +139,7 @@
 /* Whether it can be an HTTP status; a damaged message may hold any number. */
 
 char *ogl_request_key(const char *team, const char *request_id);
-/* Name of a caller's id within the cell; g_free. */
+/* A caller's request id as a name unique in the cell; g_free. */
 
 Ogl__Submit *ogl_submit_copy(const Ogl__Submit *s);
 
