--- a/src/stream.c
+++ b/src/stream.c
@@ -1,17 +1,17 @@
 /*
- * One stream of the log: group commit on one side, following on the other.
+ * One stream of the log: group commit of our records, and following of all.
  *
- * Records wait up to commit_ms and leave in one append; one append is under
- * way at a time.  Nothing takes effect when it is sent, only when it is
- * applied in log order.  When the answer's offset is the very one we expect
- * next, no other writer came between and the batch is applied at once;
- * otherwise the stream is read up to it.
+ * Records wait up to commit_ms and are sent in one append; one append is
+ * under way at a time.  A record takes effect when it is applied in log
+ * order, not when it is sent.  If the answer to an append gives the offset
+ * that we expect next, no other writer appended in between and the batch is
+ * applied at once; otherwise the stream is read up to it.
  *
  * An append whose answer is lost may have taken effect, or may take effect
- * later.  It is settled by reading up to the end; if the batch is not there
- * it is sent again under the same sequence numbers.  Should both copies
- * arrive, followers apply the first and pass over the second, since its
- * numbers are not above the last applied of that writer's boot.
+ * later.  To find out, the stream is read up to its end; if the batch is not
+ * there, it is sent again with the same sequence numbers.  If both copies
+ * arrive, followers apply the first and ignore the second, since its numbers
+ * are not above the last applied of that writer's boot.
  */
 
 #include <stdlib.h>
@@ -20,15 +20,15 @@
 #include "stream.h"
 
 enum {
-	BATCH_RECORDS = 4096,     /* records in one append at most */
-	BATCH_BYTES = 512 * 1024, /* bytes in one append, about */
-	IO_TIMEOUT_MS = 1500,     /* for one append or read */
-	BACKOFF_FIRST_MS = 40,    /* after a failed append or read */
-	BACKOFF_MOST_MS = 1000
+	MAX_BATCH_RECORDS = 4096,     /* in one append */
+	MAX_BATCH_BYTES = 512 * 1024, /* plus the last record */
+	IO_TIMEOUT_MS = 1500,         /* for one append or read */
+	BACKOFF_MIN_MS = 40,          /* after a failed append or read */
+	BACKOFF_MAX_MS = 1000
 };
 
-/* Last sequence applied of one writer. */
-struct writer_seen {
+/* The last record applied of one writer. */
+struct last_applied {
 	uint64_t boot;
 	uint64_t seq;
 };
@@ -40,27 +40,27 @@
 	const struct ogl_node_config *cfg;
 	const struct ogl_stream_ops *ops;
 	void *ctx;
-	GHashTable *seen; /* writer -> struct writer_seen */
-	uint64_t offset;  /* next to apply */
+	GHashTable *last_applied; /* writer -> struct last_applied */
+	uint64_t offset;          /* next to apply */
 	ogl_time current;
 
-	ogl_time poll_us; /* 0: not following */
+	ogl_time poll_interval; /* 0: not following */
 	ogl_time read_due;
-	uint64_t read_token; /* 0: no read under way */
+	uint64_t read_token; /* 0: no read is under way */
 	ogl_time read_sent;
 	uint32_t read_backoff;
 
-	GQueue *waiting; /* Ogl__Record, not sent */
-	GPtrArray *sent; /* Ogl__Record, fate unknown */
-	GBytes *batch;   /* the sent ones, packed */
+	GQueue *waiting; /* Ogl__Record, not sent yet */
+	GPtrArray *sent; /* Ogl__Record, in batch and not applied yet */
+	GBytes *batch;   /* the sent records, packed */
 	uint64_t seq;
-	uint32_t most_records; /* in one append */
+	uint32_t max_records; /* in one append */
 	ogl_time append_due;
-	uint64_t append_token; /* 0: no append under way */
+	uint64_t append_token; /* 0: no append is under way */
 	ogl_time append_sent;
 	uint32_t append_backoff;
-	bool settle; /* read up to the end before sending again */
-	ogl_time settle_from;
+	bool outcome_unknown; /* read to the end before sending again */
+	ogl_time outcome_unknown_since;
 	uint64_t appends;
 };
 
@@ -82,12 +82,12 @@
 	s->cfg = c;
 	s->ops = ops;
 	s->ctx = ctx;
-	s->seen =
+	s->last_applied =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	s->waiting = g_queue_new();
 	s->sent = g_ptr_array_new_with_free_func(record_free);
 	s->read_due = OGL_NEVER;
-	s->most_records = BATCH_RECORDS;
+	s->max_records = MAX_BATCH_RECORDS;
 	return s;
 }
 
@@ -99,7 +99,7 @@
 	ogl_stream_drop(s);
 	g_queue_free(s->waiting);
 	g_ptr_array_free(s->sent, TRUE);
-	g_hash_table_destroy(s->seen);
+	g_hash_table_destroy(s->last_applied);
 	g_free(s->name);
 	g_free(s);
 }
@@ -107,13 +107,13 @@
 void
 ogl_stream_single(struct ogl_stream *s)
 {
-	s->most_records = 1;
+	s->max_records = 1;
 }
 
 void
 ogl_stream_poll(struct ogl_stream *s, uint32_t poll_ms, ogl_time now)
 {
-	s->poll_us = poll_ms * OGL_MS;
+	s->poll_interval = poll_ms * OGL_MS;
 	s->read_due = MIN(s->read_due, now);
 }
 
@@ -162,7 +162,7 @@
 		record_free(r);
 	g_ptr_array_set_size(s->sent, 0);
 	g_clear_pointer(&s->batch, g_bytes_unref);
-	s->settle = false;
+	s->outcome_unknown = false;
 	s->append_token = 0;
 }
 
@@ -192,15 +192,16 @@
 
 /* ---- applying --------------------------------------------------------- */
 
-/* Whether the record is new to this stream; notes it as applied. */
+/* Marks the record as applied; false if it or a later one already was. */
 static bool
-first_time(struct ogl_stream *s, const Ogl__Record *r)
+mark_applied(struct ogl_stream *s, const Ogl__Record *r)
 {
-	struct writer_seen *w = g_hash_table_lookup(s->seen, r->writer);
+	struct last_applied *w =
+	    g_hash_table_lookup(s->last_applied, r->writer);
 
 	if (w == NULL) {
-		w = g_new0(struct writer_seen, 1);
-		g_hash_table_insert(s->seen, g_strdup(r->writer), w);
+		w = g_new0(struct last_applied, 1);
+		g_hash_table_insert(s->last_applied, g_strdup(r->writer), w);
 	}
 	if (r->boot < w->boot || (r->boot == w->boot && r->seq <= w->seq))
 		return false;
@@ -217,20 +218,20 @@
 	    ogl__batch__unpack(NULL, data.n, (const uint8_t *)data.p);
 
 	if (b == NULL)
-		return; /* not ours: nothing in it can concern us */
+		return; /* no node wrote it: it holds no records */
 	for (size_t i = 0; i < b->n_records; i++) {
-		if (first_time(s, b->records[i]))
+		if (mark_applied(s, b->records[i]))
 			s->ops->record(s->ctx, b->records[i], offset, now);
 	}
 	ogl__batch__free_unpacked(b, NULL);
 }
 
-/* Forgets sent records that turned up in what was applied. */
+/* Removes the sent records once they have been applied. */
 static void
-settle_sent(struct ogl_stream *s)
+remove_applied(struct ogl_stream *s)
 {
-	const struct writer_seen *w =
-	    g_hash_table_lookup(s->seen, s->cfg->name);
+	const struct last_applied *w =
+	    g_hash_table_lookup(s->last_applied, s->cfg->name);
 	const Ogl__Record *last;
 
 	if (s->sent->len == 0 || w == NULL || w->boot != s->cfg->boot)
@@ -240,7 +241,7 @@
 		return;
 	g_ptr_array_set_size(s->sent, 0);
 	g_clear_pointer(&s->batch, g_bytes_unref);
-	s->settle = false;
+	s->outcome_unknown = false;
 }
 
 /* ---- reading ---------------------------------------------------------- */
@@ -248,7 +249,7 @@
 static uint32_t
 backoff(uint32_t *ms)
 {
-	*ms = *ms == 0 ? BACKOFF_FIRST_MS : MIN(*ms * 2, BACKOFF_MOST_MS);
+	*ms = *ms == 0 ? BACKOFF_MIN_MS : MIN(*ms * 2, BACKOFF_MAX_MS);
 	return *ms;
 }
 
@@ -267,7 +268,7 @@
 }
 
 static void
-take_entries(struct ogl_stream *s, const struct ogl_event *ev, ogl_time now)
+apply_entries(struct ogl_stream *s, const struct ogl_event *ev, ogl_time now)
 {
 	if (ev->u.read.first > s->offset) {
 		s->offset = ev->u.read.first;
@@ -282,7 +283,8 @@
 static void
 on_read(struct ogl_stream *s, const struct ogl_event *ev, ogl_time now)
 {
-	ogl_time wait = s->poll_us > 0 ? s->poll_us : OGL_NEVER - now;
+	ogl_time interval =
+	    s->poll_interval > 0 ? s->poll_interval : OGL_NEVER - now;
 
 	s->read_token = 0;
 	if (ev->io != OGL_IO_OK) {
@@ -290,22 +292,22 @@
 		return;
 	}
 	s->read_backoff = 0;
-	take_entries(s, ev, now);
-	settle_sent(s);
+	apply_entries(s, ev, now);
+	remove_applied(s);
 	if (s->offset < ev->u.read.next) {
 		s->read_due = now;
 		return;
 	}
 	s->current = MAX(s->current, s->read_sent);
-	if (s->settle && s->read_sent >= s->settle_from)
-		s->settle = false; /* not there: send it again */
-	s->read_due = MIN(s->read_due, now + wait);
+	if (s->outcome_unknown && s->read_sent >= s->outcome_unknown_since)
+		s->outcome_unknown = false; /* not there: send it again */
+	s->read_due = MIN(s->read_due, now + interval);
 }
 
 /* ---- appending -------------------------------------------------------- */
 
-/* Numbers begin at the time of the first batch, so that a stream closed and
- * opened again within one boot goes on above its old numbers. */
+/* Sequence numbers begin at the time of the first batch, so that a stream
+ * closed and opened again within one boot continues above its old numbers. */
 static void
 fill_batch(struct ogl_stream *s, ogl_time now)
 {
@@ -316,8 +318,8 @@
 	if (s->seq == 0)
 		s->seq = (uint64_t)now;
 
-	while (s->waiting->length > 0 && s->sent->len < s->most_records &&
-	       bytes < BATCH_BYTES) {
+	while (s->waiting->length > 0 && s->sent->len < s->max_records &&
+	       bytes < MAX_BATCH_BYTES) {
 		Ogl__Record *r = g_queue_pop_head(s->waiting);
 
 		r->seq = ++s->seq;
@@ -361,14 +363,14 @@
 		s->append_backoff = 0;
 		data.p = g_bytes_get_data(s->batch, &data.n);
 		apply_batch(s, data, now);
-		settle_sent(s);
+		remove_applied(s);
 		s->current = MAX(s->current, s->append_sent);
 		s->append_due = now + s->cfg->commit_ms * OGL_MS;
 		return;
 	}
 	if (ev->io == OGL_IO_OK || ev->io == OGL_IO_LOST) {
-		s->settle = s->sent->len > 0;
-		s->settle_from = now;
+		s->outcome_unknown = s->sent->len > 0;
+		s->outcome_unknown_since = now;
 		ogl_stream_read_now(s, now);
 	}
 	if (ev->io == OGL_IO_OK)
@@ -387,31 +389,32 @@
 		on_appended(s, ev, now);
 }
 
-/* An adapter that never answers must not stop the stream for good. */
+/* If the platform's adapter never answers, the append or read counts as lost,
+ * so that the stream does not stop permanently. */
 static void
-give_up_silent(struct ogl_stream *s, ogl_time now)
+time_out(struct ogl_stream *s, ogl_time now)
 {
-	ogl_time most = 2 * IO_TIMEOUT_MS * OGL_MS;
+	ogl_time timeout = 2 * IO_TIMEOUT_MS * OGL_MS;
 	struct ogl_event ev = {.io = OGL_IO_LOST};
 
-	if (s->read_token != 0 && now - s->read_sent >= most)
+	if (s->read_token != 0 && now - s->read_sent >= timeout)
 		on_read(s, &ev, now);
-	if (s->append_token != 0 && now - s->append_sent >= most)
+	if (s->append_token != 0 && now - s->append_sent >= timeout)
 		on_appended(s, &ev, now);
 }
 
 static bool
-append_wanted(const struct ogl_stream *s)
+append_ready(const struct ogl_stream *s)
 {
-	return s->append_token == 0 && !s->settle &&
+	return s->append_token == 0 && !s->outcome_unknown &&
 	       (s->sent->len > 0 || s->waiting->length > 0);
 }
 
 void
 ogl_stream_tick(struct ogl_stream *s, ogl_time now, struct ogl_actions *out)
 {
-	give_up_silent(s, now);
-	if (append_wanted(s) && now >= s->append_due) {
+	time_out(s, now);
+	if (append_ready(s) && now >= s->append_due) {
 		if (s->sent->len == 0)
 			fill_batch(s, now);
 		send_append(s, now, out);
@@ -424,13 +427,13 @@
 ogl_stream_next(const struct ogl_stream *s)
 {
 	ogl_time t = s->read_token == 0 ? s->read_due : OGL_NEVER;
-	ogl_time most = 2 * IO_TIMEOUT_MS * OGL_MS;
+	ogl_time timeout = 2 * IO_TIMEOUT_MS * OGL_MS;
 
-	if (append_wanted(s))
+	if (append_ready(s))
 		t = MIN(t, s->append_due);
 	if (s->read_token != 0)
-		t = MIN(t, s->read_sent + most);
+		t = MIN(t, s->read_sent + timeout);
 	if (s->append_token != 0)
-		t = MIN(t, s->append_sent + most);
+		t = MIN(t, s->append_sent + timeout);
 	return t;
 }
--- a/src/stream.h
+++ b/src/stream.h
@@ -1,4 +1,4 @@
-/* One stream of the platform's log, followed and written by one node. */
+/* One stream of the platform's log, read and written by one node. */
 
 #ifndef OGL_STREAM_H
 #define OGL_STREAM_H
@@ -7,44 +7,50 @@
 
 struct ogl_stream;
 
-/* What the follower of a stream does with what it reads. */
+/* Called for what is read from the stream or applied from an own append. */
 struct ogl_stream_ops {
-	/* One record, in log order, each seq of a writer's boot once.
-	 * `offset` is that of the append it came with. */
+	/* One record, in log order; each seq of a writer's boot comes once.
+	 * `offset` is that of the append which held the record. */
 	void (*record)(
 	    void *ctx, const Ogl__Record *r, uint64_t offset, ogl_time now);
-	/* Records below `first` are gone although not read: start over. */
+	/* Records before offset `first` were deleted before they were read:
+	 * the state built so far can't be continued. */
 	void (*gap)(void *ctx, uint64_t first);
 };
 
 struct ogl_stream *ogl_stream_init(const char *name, uint64_t token_base,
     const struct ogl_node_config *c, const struct ogl_stream_ops *ops,
     void *ctx);
-/* Tokens of its actions are token_base + a count below 2^32. */
+/* c and ops must outlive the stream.  The tokens of its actions are token_base
+ * plus a count below 2^32. */
 void ogl_stream_end(struct ogl_stream *s);
 
 void ogl_stream_single(struct ogl_stream *s);
-/* From now on each append carries one record. */
+/* From now on each append holds a single record. */
 
 void ogl_stream_poll(struct ogl_stream *s, uint32_t poll_ms, ogl_time now);
-/* Follows the stream from now on, reading at least this often. */
+/* Follows the stream from now on: reads every poll_ms, or sooner. */
 
 void ogl_stream_read_now(struct ogl_stream *s, ogl_time now);
-/* Reads as soon as no read is under way. */
+/* Reads at the next tick, or once the read under way has ended. */
 
 void ogl_stream_add(struct ogl_stream *s, Ogl__Record *r, ogl_time now);
-/* Queues a record (taken over) for the next group commit; epoch and body
- * are the caller's to set, writer, boot and seq are filled in. */
+/* Queues a record for the next group commit and takes it over.  The caller
+ * sets epoch and body; writer, boot and seq are filled in. */
 
 void ogl_stream_put_first(struct ogl_stream *s, Ogl__Record *r);
-/* Queues a record ahead of those waiting; only while ogl_stream_idle. */
+/* Queues a record before those waiting and takes it over; only to be called
+ * while ogl_stream_idle. */
 
 bool ogl_stream_idle(const struct ogl_stream *s);
-/* No append is under way and its fate known: all applied is all written. */
+/* Whether no append is under way or of unknown outcome: all that was sent has
+ * been applied. */
 
 size_t ogl_stream_pending(const struct ogl_stream *s);
+/* Records that are queued or sent and have not been applied. */
+
 void ogl_stream_drop(struct ogl_stream *s);
-/* Forgets records not yet sent and stops settling those sent. */
+/* Drops queued records, and no longer retries those sent. */
 
 void ogl_stream_tick(
     struct ogl_stream *s, ogl_time now, struct ogl_actions *out);
@@ -52,13 +58,13 @@
 
 void ogl_stream_event(
     struct ogl_stream *s, const struct ogl_event *ev, ogl_time now);
-/* Takes the answer to one of its actions. */
+/* Handles the answer to one of the stream's actions; ignores others. */
 
 ogl_time ogl_stream_current(const struct ogl_stream *s);
-/* All records appended before this time have been applied; 0 for never. */
+/* All records appended before this time have been applied; 0: none yet. */
 
 uint64_t ogl_stream_offset(const struct ogl_stream *s);
-/* The offset to be applied next. */
+/* The offset that will be applied next. */
 
 uint64_t ogl_stream_appends(const struct ogl_stream *s);
 /* Appends sent so far. */
