--- a/src/reqs.c
+++ b/src/reqs.c
@@ -1,16 +1,17 @@
 /*
  * Short requests.
  *
- * A request waits in the queue, which says who goes first, until the router
- * has a free place at a target; it is then sent, and its answer passed on.
- * The queue is bounded by time: what could not be served within the longest
- * wait its team allows is refused at once, with the time to come back.  What
- * waited too long after all is refused when its time is over, not later.
+ * A request waits in the queue, which decides on the order, until the router
+ * has a free slot at a target; it is then sent, and its answer is passed on.
+ * The queue is bounded by time: a request that is expected to wait longer
+ * than its team allows is refused at once, with a time after which to retry.
+ * One that is accepted and still waits too long is refused when that time is
+ * over.
  *
- * Sent again elsewhere is only what certainly did not run, or what the
- * caller called idempotent, and only within the retry budget.  When a
- * non-idempotent request's answer is lost, the caller hears that it may have
- * run.
+ * A request is sent to another target only if it certainly did not run, or if
+ * its caller declared it as idempotent, and only within the retry budget.  If
+ * the answer to a request that is not idempotent is lost, the caller is told
+ * that it may have run.
  */
 
 #include <string.h>
@@ -19,32 +20,32 @@
 #include "reqs.h"
 
 enum {
-	TOKEN_PART = 3,
-	TRIES = 3,         /* targets one request is sent to at most */
-	BUDGET_MS = 30000, /* for a request that names none */
-	NO_TARGET_RETRY_MS = 1000,
-	LEAST_RETRY_MS = 50
+	TOKEN_PART = 3,        /* top byte of the tokens of requests */
+	MAX_TRIES = 3,         /* targets that one request is sent to */
+	MAX_BUDGET_MS = 30000, /* for a whole request; also the default */
+	NO_TARGET_RETRY_AFTER_MS = 1000,
+	MIN_RETRY_AFTER_MS = 50
 };
 
 enum req_phase {
-	REQ_WAITS,
+	REQ_WAITING,
 	REQ_SENT
 };
 
 struct req {
-	uint64_t id; /* number in the queue, and of its token */
+	uint64_t id; /* its number in the queue and in its token */
 	uint64_t cookie;
 	enum req_phase phase;
 	bool idempotent;
-	bool abandoned; /* nobody waits for the answer */
-	bool started;   /* charged to its team since it was popped */
+	bool abandoned; /* its caller no longer waits for the answer */
+	bool started;   /* sent, and charged to its team in the queue */
 	char *team;
 	char *label;
 	GBytes *body;
 	ogl_time since;
-	ogl_time wait_until; /* may wait so long for a place */
+	ogl_time wait_until; /* neither queued nor retried after it */
 	ogl_time deadline;   /* of the whole request */
-	uint32_t tried[TRIES];
+	uint32_t tried[MAX_TRIES];
 	uint32_t ntried;
 	GSequenceIter *expiry;
 };
@@ -52,7 +53,7 @@
 struct target {
 	char *name;
 	char *addr;
-	uint32_t number; /* router's */
+	uint32_t number; /* the router's */
 };
 
 struct ogl_reqs {
@@ -65,11 +66,11 @@
 	struct ogl_queue *queue;
 	GHashTable *live;      /* id -> struct req */
 	GHashTable *by_cookie; /* cookie -> struct req */
-	GSequence *expiry;     /* struct req by wait_until, waiting ones */
+	GSequence *expiry;     /* waiting struct req, by wait_until */
 	GHashTable *targets;   /* name -> struct target */
 	GHashTable *by_number; /* number -> struct target */
 	uint64_t next_id;
-	bool pump_due;
+	bool dispatch_due;
 };
 
 static void
@@ -152,7 +153,7 @@
 	t->number = ogl_route_target(
 	    q->route, name, zone, q->cfg->exec_slots, leaving, now);
 	g_hash_table_insert(q->by_number, GUINT_TO_POINTER(t->number), t);
-	q->pump_due = true;
+	q->dispatch_due = true;
 }
 
 void
@@ -202,7 +203,7 @@
 	r->expiry = NULL;
 }
 
-/* Gives the final answer and forgets the request. */
+/* Gives the final answer and frees the request. */
 static void
 finish(struct ogl_reqs *q, struct req *r, uint32_t status, enum ogl_verdict v,
     uint64_t retry_ms, GBytes *body, ogl_time now)
@@ -231,20 +232,20 @@
 	g_bytes_unref(body);
 }
 
-/* When a caller turned away now should come back. */
+/* Milliseconds after which a caller that is refused now should retry. */
 static uint64_t
-retry_after(const struct ogl_reqs *q, ogl_time now)
+retry_after_ms(const struct ogl_reqs *q, ogl_time now)
 {
 	uint64_t ms =
 	    ogl_route_wait_ms(q->route, ogl_queue_length(q->queue), now);
 
-	return MAX(ms, LEAST_RETRY_MS);
+	return MAX(ms, MIN_RETRY_AFTER_MS);
 }
 
 /* ---- admission -------------------------------------------------------- */
 
 static gint
-by_wait(gconstpointer a, gconstpointer b, gpointer unused)
+compare_wait_until(gconstpointer a, gconstpointer b, gpointer unused)
 {
 	const struct req *ra = a;
 	const struct req *rb = b;
@@ -267,10 +268,11 @@
 	w.tasks = 1;
 	w.res.cpu_milli = 1000;
 	w.since = r->since;
-	r->phase = REQ_WAITS;
-	r->expiry = g_sequence_insert_sorted(q->expiry, r, by_wait, NULL);
+	r->phase = REQ_WAITING;
+	r->expiry =
+	    g_sequence_insert_sorted(q->expiry, r, compare_wait_until, NULL);
 	ogl_queue_push(q->queue, &w, now);
-	q->pump_due = true;
+	q->dispatch_due = true;
 }
 
 void
@@ -280,7 +282,7 @@
 {
 	struct req *r = g_new0(struct req, 1);
 	struct ogl_team_view view;
-	uint64_t most, expect;
+	uint64_t max_wait_ms, expected_ms;
 
 	ogl_settings_team(q->settings, team, &view);
 	r->id = ++q->next_id;
@@ -290,25 +292,27 @@
 	r->label = g_strdup(label);
 	r->body = g_bytes_new(body.p, body.n);
 	r->since = now;
-	budget_ms = budget_ms > 0 ? MIN(budget_ms, BUDGET_MS) : BUDGET_MS;
-	most = MIN(budget_ms, view.exists ? view.max_queue_ms : BUDGET_MS);
-	r->wait_until = now + (ogl_time)most * OGL_MS;
+	budget_ms =
+	    budget_ms > 0 ? MIN(budget_ms, MAX_BUDGET_MS) : MAX_BUDGET_MS;
+	max_wait_ms =
+	    MIN(budget_ms, view.exists ? view.max_queue_ms : MAX_BUDGET_MS);
+	r->wait_until = now + (ogl_time)max_wait_ms * OGL_MS;
 	r->deadline = now + (ogl_time)budget_ms * OGL_MS;
 	g_hash_table_insert(q->live, &r->id, r);
 	g_hash_table_insert(q->by_cookie, &r->cookie, r);
 	if (g_hash_table_size(q->targets) == 0) {
 		q->counters->refused++;
-		finish_error(q, r, 503, OGL_NOT_RUN, NO_TARGET_RETRY_MS,
+		finish_error(q, r, 503, OGL_NOT_RUN, NO_TARGET_RETRY_AFTER_MS,
 		    "no target is known", now);
 		return;
 	}
-	expect =
+	expected_ms =
 	    ogl_queue_length(q->queue) == 0
 		? 0
 		: ogl_route_wait_ms(q->route, ogl_queue_length(q->queue), now);
-	if (expect > most) {
+	if (expected_ms > max_wait_ms) {
 		q->counters->refused++;
-		finish_error(q, r, 503, OGL_NOT_RUN, expect,
+		finish_error(q, r, 503, OGL_NOT_RUN, expected_ms,
 		    "it would wait too long", now);
 		return;
 	}
@@ -324,8 +328,8 @@
 		return;
 	g_hash_table_remove(q->by_cookie, &cookie);
 	r->abandoned = true;
-	if (r->phase != REQ_WAITS)
-		return; /* it runs; its answer goes nowhere */
+	if (r->phase != REQ_WAITING)
+		return; /* it runs; its answer will be dropped */
 	ogl_queue_remove(q->queue, r->id);
 	stop_waiting(r);
 	g_hash_table_remove(q->live, &r->id);
@@ -350,14 +354,14 @@
 }
 
 static void
-pump(struct ogl_reqs *q, ogl_time now, struct ogl_actions *out)
+dispatch(struct ogl_reqs *q, ogl_time now, struct ogl_actions *out)
 {
 	struct ogl_work w;
 	uint32_t misses = 0;
 
-	q->pump_due = false;
+	q->dispatch_due = false;
 	ogl_queue_again(q->queue, now);
-	while (misses < TRIES && ogl_queue_pop(q->queue, now, &w)) {
+	while (misses < MAX_TRIES && ogl_queue_pop(q->queue, now, &w)) {
 		struct req *r = g_hash_table_lookup(q->live, &w.id);
 		uint32_t t;
 
@@ -376,10 +380,10 @@
 	}
 }
 
-/* ---- what came of it -------------------------------------------------- */
+/* ---- targets' answers ------------------------------------------------- */
 
 static bool
-answer_retries(const struct ogl_event *ev, const struct req *r)
+is_retryable(const struct ogl_event *ev, const struct req *r)
 {
 	if (ev->io == OGL_IO_NOT_SENT || ev->io == OGL_IO_REFUSED)
 		return true;
@@ -391,7 +395,7 @@
 }
 
 static void
-try_again(struct ogl_reqs *q, struct req *r, ogl_time now)
+retry(struct ogl_reqs *q, struct req *r, ogl_time now)
 {
 	q->counters->retries++;
 	ogl_queue_ended(q->queue, r->id, false, now);
@@ -400,23 +404,23 @@
 }
 
 static bool
-surely_not_run(const struct ogl_event *ev)
+certainly_not_run(const struct ogl_event *ev)
 {
 	return ev->io == OGL_IO_NOT_SENT || ev->io == OGL_IO_REFUSED ||
 	       (ev->io == OGL_IO_OK && ev->u.exec.not_run);
 }
 
 static void
-give_up(
+answer_caller(
     struct ogl_reqs *q, struct req *r, const struct ogl_event *ev, ogl_time now)
 {
 	GBytes *body;
 
-	/* An earlier try of an idempotent one may have run although the
-	 * last one surely did not. */
-	if (surely_not_run(ev) && (!r->idempotent || r->ntried == 1)) {
+	/* An earlier try of an idempotent request may have run although the
+	 * last one certainly did not. */
+	if (certainly_not_run(ev) && (!r->idempotent || r->ntried == 1)) {
 		q->counters->refused++;
-		finish_error(q, r, 503, OGL_NOT_RUN, retry_after(q, now),
+		finish_error(q, r, 503, OGL_NOT_RUN, retry_after_ms(q, now),
 		    "no target took it", now);
 	} else if (ev->io == OGL_IO_OK && !ev->u.exec.not_run) {
 		body = g_bytes_new(ev->u.exec.body.p, ev->u.exec.body.n);
@@ -445,41 +449,42 @@
 	    ev->io == OGL_IO_OK && ev->u.exec.not_run ? OGL_IO_REFUSED : ev->io;
 	ogl_route_done(q->route, r->tried[r->ntried - 1], r->cookie, io,
 	    io == OGL_IO_OK ? ev->u.exec.status : 0, now);
-	q->pump_due = true;
-	if (answer_retries(ev, r) && r->ntried < TRIES && !r->abandoned &&
+	q->dispatch_due = true;
+	if (is_retryable(ev, r) && r->ntried < MAX_TRIES && !r->abandoned &&
 	    now < r->wait_until && ogl_route_may_retry(q->route, now))
-		try_again(q, r, now);
+		retry(q, r, now);
 	else
-		give_up(q, r, ev, now);
+		answer_caller(q, r, ev, now);
 }
 
-/* ---- time ------------------------------------------------------------- */
+/* ---- ticks ------------------------------------------------------------ */
 
 static void
-expire(struct ogl_reqs *q, ogl_time now)
+refuse_expired(struct ogl_reqs *q, ogl_time now)
 {
 	GSequenceIter *it;
 
 	while (!g_sequence_iter_is_end(
 	    it = g_sequence_get_begin_iter(q->expiry))) {
 		struct req *r = g_sequence_get(it);
-		bool fresh = r->ntried == 0 || !r->idempotent;
+		bool not_run = r->ntried == 0 || !r->idempotent;
 
 		if (r->wait_until > now)
 			return;
 		ogl_queue_remove(q->queue, r->id);
 		q->counters->refused++;
-		finish_error(q, r, 503, fresh ? OGL_NOT_RUN : OGL_MAY_HAVE_RUN,
-		    retry_after(q, now), "it waited too long", now);
+		finish_error(q, r, 503,
+		    not_run ? OGL_NOT_RUN : OGL_MAY_HAVE_RUN,
+		    retry_after_ms(q, now), "it waited too long", now);
 	}
 }
 
 void
 ogl_reqs_tick(struct ogl_reqs *q, ogl_time now, struct ogl_actions *out)
 {
-	expire(q, now);
-	if (q->pump_due || ogl_queue_length(q->queue) > 0)
-		pump(q, now, out);
+	refuse_expired(q, now);
+	if (q->dispatch_due || ogl_queue_length(q->queue) > 0)
+		dispatch(q, now, out);
 }
 
 ogl_time
@@ -487,7 +492,7 @@
 {
 	GSequenceIter *it = g_sequence_get_begin_iter(q->expiry);
 
-	if (q->pump_due)
+	if (q->dispatch_due)
 		return 0;
 	if (g_sequence_iter_is_end(it))
 		return OGL_NEVER;
