--- a/src/node.c
+++ b/src/node.c
@@ -589,7 +589,7 @@
  * shards.  It also completes when no other node is alive or none claims them
  * in time: all that must be kept is in the log. */
 static void
-check_shutdown(struct ogl_node *n)
+check_stop(struct ogl_node *n)
 {
 	size_t others = 0;
 	bool idle = ogl_calls_live(n) == 0 && ogl_reqs_live(n->reqs) == 0;
@@ -706,7 +706,7 @@
 	ogl_member_tick(n->member, n->now, out);
 	ogl_calls_tick(n);
 	ogl_reqs_tick(n->reqs, n->now, out);
-	check_shutdown(n);
+	check_stop(n);
 	count_actions(n, *first);
 }
 
