--- a/src/session.c
+++ b/src/session.c
@@ -1,23 +1,24 @@
 /*
- * The owner's conversations with workers.
+ * The owner's sessions with workers.
  *
- * One message at a time goes to each worker, every sync_ms or as soon as
- * there is something to say; it carries all starts, stops and acks for the
- * worker and one lease renewal for all its tasks.  Messages carry (epoch,
- * seq); a worker passes over any that is not above what it has seen, so an
- * old owner, or a copy that lay in a buffer, does nothing there.
+ * One message (a sync) at a time is under way to each worker.  It is sent
+ * every sync_ms, or as soon as there is something to send, and carries all
+ * starts, stops and acks for the worker and one lease renewal for all its
+ * tasks.  Messages carry (epoch, seq); a worker ignores any that is not above
+ * the last it accepted, so messages of an old owner and delayed copies have
+ * no effect.
  *
  * Leases are counted on the worker's clock.  Each answer carries the clock's
  * reading X; the next message renews "until X + lease_ms".  However long the
- * message is under way, and however long either side is paused, the lease
+ * message is under way, and however long either side is suspended, the lease
  * ends at most lease_ms after we received X, on our clock.  So once that
- * time and a margin for clock drift are over, a silent worker runs nothing
- * of ours, and its tasks may start elsewhere.  The same X bounds start
- * commands.
+ * time and a margin for clock drift have passed, a worker that does not
+ * answer runs none of our tasks, and they may start elsewhere.  The time
+ * limits of start commands are counted from the same X.
  *
  * A worker is recorded as in use before the first start there, and as no
- * longer in use once its leases have run out unheard.  A successor therefore
- * knows every worker where something may run.
+ * longer in use once its leases have expired without an answer.  A successor
+ * therefore knows every worker where a task may run.
  */
 
 #include <stdlib.h>
@@ -25,7 +26,7 @@
 
 #include "shard_impl.h"
 
-#define DRIFT_SHARE 10 /* a tenth of the lease covers clock drift */
+#define DRIFT_DIVISOR 10 /* a tenth of the lease covers clock drift */
 
 static void
 tref_free(void *v)
@@ -111,7 +112,7 @@
 	return s;
 }
 
-/* ---- which workers ---------------------------------------------------- */
+/* ---- the shard's workers ---------------------------------------------- */
 
 static bool
 host_is_ours(const struct ogl_shard *sh, const struct ogl_host *h)
@@ -123,19 +124,19 @@
 }
 
 static void
-set_open(struct ogl_shard *sh, struct ogl_session *s)
+update_schedulable(struct ogl_shard *sh, struct ogl_session *s)
 {
-	bool open = s->known && s->on && !s->leaving && !s->want_full;
+	bool schedulable = s->known && s->on && !s->leaving && !s->want_full;
 
 	if (!s->placed)
 		return;
-	ogl_place_set(
-	    sh->placer, s->place, open ? OGL_PLACE_OPEN : OGL_PLACE_CLOSED);
-	sh->place_due |= open;
+	ogl_place_set(sh->placer, s->place,
+	    schedulable ? OGL_PLACE_OPEN : OGL_PLACE_CLOSED);
+	sh->place_due |= schedulable;
 }
 
 static void
-take_host(struct ogl_shard *sh, const struct ogl_host *h, ogl_time now)
+update_worker(struct ogl_shard *sh, const struct ogl_host *h, ogl_time now)
 {
 	struct ogl_session *s = g_hash_table_lookup(sh->by_worker, h->name);
 	bool leaving;
@@ -153,17 +154,17 @@
 		s->gone = false;
 		s->next_sync = now;
 	}
-	/* The earliest sign counts: the list lags behind what the worker says
-	 * of itself, and must not open it again. */
+	/* The worker leaves as soon as the list or its own report says so:
+	 * the list lags, and must not make it schedulable again. */
 	leaving = h->leaving || !h->listed || s->says_leaving;
 	if (s->leaving != leaving) {
 		s->leaving = leaving;
-		set_open(sh, s);
+		update_schedulable(sh, s);
 	}
 }
 
-/* The lagging list says whom to talk to; that a worker is missing there is
- * no proof that it stopped, only its leases running out is. */
+/* Updates the workers to contact from the host list, which lags.  A worker
+ * that the list lacks may still run tasks, until its leases have expired. */
 void
 ogl_sessions_hosts(struct ogl_shard *sh, ogl_time now)
 {
@@ -173,7 +174,7 @@
 	g_hash_table_iter_init(&it, sh->env->hosts);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		if (host_is_ours(sh, v))
-			take_host(sh, v, now);
+			update_worker(sh, v, now);
 	}
 	g_hash_table_iter_init(&it, sh->state->workers);
 	while (g_hash_table_iter_next(&it, &k, &v)) {
@@ -185,17 +186,17 @@
 /* ---- leases ----------------------------------------------------------- */
 
 static ogl_time
-drift(const struct ogl_shard *sh)
+drift_margin(const struct ogl_shard *sh)
 {
-	return sh->env->cfg->lease_ms * OGL_MS / DRIFT_SHARE;
+	return sh->env->cfg->lease_ms * OGL_MS / DRIFT_DIVISOR;
 }
 
-/* When the worker has surely stopped all that we or an earlier owner started
- * there, if it is not heard any more. */
+/* The time when the worker, if it answers no more, has certainly stopped all
+ * tasks that we or an earlier owner started there; 0 if there are none. */
 static ogl_time
-silent_end(const struct ogl_shard *sh, const struct ogl_session *s)
+leases_over_at(const struct ogl_shard *sh, const struct ogl_session *s)
 {
-	ogl_time t = s->lease_end > 0 ? s->lease_end + drift(sh) : 0;
+	ogl_time t = s->lease_end > 0 ? s->lease_end + drift_margin(sh) : 0;
 
 	if (!s->known && s->on)
 		t = MAX(t, sh->limbo_until);
@@ -203,7 +204,7 @@
 }
 
 static void
-lapse_all(
+lapse_tasks(
     struct ogl_shard *sh, struct ogl_session *s, const char *why, ogl_time now)
 {
 	for (guint i = s->tasks->len; i > 0; i--) {
@@ -222,13 +223,14 @@
 	}
 }
 
-/* Nothing of ours is left on a silent worker. */
+/* The worker does not answer and its leases have expired: it runs none of our
+ * tasks any more. */
 static void
-write_off(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
+mark_lost(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
 {
 	Ogl__Record *r;
 
-	lapse_all(sh, s, "its worker was lost", now);
+	lapse_tasks(sh, s, "its worker was lost", now);
 	s->known = false;
 	s->lease_end = 0;
 	if (s->placed) {
@@ -246,8 +248,8 @@
 		ogl__worker_off__init(r->worker_off);
 		r->worker_off->worker = strdup(s->name);
 		ogl_shard_append(sh, r, now);
-		ogl_shard_log(
-		    sh, OGL_LOG_WARN, "worker %s is written off", s->name);
+		ogl_shard_log(sh, OGL_LOG_WARN,
+		    "worker %s is lost: its leases have expired", s->name);
 	}
 }
 
@@ -339,10 +341,10 @@
 	g_ptr_array_set_free_func(s->acks, ack_free);
 }
 
-/* A task is to be stopped that never said it runs: only a full report tells
- * whether it is there. */
+/* Whether a task is to be stopped that was never reported as running: only a
+ * full report tells whether the worker has it. */
 static bool
-stops_unstarted(const struct ogl_session *s)
+stopping_unreported(const struct ogl_session *s)
 {
 	for (guint i = 0; s->stops->len > 0 && i < s->tasks->len; i++) {
 		const struct ogl_tref *ref = g_ptr_array_index(s->tasks, i);
@@ -355,7 +357,7 @@
 }
 
 static uint64_t
-track_token(struct ogl_shard *sh, struct ogl_session *s)
+new_token(struct ogl_shard *sh, struct ogl_session *s)
 {
 	int64_t *key = g_new(int64_t, 1);
 
@@ -380,9 +382,9 @@
 	m->seq = ++s->seq;
 	m->boot = s->known ? s->boot : 0;
 	m->owner = strdup(c->name);
-	/* After a lost answer differences may be missing: ask for all. */
+	/* Changes reported in a lost answer may be missing: ask for all. */
 	m->full =
-	    !s->known || s->want_full || s->fails > 0 || stops_unstarted(s);
+	    !s->known || s->want_full || s->fails > 0 || stopping_unreported(s);
 	if (s->known && s->on && !s->want_full) {
 		m->lease_from_ms = s->clock_ms;
 		m->lease_ms = c->lease_ms;
@@ -396,7 +398,7 @@
 	a->addr = g_strdup(s->addr);
 	a->name = g_strdup(s->name);
 	a->timeout_ms = OGL_SYNC_TIMEOUT_MS;
-	a->token = track_token(sh, s);
+	a->token = new_token(sh, s);
 	a->sync = m;
 	s->token = a->token;
 	s->sent_at = now;
@@ -405,9 +407,9 @@
 
 /* ---- answers ---------------------------------------------------------- */
 
-/* Splits "<job>.<index>"; false when it is none of ours. */
+/* Finds the task "<job>.<index>"; false if the shard has no such task. */
 static bool
-task_of(
+find_task(
     struct ogl_shard *sh, const char *name, struct ogl_job **j, uint32_t *index)
 {
 	const char *dot = strrchr(name, '.');
@@ -493,13 +495,13 @@
 }
 
 static bool
-state_live(Ogl__TaskState st)
+is_running(Ogl__TaskState st)
 {
 	return st == OGL__TASK_STATE__running ||
 	       st == OGL__TASK_STATE__throttled;
 }
 
-/* Whether the task is bound to this very worker and attempt. */
+/* Whether the task is bound to this worker, with this attempt. */
 static bool
 bound_here(
     const struct ogl_session *s, const struct ogl_task *t, uint32_t attempt)
@@ -508,10 +510,11 @@
 	       t->attempt == attempt;
 }
 
-/* A running task: ours, one an earlier owner left, or one to be stopped. */
+/* Handles a task reported as running: it is bound here, or an earlier owner
+ * started it and it is adopted, or it has to be stopped. */
 static void
-take_live(struct ogl_shard *sh, struct ogl_session *s, const Ogl__TaskReport *r,
-    struct ogl_job *j, uint32_t i, ogl_time now)
+on_running(struct ogl_shard *sh, struct ogl_session *s,
+    const Ogl__TaskReport *r, struct ogl_job *j, uint32_t i, ogl_time now)
 {
 	struct ogl_task *t = j != NULL ? &j->tasks[i] : NULL;
 
@@ -535,9 +538,9 @@
 	ogl_session_wake(sh, s, now);
 }
 
-/* A task refused by the worker has never run: it simply waits again. */
+/* A task that the worker refused has not run, so it is queued again. */
 static void
-take_refused(struct ogl_shard *sh, struct ogl_session *s,
+on_refused(struct ogl_shard *sh, struct ogl_session *s,
     const Ogl__TaskReport *r, struct ogl_job *j, uint32_t i, ogl_time now)
 {
 	push_ack(s, r->task, r->attempt);
@@ -547,17 +550,18 @@
 }
 
 static void
-take_ended(struct ogl_shard *sh, struct ogl_session *s,
-    const Ogl__TaskReport *r, struct ogl_job *j, uint32_t i, ogl_time now)
+on_ended(struct ogl_shard *sh, struct ogl_session *s, const Ogl__TaskReport *r,
+    struct ogl_job *j, uint32_t i, ogl_time now)
 {
 	struct ogl_task *t = j != NULL ? &j->tasks[i] : NULL;
 	bool orphan;
 
 	drop_stop(s, r->task, r->attempt);
-	/* On its way to the log; the ack follows.  An attempt found on another
-	 * worker meanwhile is told of again: bound now, its end would be passed
-	 * over, for one is on the way already, and that one, being of an older
-	 * attempt, would not count, so that the task never ended. */
+	/* An end of the task is being appended; its ack follows.  If this is
+	 * a later attempt, found on another worker, the worker will report it
+	 * again.  It must not be bound now: its own end would be dropped since
+	 * one is pending, and the pending one would be ignored as that of an
+	 * older attempt, so that the task would never end. */
 	if (t != NULL && t->ending)
 		return;
 	orphan = t != NULL && t->phase == OGL_TASK_WAITING && sh->limbo &&
@@ -571,7 +575,7 @@
 		if (orphan)
 			push_ack(s, r->task, r->attempt);
 		else
-			take_refused(sh, s, r, j, i, now);
+			on_refused(sh, s, r, j, i, now);
 		return;
 	}
 	if (orphan && !ogl_sched_bind(sh, s, j, i, r->attempt, now))
@@ -580,30 +584,30 @@
 }
 
 static void
-take_task(struct ogl_shard *sh, struct ogl_session *s, const Ogl__TaskReport *r,
-    ogl_time now)
+on_task_report(struct ogl_shard *sh, struct ogl_session *s,
+    const Ogl__TaskReport *r, ogl_time now)
 {
 	struct ogl_job *j;
 	uint32_t i = 0;
 
-	if (!task_of(sh, r->task, &j, &i))
+	if (!find_task(sh, r->task, &j, &i))
 		j = NULL;
-	if (state_live(r->state))
-		take_live(sh, s, r, j, i, now);
+	if (is_running(r->state))
+		on_running(sh, s, r, j, i, now);
 	else
-		take_ended(sh, s, r, j, i, now);
+		on_ended(sh, s, r, j, i, now);
 }
 
 static void
-lose_task(struct ogl_shard *sh, const struct ogl_tref *ref, ogl_time now)
+lapse_task(struct ogl_shard *sh, const struct ogl_tref *ref, ogl_time now)
 {
 	sh->env->counters->lapses++;
 	ogl_shard_task_end(sh, ref->job, ref->index, OGL__TASK_STATE__lapsed,
 	    "its worker started anew", now);
 }
 
-/* The start was lost on its way and then the task was to be stopped: the
- * worker has nothing to stop and will never tell of an end. */
+/* A start did not arrive, and then the task was to be stopped or the worker
+ * began to leave: the worker does not have it and will report no end. */
 static void
 undo_start(struct ogl_shard *sh, struct ogl_session *s,
     const struct ogl_tref *ref, const char *name, ogl_time now)
@@ -613,37 +617,37 @@
 	g_ptr_array_add(sh->requeue, ref->job);
 }
 
-/* After a full report: bound tasks it doesn't name are lost, unless their
- * start has yet to arrive there.  A worker that started anew has forgotten
- * all: what was sent to it before may have run, although it never said so,
- * and must not simply be sent again. */
+/* Handles bound tasks that a full report lacks: they are lost, unless their
+ * start has yet to arrive there.  A restarted worker has forgotten all tasks:
+ * one whose start was sent before may have run although that was never
+ * reported, so its start must not be sent again. */
 static void
-drop_unnamed(struct ogl_shard *sh, struct ogl_session *s,
-    const Ogl__WorkerReport *r, bool anew, ogl_time now)
+handle_unreported(struct ogl_shard *sh, struct ogl_session *s,
+    const Ogl__WorkerReport *r, bool restarted, ogl_time now)
 {
-	GHashTable *named = g_hash_table_new(g_str_hash, g_str_equal);
+	GHashTable *reported = g_hash_table_new(g_str_hash, g_str_equal);
 
 	for (size_t i = 0; i < r->n_tasks; i++)
-		g_hash_table_add(named, r->tasks[i]->task);
+		g_hash_table_add(reported, r->tasks[i]->task);
 	for (guint i = s->tasks->len; i > 0; i--) {
 		struct ogl_tref ref =
 		    *(struct ogl_tref *)g_ptr_array_index(s->tasks, i - 1);
 		const struct ogl_task *t = &ref.job->tasks[ref.index];
 		char *name = g_strdup_printf("%s.%u", ref.job->id, ref.index);
 
-		if (!g_hash_table_contains(named, name)) {
-			if (t->running || (anew && t->sent))
-				lose_task(sh, &ref, now);
+		if (!g_hash_table_contains(reported, name)) {
+			if (t->running || (restarted && t->sent))
+				lapse_task(sh, &ref, now);
 			else if (t->stopping || s->leaving)
 				undo_start(sh, s, &ref, name, now);
 		}
 		g_free(name);
 	}
-	g_hash_table_destroy(named);
+	g_hash_table_destroy(reported);
 }
 
 static void
-take_capacity(
+update_capacity(
     struct ogl_shard *sh, struct ogl_session *s, const Ogl__WorkerReport *r)
 {
 	struct ogl_res cap = {0};
@@ -668,9 +672,9 @@
 	g_ptr_array_index(sh->by_place, s->place) = s;
 }
 
-/* Asks the log to note that the worker is in use from here on. */
+/* Appends the record that the worker is in use, which precedes any start. */
 static void
-ask_on(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
+record_in_use(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
 {
 	Ogl__Record *r;
 
@@ -697,21 +701,21 @@
 	s->asked_on = false;
 	s->on = true;
 	sh->sessions_due = now;
-	set_open(sh, s);
+	update_schedulable(sh, s);
 	ogl_session_wake(sh, s, now);
 }
 
 static void
-take_report(struct ogl_shard *sh, struct ogl_session *s,
+apply_report(struct ogl_shard *sh, struct ogl_session *s,
     const Ogl__WorkerReport *r, ogl_time now)
 {
 	bool was_known = s->known;
-	bool anew = s->boot != 0 && r->boot != s->boot;
+	bool restarted = s->boot != 0 && r->boot != s->boot;
 
 	if (was_known && r->boot != s->boot && !r->full) {
-		/* It restarted: what it names is not all we must know. */
+		/* It restarted: a report of changes only is not enough. */
 		s->want_full = true;
-		set_open(sh, s);
+		update_schedulable(sh, s);
 		s->next_sync = now;
 		return;
 	}
@@ -720,22 +724,22 @@
 	s->clock_at = now;
 	s->says_leaving = r->leaving;
 	s->leaving |= r->leaving;
-	take_capacity(sh, s, r);
+	update_capacity(sh, s, r);
 	for (size_t i = 0; i < r->n_tasks; i++)
-		take_task(sh, s, r->tasks[i], now);
+		on_task_report(sh, s, r->tasks[i], now);
 	if (r->full) {
-		drop_unnamed(sh, s, r, anew, now);
+		handle_unreported(sh, s, r, restarted, now);
 		s->known = true;
 		s->want_full = false;
 	}
-	ask_on(sh, s, now);
-	set_open(sh, s);
+	record_in_use(sh, s, now);
+	update_schedulable(sh, s);
 	if (!was_known && s->known)
 		ogl_session_wake(sh, s, now);
 }
 
 static bool
-has_more_to_say(const struct ogl_session *s)
+has_more_to_send(const struct ogl_session *s)
 {
 	if (s->acks->len > 0)
 		return true;
@@ -750,14 +754,14 @@
 }
 
 static void
-on_silence(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
+on_no_answer(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
 {
 	uint32_t wait = sh->env->cfg->sync_ms;
 
 	sh->env->counters->sync_fails++;
 	s->fails++;
-	/* Far below the lease at first, so one loss costs no lease; a worker
-	 * long silent is asked seldom. */
+	/* The first retries come well within the lease, so that it survives a
+	 * lost message; a worker that stays silent is tried less often. */
 	wait = s->fails < 5 ? wait / 4 : wait * 2;
 	s->next_sync = now + wait * OGL_MS;
 }
@@ -778,11 +782,11 @@
 	sh->sessions_due = now;
 	if (ev->io != OGL_IO_OK || ev->u.worker == NULL ||
 	    strcmp(ev->u.worker->worker, s->name) != 0) {
-		on_silence(sh, s, now);
+		on_no_answer(sh, s, now);
 		return;
 	}
 	if (ev->u.worker->refused || ev->u.worker->epoch > sh->state->epoch) {
-		/* Somebody with a higher epoch was there: see who. */
+		/* An owner with a higher epoch may exist: read its claim. */
 		sh->env->counters->set_aside++;
 		ogl_stream_read_now(sh->stream, now);
 		s->next_sync = now + sh->env->cfg->sync_ms * OGL_MS;
@@ -792,17 +796,17 @@
 	s->fails = 0;
 	s->heard = now;
 	s->next_sync = now + sh->env->cfg->sync_ms * OGL_MS;
-	take_report(sh, s, ev->u.worker, now);
-	if (has_more_to_say(s))
+	apply_report(sh, s, ev->u.worker, now);
+	if (has_more_to_send(s))
 		ogl_session_wake(sh, s, now);
 }
 
-/* ---- time ------------------------------------------------------------- */
+/* ---- ticks ------------------------------------------------------------ */
 
-/* What was bound to a worker before it was known to leave, and has not gone
- * out yet, may not go there any more: it waits again, for another. */
+/* Unbinds tasks that were bound before the worker was known to leave and whose
+ * start was not sent: they must not go there any more and are queued again. */
 static void
-take_back_unsent(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
+unbind_unsent(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
 {
 	for (guint i = s->tasks->len; i > 0; i--) {
 		struct ogl_tref ref =
@@ -819,18 +823,18 @@
 static void
 session_tick(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
 {
-	ogl_time end = silent_end(sh, s);
+	ogl_time end = leases_over_at(sh, s);
 
 	if (end > 0 && now >= end && (s->known || s->on))
-		write_off(sh, s, now);
+		mark_lost(sh, s, now);
 	if (!s->on && !s->known && s->leaving && s->tasks->len == 0) {
 		s->gone = true;
-		/* Should the list show it as staying after all, its word of
-		 * before must not keep us from asking it anew. */
+		/* If the list shows it as staying later on, its old report
+		 * must not keep it from being contacted again. */
 		s->says_leaving = false;
 	}
 	if (s->leaving)
-		take_back_unsent(sh, s, now);
+		unbind_unsent(sh, s, now);
 	if (s->gone || s->token != 0 || now < s->next_sync)
 		return;
 	if (ogl_shard_may_act(sh, now))
@@ -839,9 +843,9 @@
 		s->next_sync = now + sh->env->cfg->sync_ms * OGL_MS / 4;
 }
 
-/* A sync whose adapter never answers counts as silence. */
+/* A sync counts as unanswered if the platform's adapter never reports on it. */
 static void
-give_up_silent(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
+time_out_sync(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
 {
 	if (s->token == 0 ||
 	    now - s->sent_at < 2 * OGL_SYNC_TIMEOUT_MS * OGL_MS)
@@ -849,15 +853,15 @@
 	int64_t key = (int64_t)s->token;
 	g_hash_table_remove(sh->by_token, &key);
 	s->token = 0;
-	on_silence(sh, s, now);
+	on_no_answer(sh, s, now);
 }
 
-/* When the session has something to do next. */
+/* The time when the session has something to do next. */
 static ogl_time
 session_due(
     const struct ogl_shard *sh, const struct ogl_session *s, ogl_time now)
 {
-	ogl_time end = silent_end(sh, s);
+	ogl_time end = leases_over_at(sh, s);
 	ogl_time t = OGL_NEVER;
 
 	if (s->token != 0)
@@ -884,7 +888,7 @@
 	for (guint i = 0; i < sh->sessions->len; i++) {
 		struct ogl_session *s = g_ptr_array_index(sh->sessions, i);
 
-		give_up_silent(sh, s, now);
+		time_out_sync(sh, s, now);
 		session_tick(sh, s, now);
 		due = MIN(due, session_due(sh, s, now));
 	}
