--- a/test/test_cluster_scripts.cc
+++ b/test/test_cluster_scripts.cc
@@ -1,9 +1,9 @@
 /*
- * Scripted runs of a whole cell with expected output: test/scripts/
- * cluster_*.txt.  A line is a command, or a question with the answer it must
- * have: `question => answer`; `question within 30 => answer` asks again for
- * so many seconds.  A script opens with comments that tell what goes wrong
- * and what a user notices.
+ * Scripted runs of a whole cell with expected answers: test/scripts/
+ * cluster_*.txt.  A line is a command, or a query with its expected answer:
+ * `query => answer`; `query within 30 => answer` repeats the query for up to
+ * so many seconds.  A script begins with a comment on the failure and on what
+ * users see of it.
  */
 
 #include <gtest/gtest.h>
@@ -29,8 +29,8 @@
 class Script
 {
       public:
-	std::string complaint;
-	fake_unguarded off = {};
+	std::string failure;
+	fake_unguarded guards_off = {};
 	bool never_stale = false; /* old settings count as current */
 
 	~Script()
@@ -38,22 +38,22 @@
 		fake_cluster_end(c);
 	}
 
-	bool play(const std::string &file)
+	bool run(const std::string &file)
 	{
 		std::ifstream in(file);
 		std::string line;
 
-		number = 0;
-		while (complaint.empty() && std::getline(in, line)) {
-			number++;
+		line_number = 0;
+		while (failure.empty() && std::getline(in, line)) {
+			line_number++;
 			if (!line.empty() && line[0] != '#')
-				one(line);
+				run_line(line);
 		}
 		if (c == nullptr)
-			complaint = "an empty script";
-		if (complaint.empty())
-			finish();
-		return complaint.empty();
+			failure = "an empty script";
+		if (failure.empty())
+			check_end();
+		return failure.empty();
 	}
 
 	std::string history() const
@@ -73,12 +73,12 @@
 
 	fake_cluster *c = nullptr;
 	fake_cluster_config cfg = {1, 3, 4, 3, 2, 3, {8000, 32768, 2}, nullptr};
-	int number = 0;
+	int line_number = 0;
 	std::map<std::string, std::string> keys, key_ids;
 	std::map<std::string, job> jobs;
 	std::map<std::string, uint32_t> calls;
 	std::map<std::string, uint32_t> nodes;
-	std::string seen;
+	std::string seen_version;
 
 	static void tune(struct ogl_node_config *n)
 	{
@@ -94,19 +94,19 @@
 
 	void fail(const std::string &why)
 	{
-		if (complaint.empty())
-			complaint =
-			    "line " + std::to_string(number) + ": " + why;
+		if (failure.empty())
+			failure =
+			    "line " + std::to_string(line_number) + ": " + why;
 	}
 
 	static words split(const std::string &s)
 	{
 		std::istringstream in(s);
 		words w;
-		std::string one;
+		std::string word;
 
-		while (in >> one)
-			w.push_back(one);
+		while (in >> word)
+			w.push_back(word);
 		return w;
 	}
 
@@ -130,7 +130,7 @@
 		return 0;
 	}
 
-	uint32_t any_node()
+	uint32_t any_live_node()
 	{
 		for (uint32_t i = 0; i < cfg.nodes; i++) {
 			if (fake_cluster_alive(c, i))
@@ -159,7 +159,7 @@
 		return o < 0 ? 0 : (uint32_t)o;
 	}
 
-	/* let A owner J | home ID | shard 0 | not A [B] */
+	/* let A owner J | home ID | shard 0 | not A [B]: names a node */
 	void let(const words &w)
 	{
 		uint32_t v = 0;
@@ -216,7 +216,7 @@
 	void new_key(const std::string &name)
 	{
 		char *id = nullptr;
-		char *k = fake_cluster_key(c, any_node(), TEAM, &id);
+		char *k = fake_cluster_key(c, any_live_node(), TEAM, &id);
 
 		if (k == nullptr)
 			return fail("no key was made");
@@ -236,7 +236,7 @@
 		cfg.seed = option(w, "seed", 1);
 		cfg.tune = never_stale ? tune_never_stale : tune;
 		c = fake_cluster_init(&cfg);
-		*fake_cluster_unguarded(c) = off;
+		*fake_cluster_unguarded(c) = guards_off;
 		fake_cluster_run(c, 8 * OGL_SEC);
 		if (!fake_cluster_set(c, 0, "teams/north", "{}"))
 			fail("the team was not made");
@@ -305,14 +305,15 @@
 		return s;
 	}
 
-	/* edit X n0 now|seen PATH VALUE, from the present version or from
-	 * the one that `see` saw */
+	/* edit X n0 now|seen PATH VALUE, based on the current version or on
+	 * the one that `see` read */
 	void edit(const words &w)
 	{
 		static const char *const form =
 		    "{\"base_version\":%s,\"who\":\"\",\"changes\":"
 		    "[{\"path\":\"%s\",\"value\":\"%s\"}]}";
-		std::string base = w[3] == "now" ? version(node(w[2])) : seen;
+		std::string base =
+		    w[3] == "now" ? version(node(w[2])) : seen_version;
 		char *body;
 
 		body = g_strdup_printf(
@@ -346,7 +347,7 @@
 			else if (w[i] == "hosts")
 				fake_cluster_cut(c, n, FAKE_HOSTS, 0, on);
 			else if (w[i] == "nodes")
-				alone(n, on);
+				cut_nodes(n, on);
 			else if (w[i][0] == 'w')
 				fake_cluster_cut(c, n, FAKE_WORKER, k, on);
 			else if (w[i][0] == 'e')
@@ -357,7 +358,7 @@
 		}
 	}
 
-	void alone(uint32_t n, bool on)
+	void cut_nodes(uint32_t n, bool on)
 	{
 		for (uint32_t i = 0; i < cfg.nodes; i++) {
 			if (i != n)
@@ -449,7 +450,7 @@
 			calls[w[1]] = send(node(w[2]), "POST", "/v1/requests",
 			    "try " + w[1], "", true, w[3]);
 		else if (v == "see")
-			seen = version(node(w[1]));
+			seen_version = version(node(w[1]));
 		else if (v == "edit")
 			edit(w);
 		else if (v == "pause")
@@ -481,11 +482,11 @@
 			fail("unknown command " + v);
 	}
 
-	/* ---- questions ------------------------------------------------ */
+	/* ---- queries -------------------------------------------------- */
 
-	bool wait_call(const std::string &name, ogl_time most)
+	bool wait_call(const std::string &name, ogl_time timeout)
 	{
-		ogl_time end = fake_cluster_now(c) + most;
+		ogl_time end = fake_cluster_now(c) + timeout;
 
 		while (!fake_cluster_answer(c, calls[name])->done &&
 		       fake_cluster_now(c) < end)
@@ -499,7 +500,7 @@
 		fake_ask a = {"GET", path.c_str(), fake_cluster_operator(c),
 		    nullptr, nullptr, nullptr, false, 0};
 		char *st = fake_cluster_field(
-		    fake_cluster_ask(c, any_node(), &a)->answer, "state");
+		    fake_cluster_ask(c, any_live_node(), &a)->answer, "state");
 		std::string s = st != nullptr ? st : "unknown";
 
 		g_free(st);
@@ -531,7 +532,7 @@
 		return std::to_string(n);
 	}
 
-	/* Of several calls, the least first. */
+	/* The statuses of several calls, in ascending order. */
 	std::string statuses(const words &w)
 	{
 		std::vector<std::string> all;
@@ -575,7 +576,7 @@
 		return k->answer;
 	}
 
-	std::string ask(const words &w)
+	std::string query(const words &w)
 	{
 		const std::string &v = w[0];
 
@@ -633,41 +634,41 @@
 		return s;
 	}
 
-	void question(words w, const std::string &want)
+	void check_query(words w, const std::string &want)
 	{
-		ogl_time most = 0;
+		ogl_time timeout = 0;
 		ogl_time end;
 		std::string got;
 
 		if (w.size() > 2 && w[w.size() - 2] == "within") {
-			most = seconds(w.back());
+			timeout = seconds(w.back());
 			w.resize(w.size() - 2);
 		}
-		end = fake_cluster_now(c) + most;
-		while ((got = ask(w)) != want && fake_cluster_now(c) < end)
+		end = fake_cluster_now(c) + timeout;
+		while ((got = query(w)) != want && fake_cluster_now(c) < end)
 			fake_cluster_run(c, 100 * OGL_MS);
 		if (got != want)
 			fail("expected \"" + want + "\", got \"" + got + "\"");
 	}
 
-	void one(const std::string &line)
+	void run_line(const std::string &line)
 	{
 		size_t arrow = line.find(" => ");
 
 		if (arrow == std::string::npos)
 			command(split(line), line);
 		else
-			question(split(line.substr(0, arrow)),
+			check_query(split(line.substr(0, arrow)),
 			    trim(line.substr(arrow + 4)));
 	}
 
-	void finish()
+	void check_end()
 	{
 		fake_cluster_heal(c);
 		fake_cluster_run(c, 15 * OGL_SEC);
 		fake_cluster_check(c);
 		if (fake_cluster_faults(c)[0] != '\0')
-			complaint = fake_cluster_faults(c);
+			failure = fake_cluster_faults(c);
 	}
 };
 
@@ -691,53 +692,51 @@
 {
 };
 
-TEST_P(ClusterScript, GoesAsWritten)
+TEST_P(ClusterScript, GivesExpectedAnswers)
 {
 	Script s;
-	bool ok = s.play(OGL_TEST_DIR "/scripts/" + GetParam() + ".txt");
+	bool ok = s.run(OGL_TEST_DIR "/scripts/" + GetParam() + ".txt");
 
-	EXPECT_TRUE(ok) << s.complaint << "\n" << s.history();
+	EXPECT_TRUE(ok) << s.failure << "\n" << s.history();
 }
 
 INSTANTIATE_TEST_SUITE_P(All, ClusterScript, ::testing::ValuesIn(scripts()),
     [](const auto &info) { return info.param; });
 
-/* The same scripts with the guard switched off that should hold them: they
- * must fail, and by the fault the guard is there for. */
+/* Scripts run with the guard disabled that they depend on: they must fail,
+ * and by the fault that the guard prevents. */
 
 const char *const DIR = OGL_TEST_DIR "/scripts/";
 
-TEST(ClusterUnguarded, AnOldOwnersStartsRunTwice)
+TEST(ClusterUnguarded, StartsOfSupersededOwnerRunTwice)
 {
 	Script s;
 
-	s.off.epochs = true;
-	s.off.starts = true;
-	EXPECT_FALSE(s.play(std::string(DIR) + "cluster_paused_owner.txt"));
-	EXPECT_NE(s.complaint.find("got \"2\""), std::string::npos)
-	    << s.complaint;
+	s.guards_off.epochs = true;
+	s.guards_off.starts = true;
+	EXPECT_FALSE(s.run(std::string(DIR) + "cluster_paused_owner.txt"));
+	EXPECT_NE(s.failure.find("got \"2\""), std::string::npos) << s.failure;
 }
 
-TEST(ClusterUnguarded, ATaskRunsOnTwoWorkers)
+TEST(ClusterUnguarded, TaskRunsOnTwoWorkers)
 {
 	Script s;
 
-	s.off.leases = true;
-	EXPECT_FALSE(s.play(
+	s.guards_off.leases = true;
+	EXPECT_FALSE(s.run(
 	    std::string(DIR) + "cluster_takeover_worker_unreachable.txt"));
-	EXPECT_NE(s.complaint.find("runs on w"), std::string::npos)
-	    << s.complaint;
+	EXPECT_NE(s.failure.find("runs on w"), std::string::npos) << s.failure;
 }
 
-TEST(ClusterUnguarded, AWithdrawnKeyIsServed)
+TEST(ClusterUnguarded, WithdrawnKeyIsServed)
 {
 	Script s;
 
 	s.never_stale = true;
-	EXPECT_FALSE(s.play(std::string(DIR) + "cluster_key_cut_off.txt"));
-	EXPECT_NE(s.complaint.find("expected \"503\", got \"200\""),
-	    std::string::npos)
-	    << s.complaint;
+	EXPECT_FALSE(s.run(std::string(DIR) + "cluster_key_cut_off.txt"));
+	EXPECT_NE(
+	    s.failure.find("expected \"503\", got \"200\""), std::string::npos)
+	    << s.failure;
 }
 
 } // namespace
