--- a/test/test_cluster_seeds.cc
+++ b/test/test_cluster_seeds.cc
@@ -1,5 +1,5 @@
 /*
- * Random load under random faults, one run a seed.  OGL_SEEDS and
+ * Random load under random faults, one run per seed.  OGL_SEEDS (a count) and
  * OGL_FIRST_SEED choose the seeds; with OGL_WHOLE set the whole history of
  * each run is printed.
  */
@@ -24,10 +24,10 @@
 const unsigned DEFAULT_SEEDS = 300;
 #endif
 const unsigned THREADS = 3;
-const unsigned SHOWN = 3; /* failing runs whose history is shown */
+const unsigned MAX_SHOWN = 3; /* failing runs with their history */
 
 unsigned
-seeds_wanted()
+seed_count()
 {
 	const char *e = getenv("OGL_SEEDS");
 
@@ -70,12 +70,12 @@
 	return o;
 }
 
-TEST(ClusterSeeds, HoldUnderRandomFaults)
+TEST(ClusterSeeds, InvariantsHoldUnderRandomFaults)
 {
-	/* Whatever fails, a caller is told the truth, nothing runs twice,
-	 * no worker is overfull, no team above its limit, and what was
-	 * accepted ends once all is well again. */
-	unsigned last = first_seed() + seeds_wanted();
+	/* Whatever fails, callers get true answers, nothing runs twice, no
+	 * worker is above its capacity, no team is above its limit, and
+	 * accepted work ends once the faults are over. */
+	unsigned last = first_seed() + seed_count();
 	std::atomic<unsigned> next{first_seed()};
 	std::atomic<unsigned> shown{0};
 	std::mutex lock;
@@ -96,7 +96,7 @@
 				ADD_FAILURE()
 				    << "seed " << s << ":\n"
 				    << o.faults
-				    << (shown++ < SHOWN ? o.tail : "");
+				    << (shown++ < MAX_SHOWN ? o.tail : "");
 			}
 		});
 	}
@@ -104,12 +104,12 @@
 		t.join();
 }
 
-// Seeds beyond the first few hundred that once showed a fault: a part of a
-// limit told while an older split was on its way (6128), an older snapshot
-// that brought an evicted node back (5119), two nodes that evicted each other
-// so that nobody kept the settings (5843), one id that made two jobs (10243),
-// two owners for good (20207 and below 300).
-TEST(ClusterSeeds, HoldWhereTheyOnceDidNot)
+// Seeds beyond the first few hundred that found a fault: a part of a limit
+// was reported while an older split was under way (6128), an older snapshot
+// brought an evicted node back (5119), two nodes evicted each other so that
+// no node kept the settings (5843), one id created two jobs (10243), a shard
+// had two owners permanently (20207 and below 300).
+TEST(ClusterSeeds, InvariantsHoldForSeedsThatFailed)
 {
 	for (uint64_t seed : {5119, 5843, 6128, 10243, 10784, 20207}) {
 		outcome o = run_seed(seed);
@@ -118,7 +118,7 @@
 	}
 }
 
-TEST(ClusterSeeds, SameSeedSameHistory)
+TEST(ClusterSeeds, SameSeedGivesSameHistory)
 {
 	fake_faults *a = fake_faults_init(7);
 	fake_faults *b = fake_faults_init(7);
