--- a/src/node_impl.h
+++ b/src/node_impl.h
@@ -55,7 +55,7 @@
 void ogl_node_log(struct ogl_node *n, const char *part,
     enum ogl_log_level level, const char *fmt, ...) G_GNUC_PRINTF(4, 5);
 bool ogl_node_stale(const struct ogl_node *n, ogl_time now);
-/* Whether the settings have not been known to be current for stale_ms. */
+/* Whether the settings were last known to be current over stale_ms ago. */
 
 /* ---- calls.c: callers' and forwarded calls ---------------------------- */
 
--- a/src/state.c
+++ b/src/state.c
@@ -161,7 +161,7 @@
 	if (end == OGL__TASK_STATE__succeeded || j->cancelled)
 		return true;
 	if (j->spec->kind == OGL__KIND__gang && j->nended > j->nsucceeded)
-		return true; /* a member has failed for good */
+		return true; /* a member ended and will not succeed */
 	if (end == OGL__TASK_STATE__refused)
 		return false;
 	if (!j->spec->restartable)
--- a/src/state.h
+++ b/src/state.h
@@ -25,7 +25,7 @@
 	uint8_t failures; /* attempts that ended as failed */
 	uint32_t attempt; /* newest attempt known */
 	uint32_t worker;  /* owner: session number while placed */
-	ogl_time since;   /* owner: when it began to wait or was bound */
+	ogl_time since;   /* owner: when it was bound to its worker */
 	uint64_t work;    /* owner: number in the queue, 0: none */
 	char *reason;
 };
