--- a/bench/bench_control.c
+++ b/bench/bench_control.c
@@ -28,7 +28,7 @@
 	uint32_t node;
 	enum ogl_event_type type;
 	uint64_t token;
-	enum ogl_io io;
+	enum ogl_io_result io;
 	uint64_t offset, first, next;
 	struct ogl_log_entry entries[READ_MOST];
 	size_t n;
--- a/bench/bench_lend.c
+++ b/bench/bench_lend.c
@@ -59,7 +59,7 @@
 
 struct piece {
 	uint32_t team;
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 	bool restartable;
 	bool running;
 	ogl_time left; /* run time to come */
@@ -117,11 +117,11 @@
 		g_snprintf(name, sizeof name, "w%u", i);
 		g_snprintf(rack, sizeof rack, "r%u", i / 8);
 		w = ogl_place_worker(c->place, name, &cap, "z", rack);
-		ogl_place_set(c->place, w, OGL_PLACE_OPEN);
+		ogl_place_set_state(c->place, w, OGL_PLACE_SCHEDULABLE);
 	}
 	for (uint32_t t = 0; t < TEAMS; t++) {
-		ogl_queue_team(c->queue, names[t], weights[t]);
-		ogl_lend_share(c->lend, names[t], weights[t]);
+		ogl_queue_set_share(c->queue, names[t], weights[t]);
+		ogl_lend_set_weight(c->lend, names[t], weights[t]);
 	}
 }
 
@@ -242,12 +242,12 @@
 		if (p != NULL)
 			p->turn = 0;
 	}
-	ogl_queue_again(c->queue, c->now);
+	ogl_queue_retry_deferred(c->queue, c->now);
 	while (misses < MISSES && ogl_queue_pop(c->queue, c->now, &w)) {
 		struct piece *p = g_ptr_array_index(c->pieces, w.id - 1);
 
 		if (!ogl_place_task(c->place, &p->ask, c->now, &p->worker)) {
-			ogl_queue_back(c->queue, w.id, c->now);
+			ogl_queue_defer(c->queue, w.id, c->now);
 			p->turn = ++misses;
 			continue;
 		}
@@ -283,7 +283,7 @@
 
 		if (p == NULL)
 			continue;
-		struct ogl_lend_want want = {
+		struct ogl_lend_pending want = {
 		    names[p->team], p->ask.res, 1, p->turn, p->since};
 		struct ogl_lend_task task = {i + 1, i + 1, names[p->team],
 		    p->ask.kind, p->ask.res, p->worker, p->since,
@@ -292,7 +292,7 @@
 			ogl_lend_add_task(c->lend, &task);
 			g_array_append_val(ids, i);
 		} else {
-			ogl_lend_add_want(c->lend, &want);
+			ogl_lend_add_pending(c->lend, &want);
 		}
 	}
 }
@@ -300,7 +300,7 @@
 static void
 take_back(struct cell *c)
 {
-	const struct ogl_lend_take *takes;
+	const struct ogl_lend_preemption *takes;
 	GArray *ids = g_array_new(FALSE, FALSE, sizeof(guint));
 	size_t n;
 
@@ -507,7 +507,7 @@
 	struct ogl_res cap = {CPUS * 1000, CPUS * 4096, 0};
 	struct ogl_res none = {0}, one = {1000, 4096, 0};
 	struct ogl_lend *l = ogl_lend_init();
-	const struct ogl_lend_take *takes;
+	const struct ogl_lend_preemption *takes;
 	double us[ROUNDS];
 	ogl_time now = 1000000 * OGL_SEC;
 
@@ -527,10 +527,10 @@
 			ogl_lend_add_task(l, &task);
 		}
 		for (uint32_t i = 0; i < COST_WAITING; i++) {
-			struct ogl_lend_want want = {names[i % TEAMS], one, 1,
-			    i < MISSES ? i + 1 : 0, now - 50 * OGL_SEC};
+			struct ogl_lend_pending want = {names[i % TEAMS], one,
+			    1, i < MISSES ? i + 1 : 0, now - 50 * OGL_SEC};
 
-			ogl_lend_add_want(l, &want);
+			ogl_lend_add_pending(l, &want);
 		}
 		ogl_lend_decide(l, now, &takes);
 		us[k] = (mix_now_ns() - t) / 1000;
--- a/bench/bench_place.c
+++ b/bench/bench_place.c
@@ -15,7 +15,7 @@
 #define LEAST_CPU 420   /* of the mix; its mean fills 7 to 8 a worker */
 
 struct held {
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 	uint32_t w;
 };
 
@@ -34,7 +34,7 @@
 			g_array_append_val(held, h);
 		else
 			misses++;
-		ogl_place_room(p, &total, &used);
+		ogl_place_totals(p, &total, &used);
 	} while (used.cpu_milli < FULL * total.cpu_milli && misses < 100000);
 }
 
@@ -53,7 +53,7 @@
 		h = g_array_index(held, struct held, at);
 		ogl_place_free(p, h.w, &h.ask);
 		g_array_remove_index_fast(held, at);
-		ogl_place_room(p, &total, &used);
+		ogl_place_totals(p, &total, &used);
 		while (i < n && used.cpu_milli < FULL * total.cpu_milli) {
 			mix_ask(m, &h.ask, LEAST_CPU);
 			start = mix_now_ns();
@@ -62,7 +62,7 @@
 			if (!ok)
 				break;
 			g_array_append_val(held, h);
-			ogl_place_room(p, &total, &used);
+			ogl_place_totals(p, &total, &used);
 		}
 	}
 	qsort(ns, n, sizeof(*ns), mix_by_double);
@@ -114,7 +114,7 @@
 gang_cost(struct mix *m, struct ogl_place *p, uint32_t workers)
 {
 	const uint32_t n = 400;
-	struct ogl_ask ask = {OGL__KIND__gang, {2000, 8192, 0}, 1};
+	struct ogl_demand ask = {OGL__KIND__gang, {2000, 8192, 0}, 1};
 	uint32_t *w = g_new(uint32_t, workers * 8), size, i, j, got = 0;
 	double us[400], start, refuse;
 
@@ -201,7 +201,7 @@
 				sum = cpu + mem;
 				for (k = 0; k < backlog->len; k++) {
 					r = &g_array_index(
-					    backlog, struct ogl_ask, k)
+					    backlog, struct ogl_demand, k)
 						 .res;
 					rest = (1 - cpu) * r->cpu_milli /
 						   total->cpu_milli +
@@ -231,14 +231,14 @@
 {
 	struct mix m = {seed};
 	struct ogl_place *p = ogl_place_init(seed);
-	GArray *backlog = g_array_new(FALSE, FALSE, sizeof(struct ogl_ask));
+	GArray *backlog = g_array_new(FALSE, FALSE, sizeof(struct ogl_demand));
 	struct ogl_res total, used;
 	double cpu = 0, mem = 0, cpu_part, mem_part;
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 	uint32_t w;
 
 	mix_cell(&m, p, workers, 4);
-	ogl_place_room(p, &total, &used);
+	ogl_place_totals(p, &total, &used);
 	/* Each task is offered once; none that was refused fits later, since
 	 * nothing ends. */
 	while (cpu < BACKLOG || mem < BACKLOG) {
@@ -248,7 +248,7 @@
 		mem += (double)ask.res.mem_mb / total.mem_mb;
 		ogl_place_task(p, &ask, 1, &w);
 	}
-	ogl_place_room(p, &total, &used);
+	ogl_place_totals(p, &total, &used);
 	cpu_part = (double)used.cpu_milli / total.cpu_milli;
 	mem_part = (double)used.mem_mb / total.mem_mb;
 	out->scarcest += cpu >= mem ? cpu_part : mem_part;
@@ -291,7 +291,7 @@
 
 struct job {
 	enum sort sort;
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 	uint32_t n, placed;
 	ogl_time since, run;
 };
--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -48,7 +48,7 @@
 	for (i = 0; i < targets; i++) {
 		snprintf(name, sizeof(name), "e%u", i);
 		snprintf(zone, sizeof(zone), "z%u", i % 4);
-		ogl_route_target(r, name, zone, SLOTS, false, 1);
+		ogl_route_set_target(r, name, zone, SLOTS, false, 1);
 	}
 	return r;
 }
@@ -75,7 +75,7 @@
 	for (i = 0; i < n; i++) {
 		now += 100;
 		j = (uint32_t)(mix_uniform(&m) * out);
-		ogl_route_done(r, at[j], id[j], OGL_IO_OK, 200, now);
+		ogl_route_request_done(r, at[j], id[j], OGL_IO_OK, 200, now);
 		id[j] = ++last;
 		start = mix_now_ns();
 		if (!ogl_route_pick(r, last, NULL, 0, now, &at[j]))
@@ -269,7 +269,7 @@
 	if (w->guards.budget && ok)
 		ogl_budget_success(&w->budget);
 	if (w->guards.breaker) {
-		ogl_route_done(
+		ogl_route_request_done(
 		    w->route, q->t, id, OGL_IO_OK, ok ? 200 : 500, now);
 	} else {
 		w->flights[q->t]--;
--- a/bench/bench_route_views.c
+++ b/bench/bench_route_views.c
@@ -160,13 +160,13 @@
 }
 
 static void
-left(struct world *w, uint32_t id, enum ogl_io io, ogl_time now)
+left(struct world *w, uint32_t id, enum ogl_io_result io, ogl_time now)
 {
 	struct request *q = &w->requests[id];
 	struct node *n = &w->nodes[q->node];
 
 	if (w->policy == ROUTER)
-		ogl_route_done(
+		ogl_route_request_done(
 		    n->route, q->t, id, io, io == OGL_IO_OK ? 200 : 503, now);
 	else
 		n->flights[q->t]--;
@@ -201,7 +201,7 @@
 		w.nodes[i].route = ogl_route_init(i, "z0");
 		for (t = 0; t < EXECUTORS; t++) {
 			snprintf(name, sizeof(name), "e%u", t);
-			ogl_route_target(
+			ogl_route_set_target(
 			    w.nodes[i].route, name, "z0", SLOTS, false, 1);
 		}
 	}
--- a/bench/lib_mix.c
+++ b/bench/lib_mix.c
@@ -41,7 +41,7 @@
 }
 
 void
-mix_ask(struct mix *m, struct ogl_ask *ask, uint32_t least_cpu)
+mix_ask(struct mix *m, struct ogl_demand *ask, uint32_t least_cpu)
 {
 	double mem_share;
 
@@ -71,7 +71,7 @@
 		c.accel = mix_uniform(m) * ACCEL_EVERY < 1 ? WORKER_ACCEL : 0;
 		accel += c.accel;
 		w = ogl_place_worker(p, name, &c, zone, rack);
-		ogl_place_set(p, w, OGL_PLACE_OPEN);
+		ogl_place_set_state(p, w, OGL_PLACE_SCHEDULABLE);
 	}
 	return accel;
 }
--- a/bench/lib_mix.h
+++ b/bench/lib_mix.h
@@ -19,7 +19,7 @@
 
 double mix_exponential(struct mix *m, double mean);
 
-void mix_ask(struct mix *m, struct ogl_ask *ask, uint32_t least_cpu);
+void mix_ask(struct mix *m, struct ogl_demand *ask, uint32_t least_cpu);
 /* A task: a fifth services, heavy-tailed sizes up to a whole worker, one in
  * fifty with accelerators. */
 
--- a/bench/lib_replay.c
+++ b/bench/lib_replay.c
@@ -217,7 +217,7 @@
 		uint32_t i = (uint32_t)w.id - 1;
 
 		if (!hold(r, &w.res, &server)) {
-			ogl_queue_back(r->q, w.id, now);
+			ogl_queue_defer(r->q, w.id, now);
 			tried++;
 			continue;
 		}
@@ -275,7 +275,7 @@
 	r->free_cpu += k->res.cpu_milli;
 	r->freed = x.server;
 	ogl_queue_ended(r->q, x.work + 1, true, x.end);
-	ogl_queue_again(r->q, x.end);
+	ogl_queue_retry_deferred(r->q, x.end);
 	fill(r, x.end);
 }
 
@@ -510,7 +510,7 @@
 			    memcmp(t->teams[k].path, t->teams[i].path, n) == 0)
 				r->parent[i] = (int)k;
 		}
-		ogl_queue_team(r->q, t->teams[i].path, t->teams[i].share);
+		ogl_queue_set_share(r->q, t->teams[i].path, t->teams[i].share);
 	}
 }
 
--- a/cell/fleet.c
+++ b/cell/fleet.c
@@ -1322,8 +1322,8 @@
 }
 
 static void
-start_lost(
-    struct cell_fleet *f, struct cell_run *r, enum ogl_io io, ogl_time now)
+start_lost(struct cell_fleet *f, struct cell_run *r, enum ogl_io_result io,
+    ogl_time now)
 {
 	if (io == OGL_IO_LOST) {
 		r->start_unanswered = true;
--- a/cell/lead.c
+++ b/cell/lead.c
@@ -700,7 +700,7 @@
  * however often that was repeated. */
 static void
 apply_heartbeat_answer(struct lead_shard *s, const struct heartbeat *h,
-    enum ogl_io io, ogl_time now)
+    enum ogl_io_result io, ogl_time now)
 {
 	s->heartbeat_refused = io == OGL_IO_REFUSED;
 	if (io == OGL_IO_LOST)
--- a/cell/loader.c
+++ b/cell/loader.c
@@ -275,7 +275,7 @@
 }
 
 static void
-log_request_failed(struct cell_loader *l, enum ogl_io io)
+log_request_failed(struct cell_loader *l, enum ogl_io_result io)
 {
 	char text[128];
 
@@ -294,7 +294,7 @@
 }
 
 static void
-tail_request_failed(struct cell_loader *l, enum ogl_io io, ogl_time now)
+tail_request_failed(struct cell_loader *l, enum ogl_io_result io, ogl_time now)
 {
 	log_request_failed(l, io);
 	l->next_request_at = now + RETRY_DELAY;
@@ -546,7 +546,7 @@
 
 static void
 page_request_failed(
-    struct cell_loader *l, struct range *r, enum ogl_io io, ogl_time now)
+    struct cell_loader *l, struct range *r, enum ogl_io_result io, ogl_time now)
 {
 	log_request_failed(l, io);
 	if (r->requests_pending == 0)
--- a/cell/ops.h
+++ b/cell/ops.h
@@ -52,7 +52,7 @@
 };
 
 struct cell_append_answer {
-	enum ogl_io io;
+	enum ogl_io_result io;
 	bool outranked;  /* refused: a higher epoch was seen */
 	bool moved;      /* refused: the stream does not end at `at` */
 	uint64_t offset; /* of the first record, when OK */
@@ -103,7 +103,7 @@
 };
 
 struct cell_read_answer {
-	enum ogl_io io;
+	enum ogl_io_result io;
 	bool trimmed;   /* the records asked for are deleted; first is set */
 	uint64_t first; /* oldest retained offset */
 	uint64_t end;
@@ -112,7 +112,7 @@
 };
 
 struct cell_newest_answer {
-	enum ogl_io io;
+	enum ogl_io_result io;
 	bool more; /* there is another page, after the last key */
 	uint64_t end;
 	const struct cell_record *records;
@@ -178,7 +178,7 @@
 };
 
 struct cell_hold_answer {
-	enum ogl_io io;
+	enum ogl_io_result io;
 	bool no_listener; /* the connection was refused: no process listens */
 	enum cell_refusal why;
 	uint64_t clock_ms; /* the worker's clock */
@@ -204,7 +204,7 @@
 };
 
 struct cell_order_answer {
-	enum ogl_io io;
+	enum ogl_io_result io;
 	enum cell_refusal why;
 	uint64_t clock_ms; /* the worker's clock, 0 unknown */
 };
@@ -225,7 +225,7 @@
 };
 
 struct cell_ask_answer {
-	enum ogl_io io;
+	enum ogl_io_result io;
 	uint32_t valid_ms; /* how long the tickets are valid */
 	const struct cell_ticket *tickets;
 	size_t n;
--- a/cell/order_msg.c
+++ b/cell/order_msg.c
@@ -26,7 +26,7 @@
 	return c;
 }
 
-enum ogl_io
+enum ogl_io_result
 cell_order_outcome_to_io(Ogl__CellOrderOutcome outcome)
 {
 	switch (outcome) {
@@ -44,7 +44,7 @@
 }
 
 Ogl__CellOrderOutcome
-cell_order_outcome_from_io(enum ogl_io io)
+cell_order_outcome_from_io(enum ogl_io_result io)
 {
 	switch (io) {
 	case OGL_IO_OK:
--- a/cell/order_msg.h
+++ b/cell/order_msg.h
@@ -13,9 +13,9 @@
 
 Ogl__CellOrder *cell_order_copy(const Ogl__CellOrder *m);
 
-enum ogl_io cell_order_outcome_to_io(Ogl__CellOrderOutcome outcome);
+enum ogl_io_result cell_order_outcome_to_io(Ogl__CellOrderOutcome outcome);
 /* An outcome that is not known, of a later version, counts as lost. */
-Ogl__CellOrderOutcome cell_order_outcome_from_io(enum ogl_io io);
+Ogl__CellOrderOutcome cell_order_outcome_from_io(enum ogl_io_result io);
 
 struct cell_row *cell_rows_from_msg(Ogl__CellRunRow *const *list, size_t n);
 /* Result: n rows that borrow from the messages; free with g_free. */
--- a/cell/relay.c
+++ b/cell/relay.c
@@ -511,7 +511,7 @@
 
 static void
 finish_list(struct pending_call *o, const Ogl__CellOrderAnswer *m,
-    enum ogl_io io, ogl_time now)
+    enum ogl_io_result io, ogl_time now)
 {
 	size_t n = m != NULL ? m->n_entries : 0;
 	struct cell_record *records = g_new0(struct cell_record, n);
@@ -535,7 +535,7 @@
 
 static void
 finish_order(struct pending_call *o, const Ogl__CellOrderAnswer *m,
-    enum ogl_io io, enum cell_refusal why, ogl_time now)
+    enum ogl_io_result io, enum cell_refusal why, ogl_time now)
 {
 	struct cell_order_answer a = {
 	    .io = io, .why = why, .clock_ms = m != NULL ? m->clock_ms : 0};
@@ -545,7 +545,7 @@
 
 static void
 finish_hold(struct pending_call *o, const Ogl__CellOrderAnswer *m,
-    enum ogl_io io, enum cell_refusal why, ogl_time now)
+    enum ogl_io_result io, enum cell_refusal why, ogl_time now)
 {
 	const Ogl__CellOrderAnswer none = OGL__CELL_ORDER_ANSWER__INIT;
 	const Ogl__CellOrderAnswer *x = m != NULL ? m : &none;
@@ -571,7 +571,7 @@
 finish(struct cell_relay *r, struct pending_call *o,
     const Ogl__CellOrderAnswer *m, ogl_time now)
 {
-	enum ogl_io io =
+	enum ogl_io_result io =
 	    m != NULL ? cell_order_outcome_to_io(m->outcome) : OGL_IO_LOST;
 	enum cell_refusal why = m != NULL && m->refusal <= CELL_REFUSED_BAD
 				    ? (enum cell_refusal)m->refusal
--- a/cell/relay_serve.c
+++ b/cell/relay_serve.c
@@ -338,7 +338,7 @@
 
 /* Adds an answer to the batch for the owner; the caller fills in the rest. */
 static Ogl__CellOrderAnswer *
-answer_new(const struct call *c, enum ogl_io io, ogl_time now)
+answer_new(const struct call *c, enum ogl_io_result io, ogl_time now)
 {
 	struct batch *b = batch_of(c->serve, c->shard, c->owner, now);
 	Ogl__CellOrderAnswer *m = malloc(sizeof *m);
--- a/ctl/http.c
+++ b/ctl/http.c
@@ -123,7 +123,7 @@
 }
 
 /* Classifies a failed transfer by whether the node may have got the request. */
-static enum ogl_io
+static enum ogl_io_result
 io_result(CURLcode code)
 {
 	switch (code) {
--- a/ctl/http.h
+++ b/ctl/http.h
@@ -22,7 +22,7 @@
 };
 
 struct ctl_answer {
-	enum ogl_io io; /* status to retry_after_ms need OGL_IO_OK */
+	enum ogl_io_result io; /* status to retry_after_ms need OGL_IO_OK */
 	long status;
 	GString *body;
 	char *verdict;           /* Ogl-Verdict, "" if absent */
--- a/daemon/cell_host.c
+++ b/daemon/cell_host.c
@@ -116,7 +116,7 @@
 {
 	struct ogl_cell_host *h = ctx;
 
-	return ogl_peer_refused(h->peer, addr);
+	return ogl_peer_connect_refused(h->peer, addr);
 }
 
 static void
@@ -184,7 +184,7 @@
 		r.budget_ms = (uint32_t)MIN(ev->u.call.budget_ms, 600000);
 		cell_node_call(h->node, ev->token, &r, boot_time(NULL));
 		break;
-	case OGL_EV_CALL_GONE:
+	case OGL_EV_CALLER_GONE:
 		cell_node_gone(h->node, ev->token);
 		break;
 	case OGL_EV_PEER:
@@ -368,7 +368,7 @@
 	h->stopping_since = ev_now(h->loop);
 	on_log(h, "host", "stopping", "");
 	cell_node_stop(h->node, boot_time(NULL));
-	ogl_http_in_closing(h->frontend_in);
+	ogl_http_in_set_closing(h->frontend_in);
 	ev_timer_start(h->loop, &h->drain_timer);
 }
 
@@ -415,9 +415,9 @@
 	h->peer = ogl_peer_init(h->loop, s->peer, sink, h->log, error);
 	if (h->peer == NULL)
 		return false;
-	ogl_peer_expect(h->peer, &ogl__cell_msg__descriptor);
+	ogl_peer_set_message(h->peer, &ogl__cell_msg__descriptor);
 	if (s->link_kbps > 0 && s->link_kbps < COMPRESS_BELOW_KBPS)
-		ogl_peer_compress(h->peer);
+		ogl_peer_enable_compression(h->peer);
 	h->frontend_in = listen_frontend(h, s->frontend, error);
 	if (h->frontend_in == NULL)
 		return false;
--- a/daemon/dispatch.c
+++ b/daemon/dispatch.c
@@ -348,13 +348,13 @@
 		return;
 	d->stopping = true;
 	ogl_log(d->log, OGL_LOG_INFO, LOG_PREFIX, "The shutdown begins.");
-	ogl_http_in_closing(d->parts.http_in);
+	ogl_http_in_set_closing(d->parts.http_in);
 	ev_timer_start(d->loop, &d->stop_timer);
 	on_event(d, &ev);
 }
 
 bool
-ogl_dispatch_clean(const struct ogl_dispatch *d)
+ogl_dispatch_complete(const struct ogl_dispatch *d)
 {
 	return d->complete;
 }
--- a/daemon/dispatch.h
+++ b/daemon/dispatch.h
@@ -44,7 +44,7 @@
 /* Begins a graceful shutdown.  Breaks the loop once it is complete, or after a
  * timeout. */
 
-bool ogl_dispatch_clean(const struct ogl_dispatch *d);
+bool ogl_dispatch_complete(const struct ogl_dispatch *d);
 /* Returns whether the shutdown was complete when the loop was broken. */
 
 #endif
--- a/daemon/http_client.h
+++ b/daemon/http_client.h
@@ -16,7 +16,7 @@
 	/* OGL_IO_OK: a complete answer of any status.  OGL_IO_NOT_SENT: the
 	 * request was certainly not sent.  OGL_IO_LOST: the request may have
 	 * been executed. */
-	enum ogl_io io;
+	enum ogl_io_result io;
 	bool no_listener; /* the host refused the connection */
 	unsigned status;
 	struct ogl_str body;
--- a/daemon/http_in.c
+++ b/daemon/http_in.c
@@ -551,7 +551,7 @@
 static void
 abandon_call(struct call *c)
 {
-	struct ogl_event ev = {.type = OGL_EV_CALL_GONE, .token = c->token};
+	struct ogl_event ev = {.type = OGL_EV_CALLER_GONE, .token = c->token};
 	struct ogl_http_in *h = c->in;
 
 	c->state = CALL_ABANDONED;
@@ -812,7 +812,7 @@
 }
 
 void
-ogl_http_in_closing(struct ogl_http_in *h)
+ogl_http_in_set_closing(struct ogl_http_in *h)
 {
 	h->closing = true;
 }
--- a/daemon/http_in.h
+++ b/daemon/http_in.h
@@ -60,7 +60,7 @@
 /* Serves all connections that are ready, without waiting; to be called before
  * the loop blocks.  Returns whether there was anything to do. */
 
-void ogl_http_in_closing(struct ogl_http_in *h);
+void ogl_http_in_set_closing(struct ogl_http_in *h);
 /* From now on each reply closes its connection. */
 
 void ogl_http_in_quiesce(struct ogl_http_in *h);
--- a/daemon/http_out.c
+++ b/daemon/http_out.c
@@ -104,7 +104,7 @@
 static bool
 parse_appended(struct xfer *x, struct ogl_event *ev)
 {
-	return ogl_logpage_appended(answer_text(x), &ev->u.appended.offset);
+	return ogl_logpage_parse_offset(answer_text(x), &ev->u.appended.offset);
 }
 
 static bool
@@ -370,7 +370,7 @@
 		h->page_records = MIN(h->page_records * 2, PAGE_MAX_RECORDS);
 }
 
-static enum ogl_io
+static enum ogl_io_result
 classify_failure(struct xfer *x, CURLcode rc)
 {
 	struct ogl_http_out *h = x->out;
@@ -388,7 +388,7 @@
  * An answer without a length ends where its connection ends, so a truncated one
  * looks complete.  It counts as lost.
  */
-static enum ogl_io
+static enum ogl_io_result
 classify_answer(struct xfer *x, struct ogl_event *ev)
 {
 	struct ogl_http_out *h = x->out;
@@ -427,7 +427,7 @@
 }
 
 static void
-count_io(struct ogl_http_out *h, enum ogl_io io)
+count_io(struct ogl_http_out *h, enum ogl_io_result io)
 {
 	uint64_t *const counts[] = {
 	    [OGL_IO_OK] = &h->counts.ok,
--- a/daemon/logpage.c
+++ b/daemon/logpage.c
@@ -114,7 +114,7 @@
 }
 
 bool
-ogl_logpage_appended(struct ogl_str text, uint64_t *offset)
+ogl_logpage_parse_offset(struct ogl_str text, uint64_t *offset)
 {
 	json_t *root = load_json(text);
 	bool ok = get_u64(root, "offset", offset);
--- a/daemon/logpage.h
+++ b/daemon/logpage.h
@@ -20,7 +20,7 @@
 void ogl_logpage_end(struct ogl_logpage *p);
 /* Frees what the page holds and zeroes it. */
 
-bool ogl_logpage_appended(struct ogl_str text, uint64_t *offset);
+bool ogl_logpage_parse_offset(struct ogl_str text, uint64_t *offset);
 /* Parses the offset of an appended record; false if the text has none. */
 
 #endif
--- a/daemon/main.c
+++ b/daemon/main.c
@@ -159,7 +159,7 @@
 	    "Node %s serves callers on port %u and peers on port %u.", c->name,
 	    ogl_http_in_port(d.parts.http_in), ogl_peer_port(d.parts.peer));
 	ev_run(d.loop, 0);
-	if (ogl_dispatch_clean(d.dispatch))
+	if (ogl_dispatch_complete(d.dispatch))
 		status = EXIT_SUCCESS;
 out:
 	g_clear_error(&error);
--- a/daemon/peer.c
+++ b/daemon/peer.c
@@ -759,7 +759,7 @@
 }
 
 bool
-ogl_peer_refused(const struct ogl_peer *p, const char *addr)
+ogl_peer_connect_refused(const struct ogl_peer *p, const char *addr)
 {
 	const struct outbound *k = g_hash_table_lookup(p->outbound, addr);
 
@@ -767,13 +767,14 @@
 }
 
 void
-ogl_peer_expect(struct ogl_peer *p, const ProtobufCMessageDescriptor *message)
+ogl_peer_set_message(
+    struct ogl_peer *p, const ProtobufCMessageDescriptor *message)
 {
 	p->message = message;
 }
 
 void
-ogl_peer_compress(struct ogl_peer *p)
+ogl_peer_enable_compression(struct ogl_peer *p)
 {
 	p->compress = true;
 }
--- a/daemon/peer.h
+++ b/daemon/peer.h
@@ -35,12 +35,12 @@
 
 void ogl_peer_end(struct ogl_peer *p);
 
-void ogl_peer_expect(
+void ogl_peer_set_message(
     struct ogl_peer *p, const ProtobufCMessageDescriptor *message);
 /* Sets the message type of the frames, if it is not Ogl__PeerMsg; to be called
  * before the loop runs. */
 
-void ogl_peer_compress(struct ogl_peer *p);
+void ogl_peer_enable_compression(struct ogl_peer *p);
 /* Compresses outgoing messages, for connections of low bandwidth; incoming
  * messages may be compressed or not.  To be called before the first message. */
 
@@ -48,7 +48,7 @@
 /* Drops the connection to addr and its queue, for a peer that doesn't respond.
  * The next message opens a new connection. */
 
-bool ogl_peer_refused(const struct ogl_peer *p, const char *addr);
+bool ogl_peer_connect_refused(const struct ogl_peer *p, const char *addr);
 /* Returns whether the last attempt to connect to addr was refused because
  * nothing listens there. */
 
--- a/examples/schedule.c
+++ b/examples/schedule.c
@@ -24,7 +24,7 @@
 struct task {
 	uint64_t id;
 	uint32_t worker;
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 	ogl_time ends;
 };
 
@@ -45,7 +45,7 @@
 		uint32_t w = ogl_place_worker(
 		    place, name, &capacity, i == 0 ? "z1" : "z2", "r1");
 
-		ogl_place_set(place, w, OGL_PLACE_OPEN);
+		ogl_place_set_state(place, w, OGL_PLACE_SCHEDULABLE);
 	}
 }
 
@@ -53,7 +53,7 @@
 add_tasks(struct ogl_queue *queue, ogl_time now)
 {
 	for (int t = 0; t < TEAMS; t++) {
-		ogl_queue_team(queue, teams[t], shares[t]);
+		ogl_queue_set_share(queue, teams[t], shares[t]);
 		for (uint64_t i = 0; i < TASKS; i++) {
 			struct ogl_work w = {0};
 
@@ -87,7 +87,7 @@
 		struct task t = {w.id, 0, {w.kind, w.res, w.id}, 0};
 
 		if (!ogl_place_task(c->place, &t.ask, now, &t.worker)) {
-			ogl_queue_back(c->queue, w.id, now);
+			ogl_queue_defer(c->queue, w.id, now);
 			return;
 		}
 		t.ends = now + run_time(w.id);
@@ -107,12 +107,13 @@
 		if (t->ends > now)
 			continue;
 		ogl_place_free(c->place, t->worker, &t->ask);
-		ogl_place_result(c->place, t->worker, t->ask.job, true, now);
+		ogl_place_task_ended(
+		    c->place, t->worker, t->ask.job, true, now);
 		ogl_queue_ended(c->queue, t->id, true, now);
 		c->done[t->id % TEAMS]++;
 		g_array_remove_index_fast(c->running, i);
 	}
-	ogl_queue_again(c->queue, now);
+	ogl_queue_retry_deferred(c->queue, now);
 }
 
 int
--- a/orioleglade.h
+++ b/orioleglade.h
@@ -80,7 +80,7 @@
 /* "not_run", "ran" or "may_have_run"; never NULL; a static string. */
 
 /* Result of sending a message and waiting for its answer. */
-enum ogl_io {
+enum ogl_io_result {
 	OGL_IO_OK,       /* a complete answer to this message arrived */
 	OGL_IO_NOT_SENT, /* it certainly did not reach the receiver */
 	OGL_IO_REFUSED,  /* the receiver said that it did nothing */
@@ -194,7 +194,7 @@
 /* Replaces the contents of s by a dump if the dump is newer, else changes
  * nothing.  Returns false with OGL_ERROR_INPUT when the dump is malformed. */
 
-void ogl_settings_team(
+void ogl_settings_lookup_team(
     const struct ogl_settings *s, const char *team, struct ogl_team_view *view);
 /* Resolved settings of a team.  An unknown team has those set for all teams and
  * view->exists false. */
@@ -219,7 +219,7 @@
 /* JSON list of the changes with version >= from: version, time, author, path,
  * old and new value; g_free. */
 
-void ogl_settings_key(const struct ogl_settings *s, struct ogl_str key,
+void ogl_settings_lookup_key(const struct ogl_settings *s, struct ogl_str key,
     struct ogl_key_view *view);
 /* Looks up the owner of a key.  view->known is false for an unknown or
  * withdrawn key.  Hashes are compared in constant time. */
@@ -243,22 +243,22 @@
 struct ogl_place; /* the workers and the resources held there */
 
 enum ogl_place_state {
-	OGL_PLACE_OPEN,  /* gets new tasks */
-	OGL_PLACE_CLOSED /* leaving, silent or quarantined: gets none */
+	OGL_PLACE_SCHEDULABLE,  /* gets new tasks */
+	OGL_PLACE_UNSCHEDULABLE /* leaving, silent or quarantined: gets none */
 };
 
 /* What one task needs. */
-struct ogl_ask {
+struct ogl_demand {
 	Ogl__Kind kind;
 	struct ogl_res res;
 	uint64_t job; /* tasks of one job are spread out or packed */
 };
 
 /* Why tasks can never run on the workers known. */
-enum ogl_never {
-	OGL_NEVER_NOT = 0,   /* it can run when enough room is free */
-	OGL_NEVER_NO_WORKER, /* no worker is large enough for one task */
-	OGL_NEVER_GANG_TOTAL /* the tasks do not fit on all workers together */
+enum ogl_feasibility {
+	OGL_FEASIBLE = 0,         /* it can run when enough room is free */
+	OGL_INFEASIBLE_NO_WORKER, /* no worker is large enough for one task */
+	OGL_INFEASIBLE_GANG_TOTAL /* the tasks do not fit on all workers together */
 };
 
 struct ogl_place *ogl_place_init(uint64_t seed);
@@ -270,50 +270,53 @@
 /* Adds a worker in the state closed, or updates its capacity.  Returns its
  * number.  With a capacity below what its tasks hold it gets no more tasks. */
 
-void ogl_place_drop(struct ogl_place *p, uint32_t w);
+void ogl_place_remove_worker(struct ogl_place *p, uint32_t w);
 /* Removes a worker and forgets what its tasks held.  Its number may be reused.
  * Does nothing for an unknown number. */
 
-void ogl_place_set(struct ogl_place *p, uint32_t w, enum ogl_place_state st);
+void ogl_place_set_state(
+    struct ogl_place *p, uint32_t w, enum ogl_place_state st);
 
-bool ogl_place_task(
-    struct ogl_place *p, const struct ogl_ask *ask, ogl_time now, uint32_t *w);
+bool ogl_place_task(struct ogl_place *p, const struct ogl_demand *ask,
+    ogl_time now, uint32_t *w);
 /* Picks a worker by the policy for the kind of task and holds the resources
  * there.  Returns false when no worker has room now. */
 
-bool ogl_place_gang(struct ogl_place *p, const struct ogl_ask *ask, uint32_t n,
-    ogl_time now, uint32_t *w);
+bool ogl_place_gang(struct ogl_place *p, const struct ogl_demand *ask,
+    uint32_t n, ogl_time now, uint32_t *w);
 /* Holds resources for n tasks at once and stores their workers in w[0..n).
  * Returns false and holds nothing when not all of them fit. */
 
-bool ogl_place_hold(struct ogl_place *p, uint32_t w, const struct ogl_ask *ask);
+bool ogl_place_hold(
+    struct ogl_place *p, uint32_t w, const struct ogl_demand *ask);
 /* Holds resources at a given worker, e.g. for a task found running there, also
  * when the worker is closed.  Returns false when the capacity would be exceeded.
  */
 
-void ogl_place_free(struct ogl_place *p, uint32_t w, const struct ogl_ask *ask);
+void ogl_place_free(
+    struct ogl_place *p, uint32_t w, const struct ogl_demand *ask);
 /* Releases what one task held.  The ask must equal that of the hold. */
 
-enum ogl_never ogl_place_never(
-    const struct ogl_place *p, const struct ogl_ask *ask, uint32_t n);
+enum ogl_feasibility ogl_place_feasibility(
+    const struct ogl_place *p, const struct ogl_demand *ask, uint32_t n);
 /* Whether n such tasks could ever run at once on the workers known, in whatever
  * state these are. */
 
 bool ogl_place_reserve(struct ogl_place *p, uint64_t job,
-    const struct ogl_ask *ask, uint32_t n, ogl_time until, ogl_time now);
+    const struct ogl_demand *ask, uint32_t n, ogl_time until, ogl_time now);
 /* Reserves resources on chosen workers for a waiting gang as they become free,
  * until the time `until`; shorter tasks may be backfilled.  Only one gang can
  * have a reservation: returns false when another one has it. */
 
 void ogl_place_unreserve(struct ogl_place *p, uint64_t job);
 
-void ogl_place_result(
+void ogl_place_task_ended(
     struct ogl_place *p, uint32_t w, uint64_t job, bool ok, ogl_time now);
 /* Reports that a task ended.  A worker where tasks of several jobs fail that
  * succeed elsewhere is quarantined, and later probed with one task.  A job that
  * fails everywhere does not count against the workers. */
 
-void ogl_place_room(
+void ogl_place_totals(
     const struct ogl_place *p, struct ogl_res *total, struct ogl_res *held);
 /* Resources of all open workers, and how much of them is held. */
 
@@ -344,7 +347,7 @@
 void ogl_queue_end(struct ogl_queue *q);
 /* The policy is borrowed. */
 
-void ogl_queue_team(struct ogl_queue *q, const char *team, double share);
+void ogl_queue_set_share(struct ogl_queue *q, const char *team, double share);
 /* Sets a team's weight among its siblings in the tree of teams; the default is
  * 1.  A share that is not greater than 0 is ignored. */
 
@@ -358,11 +361,11 @@
  * over.  Popped work must be started, put back, pushed again or removed,
  * otherwise it stays in memory. */
 
-void ogl_queue_back(struct ogl_queue *q, uint64_t id, ogl_time now);
+void ogl_queue_defer(struct ogl_queue *q, uint64_t id, ogl_time now);
 /* Puts back popped work that could not start.  It keeps its rank, and pop
- * passes over it until ogl_queue_again is called. */
+ * passes over it until ogl_queue_retry_deferred is called. */
 
-void ogl_queue_again(struct ogl_queue *q, ogl_time now);
+void ogl_queue_retry_deferred(struct ogl_queue *q, ogl_time now);
 /* Makes all work that was passed over available to pop again, for use when
  * resources have become free. */
 
@@ -391,12 +394,12 @@
 struct ogl_route *ogl_route_init(uint64_t seed, const char *own_zone);
 void ogl_route_end(struct ogl_route *r);
 
-uint32_t ogl_route_target(struct ogl_route *r, const char *name,
+uint32_t ogl_route_set_target(struct ogl_route *r, const char *name,
     const char *zone, uint32_t slots, bool leaving, ogl_time now);
 /* Adds or updates a target.  Returns its number.  A target that is leaving gets
  * no new requests.  `slots` is how many requests it runs at once. */
 
-void ogl_route_drop(struct ogl_route *r, uint32_t t);
+void ogl_route_remove_target(struct ogl_route *r, uint32_t t);
 /* Removes a target that is in no host list any more. */
 
 bool ogl_route_pick(struct ogl_route *r, uint64_t request,
@@ -405,12 +408,12 @@
  * expected wait, and counts the request as in flight there.  Returns false when
  * there is none. */
 
-void ogl_route_done(struct ogl_route *r, uint32_t t, uint64_t request,
-    enum ogl_io io, uint32_t http_status, ogl_time now);
+void ogl_route_request_done(struct ogl_route *r, uint32_t t, uint64_t request,
+    enum ogl_io_result io, uint32_t http_status, ogl_time now);
 /* The request is no longer in flight at the target.  Failures take a target out
  * of use for a time, unless the same request fails at other targets too. */
 
-bool ogl_route_may_retry(struct ogl_route *r, ogl_time now);
+bool ogl_route_take_retry(struct ogl_route *r, ogl_time now);
 /* Takes one retry from the retry budget; ten successes add one.  Returns false
  * when the budget is used up. */
 
@@ -419,7 +422,7 @@
 /* Expected wait of a request with `ahead` requests before it, from the measured
  * rate of completions, at most a minute.  Retry-After is based on it, too. */
 
-uint32_t ogl_route_free(const struct ogl_route *r, ogl_time now);
+uint32_t ogl_route_free_slots(const struct ogl_route *r, ogl_time now);
 /* Number of free slots of all targets in use. */
 
 /* ---- node: events in, actions out ------------------------------------- */
@@ -443,7 +446,7 @@
 enum ogl_event_type {
 	OGL_EV_TIMER,        /* the time given by ogl_node_next_wake came */
 	OGL_EV_CALL,         /* a request of a caller or operator */
-	OGL_EV_CALL_GONE,    /* the connection was closed before the reply */
+	OGL_EV_CALLER_GONE,  /* the connection was closed before the reply */
 	OGL_EV_PEER,         /* a packed Ogl__PeerMsg arrived from a peer */
 	OGL_EV_LOG_APPENDED, /* result of OGL_ACT_LOG_APPEND */
 	OGL_EV_LOG_READ,     /* result of OGL_ACT_LOG_READ */
@@ -462,7 +465,7 @@
 struct ogl_event {
 	enum ogl_event_type type;
 	uint64_t token; /* of the action, or chosen by the adapter for a call */
-	enum ogl_io io; /* result of an action */
+	enum ogl_io_result io; /* result of an action */
 	union {
 		struct {
 			struct ogl_str method; /* "GET", "POST", ... */
--- a/src/calls.c
+++ b/src/calls.c
@@ -162,7 +162,7 @@
 }
 
 size_t
-ogl_calls_live(const struct ogl_node *n)
+ogl_calls_open_count(const struct ogl_node *n)
 {
 	return g_hash_table_size(n->calls->live);
 }
@@ -222,7 +222,7 @@
 static void
 ask_local(struct ogl_node *n, const struct call *c, uint32_t shard)
 {
-	struct ogl_ask_call q = {0};
+	struct ogl_owner_call q = {0};
 	gsize len;
 
 	q.waiter = c->id;
@@ -542,7 +542,7 @@
 }
 
 void
-ogl_calls_waiter(struct ogl_node *n, uint32_t shard, uint64_t waiter,
+ogl_calls_answer_waiter(struct ogl_node *n, uint32_t shard, uint64_t waiter,
     uint32_t status, enum ogl_verdict v, uint64_t retry_after_ms, GBytes *body)
 {
 	struct call *c;
@@ -561,7 +561,7 @@
     struct ogl_node *n, const struct ogl_peer *from, const Ogl__Forward *f)
 {
 	uint64_t budget_ms = MIN(f->budget_ms, CALL_TIMEOUT_MS);
-	struct ogl_ask_call q = {0};
+	struct ogl_owner_call q = {0};
 	struct remote_call *r;
 
 	if (f->shard >= n->cfg.shards)
@@ -596,7 +596,7 @@
 	GBytes *body;
 
 	(void)from;
-	if (r->shard >= n->cfg.shards || !ogl_answer_is_sane(r->status) ||
+	if (r->shard >= n->cfg.shards || !ogl_http_status_is_valid(r->status) ||
 	    r->verdict > OGL__VERDICT__may_have_run)
 		return; /* malformed: treated as lost, so the call is resent */
 	if (c == NULL) {
@@ -684,7 +684,7 @@
 	struct call *c;
 
 	(void)arg;
-	ogl_settings_team(n->settings, team, &view);
+	ogl_settings_lookup_team(n->settings, team, &view);
 	if (view.exists && ev->u.call.body.n > view.max_body) {
 		n->counters.bad_input++;
 		reply_error(n, ev->token, 413, OGL_NOT_RUN, 0,
@@ -920,7 +920,7 @@
 
 	team[0] = '\0';
 	if (!op) {
-		ogl_settings_key(n->settings, ev->u.call.key, &view);
+		ogl_settings_lookup_key(n->settings, ev->u.call.key, &view);
 		op = view.known && view.is_operator;
 	}
 	if (!op && !view.known) {
@@ -978,7 +978,7 @@
 }
 
 void
-ogl_calls_take(struct ogl_node *n, const struct ogl_event *ev)
+ogl_calls_handle(struct ogl_node *n, const struct ogl_event *ev)
 {
 	char *path = ogl_str_dup(ev->u.call.path);
 	char *query = strchr(path, '?');
@@ -1003,7 +1003,7 @@
 		    "this node is shutting down");
 		goto out;
 	}
-	if (ogl_node_stale(n, n->now)) {
+	if (ogl_node_settings_stale(n, n->now)) {
 		n->counters.stale++;
 		reply_error(n, ev->token, 503, OGL_NOT_RUN, STALE_RETRY_MS,
 		    "the settings can't be confirmed, so no key counts");
@@ -1020,11 +1020,11 @@
 }
 
 void
-ogl_calls_edited(
+ogl_calls_edit_done(
     struct ogl_node *n, uint64_t waiter, uint64_t version, const GError *error)
 {
 	struct call *c = g_hash_table_lookup(n->calls->live, &waiter);
-	char *key = ogl_op_key_text(n, waiter);
+	char *key = ogl_op_take_key_text(n, waiter);
 
 	if (c == NULL) {
 		g_free(key);
@@ -1045,14 +1045,14 @@
 }
 
 void
-ogl_calls_gone(struct ogl_node *n, uint64_t token)
+ogl_calls_caller_gone(struct ogl_node *n, uint64_t token)
 {
 	struct call *c = g_hash_table_lookup(n->calls->by_token, &token);
 
 	if (c == NULL)
 		return;
 	if (c->kind == CALL_REQUEST)
-		ogl_reqs_gone(n->reqs, c->id);
+		ogl_reqs_caller_gone(n->reqs, c->id);
 	if (c->kind == CALL_SHARD)
 		ogl_shard_waiter_gone(n->shards[c->shard], c->id);
 	call_done(n, c);
--- a/src/claim.c
+++ b/src/claim.c
@@ -19,7 +19,7 @@
 };
 
 void
-ogl_shard_known_owner(
+ogl_shard_set_known_owner(
     struct ogl_shard *sh, const char *node, uint64_t epoch, bool offered)
 {
 	g_free(sh->known_owner);
--- a/src/escrow.c
+++ b/src/escrow.c
@@ -135,7 +135,7 @@
 {
 	struct ogl_team_view v;
 
-	ogl_settings_team(sh->env->settings, team, &v);
+	ogl_settings_lookup_team(sh->env->settings, team, &v);
 	return v.exists ? v.limit_tasks : UINT64_MAX;
 }
 
@@ -174,7 +174,7 @@
 	h = g_hash_table_lookup(sh->escrow->holdings, team);
 	if (h == NULL || !h->known)
 		/* Nothing is started until the part is known. */
-		return ogl_sched_held(sh, team);
+		return ogl_sched_placed_count(sh, team);
 	return limit * h->ppm / WHOLE_PPM;
 }
 
@@ -197,7 +197,7 @@
 	uint64_t limit = limit_of(sh, h->team);
 	Ogl__PeerMsg msg = OGL__PEER_MSG__INIT;
 	Ogl__AllotAsk a = OGL__ALLOT_ASK__INIT;
-	uint32_t used = ppm_for(ogl_sched_held(sh, h->team), limit);
+	uint32_t used = ppm_for(ogl_sched_placed_count(sh, h->team), limit);
 
 	a.shard = sh->index;
 	a.epoch = sh->state->epoch;
@@ -256,7 +256,7 @@
 apply_reclaim(struct ogl_shard *sh, struct holding *h, const Ogl__AllotGive *g)
 {
 	uint64_t limit = limit_of(sh, h->team);
-	uint32_t used = ppm_for(ogl_sched_held(sh, h->team), limit);
+	uint32_t used = ppm_for(ogl_sched_placed_count(sh, h->team), limit);
 
 	if (h->known)
 		h->ppm = MIN(h->ppm, MAX(g->ppm, used));
--- a/src/follow.c
+++ b/src/follow.c
@@ -57,8 +57,9 @@
 	bool self_evicted;
 	uint64_t last_change; /* offset + 1 of the last edit or eviction */
 	ogl_time last_contact;
-	ogl_time contact_since;  /* start of log contact without a gap */
-	ogl_time fresh_by_peers; /* as ogl_follow_fresh, known from peers */
+	ogl_time contact_since; /* start of log contact without a gap */
+	ogl_time
+	    fresh_by_peers; /* as ogl_follow_fresh_as_of, known from peers */
 	ogl_time next_request;
 	ogl_time next_evict;
 	ogl_time snapshot_at;
@@ -305,8 +306,8 @@
 	f->ctx = ctx;
 	f->stream = ogl_stream_init(
 	    "settings", (uint64_t)TOKEN_PART << 56, c, &stream_ops, f);
-	ogl_stream_single(f->stream);
-	ogl_stream_poll(f->stream, POLL_MAX_MS, now);
+	ogl_stream_set_single_record(f->stream);
+	ogl_stream_follow(f->stream, POLL_MAX_MS, now);
 	f->deferred = g_ptr_array_new_with_free_func(record_free);
 	f->deferred_offsets = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	f->waiters = g_queue_new();
@@ -335,7 +336,7 @@
 }
 
 ogl_time
-ogl_follow_contact(const struct ogl_follow *f)
+ogl_follow_log_contact(const struct ogl_follow *f)
 {
 	return f->last_contact;
 }
@@ -567,7 +568,7 @@
 }
 
 void
-ogl_follow_news(struct ogl_follow *f, const struct ogl_peer *from,
+ogl_follow_settings_news(struct ogl_follow *f, const struct ogl_peer *from,
     const Ogl__SettingsNews *news, ogl_time now, struct ogl_actions *out)
 {
 	Ogl__PeerMsg msg = OGL__PEER_MSG__INIT;
@@ -608,20 +609,20 @@
 }
 
 ogl_time
-ogl_follow_fresh(const struct ogl_follow *f, ogl_time now)
+ogl_follow_fresh_as_of(const struct ogl_follow *f, ogl_time now)
 {
 	(void)now;
 	if (!f->complete)
 		return 0;
-	return MAX(ogl_stream_current(f->stream), f->fresh_by_peers);
+	return MAX(ogl_stream_current_at(f->stream), f->fresh_by_peers);
 }
 
 /* Fills in the settings and log fields of this node's own fact. */
 static void
 fill_fact(struct ogl_follow *f, ogl_time now)
 {
-	Ogl__MemberFact *own = ogl_member_own(f->member);
-	ogl_time age = now - ogl_follow_fresh(f, now);
+	Ogl__MemberFact *own = ogl_member_own_fact(f->member);
+	ogl_time age = now - ogl_follow_fresh_as_of(f, now);
 
 	own->settings_version = f->last_change;
 	own->settings_age_ms = (uint32_t)MIN(age / OGL_MS, UINT32_MAX);
@@ -635,7 +636,7 @@
 ogl_follow_tick(struct ogl_follow *f, ogl_time now, struct ogl_actions *out)
 {
 	/* The tree of an empty stream is complete. */
-	if (ogl_stream_current(f->stream) > 0 &&
+	if (ogl_stream_current_at(f->stream) > 0 &&
 	    ogl_stream_offset(f->stream) == 0)
 		f->complete = true;
 	check_peers(f, now, out);
--- a/src/follow.h
+++ b/src/follow.h
@@ -31,7 +31,7 @@
 /* Whether an action with this token was made by this module. */
 void ogl_follow_event(
     struct ogl_follow *f, const struct ogl_event *ev, ogl_time now);
-void ogl_follow_news(struct ogl_follow *f, const struct ogl_peer *from,
+void ogl_follow_settings_news(struct ogl_follow *f, const struct ogl_peer *from,
     const Ogl__SettingsNews *news, ogl_time now, struct ogl_actions *out);
 /* Handles a peer's request for a snapshot, or the snapshot it answers with. */
 
@@ -40,10 +40,10 @@
 /* Appends an edit to the log; the waiter is answered through ops->edited.
  * Returns false when this node may not write now. */
 
-ogl_time ogl_follow_fresh(const struct ogl_follow *f, ogl_time now);
+ogl_time ogl_follow_fresh_as_of(const struct ogl_follow *f, ogl_time now);
 /* Returns a time before which no accepted edit is missing in the tree. */
 
-ogl_time ogl_follow_contact(const struct ogl_follow *f);
+ogl_time ogl_follow_log_contact(const struct ogl_follow *f);
 /* Returns when the log last answered. */
 
 uint64_t ogl_follow_appends(const struct ogl_follow *f);
--- a/src/lend.c
+++ b/src/lend.c
@@ -112,7 +112,7 @@
 };
 
 struct pending {
-	struct ogl_lend_want w;
+	struct ogl_lend_pending w;
 	struct node *leaf;
 };
 
@@ -142,7 +142,7 @@
 	GArray *units;        /* struct unit */
 	GArray *pending;      /* struct pending */
 	GArray *candidates;   /* size_t, tasks by worker and cost_ratio */
-	GArray *preemptions;  /* struct ogl_lend_take */
+	GArray *preemptions;  /* struct ogl_lend_preemption */
 	GArray *trial;        /* size_t, units to preempt for one task */
 	GArray *best_trial;   /* the same, on the best worker so far */
 	GHashTable *gangs;    /* job -> unit + 1 */
@@ -261,7 +261,7 @@
 }
 
 void
-ogl_lend_share(struct ogl_lend *l, const char *team, double share)
+ogl_lend_set_weight(struct ogl_lend *l, const char *team, double share)
 {
 	if (share > 0.0)
 		node_of(l, team)->weight = share;
@@ -361,7 +361,7 @@
 	l->pending = g_array_new(FALSE, FALSE, sizeof(struct pending));
 	l->candidates = g_array_new(FALSE, FALSE, sizeof(size_t));
 	l->preemptions =
-	    g_array_new(FALSE, FALSE, sizeof(struct ogl_lend_take));
+	    g_array_new(FALSE, FALSE, sizeof(struct ogl_lend_preemption));
 	l->trial = g_array_new(FALSE, FALSE, sizeof(size_t));
 	l->best_trial = g_array_new(FALSE, FALSE, sizeof(size_t));
 	l->gangs =
@@ -461,7 +461,7 @@
 }
 
 void
-ogl_lend_add_want(struct ogl_lend *l, const struct ogl_lend_want *w)
+ogl_lend_add_pending(struct ogl_lend *l, const struct ogl_lend_pending *w)
 {
 	struct pending k = {.w = *w, .leaf = leaf_of(l, w->team)};
 	struct sum res = sum_of(&w->res);
@@ -768,7 +768,7 @@
 	l->round_share += u->size;
 	for (size_t i = u->first; i != SIZE_MAX; i = task_at(l, i)->next) {
 		const struct ogl_lend_task *t = &task_at(l, i)->t;
-		struct ogl_lend_take k = {
+		struct ogl_lend_preemption k = {
 		    i, OGL__STOP_MODE__checkpoint, MAX(now - t->since, 0)};
 
 		g_array_append_val(l->preemptions, k);
@@ -877,7 +877,7 @@
 	const struct node *leaf = k->leaf;
 
 	return leaf->preempting &&
-	       now - k->w.since > OGL_LEND_BOUND_MS * OGL_MS &&
+	       now - k->w.since > OGL_LEND_MIN_WAIT_MS * OGL_MS &&
 	       (leaf->preempted_at == 0 ||
 		   now - leaf->preempted_at > PREEMPTED_TEAM_WAIT_MS * OGL_MS);
 }
@@ -926,7 +926,7 @@
 	for (size_t i = 0; i < l->tasks->len; i++) {
 		const struct ogl_lend_task *t = &task_at(l, i)->t;
 		struct preempted *k = g_hash_table_lookup(l->preempted, &t->id);
-		struct ogl_lend_take stop = {i, OGL__STOP_MODE__stop, 0};
+		struct ogl_lend_preemption stop = {i, OGL__STOP_MODE__stop, 0};
 
 		if (k == NULL || !t->stopping || k->stopped ||
 		    now - k->preempted_at < CHECKPOINT_TIMEOUT_MS * OGL_MS ||
@@ -938,8 +938,8 @@
 }
 
 size_t
-ogl_lend_decide(
-    struct ogl_lend *l, ogl_time now, const struct ogl_lend_take **preemptions)
+ogl_lend_decide(struct ogl_lend *l, ogl_time now,
+    const struct ogl_lend_preemption **preemptions)
 {
 	double all = gather(l, l->root);
 
@@ -957,12 +957,12 @@
 		    l, &g_array_index(l->pending, struct pending, i), now);
 	}
 	*preemptions =
-	    (const struct ogl_lend_take *)(void *)l->preemptions->data;
+	    (const struct ogl_lend_preemption *)(void *)l->preemptions->data;
 	return l->preemptions->len;
 }
 
 bool
-ogl_lend_was_taken(const struct ogl_lend *l, uint64_t id)
+ogl_lend_was_preempted(const struct ogl_lend *l, uint64_t id)
 {
 	return g_hash_table_contains(l->preempted, &id);
 }
--- a/src/lend.h
+++ b/src/lend.h
@@ -14,7 +14,7 @@
 #include "orioleglade.h"
 
 #define OGL_LEND_NO_WORKER UINT32_MAX
-#define OGL_LEND_BOUND_MS 5000 /* waiting time before others are preempted */
+#define OGL_LEND_MIN_WAIT_MS 5000 /* waiting time before others are preempted */
 
 struct ogl_lend;
 
@@ -30,7 +30,7 @@
 	bool stopping;
 };
 
-struct ogl_lend_want {
+struct ogl_lend_pending {
 	const char *team;
 	struct ogl_res res; /* per task */
 	uint32_t tasks;     /* a gang's size, else 1 */
@@ -40,7 +40,7 @@
 	ogl_time since;
 };
 
-struct ogl_lend_take {
+struct ogl_lend_preemption {
 	size_t task; /* index in the order added in this round, from 0 */
 	Ogl__StopMode mode;
 	ogl_time lost; /* run time so far; 0 if preempted in an earlier round */
@@ -49,7 +49,7 @@
 struct ogl_lend *ogl_lend_init(void);
 void ogl_lend_end(struct ogl_lend *l);
 
-void ogl_lend_share(struct ogl_lend *l, const char *team, double share);
+void ogl_lend_set_weight(struct ogl_lend *l, const char *team, double share);
 /* Sets the weight of a team among its siblings; ignored unless above 0. */
 
 ogl_time ogl_lend_next(const struct ogl_lend *l);
@@ -59,16 +59,16 @@
 uint32_t ogl_lend_add_worker(struct ogl_lend *l, const struct ogl_res *capacity,
     const struct ogl_res *room);
 void ogl_lend_add_task(struct ogl_lend *l, const struct ogl_lend_task *t);
-void ogl_lend_add_want(struct ogl_lend *l, const struct ogl_lend_want *w);
+void ogl_lend_add_pending(struct ogl_lend *l, const struct ogl_lend_pending *w);
 /* ogl_lend_add_worker returns the worker's number in this round.  room is the
  * free part of capacity.  Strings must stay valid until the round ends. */
 
-size_t ogl_lend_decide(
-    struct ogl_lend *l, ogl_time now, const struct ogl_lend_take **preemptions);
+size_t ogl_lend_decide(struct ogl_lend *l, ogl_time now,
+    const struct ogl_lend_preemption **preemptions);
 /* Ends the round.  Returns the number of preemptions; they stay valid until
  * the next round begins. */
 
-bool ogl_lend_was_taken(const struct ogl_lend *l, uint64_t id);
+bool ogl_lend_was_preempted(const struct ogl_lend *l, uint64_t id);
 /* Whether the task was preempted lately and is to be placed first. */
 
 #endif
--- a/src/member.c
+++ b/src/member.c
@@ -92,7 +92,7 @@
 }
 
 Ogl__MemberFact *
-ogl_member_own(struct ogl_member *m)
+ogl_member_own_fact(struct ogl_member *m)
 {
 	return m->own;
 }
@@ -409,7 +409,7 @@
 }
 
 struct ogl_peer *
-ogl_member_heard(struct ogl_member *m, const Ogl__PeerMsg *msg, ogl_time now,
+ogl_member_receive(struct ogl_member *m, const Ogl__PeerMsg *msg, ogl_time now,
     struct ogl_actions *out)
 {
 	struct ogl_peer *from = NULL;
--- a/src/member.h
+++ b/src/member.h
@@ -35,8 +35,8 @@
 ogl_time ogl_member_next(const struct ogl_member *m);
 /* Returns when the next tick is due. */
 
-struct ogl_peer *ogl_member_heard(struct ogl_member *m, const Ogl__PeerMsg *msg,
-    ogl_time now, struct ogl_actions *out);
+struct ogl_peer *ogl_member_receive(struct ogl_member *m,
+    const Ogl__PeerMsg *msg, ogl_time now, struct ogl_actions *out);
 /* Handles the facts and the probe, if any, of a message.  Returns the sender's
  * entry, or NULL for a message of an earlier boot of a known node. */
 
@@ -45,7 +45,7 @@
 /* Adds this node's name and the facts to be spread to msg, packs and sends it.
  * The caller keeps the message and its body. */
 
-Ogl__MemberFact *ogl_member_own(struct ogl_member *m);
+Ogl__MemberFact *ogl_member_own_fact(struct ogl_member *m);
 /* Returns the fact on this node, which the caller may fill in.
  * ogl_member_changed makes a change known to the other nodes. */
 void ogl_member_changed(struct ogl_member *m);
--- a/src/metrics.c
+++ b/src/metrics.c
@@ -16,7 +16,7 @@
 }
 
 void
-ogl_metrics_text(const struct ogl_counters *c, GString *to)
+ogl_metrics_append_counters(const struct ogl_counters *c, GString *to)
 {
 #define OGL_COUNTER_TEXT(field, name, help)                                    \
 	append_metric(to, "counter", name, help, c->field);
@@ -25,7 +25,7 @@
 }
 
 void
-ogl_metrics_gauge(
+ogl_metrics_append_gauge(
     GString *to, const char *name, const char *help, uint64_t value)
 {
 	append_metric(to, "gauge", name, help, value);
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -53,10 +53,10 @@
 #undef OGL_COUNTER_FIELD
 };
 
-void ogl_metrics_text(const struct ogl_counters *c, GString *to);
+void ogl_metrics_append_counters(const struct ogl_counters *c, GString *to);
 /* Appends every counter with its help text to `to`. */
 
-void ogl_metrics_gauge(
+void ogl_metrics_append_gauge(
     GString *to, const char *name, const char *help, uint64_t value);
 /* Appends one gauge. */
 
--- a/src/node.c
+++ b/src/node.c
@@ -65,9 +65,9 @@
 }
 
 bool
-ogl_node_stale(const struct ogl_node *n, ogl_time now)
+ogl_node_settings_stale(const struct ogl_node *n, ogl_time now)
 {
-	return now - ogl_follow_fresh(n->follow, now) >
+	return now - ogl_follow_fresh_as_of(n->follow, now) >
 	       n->cfg.stale_ms * OGL_MS;
 }
 
@@ -77,7 +77,8 @@
 op_reply(void *ctx, uint32_t shard, uint64_t waiter, uint32_t status,
     enum ogl_verdict v, uint64_t retry_after_ms, GBytes *body)
 {
-	ogl_calls_waiter(ctx, shard, waiter, status, v, retry_after_ms, body);
+	ogl_calls_answer_waiter(
+	    ctx, shard, waiter, status, v, retry_after_ms, body);
 }
 
 static void
@@ -133,7 +134,7 @@
     ogl_time now)
 {
 	(void)now;
-	ogl_calls_edited(ctx, waiter, version, error);
+	ogl_calls_edit_done(ctx, waiter, version, error);
 }
 
 static const struct ogl_follow_ops follow_ops = {follow_changed, follow_edited};
@@ -330,7 +331,7 @@
 	h->listed = true;
 	h->listed_at = n->now;
 	if (h->role == OGL__HOST_ROLE__executor)
-		ogl_reqs_target(
+		ogl_reqs_set_target(
 		    n->reqs, h->name, h->addr, h->zone, h->leaving, n->now);
 }
 
@@ -347,7 +348,7 @@
 	if (h->listed)
 		return FALSE;
 	if (h->role == OGL__HOST_ROLE__executor)
-		ogl_reqs_target_gone(n->reqs, h->name);
+		ogl_reqs_remove_target(n->reqs, h->name);
 	return h->role != OGL__HOST_ROLE__worker ||
 	       n->now - h->listed_at > UNLISTED_KEEP_S * OGL_SEC;
 }
@@ -417,7 +418,7 @@
 	for (uint32_t i = 0; i < n->cfg.shards; i++) {
 		struct ogl_owner *o = &n->owners[i];
 
-		ogl_shard_known_owner(
+		ogl_shard_set_known_owner(
 		    n->shards[i], o->name, o->epoch, o->offered);
 		if (ogl_shard_role(n->shards[i]) == OGL_ROLE_OWNER &&
 		    ogl_shard_epoch(n->shards[i]) > o->epoch) {
@@ -437,7 +438,7 @@
 static void
 update_own_fact(struct ogl_node *n)
 {
-	Ogl__MemberFact *own = ogl_member_own(n->member);
+	Ogl__MemberFact *own = ogl_member_own_fact(n->member);
 	Ogl__ShardFact **list;
 	size_t count = 0;
 	bool changed = false;
@@ -494,7 +495,7 @@
 
 	if (msg == NULL)
 		return;
-	from = ogl_member_heard(n->member, msg, n->now, n->out);
+	from = ogl_member_receive(n->member, msg, n->now, n->out);
 	if (from == NULL)
 		goto out;
 	switch (msg->body_case) {
@@ -514,7 +515,7 @@
 		on_escrow_msg(n, msg);
 		break;
 	case OGL__PEER_MSG__BODY_SETTINGS_NEWS:
-		ogl_follow_news(
+		ogl_follow_settings_news(
 		    n->follow, from, msg->settings_news, n->now, n->out);
 		break;
 	default:
@@ -559,7 +560,7 @@
 		return;
 	n->stopping = true;
 	n->stop_began = n->now;
-	ogl_member_own(n->member)->state = OGL__MEMBER_FACT__STATE__left;
+	ogl_member_own_fact(n->member)->state = OGL__MEMBER_FACT__STATE__left;
 	ogl_member_changed(n->member);
 	for (uint32_t i = 0; i < n->cfg.shards; i++)
 		ogl_shard_stop(n->shards[i], n->now);
@@ -592,7 +593,8 @@
 check_stop(struct ogl_node *n)
 {
 	size_t others = 0;
-	bool idle = ogl_calls_live(n) == 0 && ogl_reqs_live(n->reqs) == 0;
+	bool idle =
+	    ogl_calls_open_count(n) == 0 && ogl_reqs_open_count(n->reqs) == 0;
 	bool late = n->now - n->stop_began >= SHUTDOWN_TIMEOUT_S * OGL_SEC;
 
 	if (!n->stopping || n->exited || !idle)
@@ -615,10 +617,10 @@
 
 	switch (ev->type) {
 	case OGL_EV_CALL:
-		ogl_calls_take(n, ev);
+		ogl_calls_handle(n, ev);
 		break;
-	case OGL_EV_CALL_GONE:
-		ogl_calls_gone(n, ev->token);
+	case OGL_EV_CALLER_GONE:
+		ogl_calls_caller_gone(n, ev->token);
 		break;
 	case OGL_EV_PEER:
 		on_peer(n, ev);
@@ -627,7 +629,7 @@
 		on_hosts(n, ev);
 		break;
 	case OGL_EV_EXEC:
-		if (ogl_reqs_token(ev->token))
+		if (ogl_reqs_is_token(ev->token))
 			ogl_reqs_event(n->reqs, ev, n->now);
 		break;
 	case OGL_EV_LOG_APPENDED:
@@ -654,7 +656,7 @@
 	if (!n->settings_changed)
 		return;
 	n->settings_changed = false;
-	ogl_reqs_settings(n->reqs);
+	ogl_reqs_apply_settings(n->reqs);
 	for (uint32_t i = 0; i < n->cfg.shards; i++)
 		ogl_shard_settings(n->shards[i], n->now);
 }
@@ -726,7 +728,8 @@
 bool
 ogl_node_ready(const struct ogl_node *n, ogl_time now)
 {
-	return !n->stopping && n->hosts_at != 0 && !ogl_node_stale(n, now);
+	return !n->stopping && n->hosts_at != 0 &&
+	       !ogl_node_settings_stale(n, now);
 }
 
 char *
@@ -737,20 +740,21 @@
 
 	for (uint32_t i = 0; i < n->cfg.shards; i++)
 		owned += ogl_shard_role(n->shards[i]) == OGL_ROLE_OWNER;
-	ogl_metrics_text(&n->counters, s);
-	ogl_metrics_gauge(
+	ogl_metrics_append_counters(&n->counters, s);
+	ogl_metrics_append_gauge(
 	    s, "ready", "whether callers may come", ogl_node_ready(n, now));
-	ogl_metrics_gauge(s, "shards_owned", "shards owned", owned);
-	ogl_metrics_gauge(s, "settings_version", "settings in force",
+	ogl_metrics_append_gauge(s, "shards_owned", "shards owned", owned);
+	ogl_metrics_append_gauge(s, "settings_version", "settings in force",
 	    ogl_settings_version(n->settings));
-	ogl_metrics_gauge(s, "settings_age_ms",
+	ogl_metrics_append_gauge(s, "settings_age_ms",
 	    "since the settings were known to be current",
-	    (uint64_t)((now - ogl_follow_fresh(n->follow, now)) / OGL_MS));
-	ogl_metrics_gauge(s, "requests_waiting", "short requests waiting",
-	    ogl_reqs_waiting(n->reqs));
-	ogl_metrics_gauge(s, "requests_live", "short requests not answered",
-	    ogl_reqs_live(n->reqs));
-	ogl_metrics_gauge(
-	    s, "calls_live", "calls not answered", ogl_calls_live(n));
+	    (uint64_t)((now - ogl_follow_fresh_as_of(n->follow, now)) /
+		       OGL_MS));
+	ogl_metrics_append_gauge(s, "requests_waiting",
+	    "short requests waiting", ogl_reqs_queued_count(n->reqs));
+	ogl_metrics_append_gauge(s, "requests_live",
+	    "short requests not answered", ogl_reqs_open_count(n->reqs));
+	ogl_metrics_append_gauge(
+	    s, "calls_live", "calls not answered", ogl_calls_open_count(n));
 	return g_string_free(s, FALSE);
 }
--- a/src/node_impl.h
+++ b/src/node_impl.h
@@ -54,21 +54,22 @@
 
 void ogl_node_log(struct ogl_node *n, const char *part,
     enum ogl_log_level level, const char *fmt, ...) G_GNUC_PRINTF(4, 5);
-bool ogl_node_stale(const struct ogl_node *n, ogl_time now);
+bool ogl_node_settings_stale(const struct ogl_node *n, ogl_time now);
 /* Whether the settings were last known to be current over stale_ms ago. */
 
 /* ---- calls.c: callers' and forwarded calls ---------------------------- */
 
 struct ogl_calls *ogl_calls_init(struct ogl_node *n);
 void ogl_calls_end(struct ogl_calls *c);
-void ogl_calls_take(struct ogl_node *n, const struct ogl_event *ev);
-void ogl_calls_gone(struct ogl_node *n, uint64_t token);
+void ogl_calls_handle(struct ogl_node *n, const struct ogl_event *ev);
+void ogl_calls_caller_gone(struct ogl_node *n, uint64_t token);
 void ogl_calls_tick(struct ogl_node *n);
-size_t ogl_calls_live(const struct ogl_node *n);
+size_t ogl_calls_open_count(const struct ogl_node *n);
 ogl_time ogl_calls_next(const struct ogl_node *n);
 
-void ogl_calls_waiter(struct ogl_node *n, uint32_t shard, uint64_t waiter,
-    uint32_t status, enum ogl_verdict v, uint64_t retry_after_ms, GBytes *body);
+void ogl_calls_answer_waiter(struct ogl_node *n, uint32_t shard,
+    uint64_t waiter, uint32_t status, enum ogl_verdict v,
+    uint64_t retry_after_ms, GBytes *body);
 /* A local shard answers the call that waits as waiter. */
 void ogl_calls_forward(
     struct ogl_node *n, const struct ogl_peer *from, const Ogl__Forward *f);
@@ -78,7 +79,7 @@
     uint32_t status, enum ogl_verdict v, uint64_t retry_after_ms, GBytes *body);
 void ogl_calls_dispatch(struct ogl_node *n, uint32_t shard, const char *id,
     const char *team, const char *work_kind, GBytes *body, uint64_t budget_ms);
-void ogl_calls_edited(
+void ogl_calls_edit_done(
     struct ogl_node *n, uint64_t waiter, uint64_t version, const GError *error);
 
 /* ---- opcalls.c: operators' calls -------------------------------------- */
@@ -93,7 +94,7 @@
 
 typedef void (*ogl_op_fn)(struct ogl_node *n, const struct ogl_event *ev,
     const char *arg, uint64_t waiter, struct ogl_op_reply *r);
-/* Fills in r, or leaves status 0 if ogl_calls_edited will answer later. */
+/* Fills in r, or leaves status 0 if ogl_calls_edit_done will answer later. */
 
 void ogl_op_settings_get(struct ogl_node *n, const struct ogl_event *ev,
     const char *arg, uint64_t waiter, struct ogl_op_reply *r);
@@ -111,7 +112,7 @@
     const char *arg, uint64_t waiter, struct ogl_op_reply *r);
 void ogl_op_status(struct ogl_node *n, const struct ogl_event *ev,
     const char *arg, uint64_t waiter, struct ogl_op_reply *r);
-char *ogl_op_key_text(struct ogl_node *n, uint64_t waiter);
+char *ogl_op_take_key_text(struct ogl_node *n, uint64_t waiter);
 /* The key made for this waiter, returned once; NULL if it made none; g_free. */
 
 #endif
--- a/src/opcalls.c
+++ b/src/opcalls.c
@@ -64,7 +64,7 @@
 }
 
 /* Checks an edit and sends it to the log.  On success r keeps status 0 and
- * ogl_calls_edited replies later. */
+ * ogl_calls_edit_done replies later. */
 static void
 send_edit(
     struct ogl_node *n, Ogl__Edit *e, uint64_t waiter, struct ogl_op_reply *r)
@@ -92,7 +92,7 @@
 {
 	struct ogl_key_view view = {0};
 
-	ogl_settings_key(n->settings, ev->u.call.key, &view);
+	ogl_settings_lookup_key(n->settings, ev->u.call.key, &view);
 	if (e->who != protobuf_c_empty_string)
 		free(e->who);
 	e->who = strdup(view.known ? view.key_id : "first-operator");
@@ -173,7 +173,7 @@
 }
 
 char *
-ogl_op_key_text(struct ogl_node *n, uint64_t waiter)
+ogl_op_take_key_text(struct ogl_node *n, uint64_t waiter)
 {
 	int64_t key = (int64_t)waiter;
 	gpointer map_key = NULL, text = NULL;
@@ -290,7 +290,7 @@
     uint64_t waiter, struct ogl_op_reply *r)
 {
 	json_t *owned = json_array();
-	ogl_time log_age = n->now - ogl_follow_contact(n->follow);
+	ogl_time log_age = n->now - ogl_follow_log_contact(n->follow);
 
 	(void)ev;
 	(void)arg;
@@ -305,11 +305,12 @@
 		   "ready", ogl_node_ready(n, n->now), "settings_version",
 		   (json_int_t)ogl_settings_version(n->settings),
 		   "settings_age_ms",
-		   (json_int_t)((n->now - ogl_follow_fresh(n->follow, n->now)) /
+		   (json_int_t)((n->now -
+				    ogl_follow_fresh_as_of(n->follow, n->now)) /
 				OGL_MS),
 		   "log_age_ms", (json_int_t)(log_age / OGL_MS), "shards_owned",
 		   owned, "requests_waiting",
-		   (json_int_t)ogl_reqs_waiting(n->reqs), "requests_live",
-		   (json_int_t)ogl_reqs_live(n->reqs), "uptime_s",
+		   (json_int_t)ogl_reqs_queued_count(n->reqs), "requests_live",
+		   (json_int_t)ogl_reqs_open_count(n->reqs), "uptime_s",
 		   (json_int_t)((n->now - n->started) / OGL_SEC)));
 }
--- a/src/place.c
+++ b/src/place.c
@@ -84,7 +84,7 @@
 }
 
 void
-ogl_place_take(struct ogl_place *p, uint32_t w, const struct ogl_ask *ask)
+ogl_place_take(struct ogl_place *p, uint32_t w, const struct ogl_demand *ask)
 {
 	struct ogl_place_worker *k = &p->workers[w];
 	struct ogl_res room = ogl_place_free_room(k);
@@ -106,7 +106,7 @@
 }
 
 bool
-ogl_place_hold(struct ogl_place *p, uint32_t w, const struct ogl_ask *ask)
+ogl_place_hold(struct ogl_place *p, uint32_t w, const struct ogl_demand *ask)
 {
 	struct ogl_res room;
 
@@ -122,7 +122,7 @@
 }
 
 void
-ogl_place_free(struct ogl_place *p, uint32_t w, const struct ogl_ask *ask)
+ogl_place_free(struct ogl_place *p, uint32_t w, const struct ogl_demand *ask)
 {
 	struct ogl_place_worker *k;
 
@@ -145,8 +145,8 @@
 /* ---- one task --------------------------------------------------------- */
 
 bool
-ogl_place_task(
-    struct ogl_place *p, const struct ogl_ask *ask, ogl_time now, uint32_t *w)
+ogl_place_task(struct ogl_place *p, const struct ogl_demand *ask, ogl_time now,
+    uint32_t *w)
 {
 	ogl_place_expire_reservation(p, now);
 	ogl_place_update_quarantine(p, now);
@@ -331,7 +331,7 @@
 }
 
 void
-ogl_place_drop(struct ogl_place *p, uint32_t w)
+ogl_place_remove_worker(struct ogl_place *p, uint32_t w)
 {
 	struct ogl_place_worker *k;
 
@@ -353,21 +353,21 @@
 }
 
 void
-ogl_place_set(struct ogl_place *p, uint32_t w, enum ogl_place_state st)
+ogl_place_set_state(struct ogl_place *p, uint32_t w, enum ogl_place_state st)
 {
 	if (!ogl_place_known(p, w))
 		return;
-	p->workers[w].open = st == OGL_PLACE_OPEN;
-	if (st == OGL_PLACE_CLOSED)
+	p->workers[w].open = st == OGL_PLACE_SCHEDULABLE;
+	if (st == OGL_PLACE_UNSCHEDULABLE)
 		ogl_place_unreserve_worker(p, w);
 	ogl_place_reindex(p, w);
 }
 
 /* ---- totals and setup ------------------------------------------------- */
 
-enum ogl_never
-ogl_place_never(
-    const struct ogl_place *p, const struct ogl_ask *ask, uint32_t n)
+enum ogl_feasibility
+ogl_place_feasibility(
+    const struct ogl_place *p, const struct ogl_demand *ask, uint32_t n)
 {
 	GHashTableIter it;
 	gpointer capacity, count;
@@ -378,13 +378,13 @@
 		sum += (uint64_t)ogl_place_tasks_fit(&ask->res, capacity) *
 		       GPOINTER_TO_UINT(count);
 		if (sum > 0 && sum >= n)
-			return OGL_NEVER_NOT;
+			return OGL_FEASIBLE;
 	}
-	return sum == 0 ? OGL_NEVER_NO_WORKER : OGL_NEVER_GANG_TOTAL;
+	return sum == 0 ? OGL_INFEASIBLE_NO_WORKER : OGL_INFEASIBLE_GANG_TOTAL;
 }
 
 void
-ogl_place_room(
+ogl_place_totals(
     const struct ogl_place *p, struct ogl_res *total, struct ogl_res *held)
 {
 	total->cpu_milli = ogl_place_saturate(p->total_cpu);
--- a/src/place.h
+++ b/src/place.h
@@ -118,7 +118,7 @@
 /* ---- shared state ----------------------------------------------------- */
 
 enum ogl_quarantine {
-	OGL_ASIDE_NOT,            /* no quarantine */
+	OGL_QUARANTINE_NONE,      /* no quarantine */
 	OGL_QUARANTINE_COOLDOWN,  /* gets no tasks until its delay is over */
 	OGL_QUARANTINE_PROBE_DUE, /* may be given one task */
 	OGL_QUARANTINE_PROBING    /* runs that task */
@@ -171,7 +171,7 @@
 struct ogl_reservation {
 	bool active;
 	bool worker_lost; /* a chosen worker can no longer be used */
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 	uint32_t n;
 	ogl_time until;
 	ogl_time chosen_at; /* when the workers were last chosen */
@@ -201,7 +201,7 @@
 	GHashTable *capacity_counts; /* capacity -> number of workers */
 	struct ogl_counts counts;
 	struct ogl_health *health;
-	GArray *quarantined; /* uint32_t, workers not in OGL_ASIDE_NOT */
+	GArray *quarantined; /* uint32_t, workers not in OGL_QUARANTINE_NONE */
 	ogl_time next_quarantine_update;
 	uint32_t probes_due; /* workers in OGL_QUARANTINE_PROBE_DUE */
 	struct ogl_reservation reserved;
@@ -247,7 +247,8 @@
 
 uint32_t ogl_place_random(struct ogl_place *p);
 
-void ogl_place_take(struct ogl_place *p, uint32_t w, const struct ogl_ask *ask);
+void ogl_place_take(
+    struct ogl_place *p, uint32_t w, const struct ogl_demand *ask);
 /* Holds room for a task on worker w; the caller knows that it fits. */
 
 size_t ogl_place_bytes(const struct ogl_place *p);
@@ -297,7 +298,7 @@
 
 struct ogl_place_policy {
 	bool (*pick)(
-	    struct ogl_place *p, const struct ogl_ask *ask, uint32_t *w);
+	    struct ogl_place *p, const struct ogl_demand *ask, uint32_t *w);
 	bool spreads; /* its jobs' tasks are in_totals by zone and rack */
 };
 
@@ -317,8 +318,8 @@
 /* Makes a probe due where a cooldown is over, and ends the quarantine where a
  * probe task has run for long enough. */
 
-bool ogl_place_pick_probe(
-    struct ogl_place *p, const struct ogl_ask *ask, ogl_time now, uint32_t *w);
+bool ogl_place_pick_probe(struct ogl_place *p, const struct ogl_demand *ask,
+    ogl_time now, uint32_t *w);
 /* Picks a worker that has its probe due and room for the task, and marks it
  * as probing; false when there is none. */
 
--- a/src/place_aside.c
+++ b/src/place_aside.c
@@ -19,7 +19,7 @@
 {
 	struct ogl_place_worker *k = &p->workers[w];
 
-	if (k->aside == OGL_ASIDE_NOT)
+	if (k->aside == OGL_QUARANTINE_NONE)
 		g_array_append_val(p->quarantined, w);
 	if (k->aside == OGL_QUARANTINE_PROBE_DUE)
 		p->probes_due--;
@@ -36,11 +36,11 @@
 {
 	uint32_t i;
 
-	if (p->workers[w].aside == OGL_ASIDE_NOT)
+	if (p->workers[w].aside == OGL_QUARANTINE_NONE)
 		return;
 	if (p->workers[w].aside == OGL_QUARANTINE_PROBE_DUE)
 		p->probes_due--;
-	p->workers[w].aside = OGL_ASIDE_NOT;
+	p->workers[w].aside = OGL_QUARANTINE_NONE;
 	for (i = 0; g_array_index(p->quarantined, uint32_t, i) != w; i++)
 		;
 	g_array_remove_index_fast(p->quarantined, i);
@@ -75,8 +75,8 @@
 
 /* Gangs are not used as probes: one failed task would cost the whole gang. */
 bool
-ogl_place_pick_probe(
-    struct ogl_place *p, const struct ogl_ask *ask, ogl_time now, uint32_t *w)
+ogl_place_pick_probe(struct ogl_place *p, const struct ogl_demand *ask,
+    ogl_time now, uint32_t *w)
 {
 	struct ogl_place_worker *k;
 	struct ogl_res room;
@@ -120,7 +120,7 @@
 }
 
 void
-ogl_place_result(
+ogl_place_task_ended(
     struct ogl_place *p, uint32_t w, uint64_t job, bool ok, ogl_time now)
 {
 	bool suspect;
@@ -133,7 +133,7 @@
 			ogl_place_end_quarantine(p, w);
 		else
 			quarantine(p, w, now);
-	} else if (suspect && p->workers[w].aside == OGL_ASIDE_NOT &&
+	} else if (suspect && p->workers[w].aside == OGL_QUARANTINE_NONE &&
 		   may_quarantine(p)) {
 		quarantine(p, w, now);
 	}
--- a/src/place_gang.c
+++ b/src/place_gang.c
@@ -31,7 +31,7 @@
 
 struct plan {
 	struct ogl_place *p;
-	const struct ogl_ask *ask;
+	const struct ogl_demand *ask;
 	uint32_t n; /* tasks wanted */
 	uint32_t got;
 	uint32_t *w;
@@ -346,8 +346,8 @@
 }
 
 bool
-ogl_place_reserve(struct ogl_place *p, uint64_t job, const struct ogl_ask *ask,
-    uint32_t n, ogl_time until, ogl_time now)
+ogl_place_reserve(struct ogl_place *p, uint64_t job,
+    const struct ogl_demand *ask, uint32_t n, ogl_time until, ogl_time now)
 {
 	ogl_place_expire_reservation(p, now);
 	if (p->reserved.active && p->reserved.ask.job != job)
@@ -399,7 +399,7 @@
 }
 
 bool
-ogl_place_gang(struct ogl_place *p, const struct ogl_ask *ask, uint32_t n,
+ogl_place_gang(struct ogl_place *p, const struct ogl_demand *ask, uint32_t n,
     ogl_time now, uint32_t *w)
 {
 	struct plan k = {.p = p, .ask = ask, .n = n, .w = w};
--- a/src/place_pick.c
+++ b/src/place_pick.c
@@ -98,7 +98,7 @@
 }
 
 static bool
-batch_pick(struct ogl_place *p, const struct ogl_ask *ask, uint32_t *w)
+batch_pick(struct ogl_place *p, const struct ogl_demand *ask, uint32_t *w)
 {
 	struct pack k = {
 	    .entries = p->entries, .need = &ask->res, .best = OGL_PLACE_NONE};
@@ -163,7 +163,7 @@
 
 /* Searches one group of workers in a zone from a random size class on. */
 static void
-spread_walk(struct ogl_place *p, const struct ogl_ask *ask, struct spread *k,
+spread_walk(struct ogl_place *p, const struct ogl_demand *ask, struct spread *k,
     const struct ogl_grid *g, uint32_t misses, bool *skipped)
 {
 	struct ogl_grid_walk walk = {
@@ -180,7 +180,7 @@
 }
 
 static bool
-spread_in_zone(struct ogl_place *p, const struct ogl_ask *ask, uint32_t z,
+spread_in_zone(struct ogl_place *p, const struct ogl_demand *ask, uint32_t z,
     unsigned accel_group, uint32_t *w)
 {
 	struct ogl_grid *g = &ogl_place_zone_at(p, z)->grid[accel_group];
@@ -224,7 +224,7 @@
 }
 
 static bool
-service_pick(struct ogl_place *p, const struct ogl_ask *ask, uint32_t *w)
+service_pick(struct ogl_place *p, const struct ogl_demand *ask, uint32_t *w)
 {
 	unsigned accel_group;
 	uint32_t z = 0;
--- a/src/queue.c
+++ b/src/queue.c
@@ -5,12 +5,12 @@
  * baselines that it is compared with are in bench/.
  *
  * An item is waiting (in the policy's order), deferred (popped, but it did not
- * fit; it waits for ogl_queue_again), popped, or running.  Invariants: the age
+ * fit; it waits for ogl_queue_retry_deferred), popped, or running.  Invariants: the age
  * heap holds exactly the waiting and the deferred items, so its size is the
  * queue length and the longest wait is at its top; `deferred` holds exactly
  * the deferred items.
  *
- * Each deferred item was popped once since the last ogl_queue_again, so
+ * Each deferred item was popped once since the last ogl_queue_retry_deferred, so
  * pushing all of them again costs O(log n) for each of those pops.
  */
 
@@ -152,7 +152,7 @@
 }
 
 void
-ogl_queue_team(struct ogl_queue *q, const char *team, double share)
+ogl_queue_set_share(struct ogl_queue *q, const char *team, double share)
 {
 	q->policy->team(q->policy_state, intern(q, team), share);
 }
@@ -186,7 +186,7 @@
 }
 
 void
-ogl_queue_back(struct ogl_queue *q, uint64_t id, ogl_time now)
+ogl_queue_defer(struct ogl_queue *q, uint64_t id, ogl_time now)
 {
 	struct ogl_queue_item *it = find(q, id);
 
@@ -201,7 +201,7 @@
 }
 
 void
-ogl_queue_again(struct ogl_queue *q, ogl_time now)
+ogl_queue_retry_deferred(struct ogl_queue *q, ogl_time now)
 {
 	for (guint i = 0; i < q->deferred->len; i++) {
 		struct ogl_queue_item *it = q->deferred->pdata[i];
--- a/src/reqs.c
+++ b/src/reqs.c
@@ -136,7 +136,7 @@
 /* ---- targets ---------------------------------------------------------- */
 
 void
-ogl_reqs_target(struct ogl_reqs *q, const char *name, const char *addr,
+ogl_reqs_set_target(struct ogl_reqs *q, const char *name, const char *addr,
     const char *zone, bool leaving, ogl_time now)
 {
 	struct target *t = g_hash_table_lookup(q->targets, name);
@@ -150,20 +150,20 @@
 		g_free(t->addr);
 		t->addr = g_strdup(addr);
 	}
-	t->number = ogl_route_target(
+	t->number = ogl_route_set_target(
 	    q->route, name, zone, q->cfg->exec_slots, leaving, now);
 	g_hash_table_insert(q->by_number, GUINT_TO_POINTER(t->number), t);
 	q->dispatch_due = true;
 }
 
 void
-ogl_reqs_target_gone(struct ogl_reqs *q, const char *name)
+ogl_reqs_remove_target(struct ogl_reqs *q, const char *name)
 {
 	struct target *t = g_hash_table_lookup(q->targets, name);
 
 	if (t == NULL)
 		return;
-	ogl_route_drop(q->route, t->number);
+	ogl_route_remove_target(q->route, t->number);
 	g_hash_table_remove(q->by_number, GUINT_TO_POINTER(t->number));
 	g_hash_table_remove(q->targets, name);
 }
@@ -173,11 +173,11 @@
 {
 	struct ogl_reqs *q = ctx;
 
-	ogl_queue_team(q->queue, team, view->share);
+	ogl_queue_set_share(q->queue, team, view->share);
 }
 
 void
-ogl_reqs_settings(struct ogl_reqs *q)
+ogl_reqs_apply_settings(struct ogl_reqs *q)
 {
 	ogl_settings_each_team(q->settings, set_share, q);
 }
@@ -284,7 +284,7 @@
 	struct ogl_team_view view;
 	uint64_t max_wait_ms, expected_ms;
 
-	ogl_settings_team(q->settings, team, &view);
+	ogl_settings_lookup_team(q->settings, team, &view);
 	r->id = ++q->next_id;
 	r->cookie = cookie;
 	r->idempotent = idempotent;
@@ -320,7 +320,7 @@
 }
 
 void
-ogl_reqs_gone(struct ogl_reqs *q, uint64_t cookie)
+ogl_reqs_caller_gone(struct ogl_reqs *q, uint64_t cookie)
 {
 	struct req *r = g_hash_table_lookup(q->by_cookie, &cookie);
 
@@ -360,14 +360,14 @@
 	uint32_t misses = 0;
 
 	q->dispatch_due = false;
-	ogl_queue_again(q->queue, now);
+	ogl_queue_retry_deferred(q->queue, now);
 	while (misses < MAX_TRIES && ogl_queue_pop(q->queue, now, &w)) {
 		struct req *r = g_hash_table_lookup(q->live, &w.id);
 		uint32_t t;
 
 		if (!ogl_route_pick(
 			q->route, r->cookie, r->tried, r->ntried, now, &t)) {
-			ogl_queue_back(q->queue, w.id, now);
+			ogl_queue_defer(q->queue, w.id, now);
 			misses++;
 			continue;
 		}
@@ -439,7 +439,7 @@
 {
 	uint64_t id = ev->token & 0xffffffffffffff;
 	struct req *r = g_hash_table_lookup(q->live, &id);
-	enum ogl_io io;
+	enum ogl_io_result io;
 
 	if (r == NULL || r->phase != REQ_SENT) {
 		q->counters->late_answers++;
@@ -447,11 +447,11 @@
 	}
 	io =
 	    ev->io == OGL_IO_OK && ev->u.exec.not_run ? OGL_IO_REFUSED : ev->io;
-	ogl_route_done(q->route, r->tried[r->ntried - 1], r->cookie, io,
+	ogl_route_request_done(q->route, r->tried[r->ntried - 1], r->cookie, io,
 	    io == OGL_IO_OK ? ev->u.exec.status : 0, now);
 	q->dispatch_due = true;
 	if (is_retryable(ev, r) && r->ntried < MAX_TRIES && !r->abandoned &&
-	    now < r->wait_until && ogl_route_may_retry(q->route, now))
+	    now < r->wait_until && ogl_route_take_retry(q->route, now))
 		retry(q, r, now);
 	else
 		answer_caller(q, r, ev, now);
@@ -500,19 +500,19 @@
 }
 
 bool
-ogl_reqs_token(uint64_t token)
+ogl_reqs_is_token(uint64_t token)
 {
 	return token >> 56 == TOKEN_PART;
 }
 
 size_t
-ogl_reqs_live(const struct ogl_reqs *q)
+ogl_reqs_open_count(const struct ogl_reqs *q)
 {
 	return g_hash_table_size(q->live);
 }
 
 size_t
-ogl_reqs_waiting(const struct ogl_reqs *q)
+ogl_reqs_queued_count(const struct ogl_reqs *q)
 {
 	return ogl_queue_length(q->queue);
 }
--- a/src/reqs.h
+++ b/src/reqs.h
@@ -9,7 +9,7 @@
 struct ogl_reqs;
 
 struct ogl_reqs_ops {
-	/* The final answer to a request, given once unless ogl_reqs_gone was
+	/* The final answer to a request, given once unless ogl_reqs_caller_gone was
 	 * called; retry_after_ms is 0 for none.  The callee references body
 	 * to keep it. */
 	void (*done)(void *ctx, uint64_t cookie, uint32_t status,
@@ -24,13 +24,13 @@
  * used.  n counts results, seed drives the choice of targets. */
 void ogl_reqs_end(struct ogl_reqs *q);
 
-void ogl_reqs_target(struct ogl_reqs *q, const char *name, const char *addr,
+void ogl_reqs_set_target(struct ogl_reqs *q, const char *name, const char *addr,
     const char *zone, bool leaving, ogl_time now);
 /* Adds or updates an executor of the host list. */
-void ogl_reqs_target_gone(struct ogl_reqs *q, const char *name);
+void ogl_reqs_remove_target(struct ogl_reqs *q, const char *name);
 /* Removes an executor; unknown names are ignored. */
 
-void ogl_reqs_settings(struct ogl_reqs *q);
+void ogl_reqs_apply_settings(struct ogl_reqs *q);
 /* Takes over the teams' shares from the settings. */
 
 void ogl_reqs_submit(struct ogl_reqs *q, uint64_t cookie, const char *team,
@@ -40,21 +40,21 @@
  * unique among the requests not yet answered; label is the kind of work;
  * budget_ms is the time for the whole request, 0: the default. */
 
-void ogl_reqs_gone(struct ogl_reqs *q, uint64_t cookie);
+void ogl_reqs_caller_gone(struct ogl_reqs *q, uint64_t cookie);
 /* The caller no longer waits for the answer: the request is dropped if it is
  * queued, and done is not called for it. */
 
 void ogl_reqs_tick(struct ogl_reqs *q, ogl_time now, struct ogl_actions *out);
 ogl_time ogl_reqs_next(const struct ogl_reqs *q);
 
-bool ogl_reqs_token(uint64_t token);
+bool ogl_reqs_is_token(uint64_t token);
 /* Whether the token belongs to an action of the requests. */
 void ogl_reqs_event(
     struct ogl_reqs *q, const struct ogl_event *ev, ogl_time now);
 
-size_t ogl_reqs_live(const struct ogl_reqs *q);
+size_t ogl_reqs_open_count(const struct ogl_reqs *q);
 /* Requests queued or sent. */
-size_t ogl_reqs_waiting(const struct ogl_reqs *q);
+size_t ogl_reqs_queued_count(const struct ogl_reqs *q);
 /* Requests queued. */
 
 #endif
--- a/src/right.c
+++ b/src/right.c
@@ -21,14 +21,14 @@
 bool
 ogl_shard_log_up(const struct ogl_shard *sh, ogl_time now)
 {
-	return now - ogl_stream_current(sh->stream) <= LOG_UP_MS * OGL_MS;
+	return now - ogl_stream_current_at(sh->stream) <= LOG_UP_MS * OGL_MS;
 }
 
 bool
 ogl_shard_may_act(const struct ogl_shard *sh, ogl_time now)
 {
 	const struct ogl_node_config *c = sh->env->cfg;
-	ogl_time contact = ogl_stream_current(sh->stream);
+	ogl_time contact = ogl_stream_current_at(sh->stream);
 	ogl_time until = contact + c->right_ms * OGL_MS;
 
 	/* A claimant that is not a named successor waits late_claim_ms, so no
@@ -75,7 +75,7 @@
 void
 ogl_right_ask_promises(struct ogl_shard *sh, ogl_time now)
 {
-	ogl_time age = now - ogl_stream_current(sh->stream);
+	ogl_time age = now - ogl_stream_current_at(sh->stream);
 
 	if (age < PROMISE_AFTER_MS * OGL_MS || now < sh->next_promise_ask)
 		return;
--- a/src/route.c
+++ b/src/route.c
@@ -226,7 +226,7 @@
 }
 
 uint32_t
-ogl_route_target(struct ogl_route *r, const char *name, const char *zone,
+ogl_route_set_target(struct ogl_route *r, const char *name, const char *zone,
     uint32_t slots, bool leaving, ogl_time now)
 {
 	struct target *k;
@@ -250,7 +250,7 @@
 }
 
 void
-ogl_route_drop(struct ogl_route *r, uint32_t t)
+ogl_route_remove_target(struct ogl_route *r, uint32_t t)
 {
 	struct target *k;
 
@@ -523,8 +523,8 @@
 }
 
 void
-ogl_route_done(struct ogl_route *r, uint32_t t, uint64_t request,
-    enum ogl_io io, uint32_t http_status, ogl_time now)
+ogl_route_request_done(struct ogl_route *r, uint32_t t, uint64_t request,
+    enum ogl_io_result io, uint32_t http_status, ogl_time now)
 {
 	ogl_time since;
 
@@ -541,7 +541,7 @@
 }
 
 bool
-ogl_route_may_retry(struct ogl_route *r, ogl_time now)
+ogl_route_take_retry(struct ogl_route *r, ogl_time now)
 {
 	if (!r->budget_started)
 		ogl_budget_init(&r->budget, now);
@@ -583,7 +583,7 @@
 uint64_t
 ogl_route_wait_ms(const struct ogl_route *r, size_t ahead, ogl_time now)
 {
-	uint32_t free = ogl_route_free(r, now);
+	uint32_t free = ogl_route_free_slots(r, now);
 	double rate, ms;
 
 	if (ahead < free)
@@ -598,7 +598,7 @@
 }
 
 uint32_t
-ogl_route_free(const struct ogl_route *r, ogl_time now)
+ogl_route_free_slots(const struct ogl_route *r, ogl_time now)
 {
 	uint32_t i, sum = 0;
 
--- a/src/sched.c
+++ b/src/sched.c
@@ -88,7 +88,7 @@
 }
 
 uint64_t
-ogl_sched_held(const struct ogl_shard *sh, const char *team)
+ogl_sched_placed_count(const struct ogl_shard *sh, const char *team)
 {
 	const uint64_t *held = g_hash_table_lookup(sh->held, team);
 
@@ -109,7 +109,7 @@
 	g_strlcpy(path, team, sizeof path);
 	for (;;) {
 		uint64_t allowed = ogl_escrow_allowed(sh, path);
-		uint64_t held = ogl_sched_held(sh, path);
+		uint64_t held = ogl_sched_placed_count(sh, path);
 
 		if (sh->limbo && allowed != UINT64_MAX) {
 			ok = false;
@@ -133,8 +133,8 @@
 static gint
 stop_order(gconstpointer a, gconstpointer b)
 {
-	const struct ogl_tref *ra = *(struct ogl_tref *const *)a;
-	const struct ogl_tref *rb = *(struct ogl_tref *const *)b;
+	const struct ogl_task_ref *ra = *(struct ogl_task_ref *const *)a;
+	const struct ogl_task_ref *rb = *(struct ogl_task_ref *const *)b;
 	const struct ogl_task *ta = &ra->job->tasks[ra->index];
 	const struct ogl_task *tb = &rb->job->tasks[rb->index];
 	bool restartable_a = ra->job->spec->restartable;
@@ -189,7 +189,7 @@
 		struct ogl_session *s = g_ptr_array_index(sh->sessions, i);
 
 		for (guint k = 0; k < s->tasks->len; k++) {
-			struct ogl_tref *r = g_ptr_array_index(s->tasks, k);
+			struct ogl_task_ref *r = g_ptr_array_index(s->tasks, k);
 
 			if (in_subtree(r->job->team, team))
 				g_ptr_array_add(refs, r);
@@ -197,7 +197,7 @@
 	}
 	g_ptr_array_sort(refs, stop_order);
 	for (guint i = 0; i < refs->len && i < excess; i++) {
-		struct ogl_tref *r = g_ptr_array_index(refs, i);
+		struct ogl_task_ref *r = g_ptr_array_index(refs, i);
 		bool restartable = r->job->spec->restartable;
 
 		ogl_sched_stop_task(sh, r->job, r->index,
@@ -212,7 +212,7 @@
 enforce_limit(void *ctx, const char *team, const struct ogl_team_view *view)
 {
 	struct limit_check *lc = ctx;
-	uint64_t held = ogl_sched_held(lc->sh, team);
+	uint64_t held = ogl_sched_placed_count(lc->sh, team);
 	uint64_t allowed;
 
 	if (view->limit_tasks == UINT64_MAX || held == 0)
@@ -223,7 +223,7 @@
 }
 
 void
-ogl_sched_limits(struct ogl_shard *sh, ogl_time now)
+ogl_sched_enforce_limits(struct ogl_shard *sh, ogl_time now)
 {
 	struct limit_check lc = {sh, now};
 
@@ -235,22 +235,22 @@
 {
 	struct ogl_shard *sh = ctx;
 
-	ogl_queue_team(sh->queue, team, view->share);
-	ogl_lend_share(sh->lend, team, view->share);
+	ogl_queue_set_share(sh->queue, team, view->share);
+	ogl_lend_set_weight(sh->lend, team, view->share);
 }
 
 void
-ogl_sched_settings(struct ogl_shard *sh, ogl_time now)
+ogl_sched_apply_settings(struct ogl_shard *sh, ogl_time now)
 {
 	ogl_settings_each_team(sh->env->settings, set_share, sh);
-	ogl_sched_limits(sh, now);
+	ogl_sched_enforce_limits(sh, now);
 	sh->place_due = true;
 }
 
 /* ---- waiting ---------------------------------------------------------- */
 
 void
-ogl_sched_ask_of(const struct ogl_job *j, struct ogl_ask *a)
+ogl_sched_ask_of(const struct ogl_job *j, struct ogl_demand *a)
 {
 	const Ogl__Res *r = j->spec->res;
 
@@ -286,7 +286,7 @@
 {
 	struct ogl_work_ref *ref = g_new0(struct ogl_work_ref, 1);
 	struct ogl_work w = {0};
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 	int64_t *key = g_new(int64_t, 1);
 
 	ogl_sched_ask_of(j, &ask);
@@ -299,7 +299,7 @@
 	w.tasks = tasks;
 	w.res = ask.res;
 	w.declared_ms = j->spec->run_ms;
-	w.first = ogl_sched_was_taken(sh, j, index);
+	w.first = ogl_sched_was_preempted(sh, j, index);
 	w.since = now;
 	if (j->accepted_ms < (uint64_t)(now / OGL_MS))
 		w.since = (ogl_time)j->accepted_ms * OGL_MS;
@@ -380,7 +380,7 @@
 }
 
 void
-ogl_sched_unqueue(struct ogl_shard *sh, struct ogl_job *j)
+ogl_sched_dequeue(struct ogl_shard *sh, struct ogl_job *j)
 {
 	for (uint32_t i = 0; i < j->ntasks; i++) {
 		struct ogl_task *t = &j->tasks[i];
@@ -401,7 +401,7 @@
     uint32_t attempt, ogl_time now)
 {
 	struct ogl_task *t = &j->tasks[i];
-	struct ogl_tref *ref = g_new0(struct ogl_tref, 1);
+	struct ogl_task_ref *ref = g_new0(struct ogl_task_ref, 1);
 
 	ref->job = j;
 	ref->index = i;
@@ -423,7 +423,7 @@
 ogl_sched_bind(struct ogl_shard *sh, struct ogl_session *s, struct ogl_job *j,
     uint32_t i, uint32_t attempt, ogl_time now)
 {
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 
 	if (j->number == 0)
 		j->number = ++sh->job_number;
@@ -438,7 +438,7 @@
 remove_ref(struct ogl_session *s, const struct ogl_job *j, uint32_t i)
 {
 	for (guint k = 0; k < s->tasks->len; k++) {
-		const struct ogl_tref *r = g_ptr_array_index(s->tasks, k);
+		const struct ogl_task_ref *r = g_ptr_array_index(s->tasks, k);
 
 		if (r->job == j && r->index == i) {
 			g_ptr_array_remove_index_fast(s->tasks, k);
@@ -453,7 +453,7 @@
 {
 	struct ogl_task *t = &j->tasks[i];
 	struct ogl_session *s;
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 	uint64_t work = t->work;
 
 	if (t->phase != OGL_TASK_PLACED)
@@ -513,7 +513,7 @@
 }
 
 void
-ogl_sched_intended(struct ogl_shard *sh, struct ogl_job *j, uint32_t i,
+ogl_sched_intent_recorded(struct ogl_shard *sh, struct ogl_job *j, uint32_t i,
     uint32_t attempt, ogl_time now)
 {
 	struct ogl_task *t = &j->tasks[i];
@@ -544,7 +544,7 @@
     ogl_time now)
 {
 	uint32_t *places = g_new(uint32_t, w->tasks);
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 	uint32_t k = 0;
 	bool ok;
 
@@ -571,7 +571,7 @@
 {
 	int64_t key = (int64_t)w->id;
 	struct ogl_work_ref *ref = g_hash_table_lookup(sh->works, &key);
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 	uint32_t place;
 	bool ok;
 
@@ -600,7 +600,7 @@
 	int placed = 0;
 
 	sh->place_due = false;
-	ogl_queue_again(sh->queue, now);
+	ogl_queue_retry_deferred(sh->queue, now);
 	g_array_set_size(sh->missed, 0);
 	while (placed < STEP_PLACEMENTS_MAX &&
 	       misses < CONSECUTIVE_MISSES_MAX &&
@@ -611,7 +611,7 @@
 			misses = 0;
 			placed++;
 		} else {
-			ogl_queue_back(sh->queue, w.id, now);
+			ogl_queue_defer(sh->queue, w.id, now);
 			misses++;
 		}
 	}
--- a/src/sched_lend.c
+++ b/src/sched_lend.c
@@ -24,14 +24,14 @@
 }
 
 bool
-ogl_sched_was_taken(
+ogl_sched_was_preempted(
     const struct ogl_shard *sh, const struct ogl_job *j, uint32_t i)
 {
-	return ogl_lend_was_taken(sh->lend, task_id(j, i));
+	return ogl_lend_was_preempted(sh->lend, task_id(j, i));
 }
 
 ogl_time
-ogl_sched_lend_next(const struct ogl_shard *sh)
+ogl_sched_next_reclaim(const struct ogl_shard *sh)
 {
 	return ogl_lend_next(sh->lend);
 }
@@ -52,7 +52,7 @@
 		if (!s->placed)
 			continue;
 		w = &sh->placer->workers[s->place];
-		if (!w->open || w->aside != OGL_ASIDE_NOT)
+		if (!w->open || w->aside != OGL_QUARANTINE_NONE)
 			continue;
 		room = ogl_place_free_room(w);
 		worker_of[i] =
@@ -62,12 +62,12 @@
 }
 
 static void
-add_task(struct ogl_shard *sh, const struct ogl_tref *ref, uint32_t worker)
+add_task(struct ogl_shard *sh, const struct ogl_task_ref *ref, uint32_t worker)
 {
 	const struct ogl_job *j = ref->job;
 	const struct ogl_task *t = &j->tasks[ref->index];
 	struct ogl_lend_task lt = {0};
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 
 	ogl_sched_ask_of(j, &ask);
 	lt.id = task_id(j, ref->index);
@@ -93,7 +93,7 @@
 		    g_ptr_array_index(sh->sessions, i);
 
 		for (guint k = 0; k < s->tasks->len; k++) {
-			struct ogl_tref *r = g_ptr_array_index(s->tasks, k);
+			struct ogl_task_ref *r = g_ptr_array_index(s->tasks, k);
 
 			add_task(sh, r, worker_of[i]);
 			g_ptr_array_add(refs, r);
@@ -122,7 +122,7 @@
 			g_hash_table_insert(
 			    added, g_strdup(path), GSIZE_TO_POINTER(more));
 		else if (allowed != UINT64_MAX &&
-			 ogl_sched_held(sh, path) + more > allowed)
+			 ogl_sched_placed_count(sh, path) + more > allowed)
 			return false;
 		slash = strrchr(path, '/');
 		if (slash == NULL)
@@ -136,8 +136,8 @@
     GHashTable *added, uint32_t turn, ogl_time now)
 {
 	const struct ogl_job *j = ref->job;
-	struct ogl_lend_want w = {.team = j->team, .tasks = 1};
-	struct ogl_ask ask;
+	struct ogl_lend_pending w = {.team = j->team, .tasks = 1};
+	struct ogl_demand ask;
 
 	if (j->spec->kind == OGL__KIND__gang) {
 		w.tasks = 0;
@@ -155,7 +155,7 @@
 	/* A damaged log may give a future time, which could overflow. */
 	if (j->accepted_ms < (uint64_t)(now / OGL_MS))
 		w.since = (ogl_time)j->accepted_ms * OGL_MS;
-	ogl_lend_add_want(sh->lend, &w);
+	ogl_lend_add_pending(sh->lend, &w);
 }
 
 /* Adds the work that found no room first, so that other work of its team
@@ -186,8 +186,8 @@
 }
 
 static void
-preempt(struct ogl_shard *sh, const struct ogl_tref *ref,
-    const struct ogl_lend_take *k, ogl_time now)
+preempt(struct ogl_shard *sh, const struct ogl_task_ref *ref,
+    const struct ogl_lend_preemption *k, ogl_time now)
 {
 	struct ogl_task *t = &ref->job->tasks[ref->index];
 
@@ -213,16 +213,16 @@
 }
 
 void
-ogl_sched_lend(struct ogl_shard *sh, ogl_time now)
+ogl_sched_reclaim_lent(struct ogl_shard *sh, ogl_time now)
 {
-	const struct ogl_lend_take *takes;
+	const struct ogl_lend_preemption *takes;
 	GPtrArray *refs;
 	uint32_t *worker_of;
 	size_t n;
 
 	ogl_lend_begin(sh->lend, now);
 	if (!may_reclaim(sh, now) ||
-	    ogl_queue_wait_ms(sh->queue, now) < OGL_LEND_BOUND_MS)
+	    ogl_queue_wait_ms(sh->queue, now) < OGL_LEND_MIN_WAIT_MS)
 		return;
 	worker_of = add_workers(sh);
 	refs = add_tasks(sh, worker_of);
@@ -230,8 +230,9 @@
 	n = ogl_lend_decide(sh->lend, now, &takes);
 	/* Copied, because unbinding a task that was never sent frees its ref. */
 	for (size_t i = 0; i < n; i++) {
-		struct ogl_tref ref =
-		    *(struct ogl_tref *)g_ptr_array_index(refs, takes[i].task);
+		struct ogl_task_ref ref =
+		    *(struct ogl_task_ref *)g_ptr_array_index(
+			refs, takes[i].task);
 
 		preempt(sh, &ref, &takes[i], now);
 	}
--- a/src/session.c
+++ b/src/session.c
@@ -84,7 +84,8 @@
 void
 ogl_session_wake(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
 {
-	ogl_time soon = MAX(now, s->sent_at + OGL_SYNC_GAP_MS * OGL_MS);
+	ogl_time soon =
+	    MAX(now, s->sent_at + OGL_SYNC_MIN_INTERVAL_MS * OGL_MS);
 
 	if (s->fails == 0)
 		s->next_sync = MIN(s->next_sync, soon);
@@ -130,8 +131,8 @@
 
 	if (!s->placed)
 		return;
-	ogl_place_set(sh->placer, s->place,
-	    schedulable ? OGL_PLACE_OPEN : OGL_PLACE_CLOSED);
+	ogl_place_set_state(sh->placer, s->place,
+	    schedulable ? OGL_PLACE_SCHEDULABLE : OGL_PLACE_UNSCHEDULABLE);
 	sh->place_due |= schedulable;
 }
 
@@ -166,7 +167,7 @@
 /* Updates the workers to contact from the host list, which lags.  A worker
  * that the list lacks may still run tasks, until its leases have expired. */
 void
-ogl_sessions_hosts(struct ogl_shard *sh, ogl_time now)
+ogl_sessions_update_hosts(struct ogl_shard *sh, ogl_time now)
 {
 	GHashTableIter it;
 	void *k, *v;
@@ -208,7 +209,7 @@
     struct ogl_shard *sh, struct ogl_session *s, const char *why, ogl_time now)
 {
 	for (guint i = s->tasks->len; i > 0; i--) {
-		struct ogl_tref *t = g_ptr_array_index(s->tasks, i - 1);
+		struct ogl_task_ref *t = g_ptr_array_index(s->tasks, i - 1);
 		struct ogl_job *j = t->job;
 		uint32_t index = t->index;
 
@@ -234,7 +235,7 @@
 	s->known = false;
 	s->lease_end = 0;
 	if (s->placed) {
-		ogl_place_drop(sh->placer, s->place);
+		ogl_place_remove_worker(sh->placer, s->place);
 		s->placed = false;
 	}
 	g_ptr_array_set_size(s->stops, 0);
@@ -254,7 +255,7 @@
 }
 
 bool
-ogl_sessions_unknown(const struct ogl_shard *sh)
+ogl_sessions_any_unreported(const struct ogl_shard *sh)
 {
 	for (guint i = 0; i < sh->sessions->len; i++) {
 		const struct ogl_session *s =
@@ -269,8 +270,8 @@
 /* ---- sending ---------------------------------------------------------- */
 
 static void
-add_start(
-    Ogl__WorkerSync *m, const struct ogl_session *s, const struct ogl_tref *ref)
+add_start(Ogl__WorkerSync *m, const struct ogl_session *s,
+    const struct ogl_task_ref *ref)
 {
 	const struct ogl_job *j = ref->job;
 	const struct ogl_task *t = &j->tasks[ref->index];
@@ -283,7 +284,7 @@
 	st->kind = j->spec->kind;
 	st->run_ms = j->spec->run_ms;
 	st->payload = strdup(j->spec->payload);
-	st->latest_start_ms = s->clock_ms + OGL_START_MS;
+	st->latest_start_ms = s->clock_ms + OGL_START_VALID_MS;
 	st->res = malloc(sizeof *st->res);
 	ogl__res__init(st->res);
 	if (j->spec->res != NULL) {
@@ -301,10 +302,10 @@
 	if (s->leaving)
 		return;
 	for (guint i = 0; i < s->tasks->len; i++) {
-		const struct ogl_tref *ref = g_ptr_array_index(s->tasks, i);
+		const struct ogl_task_ref *ref = g_ptr_array_index(s->tasks, i);
 		struct ogl_task *t = &ref->job->tasks[ref->index];
 
-		if (m->n_start == OGL_SYNC_TASKS)
+		if (m->n_start == OGL_SYNC_MAX_TASKS)
 			break;
 		if (t->running || t->ending || t->stopping || t->held)
 			continue;
@@ -347,7 +348,7 @@
 stopping_unreported(const struct ogl_session *s)
 {
 	for (guint i = 0; s->stops->len > 0 && i < s->tasks->len; i++) {
-		const struct ogl_tref *ref = g_ptr_array_index(s->tasks, i);
+		const struct ogl_task_ref *ref = g_ptr_array_index(s->tasks, i);
 		const struct ogl_task *t = &ref->job->tasks[ref->index];
 
 		if (t->stopping && !t->running)
@@ -599,7 +600,7 @@
 }
 
 static void
-lapse_task(struct ogl_shard *sh, const struct ogl_tref *ref, ogl_time now)
+lapse_task(struct ogl_shard *sh, const struct ogl_task_ref *ref, ogl_time now)
 {
 	sh->env->counters->lapses++;
 	ogl_shard_task_end(sh, ref->job, ref->index, OGL__TASK_STATE__lapsed,
@@ -610,7 +611,7 @@
  * began to leave: the worker does not have it and will report no end. */
 static void
 undo_start(struct ogl_shard *sh, struct ogl_session *s,
-    const struct ogl_tref *ref, const char *name, ogl_time now)
+    const struct ogl_task_ref *ref, const char *name, ogl_time now)
 {
 	drop_stop(s, name, ref->job->tasks[ref->index].attempt);
 	ogl_sched_unbind(sh, ref->job, ref->index, true, now);
@@ -630,8 +631,8 @@
 	for (size_t i = 0; i < r->n_tasks; i++)
 		g_hash_table_add(reported, r->tasks[i]->task);
 	for (guint i = s->tasks->len; i > 0; i--) {
-		struct ogl_tref ref =
-		    *(struct ogl_tref *)g_ptr_array_index(s->tasks, i - 1);
+		struct ogl_task_ref ref =
+		    *(struct ogl_task_ref *)g_ptr_array_index(s->tasks, i - 1);
 		const struct ogl_task *t = &ref.job->tasks[ref.index];
 		char *name = g_strdup_printf("%s.%u", ref.job->id, ref.index);
 
@@ -691,7 +692,7 @@
 }
 
 void
-ogl_session_worker(
+ogl_session_in_use_recorded(
     struct ogl_shard *sh, const char *name, bool on, ogl_time now)
 {
 	struct ogl_session *s = g_hash_table_lookup(sh->by_worker, name);
@@ -744,7 +745,7 @@
 	if (s->acks->len > 0)
 		return true;
 	for (guint i = 0; i < s->tasks->len; i++) {
-		const struct ogl_tref *ref = g_ptr_array_index(s->tasks, i);
+		const struct ogl_task_ref *ref = g_ptr_array_index(s->tasks, i);
 		const struct ogl_task *t = &ref->job->tasks[ref->index];
 
 		if (!t->running && !t->ending && !t->stopping && !t->held)
@@ -809,8 +810,8 @@
 unbind_unsent(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
 {
 	for (guint i = s->tasks->len; i > 0; i--) {
-		struct ogl_tref ref =
-		    *(struct ogl_tref *)g_ptr_array_index(s->tasks, i - 1);
+		struct ogl_task_ref ref =
+		    *(struct ogl_task_ref *)g_ptr_array_index(s->tasks, i - 1);
 		const struct ogl_task *t = &ref.job->tasks[ref.index];
 
 		if (t->sent || t->running || t->held)
@@ -880,7 +881,7 @@
 
 	if (now >= sh->next_hosts) {
 		sh->next_hosts = now + OGL_SEC;
-		ogl_sessions_hosts(sh, now);
+		ogl_sessions_update_hosts(sh, now);
 		sh->sessions_due = now;
 	}
 	if (now < sh->sessions_due)
--- a/src/settings.c
+++ b/src/settings.c
@@ -530,7 +530,7 @@
 }
 
 void
-ogl_settings_team(
+ogl_settings_lookup_team(
     const struct ogl_settings *s, const char *team, struct ogl_team_view *view)
 {
 	const struct ogl_team_entry *t = g_hash_table_lookup(s->teams, team);
@@ -557,7 +557,7 @@
 }
 
 void
-ogl_settings_key(
+ogl_settings_lookup_key(
     const struct ogl_settings *s, struct ogl_str key, struct ogl_key_view *view)
 {
 	const struct ogl_key_entry *k = NULL;
--- a/src/shard.c
+++ b/src/shard.c
@@ -132,7 +132,7 @@
 {
 	struct ogl_res total = {0}, held = {0};
 
-	ogl_place_room(sh->placer, &total, &held);
+	ogl_place_totals(sh->placer, &total, &held);
 	f->shard = sh->index;
 	f->epoch = sh->state->epoch;
 	f->ready = !sh->limbo;
@@ -176,7 +176,7 @@
 		return;
 	s = g_ptr_array_index(sh->sessions, t->worker);
 	if (s->placed)
-		ogl_place_result(sh->placer, s->place, j->number, ok, now);
+		ogl_place_task_ended(sh->placer, s->place, j->number, ok, now);
 }
 
 void
@@ -267,10 +267,10 @@
 	ogl_sessions_init(sh);
 	ogl_shardcall_init(sh);
 	ogl_escrow_init(sh, now);
-	ogl_sched_settings(sh, now);
+	ogl_sched_apply_settings(sh, now);
 	mark_inherited_jobs(sh);
-	ogl_sessions_hosts(sh, now);
-	ogl_stream_poll(sh->stream, OWNER_POLL_MS, now);
+	ogl_sessions_update_hosts(sh, now);
+	ogl_stream_follow(sh->stream, OWNER_POLL_MS, now);
 	sh->env->counters->claims++;
 	ogl_shard_log(sh, OGL_LOG_INFO,
 	    "owned from epoch %" G_GUINT64_FORMAT ", %u jobs read",
@@ -355,7 +355,7 @@
 	struct ogl_shard *sh = ctx;
 
 	if (is_current_owner(sh))
-		ogl_sched_intended(sh, j, i, attempt, now);
+		ogl_sched_intent_recorded(sh, j, i, attempt, now);
 }
 
 static void
@@ -368,7 +368,7 @@
 }
 
 static void
-hook_id(void *ctx, struct ogl_idrec *r, ogl_time now)
+hook_id(void *ctx, struct ogl_request_id *r, ogl_time now)
 {
 	struct ogl_shard *sh = ctx;
 
@@ -382,7 +382,7 @@
 	struct ogl_shard *sh = ctx;
 
 	if (is_current_owner(sh))
-		ogl_session_worker(sh, name, on, now);
+		ogl_session_in_use_recorded(sh, name, on, now);
 }
 
 static void
@@ -429,7 +429,7 @@
 	if (ogl_state_stale(sh->state, r)) {
 		ogl_shard_log(sh, OGL_LOG_WARN,
 		    "the snapshot read was written by a superseded owner");
-		reset_state(sh, ogl_state_anew(r));
+		reset_state(sh, ogl_state_new_after(r));
 	}
 	ogl_state_apply(sh->state, r, offset, &hooks, sh, now);
 }
@@ -454,7 +454,7 @@
 	sh->state = ogl_state_new();
 	sh->stream = ogl_stream_init(name, ogl_shard_token_base(sh->index),
 	    sh->env->cfg, &stream_ops, sh);
-	ogl_stream_poll(sh->stream, READER_POLL_MS, now);
+	ogl_stream_follow(sh->stream, READER_POLL_MS, now);
 }
 
 /* ---- owning ----------------------------------------------------------- */
@@ -483,7 +483,8 @@
 
 	/* A worker that restarts forgets the new epoch and would obey the old
 	 * owner again, so the old owner's right to act must have ended too. */
-	if (now < right || (now < sh->limbo_until && ogl_sessions_unknown(sh)))
+	if (now < right ||
+	    (now < sh->limbo_until && ogl_sessions_any_unreported(sh)))
 		return;
 	sh->limbo = false;
 	sh->place_due = true;
@@ -544,7 +545,7 @@
 
 		r->epoch = sh->state->epoch;
 		r->at_ms = (uint64_t)(now / OGL_MS);
-		ogl_stream_put_first(sh->stream, r);
+		ogl_stream_add_first(sh->stream, r);
 	}
 	g_ptr_array_free(parts, TRUE);
 }
@@ -595,7 +596,7 @@
 	if (outranked != before) {
 		sh->outranked_since = outranked ? now : 0;
 		ogl_member_changed(sh->env->member);
-		ogl_stream_poll(sh->stream,
+		ogl_stream_follow(sh->stream,
 		    outranked || sh->stopping ? OFFER_POLL_MS : OWNER_POLL_MS,
 		    now);
 	}
@@ -620,7 +621,7 @@
 	ogl_escrow_tick(sh, now);
 	if (now >= sh->next_maintenance) {
 		sh->next_maintenance = now + MAINTENANCE_EVERY_MS * OGL_MS;
-		ogl_sched_limits(sh, now);
+		ogl_sched_enforce_limits(sh, now);
 		renew_successors(sh, now);
 		update_outranked(sh, now);
 		write_snapshot(sh, now);
@@ -633,8 +634,8 @@
 		ogl_sched_place(sh, now);
 		ogl_sessions_tick(sh, now);
 	}
-	if (now >= ogl_sched_lend_next(sh))
-		ogl_sched_lend(sh, now);
+	if (now >= ogl_sched_next_reclaim(sh))
+		ogl_sched_reclaim_lent(sh, now);
 }
 
 void
@@ -663,7 +664,7 @@
 		t = MIN(t, sh->next_maintenance);
 		t = MIN(t, ogl_escrow_next(sh));
 		t = MIN(t, ogl_sessions_next(sh));
-		t = MIN(t, ogl_sched_lend_next(sh));
+		t = MIN(t, ogl_sched_next_reclaim(sh));
 		if (sh->place_due)
 			t = 0;
 	}
@@ -693,14 +694,14 @@
 	if (sh->role == OGL_ROLE_READER && !sh->claim_sent)
 		ogl_shard_leave_role(sh, now);
 	if (sh->role == OGL_ROLE_OWNER)
-		ogl_stream_poll(sh->stream, OFFER_POLL_MS, now);
+		ogl_stream_follow(sh->stream, OFFER_POLL_MS, now);
 }
 
 void
 ogl_shard_settings(struct ogl_shard *sh, ogl_time now)
 {
 	if (sh->role == OGL_ROLE_OWNER)
-		ogl_sched_settings(sh, now);
+		ogl_sched_apply_settings(sh, now);
 }
 
 void
--- a/src/shard.h
+++ b/src/shard.h
@@ -25,7 +25,7 @@
 };
 
 /* A call to a shard's owner, local or forwarded by another node. */
-struct ogl_ask_call {
+struct ogl_owner_call {
 	uint64_t waiter; /* passed back to ops->reply */
 	struct ogl_str method;
 	struct ogl_str path;
@@ -45,7 +45,7 @@
 
 /* Callbacks from a shard to its node. */
 struct ogl_shard_ops {
-	/* Answers the waiter of an ogl_ask_call. */
+	/* Answers the waiter of an ogl_owner_call. */
 	void (*reply)(void *ctx, uint32_t shard, uint64_t waiter,
 	    uint32_t status, enum ogl_verdict v, uint64_t retry_after_ms,
 	    GBytes *body);
@@ -92,7 +92,7 @@
 void ogl_shard_fact(const struct ogl_shard *sh, Ogl__ShardFact *f);
 /* Fills in f with the facts that the owner gossips.  Owner only. */
 
-void ogl_shard_known_owner(
+void ogl_shard_set_known_owner(
     struct ogl_shard *sh, const char *node, uint64_t epoch, bool offered);
 /* Sets the owner known from gossip, NULL for none, and whether it offers the
  * shard to other nodes. */
@@ -113,7 +113,7 @@
  * token that no shard made. */
 
 void ogl_shard_call(
-    struct ogl_shard *sh, const struct ogl_ask_call *c, ogl_time now);
+    struct ogl_shard *sh, const struct ogl_owner_call *c, ogl_time now);
 /* Answers the call through ops->reply exactly once, now or later. */
 
 void ogl_shard_waiter_gone(struct ogl_shard *sh, uint64_t waiter);
--- a/src/shard_impl.h
+++ b/src/shard_impl.h
@@ -8,14 +8,14 @@
 #include "stream.h"
 
 enum {
-	OGL_SYNC_TIMEOUT_MS = 1000, /* for the answer to one sync */
-	OGL_START_MS = 3000,        /* a start command is valid this long */
-	OGL_SYNC_GAP_MS = 20,       /* least time between two syncs */
-	OGL_SYNC_TASKS = 200        /* most starts and acks in one sync */
+	OGL_SYNC_TIMEOUT_MS = 1000,    /* for the answer to one sync */
+	OGL_START_VALID_MS = 3000,     /* a start command is valid this long */
+	OGL_SYNC_MIN_INTERVAL_MS = 20, /* least time between two syncs */
+	OGL_SYNC_MAX_TASKS = 200       /* most starts and acks in one sync */
 };
 
 /* Reference to one task of a job. */
-struct ogl_tref {
+struct ogl_task_ref {
 	struct ogl_job *job;
 	uint32_t index;
 };
@@ -46,7 +46,7 @@
 	uint64_t token; /* of the sync in progress, 0 for none */
 	uint64_t seq;
 	uint32_t fails;
-	GPtrArray *tasks; /* struct ogl_tref *, tasks bound to the worker */
+	GPtrArray *tasks; /* struct ogl_task_ref *, tasks bound to the worker */
 	GPtrArray *stops; /* Ogl__TaskStop *, sent until the task stops */
 	GPtrArray *acks;  /* Ogl__TaskAck *, sent once */
 	struct ogl_res capacity;
@@ -122,7 +122,7 @@
 
 void ogl_sessions_init(struct ogl_shard *sh);
 void ogl_sessions_end(struct ogl_shard *sh);
-void ogl_sessions_hosts(struct ogl_shard *sh, ogl_time now);
+void ogl_sessions_update_hosts(struct ogl_shard *sh, ogl_time now);
 void ogl_sessions_tick(struct ogl_shard *sh, ogl_time now);
 ogl_time ogl_sessions_next(const struct ogl_shard *sh);
 void ogl_sessions_event(
@@ -132,11 +132,11 @@
 void ogl_session_stop_task(struct ogl_shard *sh, struct ogl_session *s,
     const char *job, uint32_t index, uint32_t attempt, Ogl__StopMode mode,
     ogl_time now);
-void ogl_session_worker(
+void ogl_session_in_use_recorded(
     struct ogl_shard *sh, const char *name, bool on, ogl_time now);
 void ogl_session_ack(struct ogl_shard *sh, const char *worker, const char *job,
     uint32_t index, uint32_t attempt);
-bool ogl_sessions_unknown(const struct ogl_shard *sh);
+bool ogl_sessions_any_unreported(const struct ogl_shard *sh);
 /* Whether some worker in use has not reported its tasks in this epoch. */
 
 /* ---- sched.c ---------------------------------------------------------- */
@@ -147,32 +147,32 @@
 /* Starts queued work that fits on a worker and within the limits. */
 void ogl_sched_enqueue(struct ogl_shard *sh, struct ogl_job *j, ogl_time now);
 /* Queues the job's waiting tasks that are not queued yet. */
-void ogl_sched_unqueue(struct ogl_shard *sh, struct ogl_job *j);
+void ogl_sched_dequeue(struct ogl_shard *sh, struct ogl_job *j);
 bool ogl_sched_bind(struct ogl_shard *sh, struct ogl_session *s,
     struct ogl_job *j, uint32_t i, uint32_t attempt, ogl_time now);
 /* Binds a task that was found running on a worker to that worker. */
 void ogl_sched_unbind(
     struct ogl_shard *sh, struct ogl_job *j, uint32_t i, bool ok, ogl_time now);
 /* Undoes the binding of a task that no longer runs. */
-void ogl_sched_intended(struct ogl_shard *sh, struct ogl_job *j, uint32_t i,
-    uint32_t attempt, ogl_time now);
+void ogl_sched_intent_recorded(struct ogl_shard *sh, struct ogl_job *j,
+    uint32_t i, uint32_t attempt, ogl_time now);
 /* Called when the intent to start a task has taken effect on the log. */
 void ogl_sched_stop_job(
     struct ogl_shard *sh, struct ogl_job *j, Ogl__StopMode mode, ogl_time now);
-void ogl_sched_settings(struct ogl_shard *sh, ogl_time now);
-void ogl_sched_limits(struct ogl_shard *sh, ogl_time now);
+void ogl_sched_apply_settings(struct ogl_shard *sh, ogl_time now);
+void ogl_sched_enforce_limits(struct ogl_shard *sh, ogl_time now);
 /* Stops tasks of teams that are above a lowered limit. */
-uint64_t ogl_sched_held(const struct ogl_shard *sh, const char *team);
+uint64_t ogl_sched_placed_count(const struct ogl_shard *sh, const char *team);
 void ogl_sched_stop_task(struct ogl_shard *sh, struct ogl_job *j, uint32_t i,
     Ogl__StopMode mode, ogl_time now);
-void ogl_sched_ask_of(const struct ogl_job *j, struct ogl_ask *a);
+void ogl_sched_ask_of(const struct ogl_job *j, struct ogl_demand *a);
 
 /* ---- sched_lend.c ----------------------------------------------------- */
 
-void ogl_sched_lend(struct ogl_shard *sh, ogl_time now);
+void ogl_sched_reclaim_lent(struct ogl_shard *sh, ogl_time now);
 /* Preempts tasks on lent capacity when a team lacks its share. */
-ogl_time ogl_sched_lend_next(const struct ogl_shard *sh);
-bool ogl_sched_was_taken(
+ogl_time ogl_sched_next_reclaim(const struct ogl_shard *sh);
+bool ogl_sched_was_preempted(
     const struct ogl_shard *sh, const struct ogl_job *j, uint32_t i);
 
 /* ---- shardcall.c ------------------------------------------------------ */
@@ -188,7 +188,7 @@
 void ogl_shardcall_job_referred(
     struct ogl_shard *sh, const Ogl__JobReferred *r, ogl_time now);
 void ogl_shardcall_id_recorded(
-    struct ogl_shard *sh, struct ogl_idrec *r, ogl_time now);
+    struct ogl_shard *sh, struct ogl_request_id *r, ogl_time now);
 
 /* ---- escrow.c --------------------------------------------------------- */
 
--- a/src/shardcall.c
+++ b/src/shardcall.c
@@ -257,7 +257,7 @@
 static const char *
 infeasible_reason(struct ogl_shard *sh, const Ogl__Submit *s)
 {
-	struct ogl_ask ask = {.kind = s->kind};
+	struct ogl_demand ask = {.kind = s->kind};
 	uint32_t tasks_at_once = s->kind == OGL__KIND__gang ? s->tasks : 1;
 
 	if (s->res != NULL) {
@@ -265,14 +265,14 @@
 		ask.res.mem_mb = s->res->mem_mb;
 		ask.res.accel = s->res->accel;
 	}
-	switch (ogl_place_never(sh->placer, &ask, tasks_at_once)) {
-	case OGL_NEVER_NO_WORKER:
+	switch (ogl_place_feasibility(sh->placer, &ask, tasks_at_once)) {
+	case OGL_INFEASIBLE_NO_WORKER:
 		return "it can never run: no worker is large enough for "
 		       "one task";
-	case OGL_NEVER_GANG_TOTAL:
+	case OGL_INFEASIBLE_GANG_TOTAL:
 		return "it can never run: all workers together hold too few "
 		       "of its tasks at once";
-	case OGL_NEVER_NOT:
+	case OGL_FEASIBLE:
 	default:
 		return NULL;
 	}
@@ -284,7 +284,7 @@
 {
 	struct ogl_team_view view;
 
-	ogl_settings_team(sh->env->settings, team, &view);
+	ogl_settings_lookup_team(sh->env->settings, team, &view);
 	if (s->kind == OGL__KIND__gang && view.exists &&
 	    view.limit_tasks < s->tasks)
 		return "it can never run: the gang is larger than the "
@@ -386,7 +386,7 @@
 /* Returns whether the submission is referred to another shard, and if so
  * answers the waiter, now or once the referral is on the log. */
 static bool
-refer(struct ogl_shard *sh, const struct ogl_ask_call *c, const char *id,
+refer(struct ogl_shard *sh, const struct ogl_owner_call *c, const char *id,
     ogl_time now)
 {
 	const Ogl__JobReferred *r;
@@ -420,7 +420,7 @@
  */
 static bool
 refused_before(
-    struct ogl_shard *sh, const struct ogl_ask_call *c, const char *id)
+    struct ogl_shard *sh, const struct ogl_owner_call *c, const char *id)
 {
 	const Ogl__JobReferred *r;
 	char *key;
@@ -443,7 +443,7 @@
 /* Records a permanent refusal.  The waiter is answered once it is on the
  * log. */
 static void
-record_refusal(struct ogl_shard *sh, const struct ogl_ask_call *c,
+record_refusal(struct ogl_shard *sh, const struct ogl_owner_call *c,
     const char *id, ogl_time now)
 {
 	char *key = ogl_request_key(c->team, id);
@@ -470,7 +470,7 @@
 }
 
 static void
-call_submit(struct ogl_shard *sh, const struct ogl_ask_call *c, ogl_time now)
+call_submit(struct ogl_shard *sh, const struct ogl_owner_call *c, ogl_time now)
 {
 	struct ogl_faults *faults = ogl_faults_new();
 	Ogl__Submit *s = (Ogl__Submit *)ogl_json_parse(
@@ -536,13 +536,13 @@
 }
 
 static bool
-may_see(const struct ogl_ask_call *c, const struct ogl_job *j)
+may_see(const struct ogl_owner_call *c, const struct ogl_job *j)
 {
 	return c->team[0] == '\0' || strcmp(c->team, j->team) == 0;
 }
 
 static void
-call_list(struct ogl_shard *sh, const struct ogl_ask_call *c)
+call_list(struct ogl_shard *sh, const struct ogl_owner_call *c)
 {
 	Ogl__JobList list = OGL__JOB_LIST__INIT;
 	guint most = g_hash_table_size(sh->state->jobs);
@@ -591,7 +591,7 @@
 
 	/* No task is started from here on, so a not_run verdict stays true. */
 	j->cancelling = true;
-	ogl_sched_unqueue(sh, j);
+	ogl_sched_dequeue(sh, j);
 	r = ogl_shard_record(sh, now);
 	r->body_case = OGL__RECORD__BODY_JOB_CANCELLED;
 	r->job_cancelled = malloc(sizeof *r->job_cancelled);
@@ -605,7 +605,7 @@
 }
 
 static void
-call_cancel(struct ogl_shard *sh, const struct ogl_ask_call *c,
+call_cancel(struct ogl_shard *sh, const struct ogl_owner_call *c,
     struct ogl_job *j, ogl_time now)
 {
 	if (ogl_job_ended(j)) {
@@ -651,7 +651,7 @@
 {
 	GArray *w = g_hash_table_lookup(sh->cancels, j->id);
 
-	ogl_sched_unqueue(sh, j);
+	ogl_sched_dequeue(sh, j);
 	ogl_sched_stop_job(sh, j, OGL__STOP_MODE__stop, now);
 	for (guint i = 0; w != NULL && i < w->len; i++)
 		reply_job(sh, g_array_index(w, uint64_t, i), 200, j, false);
@@ -659,7 +659,7 @@
 }
 
 static void
-call_job(struct ogl_shard *sh, const struct ogl_ask_call *c, const char *id,
+call_job(struct ogl_shard *sh, const struct ogl_owner_call *c, const char *id,
     ogl_time now)
 {
 	struct ogl_job *j = g_hash_table_lookup(sh->state->jobs, id);
@@ -675,14 +675,15 @@
 /* ---- short requests with an id ---------------------------------------- */
 
 static void
-reply_outcome(struct ogl_shard *sh, uint64_t waiter, const struct ogl_idrec *r)
+reply_outcome(
+    struct ogl_shard *sh, uint64_t waiter, const struct ogl_request_id *r)
 {
 	reply(sh, waiter, r->status, (enum ogl_verdict)r->verdict, 0,
 	    g_bytes_ref(r->body));
 }
 
 static void
-record_intent(struct ogl_shard *sh, const struct ogl_ask_call *c,
+record_intent(struct ogl_shard *sh, const struct ogl_owner_call *c,
     const char *id, ogl_time now)
 {
 	struct ogl_inflight *f = g_new0(struct ogl_inflight, 1);
@@ -705,10 +706,10 @@
 }
 
 static void
-call_request(struct ogl_shard *sh, const struct ogl_ask_call *c, ogl_time now)
+call_request(struct ogl_shard *sh, const struct ogl_owner_call *c, ogl_time now)
 {
 	char *id = ogl_request_key(c->team, c->request_id);
-	struct ogl_idrec *r = g_hash_table_lookup(sh->state->ids, id);
+	struct ogl_request_id *r = g_hash_table_lookup(sh->state->ids, id);
 	struct ogl_inflight *f = g_hash_table_lookup(sh->inflight, id);
 
 	if (f != NULL)
@@ -730,7 +731,7 @@
 
 void
 ogl_shardcall_id_recorded(
-    struct ogl_shard *sh, struct ogl_idrec *r, ogl_time now)
+    struct ogl_shard *sh, struct ogl_request_id *r, ogl_time now)
 {
 	struct ogl_inflight *f = g_hash_table_lookup(sh->inflight, r->id);
 
@@ -789,7 +790,8 @@
 /* ---- dispatch by path ------------------------------------------------- */
 
 void
-ogl_shard_call(struct ogl_shard *sh, const struct ogl_ask_call *c, ogl_time now)
+ogl_shard_call(
+    struct ogl_shard *sh, const struct ogl_owner_call *c, ogl_time now)
 {
 	const char *jobs = "/v1/jobs";
 	size_t n = strlen(jobs);
--- a/src/shardview.c
+++ b/src/shardview.c
@@ -12,7 +12,7 @@
 	struct ogl_res total = {0}, held = {0};
 	json_t *names = json_array();
 
-	ogl_place_room(sh->placer, &total, &held);
+	ogl_place_totals(sh->placer, &total, &held);
 	for (guint i = 0; i < sh->state->successors->len; i++)
 		json_array_append_new(names,
 		    json_string(g_ptr_array_index(sh->state->successors, i)));
--- a/src/state.c
+++ b/src/state.c
@@ -49,7 +49,7 @@
 static void
 idrec_free(void *v)
 {
-	struct ogl_idrec *r = v;
+	struct ogl_request_id *r = v;
 
 	g_free(r->id);
 	if (r->body != NULL)
@@ -319,13 +319,13 @@
 
 /* ---- request ids ------------------------------------------------------ */
 
-static struct ogl_idrec *
+static struct ogl_request_id *
 idrec_get_or_add(struct ogl_state *st, const char *id)
 {
-	struct ogl_idrec *r = g_hash_table_lookup(st->ids, id);
+	struct ogl_request_id *r = g_hash_table_lookup(st->ids, id);
 
 	if (r == NULL) {
-		r = g_new0(struct ogl_idrec, 1);
+		r = g_new0(struct ogl_request_id, 1);
 		r->id = g_strdup(id);
 		g_hash_table_insert(st->ids, r->id, r);
 	}
@@ -333,15 +333,15 @@
 }
 
 bool
-ogl_answer_is_sane(uint32_t status)
+ogl_http_status_is_valid(uint32_t status)
 {
 	return status >= HTTP_STATUS_MIN && status <= HTTP_STATUS_MAX;
 }
 
 static void
-idrec_outcome(struct ogl_idrec *r, const Ogl__IdOutcome *o)
+idrec_outcome(struct ogl_request_id *r, const Ogl__IdOutcome *o)
 {
-	if (r->has_outcome || !ogl_answer_is_sane(o->status) ||
+	if (r->has_outcome || !ogl_http_status_is_valid(o->status) ||
 	    o->verdict > OGL__VERDICT__may_have_run)
 		return;
 	r->has_outcome = true;
@@ -437,7 +437,7 @@
 	for (size_t i = 0; i < s->n_jobs; i++)
 		load_snapshot_job(st, s->jobs[i]);
 	for (size_t i = 0; i < s->n_ids; i++) {
-		struct ogl_idrec *r = idrec_get_or_add(st, s->ids[i]->id);
+		struct ogl_request_id *r = idrec_get_or_add(st, s->ids[i]->id);
 
 		r->at_ms = s->ids[i]->at_ms;
 		if (s->ids[i]->has_outcome && s->ids[i]->outcome != NULL)
@@ -562,7 +562,7 @@
 }
 
 static Ogl__IdSnap *
-snap_id(const struct ogl_idrec *r)
+snap_id(const struct ogl_request_id *r)
 {
 	Ogl__IdSnap *s = malloc(sizeof *s);
 	gsize n;
@@ -678,7 +678,7 @@
 id_expired(gpointer key, gpointer value, gpointer oldest_ms)
 {
 	(void)key;
-	return ((struct ogl_idrec *)value)->at_ms < *(uint64_t *)oldest_ms;
+	return ((struct ogl_request_id *)value)->at_ms < *(uint64_t *)oldest_ms;
 }
 
 /* Without its referral a repeated id could go to another shard and create a
@@ -759,7 +759,7 @@
     const struct ogl_state_hooks *hooks, void *ctx, ogl_time now)
 {
 	struct ogl_job *j;
-	struct ogl_idrec *id;
+	struct ogl_request_id *id;
 
 	switch (r->body_case) {
 	case OGL__RECORD__BODY_JOB_ACCEPTED:
@@ -865,7 +865,7 @@
 }
 
 struct ogl_state *
-ogl_state_anew(const Ogl__Record *r)
+ogl_state_new_after(const Ogl__Record *r)
 {
 	struct ogl_state *st = ogl_state_new();
 
--- a/src/state.h
+++ b/src/state.h
@@ -52,7 +52,7 @@
 };
 
 /* A request id and the answer to its request. */
-struct ogl_idrec {
+struct ogl_request_id {
 	char *id;
 	uint64_t at_ms;
 	bool has_outcome;
@@ -71,7 +71,7 @@
 	GHashTable *jobs;       /* id -> struct ogl_job */
 	GHashTable *by_request; /* team/request id -> struct ogl_job */
 	GHashTable *referred;   /* team/request id -> Ogl__JobReferred */
-	GHashTable *ids;        /* id -> struct ogl_idrec */
+	GHashTable *ids;        /* id -> struct ogl_request_id */
 	GHashTable *workers;    /* name -> addr, in use: tasks may run there */
 	GHashTable *allots;     /* team -> Ogl__Allot */
 	/* The snapshot that is being read, NULL: none. */
@@ -96,7 +96,7 @@
 	void (*intent)(void *ctx, struct ogl_job *j, uint32_t i,
 	    uint32_t attempt, ogl_time now);
 	void (*referred)(void *ctx, const Ogl__JobReferred *r, ogl_time now);
-	void (*id)(void *ctx, struct ogl_idrec *r, ogl_time now);
+	void (*id)(void *ctx, struct ogl_request_id *r, ogl_time now);
 	void (*worker)(void *ctx, const char *name, bool on, ogl_time now);
 	void (*allot)(void *ctx, const Ogl__Allot *a, ogl_time now);
 };
@@ -115,7 +115,7 @@
 /* Whether the record proves that an epoch newer than st's was in force when
  * it was written, so that st follows an owner that is superseded. */
 
-struct ogl_state *ogl_state_anew(const Ogl__Record *r);
+struct ogl_state *ogl_state_new_after(const Ogl__Record *r);
 /* An empty, incomplete state to replace one that r proved to be stale. */
 
 void ogl_state_prune(
@@ -135,7 +135,7 @@
 void ogl_job_view(const struct ogl_job *j, Ogl__JobView *v);
 /* Fills in v, borrowing j's strings; task views are left empty. */
 
-bool ogl_answer_is_sane(uint32_t status);
+bool ogl_http_status_is_valid(uint32_t status);
 /* Whether it can be an HTTP status; a damaged message may hold any number. */
 
 char *ogl_request_key(const char *team, const char *request_id);
--- a/src/stream.c
+++ b/src/stream.c
@@ -105,13 +105,13 @@
 }
 
 void
-ogl_stream_single(struct ogl_stream *s)
+ogl_stream_set_single_record(struct ogl_stream *s)
 {
 	s->max_records = 1;
 }
 
 void
-ogl_stream_poll(struct ogl_stream *s, uint32_t poll_ms, ogl_time now)
+ogl_stream_follow(struct ogl_stream *s, uint32_t poll_ms, ogl_time now)
 {
 	s->poll_interval = poll_ms * OGL_MS;
 	s->read_due = MIN(s->read_due, now);
@@ -124,7 +124,7 @@
 }
 
 ogl_time
-ogl_stream_current(const struct ogl_stream *s)
+ogl_stream_current_at(const struct ogl_stream *s)
 {
 	return s->current;
 }
@@ -176,7 +176,7 @@
 }
 
 void
-ogl_stream_put_first(struct ogl_stream *s, Ogl__Record *r)
+ogl_stream_add_first(struct ogl_stream *s, Ogl__Record *r)
 {
 	g_queue_push_head(s->waiting, r);
 }
--- a/src/stream.h
+++ b/src/stream.h
@@ -25,10 +25,10 @@
  * plus a count below 2^32. */
 void ogl_stream_end(struct ogl_stream *s);
 
-void ogl_stream_single(struct ogl_stream *s);
+void ogl_stream_set_single_record(struct ogl_stream *s);
 /* From now on each append holds a single record. */
 
-void ogl_stream_poll(struct ogl_stream *s, uint32_t poll_ms, ogl_time now);
+void ogl_stream_follow(struct ogl_stream *s, uint32_t poll_ms, ogl_time now);
 /* Follows the stream from now on: reads every poll_ms, or sooner. */
 
 void ogl_stream_read_now(struct ogl_stream *s, ogl_time now);
@@ -38,7 +38,7 @@
 /* Queues a record for the next group commit and takes it over.  The caller
  * sets epoch and body; writer, boot and seq are filled in. */
 
-void ogl_stream_put_first(struct ogl_stream *s, Ogl__Record *r);
+void ogl_stream_add_first(struct ogl_stream *s, Ogl__Record *r);
 /* Queues a record before those waiting and takes it over; only to be called
  * while ogl_stream_idle. */
 
@@ -60,7 +60,7 @@
     struct ogl_stream *s, const struct ogl_event *ev, ogl_time now);
 /* Handles the answer to one of the stream's actions; ignores others. */
 
-ogl_time ogl_stream_current(const struct ogl_stream *s);
+ogl_time ogl_stream_current_at(const struct ogl_stream *s);
 /* All records appended before this time have been applied; 0: none yet. */
 
 uint64_t ogl_stream_offset(const struct ogl_stream *s);
--- a/test/fake_cluster.c
+++ b/test/fake_cluster.c
@@ -280,7 +280,7 @@
 }
 
 static struct delivery *
-delivery_new(enum ogl_event_type type, uint64_t token, enum ogl_io io)
+delivery_new(enum ogl_event_type type, uint64_t token, enum ogl_io_result io)
 {
 	struct delivery *d = g_new0(struct delivery, 1);
 
--- a/test/test_cell_fleet.cc
+++ b/test/test_cell_fleet.cc
@@ -166,7 +166,7 @@
 	}
 
 	/* Starts a task on the worker and answers the start with io. */
-	void start(enum ogl_io io = OGL_IO_OK)
+	void start(enum ogl_io_result io = OGL_IO_OK)
 	{
 		auto *d = static_cast<Ogl__CellJob *>(
 		    calloc(1, sizeof(Ogl__CellJob)));
@@ -192,7 +192,7 @@
 	}
 
 	/* Answers the last hold; the worker lists `running` (0 or 1) runs. */
-	void answer(enum ogl_io io, size_t running, uint64_t born = 7)
+	void answer(enum ogl_io_result io, size_t running, uint64_t born = 7)
 	{
 		struct cell_hold_answer a = {};
 		struct cell_row row = {};
--- a/test/test_cell_journal.cc
+++ b/test/test_cell_journal.cc
@@ -105,7 +105,7 @@
 		cell_journal_step(journal_, now_);
 	}
 
-	void answer_to(void *arg, enum ogl_io io)
+	void answer_to(void *arg, enum ogl_io_result io)
 	{
 		struct cell_append_answer a = {};
 
@@ -115,7 +115,7 @@
 	}
 
 	/* Answers the n-th attempt, counted from 0. */
-	void answer_nth(size_t n, enum ogl_io io)
+	void answer_nth(size_t n, enum ogl_io_result io)
 	{
 		answer_to(store_.args[n], io);
 	}
@@ -133,7 +133,7 @@
 		store_.args.clear();
 	}
 
-	void answer(enum ogl_io io)
+	void answer(enum ogl_io_result io)
 	{
 		answer_to(store_.arg, io);
 	}
--- a/test/test_cell_loader.cc
+++ b/test/test_cell_loader.cc
@@ -77,7 +77,7 @@
 	}
 
 	/* Answers request n, counted from 0. */
-	void answer(size_t n, enum ogl_io io, bool outranked = false)
+	void answer(size_t n, enum ogl_io_result io, bool outranked = false)
 	{
 		Request q = sent_[n];
 
--- a/test/test_cell_relay.cc
+++ b/test/test_cell_relay.cc
@@ -115,7 +115,7 @@
 	struct cell_ops relayed_ = {};
 	struct cell_relay *relay_ = nullptr;
 	std::vector<Sent> sent_;
-	std::vector<enum ogl_io> outcomes_;
+	std::vector<enum ogl_io_result> outcomes_;
 	int direct_calls_ = 0;
 	ogl_time now_ = 100 * OGL_SEC;
 };
--- a/test/test_cluster_state.cc
+++ b/test/test_cluster_state.cc
@@ -81,7 +81,7 @@
 	EXPECT_FALSE(ogl_state_stale(st, &own));
 	EXPECT_TRUE(ogl_state_stale(st, &later));
 	ogl_state_free(st);
-	st = ogl_state_anew(&later);
+	st = ogl_state_new_after(&later);
 	read_snapshot(st, "a", 5, 21);
 	EXPECT_FALSE(st->complete);
 	ogl_state_free(st);
--- a/test/test_daemon_dispatch.cc
+++ b/test/test_daemon_dispatch.cc
@@ -140,7 +140,7 @@
 		       0;
 	});
 	EXPECT_TRUE(contains(recv_all(probe), "HTTP/1.1 503"));
-	EXPECT_FALSE(ogl_dispatch_clean(d));
+	EXPECT_FALSE(ogl_dispatch_complete(d));
 	std::thread executor([&] {
 		int fd = accept(exec_fd, nullptr, nullptr);
 		char req[4096];
@@ -153,7 +153,7 @@
 		recv_all(fd);
 		close(fd);
 	});
-	ASSERT_TRUE(l.run_until([&] { return ogl_dispatch_clean(d); }));
+	ASSERT_TRUE(l.run_until([&] { return ogl_dispatch_complete(d); }));
 	std::string got = recv_all(caller);
 	EXPECT_TRUE(contains(got, "HTTP/1.1 200"));
 	EXPECT_TRUE(contains(got, "\r\n\r\nresult"));
--- a/test/test_daemon_fuzz.cc
+++ b/test/test_daemon_fuzz.cc
@@ -522,7 +522,7 @@
 			    ? OGL_IO_OK
 			    : OGL_IO_LOST;
 		if (InjectFault())
-			ev.io = (ogl_io)rnd.Below(4);
+			ev.io = (ogl_io_result)rnd.Below(4);
 		if (rnd.ChancePermille(inject_faults ? 5 : 0))
 			ev.u.appended.offset =
 			    UnusualNumber(&rnd, ev.u.appended.offset);
@@ -549,7 +549,7 @@
 		}
 		ev.u.read.entries = e;
 		if (InjectFault())
-			ev.io = (ogl_io)rnd.Below(4);
+			ev.io = (ogl_io_result)rnd.Below(4);
 		Step(i, ev);
 	}
 	void Hosts(uint32_t i, uint64_t token)
@@ -634,7 +634,7 @@
 		ev.u.exec.status = 200;
 		ev.u.exec.body = Str(body);
 		if (InjectFault()) {
-			ev.io = (ogl_io)rnd.Below(4);
+			ev.io = (ogl_io_result)rnd.Below(4);
 			ev.u.exec.not_run = rnd.ChancePermille(500);
 			ev.u.exec.status =
 			    rnd.Choose<uint32_t>({100, 404, 503, 999});
@@ -662,7 +662,7 @@
 		if (rnd.ChancePermille(50)) {
 			ogl_event gone{};
 
-			gone.type = OGL_EV_CALL_GONE;
+			gone.type = OGL_EV_CALLER_GONE;
 			gone.token = ev.token;
 			Step(i, gone);
 		}
@@ -829,7 +829,7 @@
 		ogl_logpage_end(&p);
 		s = "{\"offset\":12}";
 		CorruptBytes(&s, &rnd);
-		ogl_logpage_appended(Str(s), &offset);
+		ogl_logpage_parse_offset(Str(s), &offset);
 		s = dump;
 		CorruptBytes(&s, &rnd);
 		ogl_settings_load(set, Str(s), nullptr);
--- a/test/test_daemon_http_client.cc
+++ b/test/test_daemon_http_client.cc
@@ -51,7 +51,7 @@
 }
 
 struct Result {
-	enum ogl_io io = OGL_IO_OK;
+	enum ogl_io_result io = OGL_IO_OK;
 	bool done = false;
 	struct ev_loop *loop = nullptr;
 };
@@ -66,7 +66,7 @@
 	ev_break(t->loop, EVBREAK_ALL);
 }
 
-enum ogl_io
+enum ogl_io_result
 post(struct ev_loop *loop, struct ogl_http_client *h, const std::string &url)
 {
 	GBytes *body = g_bytes_new_static("body", 4);
--- a/test/test_daemon_http_in.cc
+++ b/test/test_daemon_http_in.cc
@@ -173,7 +173,7 @@
 	};
 
 	start();
-	ogl_http_in_closing(h);
+	ogl_http_in_set_closing(h);
 	for (const auto &c : cases) {
 		std::string got = request(c.text);
 		EXPECT_TRUE(contains(
@@ -272,7 +272,7 @@
 	ASSERT_TRUE(l.run_until([&] { return l.seen.size() == 1; }));
 	close(fd);
 	ASSERT_TRUE(l.run_until([&] { return l.seen.size() == 2; }));
-	EXPECT_EQ(OGL_EV_CALL_GONE, l.seen[1].type);
+	EXPECT_EQ(OGL_EV_CALLER_GONE, l.seen[1].type);
 	EXPECT_EQ(l.seen[0].token, l.seen[1].token);
 	reply(l.seen[0].token);
 	EXPECT_EQ(1u, ogl_http_in_counts(h)->late_replies);
--- a/test/test_daemon_http_out.cc
+++ b/test/test_daemon_http_out.cc
@@ -162,7 +162,7 @@
 	struct {
 		const char *name;
 		std::string answer;
-		ogl_io io;
+		ogl_io_result io;
 	} cases[] = {
 	    {"complete", http(200, token_header, "body"), OGL_IO_OK},
 	    {"executor error", http(500, token_header, "boom"), OGL_IO_OK},
@@ -307,7 +307,7 @@
 	struct {
 		const char *name;
 		std::string answer;
-		ogl_io append, read;
+		ogl_io_result append, read;
 	} cases[] = {
 	    {"offset", http(200, "", "{\"offset\":7}"), OGL_IO_OK, OGL_IO_LOST},
 	    {"negative offset", http(200, "", "{\"offset\":-7}"), OGL_IO_LOST,
--- a/test/test_daemon_peer.cc
+++ b/test/test_daemon_peer.cc
@@ -160,7 +160,7 @@
 struct CompressedPeer : Peer {
 	CompressedPeer()
 	{
-		ogl_peer_compress(p);
+		ogl_peer_enable_compression(p);
 	}
 };
 
--- a/test/test_daemon_util.h
+++ b/test/test_daemon_util.h
@@ -24,7 +24,7 @@
 struct Seen {
 	ogl_event_type type;
 	uint64_t token;
-	ogl_io io;
+	ogl_io_result io;
 	uint32_t status;
 	uint64_t number;
 	std::string text;
--- a/test/test_lend.cc
+++ b/test/test_lend.cc
@@ -110,10 +110,10 @@
 				   held(y->team) / weight(y->team);
 		    });
 		for (const task *t : queued) {
-			ogl_lend_want w = {t->team.c_str(), res(t->cpus),
+			ogl_lend_pending w = {t->team.c_str(), res(t->cpus),
 			    t->tasks, ++turn, t->since};
 
-			ogl_lend_add_want(lend, &w);
+			ogl_lend_add_pending(lend, &w);
 		}
 	}
 
@@ -131,7 +131,7 @@
 
 	size_t decide()
 	{
-		const ogl_lend_take *takes;
+		const ogl_lend_preemption *takes;
 		std::vector<size_t> placed;
 
 		add_state();
@@ -218,7 +218,7 @@
 	void set_weight(const std::string &team, double w)
 	{
 		share[team] = w;
-		ogl_lend_share(lend, team.c_str(), w);
+		ogl_lend_set_weight(lend, team.c_str(), w);
 	}
 };
 
--- a/test/test_place.cc
+++ b/test/test_place.cc
@@ -23,13 +23,13 @@
 	std::vector<std::string> names;
 	ogl_time now = OGL_SEC;
 
-	static struct ogl_ask read_ask(std::istringstream &in)
+	static struct ogl_demand read_ask(std::istringstream &in)
 	{
 		static const std::map<std::string, Ogl__Kind> kinds = {
 		    {"batch", OGL__KIND__batch},
 		    {"service", OGL__KIND__service}, {"gang", OGL__KIND__gang}};
 		std::string kind;
-		struct ogl_ask a = {};
+		struct ogl_demand a = {};
 
 		in >> kind >> a.job >> a.res.cpu_milli >> a.res.mem_mb >>
 		    a.res.accel;
@@ -46,7 +46,7 @@
 		    rack;
 		uint32_t w = ogl_place_worker(
 		    p, name.c_str(), &r, zone.c_str(), rack.c_str());
-		ogl_place_set(p, w, OGL_PLACE_OPEN);
+		ogl_place_set_state(p, w, OGL_PLACE_SCHEDULABLE);
 		numbers[name] = w;
 		if (names.size() <= w)
 			names.resize(w + 1);
@@ -57,7 +57,7 @@
 	{
 		uint32_t n;
 		in >> n;
-		struct ogl_ask a = read_ask(in);
+		struct ogl_demand a = read_ask(in);
 		std::vector<uint32_t> w(n);
 		std::map<std::string, int> on;
 		std::string out;
@@ -76,12 +76,12 @@
 	{
 		uint32_t n;
 		in >> n;
-		struct ogl_ask a = read_ask(in);
+		struct ogl_demand a = read_ask(in);
 
-		switch (ogl_place_never(p, &a, n)) {
-		case OGL_NEVER_NO_WORKER:
+		switch (ogl_place_feasibility(p, &a, n)) {
+		case OGL_INFEASIBLE_NO_WORKER:
 			return "no worker";
-		case OGL_NEVER_GANG_TOTAL:
+		case OGL_INFEASIBLE_GANG_TOTAL:
 			return "too many";
 		default:
 			return "can run";
@@ -92,7 +92,7 @@
 	{
 		uint32_t n, secs;
 		in >> n >> secs;
-		struct ogl_ask a = read_ask(in);
+		struct ogl_demand a = read_ask(in);
 
 		return ogl_place_reserve(
 			   p, a.job, &a, n, now + secs * OGL_SEC, now)
@@ -117,7 +117,7 @@
 		if (cmd == "worker") {
 			worker(in);
 		} else if (cmd == "task") {
-			struct ogl_ask a = read_ask(in);
+			struct ogl_demand a = read_ask(in);
 			return ogl_place_task(p, &a, now, &w) ? names[w]
 							      : "none";
 		} else if (cmd == "gang") {
@@ -131,32 +131,33 @@
 			ogl_place_unreserve(p, job);
 		} else if (cmd == "free") {
 			in >> name;
-			struct ogl_ask a = read_ask(in);
+			struct ogl_demand a = read_ask(in);
 			ogl_place_free(p, numbers.at(name), &a);
 		} else if (cmd == "hold") {
 			in >> name;
-			struct ogl_ask a = read_ask(in);
+			struct ogl_demand a = read_ask(in);
 			return ogl_place_hold(p, numbers.at(name), &a) ? "yes"
 								       : "no";
 		} else if (cmd == "result") {
 			int times = 1;
 			in >> name >> job >> word >> times;
 			for (int i = 0; i < MAX(times, 1); i++)
-				ogl_place_result(p, numbers.at(name), job,
+				ogl_place_task_ended(p, numbers.at(name), job,
 				    word == "ok", now);
 		} else if (cmd == "time") {
 			in >> job;
 			now += (ogl_time)job * OGL_SEC;
 		} else if (cmd == "close" || cmd == "open") {
 			in >> name;
-			ogl_place_set(p, numbers.at(name),
-			    cmd == "open" ? OGL_PLACE_OPEN : OGL_PLACE_CLOSED);
+			ogl_place_set_state(p, numbers.at(name),
+			    cmd == "open" ? OGL_PLACE_SCHEDULABLE
+					  : OGL_PLACE_UNSCHEDULABLE);
 		} else if (cmd == "drop") {
 			in >> name;
-			ogl_place_drop(p, numbers.at(name));
+			ogl_place_remove_worker(p, numbers.at(name));
 		} else if (cmd == "room") {
 			struct ogl_res t, h;
-			ogl_place_room(p, &t, &h);
+			ogl_place_totals(p, &t, &h);
 			return std::to_string(h.cpu_milli) + "/" +
 			       std::to_string(t.cpu_milli);
 		} else {
@@ -229,11 +230,11 @@
 	{
 		return g() % n;
 	}
-	struct ogl_ask ask()
+	struct ogl_demand ask()
 	{
 		static const Ogl__Kind kinds[] = {
 		    OGL__KIND__batch, OGL__KIND__service, OGL__KIND__gang};
-		struct ogl_ask a = {};
+		struct ogl_demand a = {};
 
 		a.kind = kinds[below(3)];
 		a.res.cpu_milli = 50 << below(9);
@@ -246,13 +247,13 @@
 
 struct Held {
 	uint32_t w;
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 };
 
 // Checks that the worker chosen had room for the task, and records the task.
 void
 hold_checked(std::vector<ModelWorker> &workers, std::vector<Held> &held,
-    uint32_t w, const struct ogl_ask &a)
+    uint32_t w, const struct ogl_demand &a)
 {
 	ASSERT_LT(w, workers.size());
 	struct ogl_res room = free_room(workers[w]);
@@ -269,7 +270,7 @@
 	struct ogl_place *p;
 	std::vector<ModelWorker> workers;
 	std::vector<Held> held;
-	struct ogl_ask reserved = {};
+	struct ogl_demand reserved = {};
 	uint32_t reserved_tasks = 0; // 0 without a reservation
 
 	void add(uint32_t i)
@@ -281,7 +282,7 @@
 		std::string zone = "z" + std::to_string(i / 20);
 		ASSERT_EQ(i, ogl_place_worker(
 				 p, n.c_str(), &c, zone.c_str(), rack.c_str()));
-		ogl_place_set(p, i, OGL_PLACE_OPEN);
+		ogl_place_set_state(p, i, OGL_PLACE_SCHEDULABLE);
 		workers[i] = {c, {}, true};
 	}
 
@@ -296,7 +297,7 @@
 
 	void task(ogl_time now)
 	{
-		struct ogl_ask a = r.ask();
+		struct ogl_demand a = r.ask();
 		uint32_t w = 0;
 		bool found = ogl_place_task(p, &a, now, &w);
 
@@ -307,7 +308,7 @@
 
 	void gang(ogl_time now)
 	{
-		struct ogl_ask a = r.ask();
+		struct ogl_demand a = r.ask();
 		uint32_t n = 1 + r.below(30);
 		bool own = reserved_tasks > 0 && r.below(2) == 0;
 
@@ -352,7 +353,7 @@
 	{
 		uint32_t w = r.below(workers.size());
 
-		ogl_place_drop(p, w);
+		ogl_place_remove_worker(p, w);
 		for (size_t i = held.size(); i-- > 0;) {
 			if (held[i].w != w)
 				continue;
@@ -367,8 +368,9 @@
 		uint32_t w = r.below(workers.size());
 
 		workers[w].open = !workers[w].open;
-		ogl_place_set(
-		    p, w, workers[w].open ? OGL_PLACE_OPEN : OGL_PLACE_CLOSED);
+		ogl_place_set_state(p, w,
+		    workers[w].open ? OGL_PLACE_SCHEDULABLE
+				    : OGL_PLACE_UNSCHEDULABLE);
 	}
 
       public:
@@ -460,10 +462,10 @@
 	for (uint32_t i = 0; i < n; i++) {
 		ogl_place_worker(
 		    p, ("w" + std::to_string(i)).c_str(), &c, "z", "r");
-		ogl_place_set(p, i, OGL_PLACE_OPEN);
+		ogl_place_set_state(p, i, OGL_PLACE_SCHEDULABLE);
 	}
 	for (int i = 0; i < 20000; i++) {
-		struct ogl_ask a = {
+		struct ogl_demand a = {
 		    OGL__KIND__batch, {1000, 1024, 0}, g() % 60};
 		uint32_t w;
 		ASSERT_TRUE(ogl_place_task(p, &a, i * OGL_MS, &w));
@@ -471,15 +473,15 @@
 		uint32_t on = (w + g()) % n;
 		ogl_place_free(p, w, &a);
 		if (on == broken)
-			ogl_place_room(p, &total, &held);
+			ogl_place_totals(p, &total, &held);
 		if (on == broken && total.cpu_milli < n * 16000)
 			continue;
 		on_broken += on == broken;
 		bool ok = a.job != 1 && g() % 10 != 0 &&
 			  (on != broken || g() % 20 == 0);
-		ogl_place_result(p, on, a.job, ok, i * OGL_MS);
+		ogl_place_task_ended(p, on, a.job, ok, i * OGL_MS);
 	}
-	ogl_place_room(p, &total, &held);
+	ogl_place_totals(p, &total, &held);
 	EXPECT_EQ((n - 1) * 16000, total.cpu_milli);
 	EXPECT_LT(on_broken, 15);
 	ogl_place_end(p);
--- a/test/test_queue.cc
+++ b/test/test_queue.cc
@@ -191,7 +191,7 @@
 	if (verb == "pop") {
 		print(pop(&id) ? "pop " + std::to_string(id) : "pop nothing");
 	} else if (verb == "again") {
-		ogl_queue_again(q, now);
+		ogl_queue_retry_deferred(q, now);
 	} else if (verb == "length") {
 		print("length " + std::to_string(ogl_queue_length(q)));
 	} else if (verb == "wait") {
@@ -199,7 +199,7 @@
 	} else {
 		in >> id >> word;
 		if (verb == "back")
-			ogl_queue_back(q, id, now);
+			ogl_queue_defer(q, id, now);
 		else if (verb == "remove")
 			print(ogl_queue_remove(q, id) ? "removed"
 						      : "not waiting");
@@ -222,7 +222,7 @@
 
 	if (verb == "team") {
 		in >> team >> share;
-		ogl_queue_team(q, team.c_str(), share);
+		ogl_queue_set_share(q, team.c_str(), share);
 	} else if (verb == "at") {
 		in >> ms;
 		now = ms * OGL_MS;
@@ -374,7 +374,7 @@
 				continue;
 			ASSERT_EQ(1u, waiting.erase(w.id));
 			if (draw(3) == 0) {
-				ogl_queue_back(q, w.id, now);
+				ogl_queue_defer(q, w.id, now);
 				deferred.insert(w.id);
 			} else {
 				ogl_queue_started(q, &w, now);
@@ -387,7 +387,7 @@
 		} else if (!running.empty()) {
 			ogl_queue_ended(q, *running.begin(), draw(2), now);
 			running.erase(running.begin());
-			ogl_queue_again(q, now);
+			ogl_queue_retry_deferred(q, now);
 			waiting.insert(deferred.begin(), deferred.end());
 			deferred.clear();
 		}
--- a/test/test_route.cc
+++ b/test/test_route.cc
@@ -30,7 +30,7 @@
 	uint32_t add(const std::string &name, const char *zone = "z1",
 	    uint32_t slots = 8, bool leaving = false)
 	{
-		return ogl_route_target(
+		return ogl_route_set_target(
 		    r, name.c_str(), zone, slots, leaving, now);
 	}
 
@@ -44,15 +44,15 @@
 			   : UINT32_MAX;
 	}
 
-	void done(uint32_t t, uint64_t request, enum ogl_io io = OGL_IO_OK,
-	    uint32_t status = 200)
+	void done(uint32_t t, uint64_t request,
+	    enum ogl_io_result io = OGL_IO_OK, uint32_t status = 200)
 	{
-		ogl_route_done(r, t, request, io, status, now);
+		ogl_route_request_done(r, t, request, io, status, now);
 	}
 
 	// Sends one request and ends it after ms milliseconds.
 	uint32_t send_and_end(
-	    int ms, enum ogl_io io = OGL_IO_OK, uint32_t status = 200)
+	    int ms, enum ogl_io_result io = OGL_IO_OK, uint32_t status = 200)
 	{
 		uint32_t t = send();
 
@@ -71,13 +71,13 @@
 	add("b", "z2", 2);
 	std::map<uint32_t, int> n;
 
-	EXPECT_EQ(4u, ogl_route_free(r, now));
+	EXPECT_EQ(4u, ogl_route_free_slots(r, now));
 	for (int i = 0; i < 4; i++)
 		n[send()]++;
 	EXPECT_EQ(2, n[0]);
 	EXPECT_EQ(2, n[1]);
 	EXPECT_EQ(UINT32_MAX, send());
-	EXPECT_EQ(0u, ogl_route_free(r, now));
+	EXPECT_EQ(0u, ogl_route_free_slots(r, now));
 	EXPECT_GT(ogl_route_wait_ms(r, 0, now), 0u);
 }
 
@@ -103,7 +103,7 @@
 	add("b", "z1", 8, true);
 	EXPECT_FALSE(ogl_route_pick(r, 1, &a, 1, now, &t));
 	EXPECT_EQ(a, send());
-	ogl_route_drop(r, a);
+	ogl_route_remove_target(r, a);
 	EXPECT_EQ(UINT32_MAX, send());
 	done(a, last_request - 1);
 }
@@ -122,7 +122,7 @@
 	EXPECT_EQ(UINT32_MAX, send()) << "the limit is below the slots";
 	for (uint64_t i = 3; i <= 8; i++)
 		done(a, i);
-	EXPECT_LT(ogl_route_free(r, now), 8u);
+	EXPECT_LT(ogl_route_free_slots(r, now), 8u);
 	for (int i = 0; i < 100; i++) {
 		uint64_t first = last_request + 1;
 		while (send() != UINT32_MAX)
@@ -130,7 +130,7 @@
 		for (uint64_t q = first; q < last_request; q++)
 			done(a, q);
 	}
-	EXPECT_EQ(8u, ogl_route_free(r, now))
+	EXPECT_EQ(8u, ogl_route_free_slots(r, now))
 	    << "answers raise the limit again";
 }
 
@@ -179,11 +179,11 @@
 		uint32_t tried[3];
 		for (size_t n = 0; n < 3; n++) {
 			ASSERT_TRUE(ogl_route_pick(r, q, tried, n, now, &t));
-			ogl_route_done(r, t, q, OGL_IO_OK, 500, now);
+			ogl_route_request_done(r, t, q, OGL_IO_OK, 500, now);
 			tried[n] = t;
 		}
 	}
-	EXPECT_EQ(24u, ogl_route_free(r, now));
+	EXPECT_EQ(24u, ogl_route_free_slots(r, now));
 	std::set<uint32_t> seen;
 	for (int i = 0; i < 24; i++)
 		seen.insert(send());
@@ -198,7 +198,7 @@
 		add("t" + std::to_string(i));
 	for (int i = 0; i < 500; i++)
 		send_and_end(1, OGL_IO_OK, 500);
-	EXPECT_GE(ogl_route_free(r, now), 24u);
+	EXPECT_GE(ogl_route_free_slots(r, now), 24u);
 }
 
 // An executor hangs: it accepts requests and answers none.  Before the first
--- a/test/test_settings.cc
+++ b/test/test_settings.cc
@@ -170,12 +170,12 @@
 		return all;
 	}
 	if (command == "team") {
-		ogl_settings_team(t.s, arg.c_str(), &view);
+		ogl_settings_lookup_team(t.s, arg.c_str(), &view);
 		return "< " + (view.exists ? print_view(view) : "unknown") +
 		       "\n";
 	}
 	if (command == "key") {
-		ogl_settings_key(t.s, ogl_str(arg.c_str()), &key);
+		ogl_settings_lookup_key(t.s, ogl_str(arg.c_str()), &key);
 		if (!key.known)
 			return "< unknown\n";
 		return std::string("< ") + key.key_id + " " +
@@ -387,7 +387,7 @@
 	e->base_version = 1;
 	ASSERT_TRUE(ogl_settings_apply(t.s, 2, e, 0, nullptr));
 	ogl__edit__free_unpacked(e, nullptr);
-	ogl_settings_key(t.s, ogl_str(text), &view);
+	ogl_settings_lookup_key(t.s, ogl_str(text), &view);
 	EXPECT_TRUE(view.known);
 	EXPECT_FALSE(view.is_operator);
 	EXPECT_STREQ("north", view.team);
@@ -396,11 +396,11 @@
 
 	std::string wrong = text;
 	wrong[30] = wrong[30] == 'A' ? 'B' : 'A';
-	ogl_settings_key(t.s, ogl_str(wrong.c_str()), &view);
+	ogl_settings_lookup_key(t.s, ogl_str(wrong.c_str()), &view);
 	EXPECT_FALSE(view.known);
 
 	ASSERT_TRUE(t.apply(3, 2, {{std::string("keys/") + id, ""}}));
-	ogl_settings_key(t.s, ogl_str(text), &view);
+	ogl_settings_lookup_key(t.s, ogl_str(text), &view);
 	EXPECT_FALSE(view.known);
 }
 
