--- a/daemon/cell_host.c
+++ b/daemon/cell_host.c
@@ -83,7 +83,7 @@
 	struct ogl_cell_host *h = ctx;
 	struct ogl_action act = {.type = OGL_ACT_REPLY,
 	    .token = token,
-	    .status = platform_status(a->status),
+	    .status = platform_http_status(a->status),
 	    .verdict = a->status == CELL_OK       ? OGL_RAN
 		       : a->status == CELL_UNSURE ? OGL_MAY_HAVE_RUN
 						  : OGL_NOT_RUN,
@@ -442,7 +442,7 @@
 
 	randombytes_buf(&c.seed, sizeof c.seed);
 	h->platform = platform_init(h->http, s, boot_time, NULL);
-	platform_fill(h->platform, &h->ops);
+	platform_set_ops(h->platform, &h->ops);
 	h->ops.reply = on_reply;
 	h->ops.peer_send = on_peer_send;
 	h->ops.peer_reset = on_peer_reset;
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -18,7 +18,7 @@
 	X(req_ran, "requests_ran_total", "short requests answered as ran")     \
 	X(req_not_run, "requests_not_run_total",                               \
 	    "short requests answered as not run")                              \
-	X(req_may, "requests_may_have_run_total",                              \
+	X(req_may_have_run, "requests_may_have_run_total",                     \
 	    "short requests answered as may have run")                         \
 	X(retries, "retries_total", "short requests sent to a second target")  \
 	X(late_answers, "late_answers_total",                                  \
--- a/src/reqs.c
+++ b/src/reqs.c
@@ -192,7 +192,7 @@
 	else if (v == OGL_NOT_RUN)
 		q->counters->req_not_run++;
 	else
-		q->counters->req_may++;
+		q->counters->req_may_have_run++;
 }
 
 static void
--- a/test/test_platform.cc
+++ b/test/test_platform.cc
@@ -241,13 +241,13 @@
 	GBytes *b;
 	gsize n;
 
-	EXPECT_EQ(200U, platform_status(CELL_OK));
-	EXPECT_EQ(401U, platform_status(CELL_NO_KEY));
-	EXPECT_EQ(404U, platform_status(CELL_NO_QUEUE));
-	EXPECT_EQ(410U, platform_status(CELL_NO_JOB));
-	EXPECT_EQ(429U, platform_status(CELL_OVER));
-	EXPECT_EQ(503U, platform_status(CELL_BUSY));
-	EXPECT_EQ(504U, platform_status(CELL_UNSURE));
+	EXPECT_EQ(200U, platform_http_status(CELL_OK));
+	EXPECT_EQ(401U, platform_http_status(CELL_NO_KEY));
+	EXPECT_EQ(404U, platform_http_status(CELL_NO_QUEUE));
+	EXPECT_EQ(410U, platform_http_status(CELL_NO_JOB));
+	EXPECT_EQ(429U, platform_http_status(CELL_OVER));
+	EXPECT_EQ(503U, platform_http_status(CELL_BUSY));
+	EXPECT_EQ(504U, platform_http_status(CELL_UNSURE));
 	a.has_state = true;
 	a.state = OGL__CELL_JOB_STATE__cell_completed;
 	b = platform_answer_body(&a);
