--- a/test/fake_cell.c
+++ b/test/fake_cell.c
@@ -192,7 +192,7 @@
 };
 
 struct fake_cell {
-	struct fake_cell_shape shape;
+	struct fake_cell_params shape;
 	ogl_time now;
 	uint64_t last_order; /* of events posted */
 	GSequence *events;   /* struct event */
@@ -949,15 +949,15 @@
 	return n;
 }
 
-/* The fault that this call meets: half of the writes meet FAKE_STORE_LOSING and
+/* The fault that this call meets: half of the writes meet FAKE_STORE_LOSES_ANSWERS and
  * FAKE_STORE_LATE. */
 static enum fake_store_fault
 pick_store_fault(struct fake_cell *f, const struct node *n, bool write)
 {
 	enum fake_store_fault fault = n->store_fault;
 
-	if (fault == FAKE_STORE_LOSING || fault == FAKE_STORE_LATE)
-		return write && chance(f, 0.5) ? fault : FAKE_STORE_WELL;
+	if (fault == FAKE_STORE_LOSES_ANSWERS || fault == FAKE_STORE_LATE)
+		return write && chance(f, 0.5) ? fault : FAKE_STORE_OK;
 	return fault;
 }
 
@@ -967,12 +967,12 @@
 	struct fake_cell *f = c->cell;
 
 	switch (pick_store_fault(f, c->node, true)) {
-	case FAKE_STORE_SILENT:
+	case FAKE_STORE_UNREACHABLE:
 		break;
-	case FAKE_STORE_BUSY:
+	case FAKE_STORE_REFUSING:
 		transmit(c, hop_delay(f), (int)c->node->index, answer_busy);
 		break;
-	case FAKE_STORE_LOSING:
+	case FAKE_STORE_LOSES_ANSWERS:
 		transmit(c, 0, -1, at_store_append_unanswered);
 		break;
 	case FAKE_STORE_LATE:
@@ -1017,9 +1017,9 @@
 	struct fake_cell *f = c->cell;
 	enum fake_store_fault fault = pick_store_fault(f, c->node, false);
 
-	if (fault == FAKE_STORE_BUSY)
+	if (fault == FAKE_STORE_REFUSING)
 		transmit(c, hop_delay(f), (int)c->node->index, answer_busy);
-	else if (fault != FAKE_STORE_SILENT)
+	else if (fault != FAKE_STORE_UNREACHABLE)
 		transmit(c, 0, -1, fn);
 }
 
@@ -1221,7 +1221,7 @@
 	g_ptr_array_add(w->ended, e);
 	raise_highest_run(w, &r->task, r->number);
 	remove_run(f, w, r);
-	if (w->fault != FAKE_WORKER_DARK)
+	if (w->fault != FAKE_WORKER_UNREACHABLE)
 		wake_holds(f, w);
 }
 
@@ -1593,7 +1593,7 @@
 {
 	(void)f;
 	return c->worker != NULL && c->worker->up &&
-	       c->worker->fault != FAKE_WORKER_DARK;
+	       c->worker->fault != FAKE_WORKER_UNREACHABLE;
 }
 
 static void
@@ -2125,13 +2125,13 @@
 }
 
 void
-fake_cell_budget(struct fake_cell *f, uint32_t ms)
+fake_cell_set_caller_timeout(struct fake_cell *f, uint32_t ms)
 {
 	f->caller_timeout_ms = ms;
 }
 
 void
-fake_cell_rank(struct fake_cell *f, unsigned rank)
+fake_cell_set_queue_rank(struct fake_cell *f, unsigned rank)
 {
 	f->queue_rank = rank;
 }
@@ -2163,7 +2163,7 @@
 }
 
 void
-fake_cell_ask(struct fake_cell *f, unsigned node, const char *id)
+fake_cell_query_job(struct fake_cell *f, unsigned node, const char *id)
 {
 	call_node(f, node, CELL_GET, job_of(f, id), API_KEY);
 }
@@ -2186,27 +2186,27 @@
 	for (i = 0; i < f->shape.nodes; i++) {
 		if (f->nodes[i].frozen || !fake_cell_ready(f, i))
 			continue;
-		fake_cell_ask(f, i, id);
+		fake_cell_query_job(f, i, id);
 		break;
 	}
-	fake_cell_run(f, 3000);
+	fake_cell_advance(f, 3000);
 	return j->has_state ? names[j->state] : "none";
 }
 
 unsigned
-fake_cell_starts(const struct fake_cell *f, const char *id)
+fake_cell_started_runs(const struct fake_cell *f, const char *id)
 {
 	return job_of(f, id)->starts;
 }
 
 unsigned
-fake_cell_running(const struct fake_cell *f, const char *id)
+fake_cell_running_runs(const struct fake_cell *f, const char *id)
 {
 	return job_of(f, id)->running;
 }
 
 unsigned
-fake_cell_running_in(const struct fake_cell *f, const char *zone)
+fake_cell_zone_running_runs(const struct fake_cell *f, const char *zone)
 {
 	unsigned n = 0;
 	unsigned i;
@@ -2362,13 +2362,13 @@
 }
 
 void
-fake_cell_lag(struct fake_cell *f, unsigned node, uint32_t ms)
+fake_cell_set_step_ms(struct fake_cell *f, unsigned node, uint32_t ms)
 {
 	f->nodes[node].step_ms = ms;
 }
 
 unsigned
-fake_cell_link_ms(const struct fake_cell *f, unsigned node)
+fake_cell_link_wait_ms(const struct fake_cell *f, unsigned node)
 {
 	ogl_time link_wait = f->nodes[node].receive_busy_until - f->now;
 
@@ -2385,7 +2385,7 @@
 }
 
 unsigned
-fake_cell_shards(const struct fake_cell *f, unsigned node)
+fake_cell_known_shards(const struct fake_cell *f, unsigned node)
 {
 	return f->nodes[node].up ? cell_node_shards(f->nodes[node].node) : 0;
 }
@@ -2414,7 +2414,7 @@
 }
 
 unsigned
-fake_cell_claims(const struct fake_cell *f, unsigned shard)
+fake_cell_claim_count(const struct fake_cell *f, unsigned shard)
 {
 	return f->streams[CELL_CLAIMS][shard].records->len;
 }
@@ -2481,7 +2481,8 @@
 }
 
 void
-fake_cell_store(struct fake_cell *f, int node, enum fake_store_fault fault)
+fake_cell_set_store_fault(
+    struct fake_cell *f, int node, enum fake_store_fault fault)
 {
 	unsigned i;
 
@@ -2490,7 +2491,7 @@
 			continue;
 		f->nodes[i].store_fault = fault;
 		f->nodes[i].healthy_since =
-		    fault == FAKE_STORE_WELL ? f->now : OGL_NEVER / 2;
+		    fault == FAKE_STORE_OK ? f->now : OGL_NEVER / 2;
 	}
 }
 
@@ -2509,7 +2510,7 @@
 }
 
 void
-fake_cell_forget_settings(struct fake_cell *f)
+fake_cell_trim_settings(struct fake_cell *f)
 {
 	struct stream *s = &f->streams[CELL_SETTINGS][0];
 
@@ -2517,14 +2518,14 @@
 }
 
 void
-fake_cell_revoke(struct fake_cell *f, const char *key)
+fake_cell_revoke_key(struct fake_cell *f, const char *key)
 {
 	g_hash_table_add(f->revoked_keys, g_strdup(key));
 	put_config(f);
 }
 
 void
-fake_cell_limit(struct fake_cell *f, uint32_t team_cpu_max)
+fake_cell_set_team_limit(struct fake_cell *f, uint32_t team_cpu_max)
 {
 	if (f->now - f->limit_set_at > LIMIT_SETTLE_TIME)
 		f->earlier_limit_milli = f->team_cpu_milli;
@@ -2543,7 +2544,7 @@
 }
 
 void
-fake_cell_forget_lists(struct fake_cell *f)
+fake_cell_expire_entries(struct fake_cell *f)
 {
 	unsigned i;
 
@@ -2585,7 +2586,7 @@
 }
 
 void
-fake_cell_worker(
+fake_cell_set_worker_fault(
     struct fake_cell *f, unsigned worker, enum fake_worker_fault fault)
 {
 	struct worker *w = &f->workers[worker];
@@ -2603,14 +2604,14 @@
 }
 
 void
-fake_cell_reborn(struct fake_cell *f, unsigned worker)
+fake_cell_restart_worker(struct fake_cell *f, unsigned worker)
 {
 	lose_state(f, &f->workers[worker]);
 	put_entry(f, &f->workers[worker]);
 }
 
 void
-fake_cell_drain(struct fake_cell *f, unsigned worker)
+fake_cell_drain_worker(struct fake_cell *f, unsigned worker)
 {
 	f->workers[worker].draining = true;
 	put_entry(f, &f->workers[worker]);
@@ -2648,7 +2649,7 @@
 }
 
 void
-fake_cell_run(struct fake_cell *f, uint32_t ms)
+fake_cell_advance(struct fake_cell *f, uint32_t ms)
 {
 	ogl_time end = f->now + ms * OGL_MS;
 
@@ -2724,7 +2725,7 @@
 }
 
 struct fake_cell *
-fake_cell_init(const struct fake_cell_shape *shape)
+fake_cell_init(const struct fake_cell_params *shape)
 {
 	struct fake_cell *f = g_new0(struct fake_cell, 1);
 	unsigned i;
@@ -2818,7 +2819,7 @@
 }
 
 const char *
-fake_cell_breaches(const struct fake_cell *f)
+fake_cell_violations(const struct fake_cell *f)
 {
 	return f->violations->str;
 }
@@ -2838,7 +2839,7 @@
 		    (j->has_state && cell_job_over(j->state)))
 			continue;
 		all_ended = false;
-		fake_cell_ask(
+		fake_cell_query_job(
 		    f, (unsigned)(f->last_token % f->shape.nodes), j->id);
 	}
 	return all_ended;
@@ -2871,14 +2872,14 @@
 	char zone[8];
 	unsigned i;
 
-	fake_cell_store(f, -1, FAKE_STORE_WELL);
+	fake_cell_set_store_fault(f, -1, FAKE_STORE_OK);
 	for (i = 0; i < f->shape.nodes; i++) {
 		fake_cell_boot(f, i);
 		fake_cell_freeze(f, i, false);
-		fake_cell_lag(f, i, 0);
+		fake_cell_set_step_ms(f, i, 0);
 	}
 	for (i = 0; i < f->shape.workers; i++)
-		fake_cell_worker(f, i, FAKE_WORKER_WELL);
+		fake_cell_set_worker_fault(f, i, FAKE_WORKER_OK);
 	for (i = 1; i <= MAX_ZONES; i++) {
 		g_snprintf(zone, sizeof zone, "z%u", i);
 		if (f->evacuated_at[i] != 0)
@@ -2889,7 +2890,7 @@
 			report_open_jobs(f);
 			return false;
 		}
-		fake_cell_run(f, 500);
+		fake_cell_advance(f, 500);
 	}
 	return true;
 }
--- a/test/fake_cell.h
+++ b/test/fake_cell.h
@@ -2,7 +2,7 @@
  * Simulation of a whole cell in one process and in virtual time.  The nodes are
  * the real ones; the store, the workers and the advice service are fakes that
  * can be made to fail.  The fakes check the invariants at each event; every
- * violation is a line of fake_cell_breaches.
+ * violation is a line of fake_cell_violations.
  */
 
 #ifndef FAKE_CELL_H
@@ -16,7 +16,7 @@
 
 struct fake_cell;
 
-struct fake_cell_shape {
+struct fake_cell_params {
 	unsigned nodes;
 	unsigned workers; /* 16 processors and 64 GB each; six to a rack, or
 			   * one to a rack if there are several shards */
@@ -37,10 +37,10 @@
 	unsigned page; /* most records in an answer of newest records, 0 all */
 };
 
-struct fake_cell *fake_cell_init(const struct fake_cell_shape *shape);
+struct fake_cell *fake_cell_init(const struct fake_cell_params *shape);
 void fake_cell_end(struct fake_cell *f);
 
-void fake_cell_run(struct fake_cell *f, uint32_t ms);
+void fake_cell_advance(struct fake_cell *f, uint32_t ms);
 /* Advances virtual time and handles the events due until then. */
 ogl_time fake_cell_now(const struct fake_cell *f);
 /* Virtual time. */
@@ -61,9 +61,9 @@
 	uint32_t worker_max; /* tasks on one worker, 0 no limit */
 };
 
-void fake_cell_budget(struct fake_cell *f, uint32_t ms);
+void fake_cell_set_caller_timeout(struct fake_cell *f, uint32_t ms);
 /* Sets the time that callers wait for answers from now on; initially 3 s. */
-void fake_cell_rank(struct fake_cell *f, unsigned rank);
+void fake_cell_set_queue_rank(struct fake_cell *f, unsigned rank);
 /* Submits go to the queue of this rank, 0 to 2, from now on; initially 0. */
 void fake_cell_submit(struct fake_cell *f, unsigned node, const char *id,
     const char *key, const struct fake_step *steps, size_t n);
@@ -71,7 +71,7 @@
  * known already keeps its first steps.  A node that is down or frozen does not
  * receive the request. */
 void fake_cell_cancel(struct fake_cell *f, unsigned node, const char *id);
-void fake_cell_ask(struct fake_cell *f, unsigned node, const char *id);
+void fake_cell_query_job(struct fake_cell *f, unsigned node, const char *id);
 /* Requests the job's state. */
 
 int fake_cell_status(const struct fake_cell *f, const char *id);
@@ -79,22 +79,23 @@
  * there was none. */
 const char *fake_cell_state(struct fake_cell *f, const char *id);
 /* Asks a node that is ready and runs for 3 s; "none" if no answer comes. */
-unsigned fake_cell_starts(const struct fake_cell *f, const char *id);
+unsigned fake_cell_started_runs(const struct fake_cell *f, const char *id);
 /* Number of runs that workers have started for the job so far. */
-unsigned fake_cell_running(const struct fake_cell *f, const char *id);
+unsigned fake_cell_running_runs(const struct fake_cell *f, const char *id);
 /* Number of the job's runs on workers now. */
-unsigned fake_cell_running_in(const struct fake_cell *f, const char *zone);
+unsigned fake_cell_zone_running_runs(
+    const struct fake_cell *f, const char *zone);
 /* Number of runs of all jobs on the workers of a zone now. */
 
 /* ---- nodes ------------------------------------------------------------ */
 
-unsigned fake_cell_link_ms(const struct fake_cell *f, unsigned node);
+unsigned fake_cell_link_wait_ms(const struct fake_cell *f, unsigned node);
 /* Milliseconds until the node's link has received all that was sent to it. */
 int fake_cell_owner(const struct fake_cell *f, unsigned shard);
 /* The node that considers itself the shard's owner; -1 none, -2 several. */
-unsigned fake_cell_claims(const struct fake_cell *f, unsigned shard);
+unsigned fake_cell_claim_count(const struct fake_cell *f, unsigned shard);
 /* How often ownership of the shard was won so far, the first time included. */
-unsigned fake_cell_shards(const struct fake_cell *f, unsigned node);
+unsigned fake_cell_known_shards(const struct fake_cell *f, unsigned node);
 /* Number of shards of the cell as the node knows it; 0 if it is down or does
  * not know yet. */
 void fake_cell_kill(struct fake_cell *f, unsigned node);
@@ -102,7 +103,7 @@
 /* Starts a new process; no effect on a node that is up. */
 void fake_cell_freeze(struct fake_cell *f, unsigned node, bool on);
 /* Pauses the process or resumes it; its events are deferred meanwhile. */
-void fake_cell_lag(struct fake_cell *f, unsigned node, uint32_t ms);
+void fake_cell_set_step_ms(struct fake_cell *f, unsigned node, uint32_t ms);
 /* Simulates an overloaded node: each step takes this long, and nothing due is
  * handled meanwhile.  0 ends it. */
 void fake_cell_stop(struct fake_cell *f, unsigned node);
@@ -112,25 +113,25 @@
 /* ---- the store -------------------------------------------------------- */
 
 enum fake_store_fault {
-	FAKE_STORE_WELL,
-	FAKE_STORE_SILENT, /* unreachable: no call arrives */
-	FAKE_STORE_BUSY,   /* refuses every call */
-	FAKE_STORE_LOSING, /* does half of the writes, but does not answer */
-	FAKE_STORE_LATE    /* as LOSING, and does these writes 1 to 6 s late */
+	FAKE_STORE_OK,
+	FAKE_STORE_UNREACHABLE, /* unreachable: no call arrives */
+	FAKE_STORE_REFUSING,    /* refuses every call */
+	FAKE_STORE_LOSES_ANSWERS, /* does half of the writes, but does not answer */
+	FAKE_STORE_LATE /* as LOSING, and does these writes 1 to 6 s late */
 };
 
-void fake_cell_store(
+void fake_cell_set_store_fault(
     struct fake_cell *f, int node, enum fake_store_fault fault);
 /* Sets the fault that calls of a node meet; node -1: of all nodes. */
-void fake_cell_revoke(struct fake_cell *f, const char *key);
+void fake_cell_revoke_key(struct fake_cell *f, const char *key);
 /* The operator withdraws an API key. */
-void fake_cell_limit(struct fake_cell *f, uint32_t team_cpu_max);
+void fake_cell_set_team_limit(struct fake_cell *f, uint32_t team_cpu_max);
 /* The operator changes the team's limit; 0 no limit. */
 void fake_cell_evacuate(struct fake_cell *f, const char *zone, bool on);
 /* The operator evacuates a zone ("z1" and so on), or takes it back. */
-void fake_cell_forget_settings(struct fake_cell *f);
+void fake_cell_trim_settings(struct fake_cell *f);
 /* The store trims the settings stream; the newest record of each key stays. */
-void fake_cell_forget_lists(struct fake_cell *f);
+void fake_cell_expire_entries(struct fake_cell *f);
 /* The entries of all workers expire; they are written again within 2 s. */
 unsigned fake_cell_writes(const struct fake_cell *f);
 /* Number of appends that nodes have made so far. */
@@ -138,8 +139,8 @@
 /* ---- workers ---------------------------------------------------------- */
 
 enum fake_worker_fault {
-	FAKE_WORKER_WELL,
-	FAKE_WORKER_DARK,    /* unreachable, its runs go on */
+	FAKE_WORKER_OK,
+	FAKE_WORKER_UNREACHABLE, /* unreachable, its runs go on */
 	FAKE_WORKER_CRASHED, /* down, its runs are lost, its entry is dropped */
 	FAKE_WORKER_FAILING, /* runs it starts end as failed */
 	FAKE_WORKER_LATE,    /* executes four in ten orders 2 to 12 s late and
@@ -148,16 +149,16 @@
 	FAKE_WORKER_HANGING  /* runs it starts make no progress */
 };
 
-void fake_cell_worker(
+void fake_cell_set_worker_fault(
     struct fake_cell *f, unsigned worker, enum fake_worker_fault fault);
-void fake_cell_reborn(struct fake_cell *f, unsigned worker);
+void fake_cell_restart_worker(struct fake_cell *f, unsigned worker);
 /* Restarts at once under the same id, with nothing running. */
-void fake_cell_drain(struct fake_cell *f, unsigned worker);
+void fake_cell_drain_worker(struct fake_cell *f, unsigned worker);
 /* Marks the worker's entry as draining. */
 
 /* ---- results ---------------------------------------------------------- */
 
-const char *fake_cell_breaches(const struct fake_cell *f);
+const char *fake_cell_violations(const struct fake_cell *f);
 /* Violations of invariants so far, one a line; "" if there were none. */
 bool fake_cell_settle(struct fake_cell *f, uint32_t ms);
 /* Ends all faults, starts all nodes and runs until each accepted job has ended.
--- a/test/test_cell_answers.cc
+++ b/test/test_cell_answers.cc
@@ -27,21 +27,21 @@
       protected:
 	void SetUp() override
 	{
-		struct fake_cell_shape shape = {};
+		struct fake_cell_params shape = {};
 
 		shape.nodes = 5;
 		shape.workers = 6;
 		shape.seed = GetParam();
 		shape.attempts_max = 3;
 		cell_ = fake_cell_init(&shape);
-		fake_cell_run(cell_, 1000);
-		fake_cell_store(cell_, -1, FAKE_STORE_LATE);
+		fake_cell_advance(cell_, 1000);
+		fake_cell_set_store_fault(cell_, -1, FAKE_STORE_LATE);
 	}
 
 	void TearDown() override
 	{
 		EXPECT_TRUE(fake_cell_settle(cell_, 60000));
-		EXPECT_STREQ("", fake_cell_breaches(cell_));
+		EXPECT_STREQ("", fake_cell_violations(cell_));
 		fake_cell_end(cell_);
 	}
 
@@ -65,9 +65,9 @@
 {
 	for (unsigned n = 0; n < 40; n++) {
 		submit(n);
-		fake_cell_run(cell_, 500);
+		fake_cell_advance(cell_, 500);
 	}
-	EXPECT_EQ(1u, fake_cell_claims(cell_, 0));
+	EXPECT_EQ(1u, fake_cell_claim_count(cell_, 0));
 }
 
 /* Guards against replacing an owner at the end of a store outage, during which
@@ -75,16 +75,16 @@
 TEST_P(LostAnswers, OwnerIsKeptAcrossStoreOutage)
 {
 	static const enum fake_store_fault faults[] = {
-	    FAKE_STORE_SILENT, FAKE_STORE_BUSY};
+	    FAKE_STORE_UNREACHABLE, FAKE_STORE_REFUSING};
 
-	fake_cell_store(cell_, -1, FAKE_STORE_WELL);
+	fake_cell_set_store_fault(cell_, -1, FAKE_STORE_OK);
 	for (enum fake_store_fault fault : faults) {
-		fake_cell_store(cell_, -1, fault);
-		fake_cell_run(cell_, 3000 + GetParam() * 37);
-		fake_cell_store(cell_, -1, FAKE_STORE_WELL);
-		fake_cell_run(cell_, 2000);
+		fake_cell_set_store_fault(cell_, -1, fault);
+		fake_cell_advance(cell_, 3000 + GetParam() * 37);
+		fake_cell_set_store_fault(cell_, -1, FAKE_STORE_OK);
+		fake_cell_advance(cell_, 2000);
 	}
-	EXPECT_EQ(1u, fake_cell_claims(cell_, 0));
+	EXPECT_EQ(1u, fake_cell_claim_count(cell_, 0));
 }
 
 /* Guards against callers that time out because their owner was lost. */
@@ -93,11 +93,11 @@
 	int owner = fake_cell_owner(cell_, 0);
 
 	ASSERT_LE(0, owner);
-	fake_cell_run(cell_, 2000);
+	fake_cell_advance(cell_, 2000);
 	fake_cell_kill(cell_, static_cast<unsigned>(owner));
-	fake_cell_run(cell_, 1000);
+	fake_cell_advance(cell_, 1000);
 	submit(static_cast<unsigned>(owner) + 1);
-	fake_cell_run(cell_, kCallerTimeoutMs);
+	fake_cell_advance(cell_, kCallerTimeoutMs);
 	EXPECT_EQ(200, fake_cell_status(cell_,
 			   id_of(static_cast<unsigned>(owner) + 1).c_str()));
 }
--- a/test/test_cell_scripts.cc
+++ b/test/test_cell_scripts.cc
@@ -121,7 +121,7 @@
 		if (w[0] == "let")
 			node_names_[w[1]] = node(w[2]);
 		else if (w[0] == "run")
-			fake_cell_run(cell_, num(w[1]));
+			fake_cell_advance(cell_, num(w[1]));
 		else if (w[0] == "kill")
 			for_nodes(w[1], fake_cell_kill);
 		else if (w[0] == "boot")
@@ -133,37 +133,38 @@
 		else if (w[0] == "thaw")
 			fake_cell_freeze(cell_, node(w[1]), false);
 		else if (w[0] == "rank")
-			fake_cell_rank(cell_, num(w[1]));
+			fake_cell_set_queue_rank(cell_, num(w[1]));
 		else if (w[0] == "caller-timeout")
-			fake_cell_budget(cell_, num(w[1]));
+			fake_cell_set_caller_timeout(cell_, num(w[1]));
 		else if (w[0] == "loop-delay")
-			fake_cell_lag(cell_, node(w[1]), num(w[2]));
+			fake_cell_set_step_ms(cell_, node(w[1]), num(w[2]));
 		else if (w[0] == "store")
-			fake_cell_store(cell_, w[1] == "all" ? -1 : node(w[1]),
-			    store_fault(w[2]));
+			fake_cell_set_store_fault(cell_,
+			    w[1] == "all" ? -1 : node(w[1]), store_fault(w[2]));
 		else if (w[0] == "worker")
 			for (unsigned i : workers(w[1]))
-				fake_cell_worker(cell_, i, worker_fault(w[2]));
+				fake_cell_set_worker_fault(
+				    cell_, i, worker_fault(w[2]));
 		else if (w[0] == "restart-worker")
-			fake_cell_reborn(cell_, num(w[1]));
+			fake_cell_restart_worker(cell_, num(w[1]));
 		else if (w[0] == "drain")
-			fake_cell_drain(cell_, num(w[1]));
+			fake_cell_drain_worker(cell_, num(w[1]));
 		else if (w[0] == "expire-worker-entries")
-			fake_cell_forget_lists(cell_);
+			fake_cell_expire_entries(cell_);
 		else if (w[0] == "evacuate")
 			fake_cell_evacuate(cell_, w[1].c_str(), true);
 		else if (w[0] == "end-evacuation")
 			fake_cell_evacuate(cell_, w[1].c_str(), false);
 		else if (w[0] == "drop-settings-history")
-			fake_cell_forget_settings(cell_);
+			fake_cell_trim_settings(cell_);
 		else if (w[0] == "revoke")
-			fake_cell_revoke(cell_, w[1].c_str());
+			fake_cell_revoke_key(cell_, w[1].c_str());
 		else if (w[0] == "limit")
-			fake_cell_limit(cell_, num(w[1]));
+			fake_cell_set_team_limit(cell_, num(w[1]));
 		else if (w[0] == "cancel")
 			fake_cell_cancel(cell_, node(w[2]), id(w[1]));
 		else if (w[0] == "ask")
-			fake_cell_ask(cell_, node(w[2]), id(w[1]));
+			fake_cell_query_job(cell_, node(w[2]), id(w[1]));
 		else
 			return query(w);
 		return "";
@@ -173,8 +174,8 @@
 	{
 		if (!fake_cell_settle(cell_, 60000))
 			return std::string("not settled\n") +
-			       fake_cell_breaches(cell_);
-		return fake_cell_breaches(cell_);
+			       fake_cell_violations(cell_);
+		return fake_cell_violations(cell_);
 	}
 
       private:
@@ -188,7 +189,7 @@
 			submission.insert(
 			    submission.end(), w.begin() + 4, w.end());
 			submit(submission);
-			fake_cell_run(cell_, num(w[3]));
+			fake_cell_advance(cell_, num(w[3]));
 		}
 		return "";
 	}
@@ -215,13 +216,13 @@
 			return fake_cell_state(cell_, id(w[1]));
 		if (w[0] == "starts")
 			return std::to_string(
-			    fake_cell_starts(cell_, id(w[1])));
+			    fake_cell_started_runs(cell_, id(w[1])));
 		if (w[0] == "running")
 			return std::to_string(
-			    fake_cell_running(cell_, id(w[1])));
+			    fake_cell_running_runs(cell_, id(w[1])));
 		if (w[0] == "running-in")
 			return std::to_string(
-			    fake_cell_running_in(cell_, w[1].c_str()));
+			    fake_cell_zone_running_runs(cell_, w[1].c_str()));
 		if (w[0] == "ready")
 			return fake_cell_ready(cell_, node(w[1])) ? "yes"
 								  : "no";
@@ -232,15 +233,15 @@
 			return o == -1 ? "none" : o == -2 ? "several" : "one";
 		}
 		if (w[0] == "link")
-			return fake_cell_link_ms(
+			return fake_cell_link_wait_ms(
 				   cell_, static_cast<unsigned>(node(w[1]))) <
 				       num(w[2])
 				   ? "under"
 				   : "over";
 		if (w[0] == "claims")
-			return std::to_string(fake_cell_claims(cell_, 0));
+			return std::to_string(fake_cell_claim_count(cell_, 0));
 		if (w[0] == "shards")
-			return std::to_string(fake_cell_shards(
+			return std::to_string(fake_cell_known_shards(
 			    cell_, static_cast<unsigned>(node(w[1]))));
 		if (w[0] == "shard")
 			return std::to_string(cell_shard_of_job(
@@ -300,10 +301,10 @@
 	static enum fake_store_fault store_fault(const std::string &s)
 	{
 		static const std::map<std::string, enum fake_store_fault> m = {
-		    {"healthy", FAKE_STORE_WELL},
-		    {"unreachable", FAKE_STORE_SILENT},
-		    {"refusing", FAKE_STORE_BUSY},
-		    {"losing-answers", FAKE_STORE_LOSING},
+		    {"healthy", FAKE_STORE_OK},
+		    {"unreachable", FAKE_STORE_UNREACHABLE},
+		    {"refusing", FAKE_STORE_REFUSING},
+		    {"losing-answers", FAKE_STORE_LOSES_ANSWERS},
 		    {"late", FAKE_STORE_LATE}};
 
 		return m.at(s);
@@ -312,8 +313,8 @@
 	static enum fake_worker_fault worker_fault(const std::string &s)
 	{
 		static const std::map<std::string, enum fake_worker_fault> m = {
-		    {"healthy", FAKE_WORKER_WELL},
-		    {"unreachable", FAKE_WORKER_DARK},
+		    {"healthy", FAKE_WORKER_OK},
+		    {"unreachable", FAKE_WORKER_UNREACHABLE},
 		    {"crashed", FAKE_WORKER_CRASHED},
 		    {"failing", FAKE_WORKER_FAILING},
 		    {"late", FAKE_WORKER_LATE}, {"slow", FAKE_WORKER_SLOW},
@@ -359,7 +360,7 @@
 		shape_.attempts_max =
 		    o.count("attempts") != 0 ? num(o["attempts"]) : 3;
 		cell_ = fake_cell_init(&shape_);
-		fake_cell_run(cell_, 1000);
+		fake_cell_advance(cell_, 1000);
 		return "";
 	}
 
@@ -405,7 +406,7 @@
 	}
 
 	struct fake_cell *cell_ = nullptr;
-	struct fake_cell_shape shape_ = {};
+	struct fake_cell_params shape_ = {};
 	std::map<std::string, int> node_names_;
 	std::map<std::string, std::string> job_ids_;
 };
--- a/test/test_cell_seeds.cc
+++ b/test/test_cell_seeds.cc
@@ -43,7 +43,7 @@
 		if (usable_workers(1) == 0)
 			shape_.policy = false;
 		cell_ = fake_cell_init(&shape_);
-		fake_cell_run(cell_, 1000);
+		fake_cell_advance(cell_, 1000);
 	}
 
 	~FaultRun()
@@ -61,7 +61,7 @@
 				clear_faults();
 			if (zones_ > 1 && random_below(4) == 0)
 				evacuate();
-			fake_cell_run(cell_, 50 + random_below(400));
+			fake_cell_advance(cell_, 50 + random_below(400));
 		}
 	}
 
@@ -70,8 +70,8 @@
 		kill_stopped();
 		if (!fake_cell_settle(cell_, 120000))
 			return std::string("not settled\n") +
-			       fake_cell_breaches(cell_);
-		return fake_cell_breaches(cell_);
+			       fake_cell_violations(cell_);
+		return fake_cell_violations(cell_);
 	}
 
       private:
@@ -192,7 +192,7 @@
 			fake_cell_freeze(cell_, pick_node(), true);
 			break;
 		case 2:
-			fake_cell_store(cell_,
+			fake_cell_set_store_fault(cell_,
 			    random_below(2) == 0
 				? -1
 				: static_cast<int>(pick_node()),
@@ -200,23 +200,25 @@
 				1 + random_below(4)));
 			break;
 		case 3:
-			fake_cell_worker(cell_, w, FAKE_WORKER_DARK);
+			fake_cell_set_worker_fault(
+			    cell_, w, FAKE_WORKER_UNREACHABLE);
 			break;
 		case 4:
-			fake_cell_worker(cell_, w, FAKE_WORKER_CRASHED);
+			fake_cell_set_worker_fault(
+			    cell_, w, FAKE_WORKER_CRASHED);
 			break;
 		case 5:
-			fake_cell_worker(cell_, w, FAKE_WORKER_LATE);
+			fake_cell_set_worker_fault(cell_, w, FAKE_WORKER_LATE);
 			break;
 		case 6:
-			fake_cell_reborn(cell_, w);
+			fake_cell_restart_worker(cell_, w);
 			break;
 		case 7:
-			fake_cell_forget_lists(cell_);
+			fake_cell_expire_entries(cell_);
 			break;
 		case 8:
 			if (shape_.team_cpu_max > 0)
-				fake_cell_limit(cell_,
+				fake_cell_set_team_limit(cell_,
 				    shape_.shards *
 					(20000 + 10000 * random_below(4)));
 			break;
@@ -236,7 +238,7 @@
 
 		fake_cell_evacuate(cell_, zone.c_str(), random_below(2) == 0);
 		if (random_below(4) == 0)
-			fake_cell_forget_settings(cell_);
+			fake_cell_trim_settings(cell_);
 	}
 
 	void clear_faults()
@@ -252,17 +254,18 @@
 			}
 			break;
 		case 1:
-			fake_cell_store(cell_, -1, FAKE_STORE_WELL);
+			fake_cell_set_store_fault(cell_, -1, FAKE_STORE_OK);
 			break;
 		default:
 			for (i = 0; i < shape_.workers; i++)
-				fake_cell_worker(cell_, i, FAKE_WORKER_WELL);
+				fake_cell_set_worker_fault(
+				    cell_, i, FAKE_WORKER_OK);
 			break;
 		}
 	}
 
 	std::mt19937 rand_;
-	struct fake_cell_shape shape_ = {};
+	struct fake_cell_params shape_ = {};
 	struct fake_cell *cell_ = nullptr;
 	unsigned last_job_ = 0;
 	bool stops_nodes_;
