--- a/cell/advice.c
+++ b/cell/advice.c
@@ -110,7 +110,7 @@
 }
 
 void
-cell_advice_node(struct cell_advice *a, const char *addr, ogl_time now)
+cell_advice_update_node(struct cell_advice *a, const char *addr, ogl_time now)
 {
 	struct lane *l = g_hash_table_lookup(a->lanes, addr);
 
@@ -123,7 +123,7 @@
 }
 
 void
-cell_advice_no_node(struct cell_advice *a, const char *addr)
+cell_advice_remove_node(struct cell_advice *a, const char *addr)
 {
 	g_hash_table_remove(a->lanes, addr);
 }
@@ -227,15 +227,15 @@
     const char *ticket, ogl_time until)
 {
 	const struct cell_worker *w = a->events.worker(a->events.arg, id);
-	struct cell_good *g;
+	struct cell_approval *g;
 
 	if (w == NULL)
 		return;
-	g = cell_stage_good(s, w->serial);
+	g = cell_stage_approval(s, w->serial);
 	if (g == NULL) {
 		g_array_set_size(s->approvals, s->approvals->len + 1);
 		g = &g_array_index(
-		    s->approvals, struct cell_good, s->approvals->len - 1);
+		    s->approvals, struct cell_approval, s->approvals->len - 1);
 		g->worker = w->serial;
 	}
 	g_free(g->ticket);
@@ -337,10 +337,10 @@
 	}
 }
 
-const struct cell_good *
+const struct cell_approval *
 cell_advice_approval(const struct cell_stage *s, const struct cell_worker *w)
 {
-	const struct cell_good *g = cell_stage_good(s, w->serial);
+	const struct cell_approval *g = cell_stage_approval(s, w->serial);
 
 	if (g == NULL || g->born_ms != w->life)
 		return NULL;
--- a/cell/advice.h
+++ b/cell/advice.h
@@ -34,10 +34,11 @@
 void cell_advice_clear(struct cell_advice *a);
 /* Drops all questions and nodes. */
 
-void cell_advice_node(struct cell_advice *a, const char *addr, ogl_time now);
+void cell_advice_update_node(
+    struct cell_advice *a, const char *addr, ogl_time now);
 /* The node is alive and can relay questions; to be called for each node at
  * least once a second. */
-void cell_advice_no_node(struct cell_advice *a, const char *addr);
+void cell_advice_remove_node(struct cell_advice *a, const char *addr);
 
 bool cell_advice_lane_free(struct cell_advice *a, uint32_t rank, ogl_time now);
 /* Whether a lane is free for a question of that rank now. */
@@ -57,7 +58,7 @@
 void cell_advice_step(struct cell_advice *a, ogl_time now);
 /* Gives up questions whose answer is overdue. */
 
-const struct cell_good *cell_advice_approval(
+const struct cell_approval *cell_advice_approval(
     const struct cell_stage *s, const struct cell_worker *w);
 /* The service's approval of a worker in its present incarnation; NULL: not
  * allowed, or not asked.  Its ticket may have expired. */
--- a/cell/cell_config.c
+++ b/cell/cell_config.c
@@ -251,7 +251,7 @@
 }
 
 void
-cell_queue_terms(const struct cell_queue *q, Ogl__CellTerms *t)
+cell_queue_save_terms(const struct cell_queue *q, Ogl__CellTerms *t)
 {
 	t->rank = q->rank;
 	t->attempts_max = q->attempts_max;
--- a/cell/cell_config.h
+++ b/cell/cell_config.h
@@ -78,7 +78,7 @@
 /* The job's queue in c or, if c is NULL or has no such queue, as saved in the
  * job when it was submitted.  Its strings are borrowed from c or def. */
 
-void cell_queue_terms(const struct cell_queue *q, Ogl__CellTerms *t);
+void cell_queue_save_terms(const struct cell_queue *q, Ogl__CellTerms *t);
 /* Fills t with the fields of the queue that are saved in a job. */
 
 bool cell_config_serves(const struct cell_config *c, const char *service);
--- a/cell/escrow.c
+++ b/cell/escrow.c
@@ -41,11 +41,11 @@
 /* A shard keeps more than it uses, so that ordinary variation needs no message:
  * an eighth of what it uses, and a fiftieth of the limit. */
 #define SPARE_USED_DIVISOR 8
-#define SPARE_PPM (CELL_PART_WHOLE / 50)
+#define SPARE_PPM (CELL_PART_WHOLE_PPM / 50)
 /* A part that is larger than that is reduced after this time. */
 #define IDLE_TIMEOUT (500 * OGL_MS)
 /* Asked for in addition to the need, for the starts that follow at once. */
-#define REQUEST_AHEAD_PPM (CELL_PART_WHOLE / 50)
+#define REQUEST_AHEAD_PPM (CELL_PART_WHOLE_PPM / 50)
 
 /* What the coordinator knows of one shard. */
 struct shard_state {
@@ -196,7 +196,7 @@
 	const struct team *t;
 
 	if (e->shards == 1)
-		return CELL_PART_WHOLE;
+		return CELL_PART_WHOLE_PPM;
 	t = g_hash_table_lookup(e->teams, team);
 	return t != NULL && t->known ? t->held : 0;
 }
@@ -212,7 +212,7 @@
 	t = team_of(e, team);
 	if (t->known && part <= t->held)
 		return;
-	t->wanted = MIN(part + REQUEST_AHEAD_PPM, CELL_PART_WHOLE);
+	t->wanted = MIN(part + REQUEST_AHEAD_PPM, CELL_PART_WHOLE_PPM);
 	/* Another report would invalidate the grant that is on its way. */
 	if (now >= t->next_report_at && !t->unanswered)
 		send_report(e, t, now);
@@ -298,8 +298,9 @@
 		if (i != shard)
 			others += MAX(a->held, a->used);
 	}
-	return others < CELL_PART_WHOLE ? (uint32_t)(CELL_PART_WHOLE - others)
-					: 0;
+	return others < CELL_PART_WHOLE_PPM
+		   ? (uint32_t)(CELL_PART_WHOLE_PPM - others)
+		   : 0;
 }
 
 static void
@@ -417,7 +418,7 @@
 }
 
 void
-cell_escrow_take(struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now)
+cell_escrow_receive(struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now)
 {
 	if (!e->open || m->from_shard >= e->shards || *m->team == '\0')
 		return;
--- a/cell/escrow.h
+++ b/cell/escrow.h
@@ -8,7 +8,7 @@
 
 #include "shards.h"
 
-#define CELL_PART_WHOLE 1000000U /* a whole limit, in millionths */
+#define CELL_PART_WHOLE_PPM 1000000U /* a whole limit, in millionths */
 
 struct cell_escrow;
 
@@ -40,7 +40,7 @@
     struct cell_escrow *e, const char *team, uint32_t part, ogl_time now);
 /* Asks for a part of that many millionths: waiting work could start with it. */
 
-void cell_escrow_take(
+void cell_escrow_receive(
     struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now);
 /* Handles a message from the owner of m->from_shard. */
 
--- a/cell/fleet.c
+++ b/cell/fleet.c
@@ -417,7 +417,7 @@
 }
 
 ogl_time
-cell_fleet_lapse(const struct cell_fleet *f)
+cell_fleet_old_leases_end(const struct cell_fleet *f)
 {
 	return f->opened_at +
 	       (ogl_time)(LEASE_MS * CLOCK_SLOW_FACTOR) * OGL_MS +
@@ -425,7 +425,7 @@
 }
 
 void
-cell_fleet_named(struct cell_fleet *f, const char *id, uint64_t record)
+cell_fleet_record_stored(struct cell_fleet *f, const char *id, uint64_t record)
 {
 	struct cell_worker *w = g_hash_table_lookup(f->workers, id);
 
@@ -454,27 +454,27 @@
 void
 cell_fleet_confirm(struct cell_fleet *f, ogl_time at)
 {
-	bool wanted = cell_fleet_wants_proof(f);
+	bool wanted = cell_fleet_awaits_confirmation(f);
 
 	f->confirmed_at = MAX(f->confirmed_at, at);
-	if (wanted && !cell_fleet_wants_proof(f))
+	if (wanted && !cell_fleet_awaits_confirmation(f))
 		f->events.room(f->events.arg, at);
 }
 
 bool
-cell_fleet_wants_proof(const struct cell_fleet *f)
+cell_fleet_awaits_confirmation(const struct cell_fleet *f)
 {
 	return f->open && f->confirmed_at < f->confirmation_from;
 }
 
 void
-cell_fleet_doubt(struct cell_fleet *f, ogl_time now)
+cell_fleet_require_confirmation(struct cell_fleet *f, ogl_time now)
 {
 	f->confirmation_from = MAX(f->confirmation_from, now);
 }
 
 bool
-cell_fleet_names_changed(struct cell_fleet *f)
+cell_fleet_record_outdated(struct cell_fleet *f)
 {
 	bool changed = f->record_outdated;
 
@@ -505,7 +505,7 @@
 }
 
 bool
-cell_worker_open(const struct cell_worker *w, ogl_time now)
+cell_worker_schedulable(const struct cell_worker *w, ogl_time now)
 {
 	return w->listed && w->recorded && !w->draining && !w->evacuated &&
 	       w->fenced && w->failures == 0 && w->norphans == 0 &&
@@ -570,14 +570,14 @@
 }
 
 void
-cell_fleet_suppose(
+cell_fleet_team_charge(
     struct cell_fleet *f, const char *team, const struct ogl_res *res)
 {
 	ogl_res_add(team_usage(f, team), res);
 }
 
 void
-cell_fleet_suppose_not(
+cell_fleet_team_uncharge(
     struct cell_fleet *f, const char *team, const struct ogl_res *res)
 {
 	ogl_res_sub(team_usage(f, team), res);
@@ -678,13 +678,13 @@
 }
 
 static bool
-row_matches(const struct cell_run *r, const struct cell_row *row)
+row_matches(const struct cell_run *r, const struct cell_run_row *row)
 {
 	return r->number == row->run && same_task(&r->name, &row->task);
 }
 
 static struct cell_run *
-find_run(const struct cell_worker *w, const struct cell_row *row)
+find_run(const struct cell_worker *w, const struct cell_run_row *row)
 {
 	GHashTableIter it;
 	gpointer p;
@@ -793,11 +793,11 @@
 	for (i = 0; i < w->unanswered_starts->len; i++) {
 		const struct cell_unanswered_start *l = &g_array_index(
 		    w->unanswered_starts, struct cell_unanswered_start, i);
-		struct cell_row row = {.task = l->task, .run = l->run};
+		struct cell_run_row row = {.task = l->task, .run = l->run};
 
 		if (now - l->sent_at < UNANSWERED_START_MAX &&
 		    find_run(w, &row) == NULL)
-			cell_fleet_stray(f, w, &row, now);
+			cell_fleet_stop_orphan(f, w, &row, now);
 	}
 	g_array_set_size(w->unanswered_starts, 0);
 }
@@ -850,7 +850,7 @@
 	size_t i;
 
 	for (i = 0; i < a->nrunning; i++) {
-		const struct cell_row *row = &a->running[i];
+		const struct cell_run_row *row = &a->running[i];
 		struct cell_run *r = find_run(w, row);
 
 		if (r == NULL) {
@@ -879,7 +879,7 @@
 	size_t i;
 
 	for (i = 0; i < a->nended; i++) {
-		const struct cell_row *row = &a->ended[i];
+		const struct cell_run_row *row = &a->ended[i];
 		struct cell_run *r;
 
 		if (row->number <= w->taken)
@@ -1001,7 +1001,7 @@
 {
 	if (a->no_listener)
 		return "no_listener";
-	if (a->why == CELL_REFUSED_LIFE)
+	if (a->why == CELL_REFUSED_INCARNATION)
 		return "other_life";
 	return a->io == OGL_IO_LOST ? "unanswered" : "refused";
 }
@@ -1023,7 +1023,7 @@
 	track_conn_refusals(f, w, a->no_listener, now);
 	/* Another incarnation answers: the one that we knew has ended, and the
 	 * new one refuses calls meant for it. */
-	if (a->why != CELL_REFUSED_LIFE)
+	if (a->why != CELL_REFUSED_INCARNATION)
 		return;
 	if (w->gone)
 		lose_runs(f, w, NULL, now, now);
@@ -1148,7 +1148,7 @@
 }
 
 void
-cell_fleet_noted(struct cell_fleet *f, struct cell_worker *w,
+cell_fleet_ends_stored(struct cell_fleet *f, struct cell_worker *w,
     uint64_t incarnation, uint64_t number)
 {
 	(void)f;
@@ -1296,7 +1296,7 @@
 	if (r->running_since != 0)
 		return;
 	switch (why) {
-	case CELL_REFUSED_LIFE:
+	case CELL_REFUSED_INCARNATION:
 		r->worker->fenced = false;
 		r->worker->next_hold_at = now;
 		if (r->start_unanswered)
@@ -1379,7 +1379,7 @@
 
 	if (!order_finish(c, &r))
 		return;
-	if (a->io == OGL_IO_OK || a->why != CELL_REFUSED_NOT)
+	if (a->io == OGL_IO_OK || a->why != CELL_NOT_REFUSED)
 		read_clock(r->worker, a->clock_ms, now);
 	if (a->io == OGL_IO_OK) {
 		f->ops->observe(
@@ -1411,7 +1411,7 @@
 		f->events.outranked(f->events.arg, now);
 		return;
 	}
-	if (a->why == CELL_REFUSED_LIFE) {
+	if (a->why == CELL_REFUSED_INCARNATION) {
 		run_ended(f, r, CELL_END_LAPSED, NULL, now);
 		return;
 	}
@@ -1423,7 +1423,7 @@
     struct cell_stage *s, uint32_t index, uint64_t number, const char *ticket,
     uint32_t rank, ogl_time now)
 {
-	struct cell_task *t = cell_stage_keeper(s, index);
+	struct cell_task *t = cell_stage_shared_task(s, index);
 	struct cell_task_name name = {
 	    .occurrence = s->occurrence, .step = s->step, .index = index};
 	struct ogl_res res = cell_stage_need(s);
@@ -1444,7 +1444,7 @@
 
 struct cell_run *
 cell_fleet_adopt(struct cell_fleet *f, struct cell_worker *w,
-    struct cell_stage *s, const struct cell_row *row, uint32_t rank,
+    struct cell_stage *s, const struct cell_run_row *row, uint32_t rank,
     ogl_time now)
 {
 	struct ogl_res res = cell_stage_need(s);
@@ -1467,8 +1467,8 @@
  * gets no work until the run is over, as its capacity might be exceeded.
  */
 void
-cell_fleet_stray(struct cell_fleet *f, struct cell_worker *w,
-    const struct cell_row *row, ogl_time now)
+cell_fleet_stop_orphan(struct cell_fleet *f, struct cell_worker *w,
+    const struct cell_run_row *row, ogl_time now)
 {
 	struct ogl_res none = {0};
 	struct cell_run *r = run_new(f, w, &row->task, row->run, &none, "");
@@ -1565,7 +1565,7 @@
 
 	if (!f->open || now < f->next_scan_at)
 		return;
-	if (!f->old_leases_expired && now > cell_fleet_lapse(f)) {
+	if (!f->old_leases_expired && now > cell_fleet_old_leases_end(f)) {
 		f->old_leases_expired = true;
 		clear_expected(f);
 	}
@@ -1585,7 +1585,7 @@
 	GHashTableIter it;
 	gpointer p;
 
-	if (now > cell_fleet_lapse(f))
+	if (now > cell_fleet_old_leases_end(f))
 		return true;
 	g_hash_table_iter_init(&it, f->workers);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
--- a/cell/fleet.h
+++ b/cell/fleet.h
@@ -128,16 +128,16 @@
 	    void *arg, struct cell_run *r, enum cell_refusal why, ogl_time now);
 	/* A start was refused and nothing runs; r is freed after the call. */
 	void (*run_found)(void *arg, struct cell_worker *w,
-	    const struct cell_row *row, ogl_time now);
+	    const struct cell_run_row *row, ogl_time now);
 	/* A worker lists a run that is not known here. */
 	void (*end_found)(void *arg, struct cell_worker *w,
-	    const struct cell_row *row, ogl_time now);
+	    const struct cell_run_row *row, ogl_time now);
 	/* A worker lists the end of a run that is not known here. */
 	void (*up)(void *arg, struct cell_run *r, ogl_time now);
 	/* A run is first known to be running. */
 	void (*ends_processed)(void *arg, struct cell_worker *w, ogl_time now);
 	/* Ends up to w->taken were reported; to be followed by
-	 * cell_fleet_noted once they are stored. */
+	 * cell_fleet_ends_stored once they are stored. */
 	void (*answered)(void *arg, struct cell_worker *w, ogl_time now);
 	/* A worker has seen our epoch for the first time, or has ended. */
 	void (*outranked)(void *arg, ogl_time now);
@@ -170,10 +170,11 @@
 /* Adds a worker, listed or not, on which an earlier owner may have started
  * something. */
 
-ogl_time cell_fleet_lapse(const struct cell_fleet *f);
+ogl_time cell_fleet_old_leases_end(const struct cell_fleet *f);
 /* When every lease that an earlier owner granted has certainly expired. */
 
-void cell_fleet_named(struct cell_fleet *f, const char *id, uint64_t record);
+void cell_fleet_record_stored(
+    struct cell_fleet *f, const char *id, uint64_t record);
 /* The record with that number is stored and tells successors to call the
  * worker: it may be given work, unless a later record calls it silent. */
 
@@ -181,7 +182,7 @@
 /* Whether the worker has told under our epoch what it runs, and has not
  * answered for a while since. */
 
-bool cell_fleet_names_changed(struct cell_fleet *f);
+bool cell_fleet_record_outdated(struct cell_fleet *f);
 /* Whether the record of the workers is out of date: one came, left, moved or
  * changed its state since the last call. */
 
@@ -195,12 +196,12 @@
 /* Orders a start; the run counts against capacity and limit from here on. */
 
 struct cell_run *cell_fleet_adopt(struct cell_fleet *f, struct cell_worker *w,
-    struct cell_stage *s, const struct cell_row *row, uint32_t rank,
+    struct cell_stage *s, const struct cell_run_row *row, uint32_t rank,
     ogl_time now);
 /* Takes over a run that was found on a worker. */
 
-void cell_fleet_stray(struct cell_fleet *f, struct cell_worker *w,
-    const struct cell_row *row, ogl_time now);
+void cell_fleet_stop_orphan(struct cell_fleet *f, struct cell_worker *w,
+    const struct cell_run_row *row, ogl_time now);
 /* Stops a run that was found on a worker and that no job needs. */
 
 void cell_fleet_stop(struct cell_fleet *f, struct cell_run *r, ogl_time now);
@@ -220,19 +221,19 @@
 /* A new list of the worker's runs, to be freed; it stays valid as a list while
  * runs end during an iteration. */
 
-void cell_fleet_noted(struct cell_fleet *f, struct cell_worker *w,
+void cell_fleet_ends_stored(struct cell_fleet *f, struct cell_worker *w,
     uint64_t incarnation, uint64_t number);
 /* Ends up to number of that incarnation of the worker are stored. */
 
 void cell_fleet_confirm(struct cell_fleet *f, ogl_time at);
 /* The store has confirmed our ownership as of `at`. */
-bool cell_fleet_wants_proof(const struct cell_fleet *f);
+bool cell_fleet_awaits_confirmation(const struct cell_fleet *f);
 /* Whether nothing may be started until ownership is confirmed again. */
-void cell_fleet_doubt(struct cell_fleet *f, ogl_time now);
+void cell_fleet_require_confirmation(struct cell_fleet *f, ogl_time now);
 /* The process may have been suspended: nothing is started until ownership is
  * confirmed as of now. */
 
-bool cell_worker_open(const struct cell_worker *w, ogl_time now);
+bool cell_worker_schedulable(const struct cell_worker *w, ogl_time now);
 /* Whether the worker may be given work. */
 
 double cell_fleet_pace(const struct cell_fleet *f, const struct cell_worker *w);
@@ -262,9 +263,9 @@
     const struct cell_fleet *f, const char *team);
 /* Resources of all runs of a team that may be running. */
 
-void cell_fleet_suppose(
+void cell_fleet_team_charge(
     struct cell_fleet *f, const char *team, const struct ogl_res *res);
-void cell_fleet_suppose_not(
+void cell_fleet_team_uncharge(
     struct cell_fleet *f, const char *team, const struct ogl_res *res);
 /* Add to, and take from, what counts against a team: resources of tasks that
  * may be running on workers which have not answered yet. */
--- a/cell/front.c
+++ b/cell/front.c
@@ -185,7 +185,7 @@
 }
 
 size_t
-cell_front_open(const struct cell_front *f)
+cell_front_open_calls(const struct cell_front *f)
 {
 	return g_hash_table_size(f->calls);
 }
@@ -266,7 +266,7 @@
 }
 
 struct cell_front_config
-cell_front_known(const struct cell_front *f)
+cell_front_known_config(const struct cell_front *f)
 {
 	struct cell_front_config c = {.as_of = f->fresh_as_of};
 	gsize n = 0;
@@ -286,7 +286,7 @@
 }
 
 void
-cell_front_learn(
+cell_front_learn_config(
     struct cell_front *f, const struct cell_front_config *c, ogl_time now)
 {
 	struct cell_config *config;
@@ -542,9 +542,9 @@
 	if (r->epoch != owner_of(f, p)->epoch)
 		return;
 	if (r->outcome == OGL__CELL_OUTCOME__cell_not_owner)
-		cell_window_turned_away(window_of(f, p), now);
+		cell_window_refused(window_of(f, p), now);
 	else
-		cell_window_served(window_of(f, p));
+		cell_window_answered(window_of(f, p));
 }
 
 static uint32_t
@@ -580,7 +580,7 @@
 }
 
 void
-cell_front_shards(struct cell_front *f, uint32_t shards)
+cell_front_set_shards(struct cell_front *f, uint32_t shards)
 {
 	GHashTableIter it;
 	gpointer v;
@@ -592,7 +592,7 @@
 }
 
 void
-cell_front_owner(struct cell_front *f, uint32_t shard, const char *addr,
+cell_front_set_owner(struct cell_front *f, uint32_t shard, const char *addr,
     uint64_t epoch, ogl_time now)
 {
 	struct shard_owner *o = &f->owners[shard];
@@ -646,7 +646,7 @@
 	j->service = strdup(q->service);
 	j->terms = malloc(sizeof *j->terms);
 	ogl__cell_terms__init(j->terms);
-	cell_queue_terms(q, j->terms);
+	cell_queue_save_terms(q, j->terms);
 	return j;
 }
 
@@ -752,7 +752,7 @@
 }
 
 void
-cell_front_gone(struct cell_front *f, uint64_t token)
+cell_front_caller_gone(struct cell_front *f, uint64_t token)
 {
 	struct pending_call *p = g_hash_table_lookup(f->calls, &token);
 
@@ -795,11 +795,11 @@
 cell_front_delay(
     struct cell_front *f, uint32_t shard, ogl_time delay, ogl_time now)
 {
-	cell_window_delay(&f->owners[shard].window, delay, now);
+	cell_window_round_trip(&f->owners[shard].window, delay, now);
 }
 
 void
-cell_front_asks_first(struct cell_front *f, uint32_t shard, bool asks_first)
+cell_front_set_asks_first(struct cell_front *f, uint32_t shard, bool asks_first)
 {
 	f->owners[shard].asks_first = asks_first;
 }
@@ -838,7 +838,8 @@
 		break;
 	case OGL__CELL_OUTCOME__cell_over:
 		log_call(f, p, "call_answered", "outcome=over_rate");
-		answer(f, p->token, CELL_OVER, r->retry_ms, "over the rate");
+		answer(
+		    f, p->token, CELL_OVER_RATE, r->retry_ms, "over the rate");
 		break;
 	case OGL__CELL_OUTCOME__cell_busy:
 		/*
--- a/cell/front.h
+++ b/cell/front.h
@@ -24,20 +24,20 @@
     const struct cell_limits *limits, const struct cell_front_events *events);
 void cell_front_end(struct cell_front *f);
 
-void cell_front_shards(struct cell_front *f, uint32_t shards);
+void cell_front_set_shards(struct cell_front *f, uint32_t shards);
 /* Sets the number of shards; to be called once, before any owner is set. */
-void cell_front_owner(struct cell_front *f, uint32_t shard, const char *addr,
-    uint64_t epoch, ogl_time now);
+void cell_front_set_owner(struct cell_front *f, uint32_t shard,
+    const char *addr, uint64_t epoch, ogl_time now);
 /* Sets the owner of the shard and its epoch; addr is NULL when none is known.
  */
 
 void cell_front_call(struct cell_front *f, uint64_t token,
     const struct cell_request *r, ogl_time now);
 /* Takes one request; ops->reply is called once with its token. */
-void cell_front_gone(struct cell_front *f, uint64_t token);
+void cell_front_caller_gone(struct cell_front *f, uint64_t token);
 /* The caller has gone: its call is forgotten and not answered. */
 
-void cell_front_asks_first(
+void cell_front_set_asks_first(
     struct cell_front *f, uint32_t shard, bool asks_first);
 /* Whether the shard's owner is to be asked before it is sent a job, since it
  * refuses some. */
@@ -68,10 +68,10 @@
 	struct ogl_str record;
 };
 
-struct cell_front_config cell_front_known(const struct cell_front *f);
+struct cell_front_config cell_front_known_config(const struct cell_front *f);
 bool cell_front_cut_off(const struct cell_front *f, ogl_time now);
 /* Whether the settings could not be read lately. */
-void cell_front_learn(
+void cell_front_learn_config(
     struct cell_front *f, const struct cell_front_config *c, ogl_time now);
 /* Takes the configuration that a peer knows, for a node that can't read the
  * settings itself.  as_of is on this node's clock; the record is empty if the
@@ -84,7 +84,7 @@
 /* Takes a peer's list of the evacuated zones as of all records below known_to,
  * for a node that can't read the settings itself. */
 
-size_t cell_front_open(const struct cell_front *f);
+size_t cell_front_open_calls(const struct cell_front *f);
 /* Number of calls not answered yet. */
 
 #endif
--- a/cell/job.c
+++ b/cell/job.c
@@ -65,7 +65,7 @@
 static void
 approval_clear(void *p)
 {
-	struct cell_good *g = p;
+	struct cell_approval *g = p;
 
 	g_free(g->ticket);
 }
@@ -81,7 +81,7 @@
 	s->ntasks = s->def->count;
 	s->tasks = g_new0(struct cell_task, s->ntasks);
 	s->link.data = s;
-	s->approvals = g_array_new(FALSE, TRUE, sizeof(struct cell_good));
+	s->approvals = g_array_new(FALSE, TRUE, sizeof(struct cell_approval));
 	g_array_set_clear_func(s->approvals, approval_clear);
 	s->asked = g_hash_table_new(NULL, NULL);
 }
@@ -180,13 +180,13 @@
 }
 
 void
-cell_job_took(struct cell_job *j, uint32_t step, double ms)
+cell_job_record_run_ms(struct cell_job *j, uint32_t step, double ms)
 {
 	j->measured_ms[step] = MAX(j->measured_ms[step], ms);
 }
 
 double
-cell_job_took_chain_ms(const struct cell_job *j)
+cell_job_measured_chain_ms(const struct cell_job *j)
 {
 	return longest_chain_ms(j);
 }
@@ -214,7 +214,7 @@
 }
 
 struct cell_job *
-cell_job_ended(const char *id, const Ogl__CellProgress *p)
+cell_job_new_ended(const char *id, const Ogl__CellProgress *p)
 {
 	struct cell_job *j = job_alloc(id);
 
@@ -279,7 +279,7 @@
 }
 
 struct cell_occurrence *
-cell_job_begin(struct cell_job *j, uint32_t number, ogl_time due)
+cell_job_begin_occurrence(struct cell_job *j, uint32_t number, ogl_time due)
 {
 	struct cell_occurrence *o = cell_job_occurrence(j, number);
 	uint32_t i;
@@ -310,7 +310,7 @@
 void
 cell_stage_hold(struct cell_stage *s, uint32_t index, ogl_time until)
 {
-	struct cell_task *t = cell_stage_keeper(s, index);
+	struct cell_task *t = cell_stage_shared_task(s, index);
 
 	t->due = MAX(t->due, until);
 	t->holds++;
@@ -319,20 +319,20 @@
 void
 cell_stage_release(struct cell_stage *s, uint32_t index, ogl_time now)
 {
-	struct cell_task *t = cell_stage_keeper(s, index);
+	struct cell_task *t = cell_stage_shared_task(s, index);
 
 	if (t->holds > 0 && --t->holds == 0)
 		t->due = MIN(t->due, now);
 }
 
-struct cell_good *
-cell_stage_good(const struct cell_stage *s, uint32_t worker)
+struct cell_approval *
+cell_stage_approval(const struct cell_stage *s, uint32_t worker)
 {
 	guint i;
 
 	for (i = 0; i < s->approvals->len; i++) {
-		struct cell_good *g =
-		    &g_array_index(s->approvals, struct cell_good, i);
+		struct cell_approval *g =
+		    &g_array_index(s->approvals, struct cell_approval, i);
 
 		if (g->worker == worker)
 			return g;
@@ -372,7 +372,7 @@
 }
 
 bool
-cell_job_over(Ogl__CellJobState s)
+cell_job_state_ended(Ogl__CellJobState s)
 {
 	return s == OGL__CELL_JOB_STATE__cell_completed ||
 	       s == OGL__CELL_JOB_STATE__cell_failed ||
@@ -399,7 +399,7 @@
  * FAILED_RUNS_MAX the oldest number is dropped.
  */
 bool
-cell_task_fail(struct cell_task *t, uint64_t run)
+cell_task_record_failure(struct cell_task *t, uint64_t run)
 {
 	guint i;
 
@@ -422,13 +422,13 @@
 }
 
 struct cell_task *
-cell_stage_keeper(struct cell_stage *s, uint32_t index)
+cell_stage_shared_task(struct cell_stage *s, uint32_t index)
 {
 	return &s->tasks[s->def->gang ? 0 : index];
 }
 
 void
-cell_task_save(struct cell_task *t, const char *checkpoint)
+cell_task_save_checkpoint(struct cell_task *t, const char *checkpoint)
 {
 	if (checkpoint == NULL || *checkpoint == '\0')
 		return;
@@ -531,7 +531,7 @@
 	p.state = j->state;
 	p.ended_ms = j->ended_ms;
 	p.begun = j->begun;
-	if (!cell_job_over(j->state) && j->def != NULL) {
+	if (!cell_job_state_ended(j->state) && j->def != NULL) {
 		p.finished = (uint32_t *)(void *)j->finished->data;
 		p.n_finished = j->finished->len;
 		for (i = 0; i < j->occurrences->len; i++) {
@@ -569,7 +569,7 @@
 {
 	if (cell_job_occurrence_finished(j, name->occurrence))
 		return NULL;
-	cell_job_begin(
+	cell_job_begin_occurrence(
 	    j, name->occurrence, occurrence_due(j, name->occurrence));
 	return cell_job_stage(j, name);
 }
@@ -606,13 +606,13 @@
 		return;
 	t = &s->tasks[m->index];
 	for (i = 0; i < m->n_failed_runs; i++)
-		cell_task_fail(t, m->failed_runs[i]);
+		cell_task_record_failure(t, m->failed_runs[i]);
 	t->run = m->run;
-	cell_task_save(t, m->checkpoint);
+	cell_task_save_checkpoint(t, m->checkpoint);
 }
 
 void
-cell_job_apply(struct cell_job *j, const Ogl__CellProgress *p)
+cell_job_restore_progress(struct cell_job *j, const Ogl__CellProgress *p)
 {
 	size_t i;
 
--- a/cell/job.h
+++ b/cell/job.h
@@ -33,7 +33,7 @@
 };
 
 /* The policy's approval of a worker for a stage. */
-struct cell_good {
+struct cell_approval {
 	uint32_t worker; /* serial number */
 	char *ticket;
 	ogl_time until;   /* the ticket counts as expired from then on */
@@ -63,7 +63,7 @@
 	uint32_t nactive; /* tasks with a run */
 	GQueue *queue;    /* the scheduler's list it is in; NULL none */
 	GList link;
-	GArray *approvals; /* struct cell_good */
+	GArray *approvals; /* struct cell_approval */
 	GHashTable *asked; /* set of serials of workers the policy judged */
 	bool asking;
 	enum cell_wait wait_reason; /* as last logged */
@@ -116,11 +116,11 @@
 
 struct cell_job *cell_job_new(Ogl__CellJob *def, ogl_time now);
 /* Takes ownership of def; now is the time of acceptance. */
-struct cell_job *cell_job_ended(const char *id, const Ogl__CellProgress *p);
+struct cell_job *cell_job_new_ended(const char *id, const Ogl__CellProgress *p);
 /* Makes a job that has already ended, without its submission. */
 void cell_job_free(struct cell_job *j);
 
-struct cell_occurrence *cell_job_begin(
+struct cell_occurrence *cell_job_begin_occurrence(
     struct cell_job *j, uint32_t number, ogl_time due);
 /* Makes an occurrence with its stages; returns the existing one if it has begun
  * already.  due: wall clock. */
@@ -143,7 +143,8 @@
 void cell_stage_release(struct cell_stage *s, uint32_t index, ogl_time now);
 /* Ends one hold; after the last one the task may be started. */
 
-struct cell_good *cell_stage_good(const struct cell_stage *s, uint32_t worker);
+struct cell_approval *cell_stage_approval(
+    const struct cell_stage *s, uint32_t worker);
 /* The approval of the worker with that serial; NULL: not allowed, or not asked.
  * The pointer is valid until the next answer is stored. */
 
@@ -153,7 +154,7 @@
 uint32_t cell_stage_waiting(const struct cell_stage *s);
 /* Tasks that are neither done nor running. */
 
-bool cell_job_over(Ogl__CellJobState s);
+bool cell_job_state_ended(Ogl__CellJobState s);
 /* Whether the state is completed, failed or cancelled. */
 
 struct cell_stage *cell_job_stage(
@@ -162,23 +163,23 @@
 
 GBytes *cell_job_pack_def(const struct cell_job *j);
 GBytes *cell_job_pack_progress(const struct cell_job *j);
-void cell_job_apply(struct cell_job *j, const Ogl__CellProgress *p);
+void cell_job_restore_progress(struct cell_job *j, const Ogl__CellProgress *p);
 /* Restores the progress that an earlier owner wrote; makes no runs. */
 
-struct cell_task *cell_stage_keeper(struct cell_stage *s, uint32_t index);
+struct cell_task *cell_stage_shared_task(struct cell_stage *s, uint32_t index);
 /* The task that holds attempts, checkpoint and earliest start: the first one of
  * a gang, whose members share them. */
 
-void cell_task_save(struct cell_task *t, const char *checkpoint);
+void cell_task_save_checkpoint(struct cell_task *t, const char *checkpoint);
 /* Replaces the checkpoint; an empty one or NULL changes nothing. */
 
-bool cell_task_fail(struct cell_task *t, uint64_t run);
+bool cell_task_record_failure(struct cell_task *t, uint64_t run);
 /* Records a failed run; false when it was recorded before. */
 uint32_t cell_task_failures(const struct cell_task *t);
 
-void cell_job_took(struct cell_job *j, uint32_t step, double ms);
+void cell_job_record_run_ms(struct cell_job *j, uint32_t step, double ms);
 /* Records that a run of the step was done after that time. */
-double cell_job_took_chain_ms(const struct cell_job *j);
+double cell_job_measured_chain_ms(const struct cell_job *j);
 /* Longest chain of measured run times; declared ones where none is known. */
 
 void cell_job_clear(struct cell_job *j);
--- a/cell/journal.c
+++ b/cell/journal.c
@@ -192,7 +192,7 @@
 }
 
 void
-cell_journal_spare(struct cell_journal *g, bool thin_link)
+cell_journal_set_slow_link(struct cell_journal *g, bool thin_link)
 {
 	if (thin_link == g->thin_link)
 		return;
@@ -236,7 +236,7 @@
 }
 
 static void
-notify_waiters(GArray *waiters, enum cell_fate fate, ogl_time now)
+notify_waiters(GArray *waiters, enum cell_store_result fate, ogl_time now)
 {
 	GArray *copy = g_array_sized_new(
 	    FALSE, FALSE, sizeof(struct waiter), waiters->len);
@@ -264,8 +264,8 @@
 	g->generation++;
 	for (at = g->batches.head; at != NULL; at = at->next)
 		notify_waiters(((struct batch *)at->data)->waiters,
-		    CELL_FATE_UNKNOWN, now);
-	notify_waiters(g->waiters, CELL_FATE_UNKNOWN, now);
+		    CELL_STORE_UNKNOWN, now);
+	notify_waiters(g->waiters, CELL_STORE_UNKNOWN, now);
 	clear_pending(g);
 }
 
@@ -329,7 +329,7 @@
 }
 
 void
-cell_journal_after(
+cell_journal_notify(
     struct cell_journal *g, cell_stored_fn *fn, void *arg, uint64_t tag)
 {
 	struct waiter w = {fn, arg, tag, NULL};
@@ -408,7 +408,7 @@
 		n += g_bytes_get_size(v);
 		add_put(b, 's', j->id, v);
 	}
-	if (!j->write_def || j->begun || cell_job_over(j->state)) {
+	if (!j->write_def || j->begun || cell_job_state_ended(j->state)) {
 		v = cell_job_pack_progress(j);
 		n += g_bytes_get_size(v);
 		add_put(b, 'p', j->id, v);
--- a/cell/journal.h
+++ b/cell/journal.h
@@ -11,21 +11,21 @@
 struct cell_journal;
 
 /* Result told to a callback that waited for the store. */
-enum cell_fate {
+enum cell_store_result {
 	CELL_STORED,
-	CELL_NOT_STORED,  /* certainly not stored, and never will be */
-	CELL_FATE_UNKNOWN /* ownership was lost first */
+	CELL_NOT_STORED,   /* certainly not stored, and never will be */
+	CELL_STORE_UNKNOWN /* ownership was lost first */
 };
 
 typedef void cell_stored_fn(
-    void *arg, uint64_t tag, enum cell_fate fate, ogl_time now);
+    void *arg, uint64_t tag, enum cell_store_result fate, ogl_time now);
 
 struct cell_journal *cell_journal_init(const struct cell_ops *ops,
     uint32_t shard, void (*lost)(void *arg, ogl_time now), void *arg);
 /* Creates the journal for the shard's stream of jobs.  lost is called when the
  * store has refused an append because it has seen a higher epoch. */
 
-void cell_journal_spare(struct cell_journal *g, bool thin_link);
+void cell_journal_set_slow_link(struct cell_journal *g, bool thin_link);
 /* On a thin link the journal makes fewer and larger appends. */
 void cell_journal_end(struct cell_journal *g);
 
@@ -35,7 +35,7 @@
  * the store took for the last append, 0 if unknown. */
 
 void cell_journal_close(struct cell_journal *g, ogl_time now);
-/* Stops writing.  All waiting callbacks get CELL_FATE_UNKNOWN, and answers that
+/* Stops writing.  All waiting callbacks get CELL_STORE_UNKNOWN, and answers that
  * arrive later are ignored. */
 
 void cell_journal_mark(
@@ -51,9 +51,9 @@
 void cell_journal_unmark(struct cell_journal *g, struct cell_job *j);
 /* Forgets the job; to be called before it is freed. */
 
-void cell_journal_after(
+void cell_journal_notify(
     struct cell_journal *g, cell_stored_fn *fn, void *arg, uint64_t tag);
-/* Calls fn once everything marked so far is stored, or with CELL_FATE_UNKNOWN
+/* Calls fn once everything marked so far is stored, or with CELL_STORE_UNKNOWN
  * when the journal is closed first.  Does nothing if it is closed already. */
 
 void cell_journal_submit(struct cell_journal *g, struct cell_job *j,
--- a/cell/known.h
+++ b/cell/known.h
@@ -12,7 +12,7 @@
 /* Returns the record with that number, to be stored now; numbers rise within an
  * epoch.  Workers that it calls silent or draining get no work from here on.
  * The ids of the others are appended to open_ids (to be freed): these may be
- * given work once the record is stored, see cell_fleet_named. */
+ * given work once the record is stored, see cell_fleet_record_stored. */
 
 typedef void cell_known_fn(
     void *arg, const Ogl__CellKnown *known, ogl_time now);
--- a/cell/lead.c
+++ b/cell/lead.c
@@ -803,7 +803,7 @@
 	struct cell_lead *l = s->lead;
 	int32_t ms = l->weak_delay_ms +
 		     g_rand_int_range(l->rand, 0, CLAIM_JITTER_MS) +
-		     (int32_t)cell_lead_owned(l) * OTHER_SHARD_DELAY_MS;
+		     (int32_t)cell_lead_owned_count(l) * OTHER_SHARD_DELAY_MS;
 
 	if (cell_shard_of_node(l->addr, l->shards) != s->shard)
 		ms += OTHER_SHARD_DELAY_MS;
@@ -837,7 +837,7 @@
 	if (s->own || s->claiming || s->reading_claims ||
 	    now < s->no_claim_until || s->claim_at != OGL_NEVER)
 		return;
-	if (!cell_lead_reads(s->lead, now))
+	if (!cell_lead_store_answers(s->lead, now))
 		return;
 	if (!vacant && !heartbeat_timed_out(s, now))
 		return;
@@ -868,7 +868,7 @@
 }
 
 bool
-cell_lead_unplanned(const struct cell_lead *l)
+cell_lead_needs_plan(const struct cell_lead *l)
 {
 	return l->loaded && l->shards == 0 && !l->planning;
 }
@@ -924,7 +924,7 @@
 }
 
 void
-cell_lead_retire(struct cell_lead *l)
+cell_lead_stop_claiming(struct cell_lead *l)
 {
 	l->retired = true;
 }
@@ -939,7 +939,7 @@
 }
 
 void
-cell_lead_outranked(struct cell_lead *l, uint32_t shard, ogl_time now)
+cell_lead_epoch_refused(struct cell_lead *l, uint32_t shard, ogl_time now)
 {
 	struct lead_shard *s = &l->by_shard[shard];
 
@@ -953,7 +953,7 @@
 }
 
 void
-cell_lead_doubt(
+cell_lead_suspect(
     struct cell_lead *l, uint32_t shard, uint64_t epoch, ogl_time now)
 {
 	struct lead_shard *s = &l->by_shard[shard];
@@ -977,7 +977,7 @@
  * answers again.
  */
 void
-cell_lead_hear(struct cell_lead *l, uint32_t shard, uint64_t epoch,
+cell_lead_learn_owner(struct cell_lead *l, uint32_t shard, uint64_t epoch,
     const char *addr, ogl_time now)
 {
 	struct lead_shard *s = &l->by_shard[shard];
@@ -1004,7 +1004,7 @@
  * shard whenever a node claims.
  */
 void
-cell_lead_heard(
+cell_lead_owner_alive(
     struct cell_lead *l, uint32_t shard, uint64_t epoch, ogl_time now)
 {
 	struct lead_shard *s = &l->by_shard[shard];
@@ -1031,7 +1031,7 @@
 }
 
 uint32_t
-cell_lead_owned(const struct cell_lead *l)
+cell_lead_owned_count(const struct cell_lead *l)
 {
 	uint32_t n = 0;
 	uint32_t i;
@@ -1078,7 +1078,7 @@
 }
 
 ogl_time
-cell_lead_confirmed(const struct cell_lead *l)
+cell_lead_confirmed_at(const struct cell_lead *l)
 {
 	return l->confirmed_at;
 }
@@ -1090,19 +1090,19 @@
 }
 
 bool
-cell_lead_reads(const struct cell_lead *l, ogl_time now)
+cell_lead_store_answers(const struct cell_lead *l, ogl_time now)
 {
 	return now - l->last_read_ok < READ_OK_MAX_AGE;
 }
 
 ogl_time
-cell_lead_store_took(const struct cell_lead *l)
+cell_lead_claim_took(const struct cell_lead *l)
 {
 	return l->claim_took;
 }
 
 ogl_time
-cell_lead_beat_took(const struct cell_lead *l, uint32_t shard)
+cell_lead_heartbeat_took(const struct cell_lead *l, uint32_t shard)
 {
 	return l->by_shard[shard].heartbeat_took;
 }
--- a/cell/lead.h
+++ b/cell/lead.h
@@ -40,7 +40,7 @@
 /* Starts the reads, heartbeats and claims that are due.  The caller runs it
  * about 20 times a second. */
 
-bool cell_lead_unplanned(const struct cell_lead *l);
+bool cell_lead_needs_plan(const struct cell_lead *l);
 /* Whether the stream was read and holds no number of shards yet. */
 void cell_lead_plan(struct cell_lead *l, uint32_t shards);
 /* Proposes a number of shards.  The first proposal that reaches the store is
@@ -49,34 +49,34 @@
 uint32_t cell_lead_shards(const struct cell_lead *l);
 /* Number of shards, 0 until the planned event.  The shard passed to any other
  * function must be below it. */
-uint32_t cell_lead_owned(const struct cell_lead *l);
+uint32_t cell_lead_owned_count(const struct cell_lead *l);
 /* Number of shards that this node owns. */
 
 void cell_lead_resign(struct cell_lead *l, uint32_t shard, ogl_time now);
 /* Gives up ownership at once and does not claim the shard again for several
  * seconds. */
 
-void cell_lead_retire(struct cell_lead *l);
+void cell_lead_stop_claiming(struct cell_lead *l);
 /* Stops all further claims because the process is about to end.  The node
  * keeps the shards it owns until it resigns or another node claims them. */
 
 void cell_lead_claim(struct cell_lead *l, uint32_t shard, ogl_time now);
 /* Claims the shard at once, at the request of its present owner. */
 
-void cell_lead_outranked(struct cell_lead *l, uint32_t shard, ogl_time now);
+void cell_lead_epoch_refused(struct cell_lead *l, uint32_t shard, ogl_time now);
 /* The store or a worker has refused this node's epoch; gives up ownership. */
 
-void cell_lead_doubt(
+void cell_lead_suspect(
     struct cell_lead *l, uint32_t shard, uint64_t epoch, ogl_time now);
 /* The owner of that epoch has reported that it lost ownership or that the store
  * does not take its writes.  Any node that reaches the store may claim at
  * once. */
 
-void cell_lead_hear(struct cell_lead *l, uint32_t shard, uint64_t epoch,
+void cell_lead_learn_owner(struct cell_lead *l, uint32_t shard, uint64_t epoch,
     const char *addr, ogl_time now);
 /* A peer has reported the owner of the shard in that epoch. */
 
-void cell_lead_heard(
+void cell_lead_owner_alive(
     struct cell_lead *l, uint32_t shard, uint64_t epoch, ogl_time now);
 /* The owner of that epoch has reported that it reaches the store. */
 
@@ -97,24 +97,24 @@
 void cell_lead_probe(struct cell_lead *l, ogl_time now);
 /* Reads the end of the ownership stream at once, in addition to the pending
  * long-poll read. */
-ogl_time cell_lead_confirmed(const struct cell_lead *l);
+ogl_time cell_lead_confirmed_at(const struct cell_lead *l);
 /* Time at which the last complete read of the stream was sent.  Every owner
  * that had announced itself by then is known. */
 bool cell_lead_announced(const struct cell_lead *l, uint32_t shard);
 /* Whether this node owns the shard and its first heartbeat is on the stream.
  * Before that it must not call a worker: an earlier owner relies on
- * cell_lead_confirmed to learn of any owner that calls workers. */
+ * cell_lead_confirmed_at to learn of any owner that calls workers. */
 
 bool cell_lead_may_act(const struct cell_lead *l, uint32_t shard, ogl_time now);
 /* Whether this node owns the shard and has read the ownership stream recently
  * enough to act as the owner. */
 
-bool cell_lead_reads(const struct cell_lead *l, ogl_time now);
+bool cell_lead_store_answers(const struct cell_lead *l, ogl_time now);
 /* Whether the store has answered a read of this node recently. */
 
-ogl_time cell_lead_store_took(const struct cell_lead *l);
+ogl_time cell_lead_claim_took(const struct cell_lead *l);
 /* How long the store took for this node's last successful claim, 0 if none. */
-ogl_time cell_lead_beat_took(const struct cell_lead *l, uint32_t shard);
+ogl_time cell_lead_heartbeat_took(const struct cell_lead *l, uint32_t shard);
 /* How long the store took for the last heartbeat that this node wrote as owner
  * of the shard, 0 if none. */
 
--- a/cell/node.c
+++ b/cell/node.c
@@ -181,7 +181,7 @@
 	m.body_case = OGL__CELL_MSG__BODY_CALL;
 	m.call = (Ogl__CellCall *)(uintptr_t)c;
 	if (c->job != NULL)
-		cell_relay_serve_spec(n->serve, c->id, c->job->spec);
+		cell_relay_serve_add_spec(n->serve, c->id, c->job->spec);
 	send_msg(n, shard, to, &m);
 }
 
@@ -393,7 +393,7 @@
 add_config(struct cell_node *n, const Ogl__CellPing *p, Ogl__CellPong *pong,
     ogl_time now)
 {
-	struct cell_front_config c = cell_front_known(n->front);
+	struct cell_front_config c = cell_front_known_config(n->front);
 	ogl_time age_ms = (now - c.as_of) / OGL_MS + 1;
 
 	if (!p->cut_off || c.version == 0)
@@ -415,7 +415,7 @@
 	const struct cell_zones *z = cell_front_zones(n->front);
 	GPtrArray *a = cell_zones_list(z);
 
-	if (p->cut_off && cell_zones_known(z)) {
+	if (p->cut_off && cell_zones_complete(z)) {
 		pong->zones_known_to = cell_zones_known_to(z);
 		pong->evacuated_zones = (char **)a->pdata;
 		pong->n_evacuated_zones = a->len;
@@ -436,7 +436,7 @@
 	c.as_of = (ogl_time)pong->stamp - pong->config_age_ms * OGL_MS;
 	c.record.p = (const char *)pong->config_record.data;
 	c.record.n = pong->config_record.len;
-	cell_front_learn(n->front, &c, now);
+	cell_front_learn_config(n->front, &c, now);
 	if (pong->zones_known_to > 0)
 		cell_front_learn_zones(n->front, pong->evacuated_zones,
 		    pong->n_evacuated_zones, pong->zones_known_to, now);
@@ -452,9 +452,9 @@
 	GPtrArray *zones;
 
 	if (p->lane)
-		cell_owner_node(s->owner, from, p->leaving, now);
+		cell_owner_advice_node(s->owner, from, p->leaving, now);
 	if (strcmp(from, n->addr) != 0)
-		cell_owner_relay(s->owner, from, p->leaving, now);
+		cell_owner_relay_node(s->owner, from, p->leaving, now);
 	resign_to_stronger(s, p, now);
 	update_successor(s, from, p, now);
 	pong.stamp = p->stamp;
@@ -483,10 +483,11 @@
 	if (owner == NULL || strcmp(owner, m->from) != 0)
 		return;
 	if (m->pong->owns == 0 || !m->pong->able)
-		cell_lead_doubt(lead, s->shard, m->epoch, now);
+		cell_lead_suspect(lead, s->shard, m->epoch, now);
 	else
-		cell_lead_heard(lead, s->shard, m->pong->owns, now);
-	cell_front_asks_first(s->node->front, s->shard, m->pong->asks_first);
+		cell_lead_owner_alive(lead, s->shard, m->pong->owns, now);
+	cell_front_set_asks_first(
+	    s->node->front, s->shard, m->pong->asks_first);
 	cell_front_delay(
 	    s->node->front, s->shard, now - (ogl_time)m->pong->stamp, now);
 }
@@ -509,7 +510,8 @@
 	struct cell_node *n = s->node;
 
 	if (*m->owner != '\0')
-		cell_lead_hear(n->lead, s->shard, m->epoch, m->owner, now);
+		cell_lead_learn_owner(
+		    n->lead, s->shard, m->epoch, m->owner, now);
 	switch (m->body_case) {
 	case OGL__CELL_MSG__BODY_PING:
 		handle_ping(s, m->from, m->ping, now);
@@ -539,7 +541,7 @@
 		handle_orders(n, m->shard, m->from, m->orders, now);
 		break;
 	case OGL__CELL_MSG__BODY_ORDER_ANSWERS:
-		cell_owner_ordered(s->owner, m->order_answers, now);
+		cell_owner_order_answers(s->owner, m->order_answers, now);
 		break;
 	default:
 		n->ops->count(n->ops->ctx, "peer_unknown_messages", 1);
@@ -558,11 +560,11 @@
 		return;
 	n->resumed_at = now;
 	for (i = 0; i < n->shards; i++)
-		cell_owner_doubt(n->per_shard[i].owner, now);
+		cell_owner_require_confirmation(n->per_shard[i].owner, now);
 }
 
 void
-cell_node_peer(struct cell_node *n, struct ogl_str msg, ogl_time now)
+cell_node_receive(struct cell_node *n, struct ogl_str msg, ogl_time now)
 {
 	Ogl__CellMsg *m =
 	    ogl__cell_msg__unpack(NULL, msg.n, (const uint8_t *)msg.p);
@@ -594,7 +596,7 @@
 		const char *p = g_bytes_get_data(b, &len);
 		struct ogl_str s = {p, len};
 
-		cell_node_peer(n, s, now);
+		cell_node_receive(n, s, now);
 		g_bytes_unref(b);
 	}
 }
@@ -612,7 +614,7 @@
 {
 	const struct cell_node *n = s->node;
 
-	if (cell_lead_owned(n->lead) > 0)
+	if (cell_lead_owned_count(n->lead) > 0)
 		return cell_lead_is_owner(n->lead, s->shard);
 	return cell_shard_of_node(n->addr, n->shards) == s->shard;
 }
@@ -625,13 +627,13 @@
 	Ogl__CellPing p = OGL__CELL_PING__INIT;
 
 	p.stamp = (uint64_t)now;
-	p.store_ok = cell_lead_reads(n->lead, now);
+	p.store_ok = cell_lead_store_answers(n->lead, now);
 	p.leaving = n->stopping;
 	p.strength = n->strength;
-	p.owned = cell_lead_owned(n->lead);
+	p.owned = cell_lead_owned_count(n->lead);
 	p.uptime_ms = (uint32_t)((now - n->started_at) / OGL_MS);
 	p.lane = lane;
-	p.config = cell_front_known(n->front).version;
+	p.config = cell_front_known_config(n->front).version;
 	p.cut_off = cell_front_cut_off(n->front, now);
 	m.body_case = OGL__CELL_MSG__BODY_PING;
 	m.ping = &p;
@@ -660,7 +662,7 @@
 	struct cell_node *n = arg;
 
 	cell_owner_open(n->per_shard[shard].owner, epoch,
-	    cell_lead_store_took(n->lead), now);
+	    cell_lead_claim_took(n->lead), now);
 }
 
 static void
@@ -684,7 +686,7 @@
 	s->handover_at = 0;
 	if (addr != NULL)
 		notify_last_owner(s, addr, now);
-	cell_front_owner(
+	cell_front_set_owner(
 	    n->front, shard, addr, cell_lead_epoch(n->lead, shard), now);
 }
 
@@ -693,7 +695,7 @@
 {
 	struct node_shard *s = arg;
 
-	cell_lead_outranked(s->node->lead, s->shard, now);
+	cell_lead_epoch_refused(s->node->lead, s->shard, now);
 }
 
 static void
@@ -707,17 +709,17 @@
 		struct node_shard *s = &n->per_shard[i];
 		struct cell_owner_events e = {on_outranked, send_reply,
 		    send_ask, send_part, send_orders, s};
-		struct cell_part p = {i, shards, n->link_kbps};
+		struct cell_owner_params p = {i, shards, n->link_kbps};
 
 		s->node = n;
 		s->shard = i;
 		s->owner = cell_owner_init(n->ops, &n->limits, &e, &p);
 		if (n->config == NULL)
 			continue;
-		cell_owner_zones(s->owner, cell_front_zones(n->front), now);
-		cell_owner_config(s->owner, n->config);
+		cell_owner_set_zones(s->owner, cell_front_zones(n->front), now);
+		cell_owner_set_config(s->owner, n->config);
 	}
-	cell_front_shards(n->front, shards);
+	cell_front_set_shards(n->front, shards);
 }
 
 static void
@@ -726,7 +728,7 @@
 	struct cell_node *n = arg;
 
 	(void)now;
-	if (cell_lead_unplanned(n->lead))
+	if (cell_lead_needs_plan(n->lead))
 		cell_lead_plan(n->lead, shards);
 }
 
@@ -789,7 +791,7 @@
 }
 
 void
-cell_node_limits(struct cell_node *n, const struct cell_limits *l)
+cell_node_set_limits(struct cell_node *n, const struct cell_limits *l)
 {
 	n->limits = *l;
 }
@@ -803,9 +805,9 @@
 }
 
 void
-cell_node_gone(struct cell_node *n, uint64_t token)
+cell_node_caller_gone(struct cell_node *n, uint64_t token)
 {
-	cell_front_gone(n->front, token);
+	cell_front_caller_gone(n->front, token);
 }
 
 static void
@@ -839,7 +841,7 @@
 		return;
 	n->zone_changes = cell_zones_changes(z);
 	for (i = 0; i < n->shards; i++)
-		cell_owner_zones(n->per_shard[i].owner, z, n->now);
+		cell_owner_set_zones(n->per_shard[i].owner, z, n->now);
 }
 
 /*
@@ -853,14 +855,14 @@
 	const struct cell_zones *z = cell_front_zones(n->front);
 	uint32_t i;
 
-	if (c == NULL || !cell_zones_known(z))
+	if (c == NULL || !cell_zones_complete(z))
 		return;
 	distribute_zones(n, z);
 	if (c == n->config)
 		return;
 	n->config = c;
 	for (i = 0; i < n->shards; i++)
-		cell_owner_config(n->per_shard[i].owner, c);
+		cell_owner_set_config(n->per_shard[i].owner, c);
 }
 
 /*
@@ -895,7 +897,7 @@
 	n->ops->log(n->ops->ctx, "node", "hands_over", text);
 	h.epoch = cell_lead_epoch(n->lead, s->shard);
 	h.store_ms =
-	    (uint32_t)(cell_lead_beat_took(n->lead, s->shard) / OGL_MS);
+	    (uint32_t)(cell_lead_heartbeat_took(n->lead, s->shard) / OGL_MS);
 	m.body_case = OGL__CELL_MSG__BODY_HANDOVER;
 	m.handover = &h;
 	send_msg(n, s->shard, s->successor, &m);
@@ -918,10 +920,10 @@
 
 	step_handover(s, now);
 	step_claim(s, now);
-	cell_owner_announced(s->owner, cell_lead_announced(lead, shard));
-	cell_owner_step(s->owner, cell_lead_confirmed(lead),
+	cell_owner_set_announced(s->owner, cell_lead_announced(lead, shard));
+	cell_owner_step(s->owner, cell_lead_confirmed_at(lead),
 	    cell_lead_may_act(lead, shard, now), now, wall);
-	if (cell_owner_wants_proof(s->owner))
+	if (cell_owner_awaits_confirmation(s->owner))
 		cell_lead_probe(lead, now);
 	if (cell_lead_addr(lead, shard) != NULL)
 		s->owner_known_at = now;
@@ -934,12 +936,12 @@
 
 	detect_pause(n, now);
 	for (i = 0; i < n->shards; i++)
-		cell_owner_ran(n->per_shard[i].owner, n->wake_at, now);
+		cell_owner_measure_load(n->per_shard[i].owner, n->wake_at, now);
 	n->stepped_at = now;
 	if (n->started_at == 0)
 		n->started_at = now;
 	n->now = now;
-	if (cell_lead_unplanned(n->lead))
+	if (cell_lead_needs_plan(n->lead))
 		cell_plan_step(n->plan, now);
 	cell_lead_step(n->lead, now);
 	cell_front_step(n->front, now);
@@ -975,7 +977,7 @@
 	n->stopping = true;
 	for (i = 0; i < n->shards; i++)
 		n->per_shard[i].ping_at = now;
-	cell_lead_retire(n->lead);
+	cell_lead_stop_claiming(n->lead);
 	for (i = 0; i < n->shards; i++)
 		step_handover(&n->per_shard[i], now);
 }
@@ -983,7 +985,8 @@
 bool
 cell_node_stopped(const struct cell_node *n)
 {
-	return cell_front_open(n->front) == 0 && cell_lead_owned(n->lead) == 0;
+	return cell_front_open_calls(n->front) == 0 &&
+	       cell_lead_owned_count(n->lead) == 0;
 }
 
 /* A node that knows no owner of some shard is not ready for callers: other
--- a/cell/node.h
+++ b/cell/node.h
@@ -28,7 +28,7 @@
 /* ops is borrowed until cell_node_end; c is copied. */
 void cell_node_end(struct cell_node *n);
 
-void cell_node_limits(struct cell_node *n, const struct cell_limits *l);
+void cell_node_set_limits(struct cell_node *n, const struct cell_limits *l);
 /* Sets the deployment's limits after a change. */
 
 void cell_node_call(struct cell_node *n, uint64_t token,
@@ -36,9 +36,9 @@
 /* Handles a caller's request; ops->reply is called once with its token.  No
  * earlier process of the node may have used the token, since answers to the
  * calls of that process can still arrive. */
-void cell_node_gone(struct cell_node *n, uint64_t token);
+void cell_node_caller_gone(struct cell_node *n, uint64_t token);
 /* The caller of that request has closed its connection. */
-void cell_node_peer(struct cell_node *n, struct ogl_str msg, ogl_time now);
+void cell_node_receive(struct cell_node *n, struct ogl_str msg, ogl_time now);
 /* Handles one message of a peer: a packed Ogl__CellMsg. */
 
 void cell_node_step(struct cell_node *n, ogl_time now, ogl_time wall);
--- a/cell/ops.h
+++ b/cell/ops.h
@@ -138,7 +138,7 @@
 };
 
 /* One run in a worker's answer to a hold: running or ended. */
-struct cell_row {
+struct cell_run_row {
 	struct cell_task_name task;
 	uint64_t run;
 	const char *checkpoint; /* "" none */
@@ -166,15 +166,15 @@
 
 /* Why a worker refused a call. */
 enum cell_refusal {
-	CELL_REFUSED_NOT,    /* not refused */
+	CELL_NOT_REFUSED,    /* not refused */
 	CELL_REFUSED_FENCE,  /* it has seen a higher fencing token */
 	CELL_REFUSED_OLD,    /* the run's number is not above the last */
 	CELL_REFUSED_LATE,   /* the lease asked for has already expired */
 	CELL_REFUSED_ROOM,   /* not enough room */
 	CELL_REFUSED_TICKET, /* no ticket, or one that is no longer valid */
 	CELL_REFUSED_BUSY,   /* unhealthy or overloaded */
-	CELL_REFUSED_LIFE,   /* the call is for another incarnation */
-	CELL_REFUSED_BAD     /* malformed */
+	CELL_REFUSED_INCARNATION, /* the call is for another incarnation */
+	CELL_REFUSED_BAD          /* malformed */
 };
 
 struct cell_hold_answer {
@@ -183,9 +183,9 @@
 	enum cell_refusal why;
 	uint64_t clock_ms; /* the worker's clock */
 	uint64_t born_ms;  /* start of its incarnation, Unix ms */
-	const struct cell_row *running;
+	const struct cell_run_row *running;
 	size_t nrunning;
-	const struct cell_row *ended;
+	const struct cell_run_row *ended;
 	size_t nended;
 };
 
@@ -257,9 +257,9 @@
 	CELL_NO_QUEUE,
 	CELL_NO_JOB,
 	CELL_BAD_METHOD,
-	CELL_OVER,  /* refused: the team is over its rate */
-	CELL_BUSY,  /* refused: to be retried */
-	CELL_UNSURE /* may be accepted: to be retried with the same id */
+	CELL_OVER_RATE, /* refused: the team is over its rate */
+	CELL_BUSY,      /* refused: to be retried */
+	CELL_UNSURE     /* may be accepted: to be retried with the same id */
 };
 
 struct cell_answer {
--- a/cell/order_msg.c
+++ b/cell/order_msg.c
@@ -58,15 +58,15 @@
 	}
 }
 
-struct cell_row *
+struct cell_run_row *
 cell_rows_from_msg(Ogl__CellRunRow *const *list, size_t n)
 {
-	struct cell_row *rows = g_new0(struct cell_row, n);
+	struct cell_run_row *rows = g_new0(struct cell_run_row, n);
 	size_t i;
 
 	for (i = 0; i < n; i++) {
 		const Ogl__CellRunRow *m = list[i];
-		struct cell_row *row = &rows[i];
+		struct cell_run_row *row = &rows[i];
 
 		g_strlcpy(row->task.id, m->job, sizeof row->task.id);
 		row->task.occurrence = m->occurrence;
@@ -84,7 +84,7 @@
 }
 
 Ogl__CellRunRow **
-cell_rows_to_msg(const struct cell_row *rows, size_t n)
+cell_rows_to_msg(const struct cell_run_row *rows, size_t n)
 {
 	Ogl__CellRunRow **list = malloc(n * sizeof(Ogl__CellRunRow *));
 	size_t i;
--- a/cell/order_msg.h
+++ b/cell/order_msg.h
@@ -17,9 +17,9 @@
 /* An outcome that is not known, of a later version, counts as lost. */
 Ogl__CellOrderOutcome cell_order_outcome_from_io(enum ogl_io_result io);
 
-struct cell_row *cell_rows_from_msg(Ogl__CellRunRow *const *list, size_t n);
+struct cell_run_row *cell_rows_from_msg(Ogl__CellRunRow *const *list, size_t n);
 /* Result: n rows that borrow from the messages; free with g_free. */
-Ogl__CellRunRow **cell_rows_to_msg(const struct cell_row *rows, size_t n);
+Ogl__CellRunRow **cell_rows_to_msg(const struct cell_run_row *rows, size_t n);
 /* Result: n messages, owned by the message that they are put into. */
 
 void cell_entry_from_msg(const Ogl__CellEntry *m, struct cell_record *r,
--- a/cell/owner.c
+++ b/cell/owner.c
@@ -74,7 +74,7 @@
 
 struct cell_owner {
 	const struct cell_ops *ops;
-	struct cell_part params;
+	struct cell_owner_params params;
 	const struct cell_limits *limits;
 	struct cell_owner_events events;
 	struct cell_config *config;
@@ -151,8 +151,9 @@
 	struct cell_owner *o = arg;
 	struct cell_job *j = job_of(o, name->id);
 
-	return j != NULL && !cell_job_over(j->state) ? cell_job_stage(j, name)
-						     : NULL;
+	return j != NULL && !cell_job_state_ended(j->state)
+		   ? cell_job_stage(j, name)
+		   : NULL;
 }
 
 static uint32_t
@@ -200,14 +201,15 @@
 			continue;
 		if (j->def->repeats > 0 && due > o->wall)
 			break;
-		add_ready_stages(o, j, cell_job_begin(j, k, due));
+		add_ready_stages(o, j, cell_job_begin_occurrence(j, k, due));
 	}
 }
 
 /* ---- the end of a job ------------------------------------------------- */
 
 static void
-on_end_stored(void *arg, uint64_t tag, enum cell_fate fate, ogl_time now)
+on_end_stored(
+    void *arg, uint64_t tag, enum cell_store_result fate, ogl_time now)
 {
 	struct store_wait *n = arg;
 	struct cell_job *j;
@@ -231,7 +233,7 @@
 
 	n->owner = o;
 	n->name = g_strdup(name);
-	cell_journal_after(o->journal, fn, n, tag);
+	cell_journal_notify(o->journal, fn, n, tag);
 }
 
 /*
@@ -251,7 +253,7 @@
 		if (t->done || t->run == 0 || t->active != NULL)
 			continue;
 		t->supposed = true;
-		cell_fleet_suppose(o->fleet, st->job->def->team, &need);
+		cell_fleet_team_charge(o->fleet, st->job->def->team, &need);
 	}
 }
 
@@ -263,7 +265,7 @@
 	if (!t->supposed)
 		return;
 	t->supposed = false;
-	cell_fleet_suppose_not(o->fleet, st->job->def->team, &need);
+	cell_fleet_team_uncharge(o->fleet, st->job->def->team, &need);
 }
 
 static void
@@ -283,7 +285,7 @@
 	uint32_t i;
 
 	for (i = 0; i < st->ntasks; i++) {
-		if (now >= cell_stage_keeper(st, i)->due)
+		if (now >= cell_stage_shared_task(st, i)->due)
 			clear_assumed(o, st, &st->tasks[i]);
 	}
 }
@@ -343,8 +345,8 @@
 	    "state=%s why=%s age_ms=%" G_GINT64_FORMAT
 	    " chain_ms=%.0f objective_ms=%.0f",
 	    state_name(state), why, (now - j->accepted) / OGL_MS,
-	    cell_job_took_chain_ms(j),
-	    cell_sched_took_objective_ms(o->sched, j));
+	    cell_job_measured_chain_ms(j),
+	    cell_sched_measured_objective_ms(o->sched, j));
 	log_job(o, j, "job_ended", more);
 	o->ops->observe(
 	    o->ops->ctx, "job_ms", (uint64_t)((now - j->accepted) / OGL_MS));
@@ -457,10 +459,10 @@
 task_failed(struct cell_owner *o, struct cell_stage *st, uint32_t index,
     uint64_t run, const char *worker, ogl_time now)
 {
-	struct cell_task *t = cell_stage_keeper(st, index);
+	struct cell_task *t = cell_stage_shared_task(st, index);
 	struct cell_queue q = cell_queue_of_job(o->config, st->job->def);
 
-	if (!cell_task_fail(t, run))
+	if (!cell_task_record_failure(t, run))
 		return;
 	g_free(st->tasks[index].avoid);
 	st->tasks[index].avoid = g_strdup(worker);
@@ -483,7 +485,8 @@
 	if (t->done)
 		return;
 	clear_assumed(o, st, t);
-	cell_task_save(cell_stage_keeper(st, index), checkpoint);
+	cell_task_save_checkpoint(
+	    cell_stage_shared_task(st, index), checkpoint);
 	job_changed(o, j, true, now);
 	if (how == CELL_END_DONE && !st->def->lasting) {
 		cell_worker_result(w, j->id, true, now);
@@ -496,7 +499,7 @@
 		cell_worker_result(w, j->id, false, now);
 		task_failed(o, st, index, run, w->id, now);
 	}
-	if (!cell_job_over(j->state))
+	if (!cell_job_state_ended(j->state))
 		stage_progress(o, st, now);
 }
 
@@ -526,7 +529,7 @@
 		return;
 	/* If an earlier owner started the run, its start time is not known. */
 	if (how == CELL_END_DONE && r->ordered)
-		cell_job_took(
+		cell_job_record_run_ms(
 		    st->job, st->step, (double)(now - r->began) / OGL_MS);
 	detach_run(st, &st->tasks[r->name.index], r);
 	apply_end(o, st, r->name.index, r->number, how,
@@ -540,7 +543,7 @@
 {
 	struct cell_owner *o = arg;
 	struct cell_stage *st = r->stage;
-	struct cell_good *g;
+	struct cell_approval *g;
 	char more[32];
 
 	g_snprintf(more, sizeof more, "why=%d", (int)why);
@@ -549,8 +552,8 @@
 	if (st == NULL)
 		return;
 	detach_run(st, &st->tasks[r->name.index], r);
-	if (why == CELL_REFUSED_TICKET || why == CELL_REFUSED_LIFE) {
-		g = cell_stage_good(st, r->worker->serial);
+	if (why == CELL_REFUSED_TICKET || why == CELL_REFUSED_INCARNATION) {
+		g = cell_stage_approval(st, r->worker->serial);
 		if (g != NULL)
 			g->until = 0;
 	}
@@ -590,7 +593,7 @@
 
 /* The stage that has a use for a run found on a worker, NULL if none has. */
 static struct cell_stage *
-find_stage_for_run(struct cell_owner *o, const struct cell_row *row)
+find_stage_for_run(struct cell_owner *o, const struct cell_run_row *row)
 {
 	struct cell_stage *st = open_stage(o, &row->task);
 	struct cell_task *t;
@@ -604,15 +607,15 @@
 }
 
 static void
-on_found(
-    void *arg, struct cell_worker *w, const struct cell_row *row, ogl_time now)
+on_found(void *arg, struct cell_worker *w, const struct cell_run_row *row,
+    ogl_time now)
 {
 	struct cell_owner *o = arg;
 	struct cell_stage *st = find_stage_for_run(o, row);
 	struct cell_task *t;
 
 	if (st == NULL) {
-		cell_fleet_stray(o->fleet, w, row, now);
+		cell_fleet_stop_orphan(o->fleet, w, row, now);
 		return;
 	}
 	t = &st->tasks[row->task.index];
@@ -628,15 +631,15 @@
 }
 
 static void
-on_found_end(
-    void *arg, struct cell_worker *w, const struct cell_row *row, ogl_time now)
+on_found_end(void *arg, struct cell_worker *w, const struct cell_run_row *row,
+    ogl_time now)
 {
 	struct cell_owner *o = arg;
 	struct cell_job *j = job_of(o, row->task.id);
 	struct cell_stage *st;
 	char more[160];
 
-	if (j == NULL || cell_job_over(j->state))
+	if (j == NULL || cell_job_state_ended(j->state))
 		return;
 	st = cell_job_stage(j, &row->task);
 	if (st == NULL)
@@ -652,7 +655,8 @@
 }
 
 static void
-on_ends_stored(void *arg, uint64_t tag, enum cell_fate fate, ogl_time now)
+on_ends_stored(
+    void *arg, uint64_t tag, enum cell_store_result fate, ogl_time now)
 {
 	struct store_wait *n = arg;
 	struct cell_worker *w;
@@ -661,7 +665,8 @@
 	if (fate == CELL_STORED) {
 		w = cell_fleet_worker(n->owner->fleet, n->name);
 		if (w != NULL)
-			cell_fleet_noted(n->owner->fleet, w, n->life, tag);
+			cell_fleet_ends_stored(
+			    n->owner->fleet, w, n->life, tag);
 	}
 	g_free(n->name);
 	g_free(n);
@@ -677,7 +682,7 @@
 	n->owner = o;
 	n->name = g_strdup(w->id);
 	n->life = w->life;
-	cell_journal_after(o->journal, on_ends_stored, n, w->taken);
+	cell_journal_notify(o->journal, on_ends_stored, n, w->taken);
 }
 
 static void
@@ -811,7 +816,7 @@
 	largest = fraction(used.cpu_milli, t->max.cpu_milli);
 	largest = MAX(largest, fraction(used.mem_mb, t->max.mem_mb));
 	largest = MAX(largest, fraction(used.accel, t->max.accel));
-	return (uint32_t)(MIN(largest, 1.0) * CELL_PART_WHOLE);
+	return (uint32_t)(MIN(largest, 1.0) * CELL_PART_WHOLE_PPM);
 }
 
 static void
@@ -843,14 +848,14 @@
 	ogl_time age = o->wall - (ogl_time)def->accepted_ms * OGL_MS;
 	struct cell_job *j;
 
-	if (p != NULL && cell_job_over(p->state)) {
+	if (p != NULL && cell_job_state_ended(p->state)) {
 		ogl__cell_job__free_unpacked(def, NULL);
 		return; /* it has ended: see restore_ended_jobs */
 	}
 	j = cell_job_new(def, now - MAX(age, 0));
 	j->stored = true;
 	if (p != NULL)
-		cell_job_apply(j, p);
+		cell_job_restore_progress(j, p);
 	g_hash_table_insert(o->jobs, j->id, j);
 }
 
@@ -879,7 +884,7 @@
 	struct cell_owner *o = arg;
 
 	cell_fleet_expect(o->fleet, k, now);
-	cell_held_add(o->held, k, cell_fleet_lapse(o->fleet));
+	cell_held_add(o->held, k, cell_fleet_old_leases_end(o->fleet));
 }
 
 /* A record of the workers that is being stored. */
@@ -890,7 +895,8 @@
 };
 
 static void
-on_workers_stored(void *arg, uint64_t tag, enum cell_fate fate, ogl_time now)
+on_workers_stored(
+    void *arg, uint64_t tag, enum cell_store_result fate, ogl_time now)
 {
 	struct workers_record *n = arg;
 	guint i;
@@ -898,7 +904,8 @@
 	(void)tag;
 	(void)now;
 	for (i = 0; fate == CELL_STORED && i < n->ids->len; i++)
-		cell_fleet_named(n->owner->fleet, n->ids->pdata[i], n->number);
+		cell_fleet_record_stored(
+		    n->owner->fleet, n->ids->pdata[i], n->number);
 	g_ptr_array_unref(n->ids);
 	g_free(n);
 }
@@ -919,7 +926,7 @@
 	n->number = ++o->worker_records;
 	record = cell_known_pack(o->fleet, n->number, n->ids, now);
 	cell_journal_put(o->journal, CELL_WORKERS_KEY, record, now);
-	cell_journal_after(o->journal, on_workers_stored, n, 0);
+	cell_journal_notify(o->journal, on_workers_stored, n, 0);
 }
 
 /* Only the progress record of a job that has ended is left. */
@@ -934,9 +941,9 @@
 		const Ogl__CellProgress *m = p;
 		struct cell_job *j;
 
-		if (!cell_job_over(m->state) || job_of(o, id) != NULL)
+		if (!cell_job_state_ended(m->state) || job_of(o, id) != NULL)
 			continue;
-		j = cell_job_ended(id, m);
+		j = cell_job_new_ended(id, m);
 		j->shown = true;
 		g_hash_table_insert(o->jobs, j->id, j);
 	}
@@ -961,7 +968,7 @@
 		}
 		if (oc->nstages_done == j->def->n_steps) {
 			occurrence_done(o, j, oc, now);
-			if (cell_job_over(j->state))
+			if (cell_job_state_ended(j->state))
 				return;
 			i--;
 		}
@@ -989,7 +996,7 @@
 	for (at = all; at != NULL; at = at->next) {
 		struct cell_job *j = at->data;
 
-		if (!cell_job_over(j->state))
+		if (!cell_job_state_ended(j->state))
 			resume_job(o, j, now);
 	}
 	g_list_free(all);
@@ -1050,7 +1057,8 @@
 
 struct cell_owner *
 cell_owner_init(const struct cell_ops *ops, const struct cell_limits *limits,
-    const struct cell_owner_events *events, const struct cell_part *params)
+    const struct cell_owner_events *events,
+    const struct cell_owner_params *params)
 {
 	struct cell_owner *o = g_new0(struct cell_owner, 1);
 	struct cell_fleet_events fleet_events = {on_ended, on_refused, on_found,
@@ -1073,7 +1081,7 @@
 	o->events = *events;
 	o->relay = cell_relay_init(ops, params->link_kbps, &relay_events);
 	o->worker_ops = *ops;
-	cell_relay_fill(o->relay, &o->worker_ops);
+	cell_relay_set_ops(o->relay, &o->worker_ops);
 	o->link_load.fall_per_second = LINK_REFUSAL_FALL_PER_SECOND;
 	o->jobs =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
@@ -1159,17 +1167,18 @@
 }
 
 void
-cell_owner_config(struct cell_owner *o, struct cell_config *c)
+cell_owner_set_config(struct cell_owner *o, struct cell_config *c)
 {
 	cell_config_ref(c);
 	cell_config_unref(o->config);
 	o->config = c;
-	cell_sched_config(o->sched, c);
+	cell_sched_set_config(o->sched, c);
 	o->pass_needed = true;
 }
 
 void
-cell_owner_zones(struct cell_owner *o, const struct cell_zones *z, ogl_time now)
+cell_owner_set_zones(
+    struct cell_owner *o, const struct cell_zones *z, ogl_time now)
 {
 	cell_fleet_zones(o->fleet, z, now);
 	o->pass_needed = true;
@@ -1242,7 +1251,7 @@
 {
 	guint i;
 
-	if (j == NULL || j->stored || cell_job_over(j->state))
+	if (j == NULL || j->stored || cell_job_state_ended(j->state))
 		return;
 	log_job(o, j, "job_refused", "why=store_refused");
 	for (i = 0; i < j->occurrences->len; i++)
@@ -1253,7 +1262,8 @@
 }
 
 static void
-on_submit_stored(void *arg, uint64_t tag, enum cell_fate fate, ogl_time now)
+on_submit_stored(
+    void *arg, uint64_t tag, enum cell_store_result fate, ogl_time now)
 {
 	struct waiting_call *w = arg;
 	struct cell_owner *o = w->owner;
@@ -1283,7 +1293,8 @@
 
 /* Answers a call once the change that it made to a job is stored. */
 static void
-on_call_stored(void *arg, uint64_t tag, enum cell_fate fate, ogl_time now)
+on_call_stored(
+    void *arg, uint64_t tag, enum cell_store_result fate, ogl_time now)
 {
 	struct waiting_call *w = arg;
 
@@ -1428,7 +1439,7 @@
 	j->over = over;
 	j->def->accepted_ms = (uint64_t)(o->wall / OGL_MS);
 	g_hash_table_insert(o->jobs, j->id, j);
-	cell_relay_told(o->relay, j->id, from);
+	cell_relay_note_spec(o->relay, j->id, from);
 	cell_journal_submit(o->journal, j, on_submit_stored, w, 0, now);
 	begin_due_occurrences(o, j);
 }
@@ -1444,7 +1455,7 @@
 reply_absent(struct cell_owner *o, const char *from, const Ogl__CellCall *c,
     ogl_time now)
 {
-	bool confirmed_lately = !cell_fleet_wants_proof(o->fleet) &&
+	bool confirmed_lately = !cell_fleet_awaits_confirmation(o->fleet) &&
 				now - o->confirmed < CONFIRMATION_AGE_MAX;
 
 	reply(o, from, c->token,
@@ -1463,10 +1474,10 @@
 		reply_absent(o, from, c, now);
 		return;
 	}
-	if (!cell_job_over(j->state))
+	if (!cell_job_state_ended(j->state))
 		end_job(o, j, OGL__CELL_JOB_STATE__cell_cancelled, "cancelled",
 		    now);
-	cell_journal_after(
+	cell_journal_notify(
 	    o->journal, on_call_stored, waiting_call_new(o, from, c), 0);
 }
 
@@ -1483,7 +1494,7 @@
 	}
 	r.token = c->token;
 	r.state = j->state;
-	if (cell_job_over(j->state) && !j->shown)
+	if (cell_job_state_ended(j->state) && !j->shown)
 		r.state = OGL__CELL_JOB_STATE__cell_running;
 	o->events.reply(o->events.arg, from, &r);
 }
@@ -1545,28 +1556,28 @@
 cell_owner_part(struct cell_owner *o, const Ogl__CellPart *m, ogl_time now)
 {
 	if (o->phase == PHASE_SERVING)
-		cell_escrow_take(o->escrow, m, now);
+		cell_escrow_receive(o->escrow, m, now);
 }
 
 void
-cell_owner_node(
+cell_owner_advice_node(
     struct cell_owner *o, const char *addr, bool leaving, ogl_time now)
 {
 	if (leaving)
-		cell_advice_no_node(o->advice, addr);
+		cell_advice_remove_node(o->advice, addr);
 	else
-		cell_advice_node(o->advice, addr, now);
+		cell_advice_update_node(o->advice, addr, now);
 }
 
 void
-cell_owner_relay(
+cell_owner_relay_node(
     struct cell_owner *o, const char *addr, bool leaving, ogl_time now)
 {
-	cell_relay_node(o->relay, addr, leaving, now);
+	cell_relay_update_node(o->relay, addr, leaving, now);
 }
 
 void
-cell_owner_ordered(
+cell_owner_order_answers(
     struct cell_owner *o, const Ogl__CellOrderAnswers *m, ogl_time now)
 {
 	size_t i;
@@ -1671,7 +1682,7 @@
 }
 
 static void
-on_forgotten(void *arg, uint64_t tag, enum cell_fate fate, ogl_time now)
+on_forgotten(void *arg, uint64_t tag, enum cell_store_result fate, ogl_time now)
 {
 	struct store_wait *n = arg;
 
@@ -1714,13 +1725,13 @@
 	for (at = all; at != NULL; at = at->next) {
 		struct cell_job *j = at->data;
 
-		if (cell_job_over(j->state))
+		if (cell_job_state_ended(j->state))
 			forget_ended(o, j, now);
 		else
 			sweep_job(o, j, now);
 	}
 	g_list_free(all);
-	if (o->settled && now > cell_fleet_lapse(o->fleet))
+	if (o->settled && now > cell_fleet_old_leases_end(o->fleet))
 		o->holds_tasks = false;
 	o->pass_needed = true;
 }
@@ -1735,7 +1746,7 @@
 }
 
 void
-cell_owner_announced(struct cell_owner *o, bool announced)
+cell_owner_set_announced(struct cell_owner *o, bool announced)
 {
 	o->announced = announced;
 }
@@ -1744,7 +1755,8 @@
 static void
 serve(struct cell_owner *o, ogl_time confirmed, bool may_act, ogl_time now)
 {
-	if (cell_roster_loaded(o->roster) && cell_fleet_names_changed(o->fleet))
+	if (cell_roster_loaded(o->roster) &&
+	    cell_fleet_record_outdated(o->fleet))
 		store_workers(o, now);
 	cell_journal_step(o->journal, now);
 	if (!may_act)
@@ -1775,8 +1787,8 @@
 	cell_loader_step(o->loader, now);
 	cell_roster_step(o->roster, now);
 	cell_relay_step(o->relay, workers, now);
-	cell_journal_spare(o->journal, cell_relay_thin(o->relay));
-	cell_sched_spare(o->sched, cell_relay_thin(o->relay));
+	cell_journal_set_slow_link(o->journal, cell_relay_active(o->relay));
+	cell_sched_set_slow_link(o->sched, cell_relay_active(o->relay));
 	if (o->phase == PHASE_SERVING)
 		serve(o, confirmed, may_act, now);
 	cell_relay_flush(o->relay, now);
@@ -1809,9 +1821,9 @@
 }
 
 void
-cell_owner_ran(struct cell_owner *o, ogl_time due, ogl_time now)
+cell_owner_measure_load(struct cell_owner *o, ogl_time due, ogl_time now)
 {
-	ogl_time delay = cell_relay_delay(o->relay, now);
+	ogl_time delay = cell_relay_min_delay(o->relay, now);
 
 	step_load(o, &o->load, "processor", due, now);
 	step_load(o, &o->link_load, "link", now - delay, now);
@@ -1824,15 +1836,16 @@
 }
 
 bool
-cell_owner_wants_proof(const struct cell_owner *o)
+cell_owner_awaits_confirmation(const struct cell_owner *o)
 {
-	return o->phase == PHASE_SERVING && cell_fleet_wants_proof(o->fleet);
+	return o->phase == PHASE_SERVING &&
+	       cell_fleet_awaits_confirmation(o->fleet);
 }
 
 void
-cell_owner_doubt(struct cell_owner *o, ogl_time now)
+cell_owner_require_confirmation(struct cell_owner *o, ogl_time now)
 {
-	cell_fleet_doubt(o->fleet, now);
+	cell_fleet_require_confirmation(o->fleet, now);
 }
 
 ogl_time
--- a/cell/owner.h
+++ b/cell/owner.h
@@ -28,7 +28,7 @@
 };
 
 /* The shard of an owner, and the link of its node. */
-struct cell_part {
+struct cell_owner_params {
 	uint32_t shard;
 	uint32_t shards;    /* in the whole cell */
 	uint32_t link_kbps; /* capacity of the node's own link, 0 not known */
@@ -36,7 +36,7 @@
 
 struct cell_owner *cell_owner_init(const struct cell_ops *ops,
     const struct cell_limits *limits, const struct cell_owner_events *events,
-    const struct cell_part *params);
+    const struct cell_owner_params *params);
 void cell_owner_end(struct cell_owner *o);
 
 void cell_owner_open(
@@ -53,8 +53,8 @@
 /* Gives the shard up: calls still waiting for the store are answered with
  * cell_not_owner, as their outcome is unknown. */
 
-void cell_owner_config(struct cell_owner *o, struct cell_config *c);
-void cell_owner_zones(
+void cell_owner_set_config(struct cell_owner *o, struct cell_config *c);
+void cell_owner_set_zones(
     struct cell_owner *o, const struct cell_zones *z, ogl_time now);
 /* Sets the evacuated zones, which are borrowed as long as the owner lives.  To
  * be called again when they have changed. */
@@ -69,35 +69,35 @@
 void cell_owner_part(
     struct cell_owner *o, const Ogl__CellPart *m, ogl_time now);
 /* Takes a message about a team's limit from the owner of m->from_shard. */
-void cell_owner_node(
+void cell_owner_advice_node(
     struct cell_owner *o, const char *addr, bool leaving, ogl_time now);
 /* Adds a node that can query the advice service, or removes it if leaving.  To
  * be called again at least each second while the node is up. */
-void cell_owner_relay(
+void cell_owner_relay_node(
     struct cell_owner *o, const char *addr, bool leaving, ogl_time now);
 /* Adds a node that can call workers, or removes it if leaving.  To be called
  * again at least each second while the node is up. */
-void cell_owner_ordered(
+void cell_owner_order_answers(
     struct cell_owner *o, const Ogl__CellOrderAnswers *m, ogl_time now);
 /* Takes the answers of workers to calls that another node made. */
 
-void cell_owner_announced(struct cell_owner *o, bool announced);
+void cell_owner_set_announced(struct cell_owner *o, bool announced);
 /* Whether the ownership is announced; no worker is called before. */
 void cell_owner_step(struct cell_owner *o, ogl_time confirmed, bool may_act,
     ogl_time now, ogl_time wall);
 /* Does what is due.  confirmed: time as of which the store last confirmed the
  * ownership; may_act: whether workers may be given orders; wall: the wall
  * clock. */
-void cell_owner_ran(struct cell_owner *o, ogl_time due, ogl_time now);
+void cell_owner_measure_load(struct cell_owner *o, ogl_time due, ogl_time now);
 /* Measures the load: the process runs at `now` and had asked to run at `due` at
  * the latest.  While it runs late, a part of the new jobs is refused. */
 bool cell_owner_asks_first(const struct cell_owner *o);
 /* Whether it refuses some new jobs, so that it is to be asked before it is sent
  * one. */
-bool cell_owner_wants_proof(const struct cell_owner *o);
+bool cell_owner_awaits_confirmation(const struct cell_owner *o);
 /* Whether a worker waits to be given work until the ownership is confirmed
  * again. */
-void cell_owner_doubt(struct cell_owner *o, ogl_time now);
+void cell_owner_require_confirmation(struct cell_owner *o, ogl_time now);
 /* This process may have been paused: nothing is started until the ownership is
  * confirmed as of now. */
 ogl_time cell_owner_wake(const struct cell_owner *o);
--- a/cell/relay.c
+++ b/cell/relay.c
@@ -195,7 +195,7 @@
 }
 
 void
-cell_relay_node(
+cell_relay_update_node(
     struct cell_relay *r, const char *addr, bool leaving, ogl_time now)
 {
 	struct node *n = g_hash_table_lookup(r->nodes, addr);
@@ -255,7 +255,7 @@
 }
 
 void
-cell_relay_told(struct cell_relay *r, const char *job, const char *addr)
+cell_relay_note_spec(struct cell_relay *r, const char *job, const char *addr)
 {
 	if (r->active)
 		g_hash_table_replace(
@@ -420,7 +420,7 @@
 		x->spec = g_strdup(o->spec);
 	} else {
 		add_spec(m, o->spec);
-		cell_relay_told(r, o->task.id, n->addr);
+		cell_relay_note_spec(r, o->task.id, n->addr);
 	}
 	batch_add(r, n, m);
 }
@@ -497,7 +497,7 @@
 }
 
 void
-cell_relay_fill(struct cell_relay *r, struct cell_ops *ops)
+cell_relay_set_ops(struct cell_relay *r, struct cell_ops *ops)
 {
 	ops->read = relay_read;
 	ops->newest = relay_newest;
@@ -549,8 +549,9 @@
 {
 	const Ogl__CellOrderAnswer none = OGL__CELL_ORDER_ANSWER__INIT;
 	const Ogl__CellOrderAnswer *x = m != NULL ? m : &none;
-	struct cell_row *running = cell_rows_from_msg(x->running, x->n_running);
-	struct cell_row *ended = cell_rows_from_msg(x->ended, x->n_ended);
+	struct cell_run_row *running =
+	    cell_rows_from_msg(x->running, x->n_running);
+	struct cell_run_row *ended = cell_rows_from_msg(x->ended, x->n_ended);
 	struct cell_hold_answer a = {.io = io,
 	    .why = why,
 	    .no_listener = x->no_listener,
@@ -575,7 +576,7 @@
 	    m != NULL ? cell_order_outcome_to_io(m->outcome) : OGL_IO_LOST;
 	enum cell_refusal why = m != NULL && m->refusal <= CELL_REFUSED_BAD
 				    ? (enum cell_refusal)m->refusal
-				    : CELL_REFUSED_NOT;
+				    : CELL_NOT_REFUSED;
 
 	if (o->worker != NULL)
 		update_losses(r, o->worker, io == OGL_IO_LOST, now);
@@ -635,7 +636,7 @@
 }
 
 ogl_time
-cell_relay_delay(const struct cell_relay *r, ogl_time now)
+cell_relay_min_delay(const struct cell_relay *r, ogl_time now)
 {
 	if (now - r->window_start > 2 * DELAY_WINDOW)
 		return 0;
@@ -805,7 +806,7 @@
 }
 
 bool
-cell_relay_thin(const struct cell_relay *r)
+cell_relay_active(const struct cell_relay *r)
 {
 	return r->active;
 }
--- a/cell/relay.h
+++ b/cell/relay.h
@@ -27,7 +27,7 @@
 void cell_relay_end(struct cell_relay *r);
 /* Calls in progress end as lost. */
 
-void cell_relay_fill(struct cell_relay *r, struct cell_ops *ops);
+void cell_relay_set_ops(struct cell_relay *r, struct cell_ops *ops);
 /* Sets the functions read, newest, start, stop and hold of the table, and their
  * argument, to those of the relay. */
 
@@ -37,12 +37,13 @@
 void cell_relay_close(struct cell_relay *r, ogl_time now);
 /* The ownership has ended: orders not yet sent are withdrawn, and end as not
  * sent. */
-void cell_relay_node(
+void cell_relay_update_node(
     struct cell_relay *r, const char *addr, bool leaving, ogl_time now);
 /* The node at addr is up, or shuts down if leaving is set.  To be called for
  * each node that is up at least once per second. */
 
-void cell_relay_told(struct cell_relay *r, const char *job, const char *addr);
+void cell_relay_note_spec(
+    struct cell_relay *r, const char *job, const char *addr);
 /* The node at addr has the job's spec, because it forwarded the job. */
 void cell_relay_forget(struct cell_relay *r, const char *job);
 /* No more tasks of the job will be started. */
@@ -58,13 +59,13 @@
 ogl_time cell_relay_wake(const struct cell_relay *r);
 /* When the next batch is due; OGL_NEVER if there is none. */
 
-ogl_time cell_relay_delay(const struct cell_relay *r, ogl_time now);
+ogl_time cell_relay_min_delay(const struct cell_relay *r, ogl_time now);
 /* Shortest time in which a recent start or stop was answered; 0 if there is
  * none.  Workers and relays differ in speed: the delay that all answers have in
  * common is that of this node's link.  Holds are left out, as they wait at the
  * worker. */
 
-bool cell_relay_thin(const struct cell_relay *r);
+bool cell_relay_active(const struct cell_relay *r);
 /* Whether the link is too slow to call the workers over it. */
 
 #endif
--- a/cell/relay_serve.c
+++ b/cell/relay_serve.c
@@ -330,7 +330,7 @@
 }
 
 void
-cell_relay_serve_spec(
+cell_relay_serve_add_spec(
     struct cell_relay_serve *v, const char *job, const char *spec)
 {
 	spec_cache_add(&v->specs, job, spec);
--- a/cell/relay_serve.h
+++ b/cell/relay_serve.h
@@ -17,7 +17,7 @@
 void cell_relay_serve_end(struct cell_relay_serve *v);
 /* Calls in progress may still end afterwards; their answers are discarded. */
 
-void cell_relay_serve_spec(
+void cell_relay_serve_add_spec(
     struct cell_relay_serve *v, const char *job, const char *spec);
 /* Keeps the spec of a job that this node forwarded to its owner. */
 
--- a/cell/schedule.c
+++ b/cell/schedule.c
@@ -181,7 +181,7 @@
 }
 
 void
-cell_sched_config(struct cell_sched *s, struct cell_config *c)
+cell_sched_set_config(struct cell_sched *s, struct cell_config *c)
 {
 	cell_config_ref(c);
 	cell_config_unref(s->config);
@@ -213,7 +213,7 @@
 }
 
 void
-cell_sched_spare(struct cell_sched *s, bool slow_link)
+cell_sched_set_slow_link(struct cell_sched *s, bool slow_link)
 {
 	s->slow_link = slow_link;
 }
@@ -288,9 +288,9 @@
 }
 
 double
-cell_sched_took_objective_ms(const struct cell_sched *s, struct cell_job *j)
+cell_sched_measured_objective_ms(const struct cell_sched *s, struct cell_job *j)
 {
-	return objective_for(queue_of(s, j), j, cell_job_took_chain_ms(j));
+	return objective_for(queue_of(s, j), j, cell_job_measured_chain_ms(j));
 }
 
 static unsigned
@@ -400,8 +400,8 @@
 	guint i;
 
 	for (i = 0; i < st->approvals->len; i++) {
-		const struct cell_good *g =
-		    &g_array_index(st->approvals, struct cell_good, i);
+		const struct cell_approval *g =
+		    &g_array_index(st->approvals, struct cell_approval, i);
 		struct cell_worker *w =
 		    cell_fleet_by_serial(s->parts.fleet, g->worker);
 
@@ -534,7 +534,8 @@
 {
 	if (max == 0)
 		return 0;
-	return MAX((uint32_t)((uint64_t)max * part_ppm / CELL_PART_WHOLE), 1);
+	return MAX(
+	    (uint32_t)((uint64_t)max * part_ppm / CELL_PART_WHOLE_PPM), 1);
 }
 
 /* Resources of the team that this shard may have in use; 0: no limit. */
@@ -549,7 +550,7 @@
 	return max;
 }
 
-/* Millionths of the whole limit that are needed; more than CELL_PART_WHOLE if
+/* Millionths of the whole limit that are needed; more than CELL_PART_WHOLE_PPM if
  * the whole limit is not enough. */
 static double
 ppm_needed(uint32_t used, uint64_t need, uint32_t max, double share)
@@ -560,7 +561,7 @@
 		return 0;
 	if (need > limit)
 		limit = max;
-	return (double)(used + need) / (double)limit * CELL_PART_WHOLE;
+	return (double)(used + need) / (double)limit * CELL_PART_WHOLE_PPM;
 }
 
 static double
@@ -588,9 +589,9 @@
 	double want =
 	    ppm_needed_for_tasks(t, used, &need, cell_stage_waiting(st), share);
 
-	if (want > CELL_PART_WHOLE)
+	if (want > CELL_PART_WHOLE_PPM)
 		want = ppm_needed_for_tasks(t, used, &need, tasks, share);
-	if (want <= CELL_PART_WHOLE)
+	if (want <= CELL_PART_WHOLE_PPM)
 		cell_escrow_want(
 		    s->parts.escrow, t->name, (uint32_t)want + 1, now);
 }
@@ -891,7 +892,7 @@
 start_task(struct cell_sched *s, struct cell_stage *st, uint32_t index,
     struct cell_worker *w, uint64_t run, uint32_t rank, ogl_time now)
 {
-	const struct cell_good *g = cell_advice_approval(st, w);
+	const struct cell_approval *g = cell_advice_approval(st, w);
 	struct cell_task *t = &st->tasks[index];
 
 	t->run = run;
@@ -1044,7 +1045,7 @@
 	uint64_t n = st->ntasks;
 
 	if (t == NULL ||
-	    cell_escrow_part(s->parts.escrow, team) != CELL_PART_WHOLE)
+	    cell_escrow_part(s->parts.escrow, team) != CELL_PART_WHOLE_PPM)
 		return false;
 	if (!limited_by_others(
 		used.cpu_milli, n * need.cpu_milli, t->max.cpu_milli) &&
@@ -1188,7 +1189,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct cell_worker *w = p;
 
-		if (!cell_worker_open(w, now))
+		if (!cell_worker_schedulable(w, now))
 			continue;
 		w->open_pass = s->pass;
 		w->reserved = 0;
@@ -1235,7 +1236,7 @@
 	unsigned precedence;
 	uint32_t rank;
 
-	if (waiting == 0 || cell_fleet_wants_proof(s->parts.fleet))
+	if (waiting == 0 || cell_fleet_awaits_confirmation(s->parts.fleet))
 		return;
 	/* A new owner may read the jobs before the configuration, without which
 	 * no team's limit is known. */
@@ -1265,7 +1266,7 @@
 {
 	struct ogl_res need = cell_stage_need(st);
 
-	return cell_worker_open(w, now) && could_run(st, w) &&
+	return cell_worker_schedulable(w, now) && could_run(st, w) &&
 	       cell_worker_fits(w, &need) &&
 	       cell_fleet_pace(s->parts.fleet, w) < PACE_FAULTY;
 }
--- a/cell/schedule.h
+++ b/cell/schedule.h
@@ -29,10 +29,10 @@
 void cell_sched_clear(struct cell_sched *s);
 /* Removes all stages and forgets the state of all teams. */
 
-void cell_sched_config(struct cell_sched *s, struct cell_config *c);
+void cell_sched_set_config(struct cell_sched *s, struct cell_config *c);
 /* Sets the configuration to be used from now on; takes a reference. */
 
-void cell_sched_spare(struct cell_sched *s, bool slow_link);
+void cell_sched_set_slow_link(struct cell_sched *s, bool slow_link);
 /* On a slow link fewer workers are asked about at a time. */
 
 void cell_sched_add(struct cell_sched *s, struct cell_stage *st);
@@ -55,7 +55,7 @@
 double cell_sched_objective_ms(const struct cell_sched *s, struct cell_job *j);
 /* Time in ms after its acceptance within which the job has to end. */
 
-double cell_sched_took_objective_ms(
+double cell_sched_measured_objective_ms(
     const struct cell_sched *s, struct cell_job *j);
 /* The same, computed with the measured run times of its steps where known. */
 
--- a/cell/window.c
+++ b/cell/window.c
@@ -52,7 +52,7 @@
 }
 
 void
-cell_window_served(struct cell_window *w)
+cell_window_answered(struct cell_window *w)
 {
 	w->size = MIN(w->size + 1, WINDOW_MAX_CALLS);
 	if (!w->has_served)
@@ -65,7 +65,7 @@
  * ownership, and still answers others.  So its refusals do not close the
  * window. */
 void
-cell_window_turned_away(struct cell_window *w, ogl_time now)
+cell_window_refused(struct cell_window *w, ogl_time now)
 {
 	if (w->has_served)
 		return;
@@ -74,7 +74,7 @@
 }
 
 void
-cell_window_delay(struct cell_window *w, ogl_time delay, ogl_time now)
+cell_window_round_trip(struct cell_window *w, ogl_time delay, ogl_time now)
 {
 	if (delay < ROUND_TRIP_MAX || now - w->shrunk_at < SHRINK_INTERVAL_MIN)
 		return;
--- a/cell/window.h
+++ b/cell/window.h
@@ -29,11 +29,12 @@
 void cell_window_ended(struct cell_window *w);
 /* A call that was sent has been answered or given up. */
 
-void cell_window_served(struct cell_window *w);
+void cell_window_answered(struct cell_window *w);
 /* The owner has answered a call. */
-void cell_window_turned_away(struct cell_window *w, ogl_time now);
+void cell_window_refused(struct cell_window *w, ogl_time now);
 /* The owner has answered that it does not serve. */
-void cell_window_delay(struct cell_window *w, ogl_time delay, ogl_time now);
+void cell_window_round_trip(
+    struct cell_window *w, ogl_time delay, ogl_time now);
 /* A round trip to the owner has taken this delay, or has not ended after it. */
 
 #ifdef __cplusplus
--- a/cell/zones.c
+++ b/cell/zones.c
@@ -72,7 +72,7 @@
 }
 
 bool
-cell_zones_known(const struct cell_zones *z)
+cell_zones_complete(const struct cell_zones *z)
 {
 	return z->complete;
 }
--- a/cell/zones.h
+++ b/cell/zones.h
@@ -23,7 +23,7 @@
 /* Replaces the set of evacuated zones.  The list reflects all records below the
  * offset known_to.  A list no newer than the known state is ignored. */
 
-bool cell_zones_known(const struct cell_zones *z);
+bool cell_zones_complete(const struct cell_zones *z);
 /* Whether a complete list was ever applied.  Until then any zone may be
  * evacuated. */
 uint64_t cell_zones_known_to(const struct cell_zones *z);
--- a/daemon/cell_host.c
+++ b/daemon/cell_host.c
@@ -185,10 +185,10 @@
 		cell_node_call(h->node, ev->token, &r, boot_time(NULL));
 		break;
 	case OGL_EV_CALLER_GONE:
-		cell_node_gone(h->node, ev->token);
+		cell_node_caller_gone(h->node, ev->token);
 		break;
 	case OGL_EV_PEER:
-		cell_node_peer(h->node, ev->u.peer.data, boot_time(NULL));
+		cell_node_receive(h->node, ev->u.peer.data, boot_time(NULL));
 		break;
 	default:
 		break;
@@ -319,7 +319,7 @@
 	else
 		on_log(h, "host", "settings_unchanged", "");
 	h->grace_ms = s->grace_ms;
-	cell_node_limits(h->node, &s->limits);
+	cell_node_set_limits(h->node, &s->limits);
 	platform_settings_free(s);
 out:
 	ogl_faults_free(faults);
--- a/test/fake_cell.c
+++ b/test/fake_cell.c
@@ -1455,14 +1455,14 @@
 	if (c->lease_until_ms <= worker_clock_ms(f, w))
 		return CELL_REFUSED_LATE;
 	if (!f->shape.policy)
-		return CELL_REFUSED_NOT;
+		return CELL_NOT_REFUSED;
 	ticket = g_strdup_printf("%s.%u.%u %s %" G_GUINT64_FORMAT, c->task.id,
 	    c->task.occurrence, c->task.step, w->id, w->born_ms);
 	until = g_hash_table_lookup(f->tickets, ticket);
 	ticket_valid = c->ticket != NULL && strcmp(c->ticket, ticket) == 0 &&
 		       until != NULL && f->now <= *until;
 	g_free(ticket);
-	return ticket_valid ? CELL_REFUSED_NOT : CELL_REFUSED_TICKET;
+	return ticket_valid ? CELL_NOT_REFUSED : CELL_REFUSED_TICKET;
 }
 
 static void
@@ -1544,7 +1544,7 @@
 	if (run_of(w, &c->task, c->run) != NULL)
 		return;
 	why = start_refusal(f, w, c);
-	if (why != CELL_REFUSED_NOT) {
+	if (why != CELL_NOT_REFUSED) {
 		c->order_answer.io = OGL_IO_REFUSED;
 		c->order_answer.why = why;
 		return;
@@ -1718,14 +1718,14 @@
 	struct cell_hold_answer a = {.io = OGL_IO_OK,
 	    .clock_ms = worker_clock_ms(f, w),
 	    .born_ms = w->born_ms};
-	GArray *running = g_array_new(FALSE, TRUE, sizeof(struct cell_row));
-	GArray *ended = g_array_new(FALSE, TRUE, sizeof(struct cell_row));
+	GArray *running = g_array_new(FALSE, TRUE, sizeof(struct cell_run_row));
+	GArray *ended = g_array_new(FALSE, TRUE, sizeof(struct cell_run_row));
 	GPtrArray *texts = g_ptr_array_new_with_free_func(g_free);
 	guint i;
 
 	for (i = 0; i < w->runs->len; i++) {
 		const struct run *r = w->runs->pdata[i];
-		struct cell_row row = {.task = r->task, .run = r->number};
+		struct cell_run_row row = {.task = r->task, .run = r->number};
 		char *text = g_malloc0(24);
 
 		format_checkpoint(f, r, text, 24);
@@ -1737,7 +1737,7 @@
 	}
 	for (i = 0; i < w->ended->len; i++) {
 		const struct ended *e = w->ended->pdata[i];
-		struct cell_row row = {.task = e->task,
+		struct cell_run_row row = {.task = e->task,
 		    .run = e->run,
 		    .number = e->number,
 		    .how = e->how,
@@ -1745,9 +1745,9 @@
 
 		g_array_append_val(ended, row);
 	}
-	a.running = (const struct cell_row *)(void *)running->data;
+	a.running = (const struct cell_run_row *)(void *)running->data;
 	a.nrunning = running->len;
-	a.ended = (const struct cell_row *)(void *)ended->data;
+	a.ended = (const struct cell_run_row *)(void *)ended->data;
 	a.nended = ended->len;
 	if (worker_reachable(f, c) && c->born_ms == w->born_ms &&
 	    call_finish(c)) {
@@ -1941,7 +1941,7 @@
 
 	s.p = g_bytes_get_data(p->bytes, &len);
 	s.n = len;
-	cell_node_peer(n->node, s, f->now);
+	cell_node_receive(n->node, s, f->now);
 	peer_message_free(f, p);
 	step_node(f, n);
 }
@@ -2836,7 +2836,7 @@
 		struct job *j = p;
 
 		if (!j->accepted || j->steps[0].lasting ||
-		    (j->has_state && cell_job_over(j->state)))
+		    (j->has_state && cell_job_state_ended(j->state)))
 			continue;
 		all_ended = false;
 		fake_cell_query_job(
@@ -2856,7 +2856,8 @@
 		struct job *j = p;
 		char text[96];
 
-		if (!j->accepted || (j->has_state && cell_job_over(j->state)))
+		if (!j->accepted ||
+		    (j->has_state && cell_job_state_ended(j->state)))
 			continue;
 		g_snprintf(text, sizeof text, "%s state %d status %d runs %u",
 		    j->id, j->has_state ? (int)j->state : -1, j->status,
--- a/test/test_cell_escrow.cc
+++ b/test/test_cell_escrow.cc
@@ -15,7 +15,7 @@
 
 constexpr ogl_time kMs = 1000;
 constexpr uint32_t kShards = 3;
-constexpr uint32_t kWhole = CELL_PART_WHOLE;
+constexpr uint32_t kWhole = CELL_PART_WHOLE_PPM;
 
 struct Message {
 	uint32_t from;
@@ -82,7 +82,7 @@
 		    ogl__cell_part__unpack(nullptr, m.bytes.size(),
 			reinterpret_cast<const uint8_t *>(m.bytes.data()));
 
-		cell_escrow_take(holders_[m.to].e, p, now_);
+		cell_escrow_receive(holders_[m.to].e, p, now_);
 		ogl__cell_part__free_unpacked(p, nullptr);
 	}
 
--- a/test/test_cell_fleet.cc
+++ b/test/test_cell_fleet.cc
@@ -66,10 +66,11 @@
 		e.answered = [](void *, struct cell_worker *, ogl_time) {};
 		e.room = [](void *, ogl_time) {};
 		e.run_found = [](void *arg, struct cell_worker *w,
-				  const struct cell_row *row, ogl_time now) {
+				  const struct cell_run_row *row,
+				  ogl_time now) {
 			auto *t = static_cast<Fleet *>(arg);
 
-			cell_fleet_stray(t->fleet_, w, row, now);
+			cell_fleet_stop_orphan(t->fleet_, w, row, now);
 		};
 		e.arg = this;
 		e.up = [](void *, struct cell_run *, ogl_time) {};
@@ -139,7 +140,7 @@
 		Hold &h = worker_.holds.back();
 
 		a.io = OGL_IO_REFUSED;
-		a.why = CELL_REFUSED_LIFE;
+		a.why = CELL_REFUSED_INCARNATION;
 		h.answered = true;
 		h.done(h.arg, &a, now_);
 	}
@@ -184,8 +185,8 @@
 		d->n_steps = 1;
 		job_ = cell_job_new(d, now_);
 		cell_fleet_start(fleet_, worker(),
-		    &cell_job_begin(job_, 0, now_)->stages[0], 0, 5, nullptr, 0,
-		    now_);
+		    &cell_job_begin_occurrence(job_, 0, now_)->stages[0], 0, 5,
+		    nullptr, 0, now_);
 		a.io = io;
 		worker_.starts.back().done(worker_.starts.back().arg, &a, now_);
 		answered_starts_ = worker_.starts.size();
@@ -195,7 +196,7 @@
 	void answer(enum ogl_io_result io, size_t running, uint64_t born = 7)
 	{
 		struct cell_hold_answer a = {};
-		struct cell_row row = {};
+		struct cell_run_row row = {};
 		Hold &h = worker_.holds.back();
 
 		a.io = io;
@@ -303,18 +304,18 @@
 {
 	step(10);
 	answer(OGL_IO_OK, 0);
-	cell_fleet_named(fleet_, "w", 1);
-	EXPECT_TRUE(cell_worker_open(worker(), now_));
+	cell_fleet_record_stored(fleet_, "w", 1);
+	EXPECT_TRUE(cell_worker_schedulable(worker(), now_));
 	list("10.9.0.2:80");
-	EXPECT_FALSE(cell_worker_open(worker(), now_));
-	EXPECT_TRUE(cell_fleet_names_changed(fleet_));
-	cell_fleet_named(fleet_, "w", 2);
-	EXPECT_FALSE(cell_worker_open(worker(), now_));
+	EXPECT_FALSE(cell_worker_schedulable(worker(), now_));
+	EXPECT_TRUE(cell_fleet_record_outdated(fleet_));
+	cell_fleet_record_stored(fleet_, "w", 2);
+	EXPECT_FALSE(cell_worker_schedulable(worker(), now_));
 	store(3);
-	cell_fleet_named(fleet_, "w", 2);
-	EXPECT_FALSE(cell_worker_open(worker(), now_));
-	cell_fleet_named(fleet_, "w", 3);
-	EXPECT_TRUE(cell_worker_open(worker(), now_));
+	cell_fleet_record_stored(fleet_, "w", 2);
+	EXPECT_FALSE(cell_worker_schedulable(worker(), now_));
+	cell_fleet_record_stored(fleet_, "w", 3);
+	EXPECT_TRUE(cell_worker_schedulable(worker(), now_));
 }
 
 /* Guards against work on a worker whose zone is evacuated. */
@@ -322,14 +323,14 @@
 {
 	step(10);
 	answer(OGL_IO_OK, 0);
-	cell_fleet_named(fleet_, "w", 1);
-	EXPECT_TRUE(cell_worker_open(worker(), now_));
+	cell_fleet_record_stored(fleet_, "w", 1);
+	EXPECT_TRUE(cell_worker_schedulable(worker(), now_));
 	evacuate(true);
-	EXPECT_FALSE(cell_worker_open(worker(), now_));
+	EXPECT_FALSE(cell_worker_schedulable(worker(), now_));
 	list("10.9.0.1:80");
-	EXPECT_FALSE(cell_worker_open(worker(), now_));
+	EXPECT_FALSE(cell_worker_schedulable(worker(), now_));
 	evacuate(false);
-	EXPECT_TRUE(cell_worker_open(worker(), now_));
+	EXPECT_TRUE(cell_worker_schedulable(worker(), now_));
 }
 
 /* Guards against repeating a lost start in an evacuated zone. */
--- a/test/test_cell_front.cc
+++ b/test/test_cell_front.cc
@@ -50,7 +50,7 @@
 		limits_.revoke_ms = 60000;
 		front_ = cell_front_init(&ops_, &limits_, &events);
 		read_settings();
-		cell_front_shards(front_, 1);
+		cell_front_set_shards(front_, 1);
 	}
 
 	void TearDown() override
@@ -212,7 +212,7 @@
 {
 	for (uint64_t t = 1; t <= 20; t++)
 		submit(t);
-	cell_front_owner(front_, 0, "owner", 7, now_);
+	cell_front_set_owner(front_, 0, "owner", 7, now_);
 	step(0);
 	ASSERT_EQ(1u, sent_.size());
 	answer(sent_[0].token, OGL__CELL_OUTCOME__cell_not_owner);
@@ -229,7 +229,7 @@
  * never sent. */
 TEST_F(Front, CallNeverSentIsRefusedAsNotAccepted)
 {
-	cell_front_owner(front_, 0, "owner", 7, now_);
+	cell_front_set_owner(front_, 0, "owner", 7, now_);
 	submit(1);
 	submit(2);
 	ASSERT_EQ(1u, sent_.size());
@@ -241,7 +241,7 @@
 /* Guards against a refusal of a call that the owner may have accepted. */
 TEST_F(Front, CallSentWithoutAnswerIsUnsure)
 {
-	cell_front_owner(front_, 0, "owner", 7, now_);
+	cell_front_set_owner(front_, 0, "owner", 7, now_);
 	submit(1);
 	step(950);
 	EXPECT_TRUE(answers_.empty());
@@ -253,8 +253,8 @@
 /* Guards against jobs sent to an owner that is about to refuse them. */
 TEST_F(Front, OverloadedOwnerIsAskedBeforeJobIsSent)
 {
-	cell_front_owner(front_, 0, "owner", 7, now_);
-	cell_front_asks_first(front_, 0, true);
+	cell_front_set_owner(front_, 0, "owner", 7, now_);
+	cell_front_set_asks_first(front_, 0, true);
 	submit(1);
 	ASSERT_EQ(1u, sent_.size());
 	EXPECT_FALSE(sent_[0].job);
@@ -270,7 +270,7 @@
 /* Guards against a repeat of a lost call that is given up too early. */
 TEST_F(Front, CallWithoutAnswerIsRepeatedWithBackoff)
 {
-	cell_front_owner(front_, 0, "owner", 7, now_);
+	cell_front_set_owner(front_, 0, "owner", 7, now_);
 	submit(1);
 	step(460);
 	EXPECT_EQ(2u, sent_.size());
--- a/test/test_cell_journal.cc
+++ b/test/test_cell_journal.cc
@@ -82,12 +82,13 @@
 		return jobs_.back();
 	}
 
-	void submit(struct cell_job *j, std::vector<cell_fate> *results)
+	void submit(struct cell_job *j, std::vector<cell_store_result> *results)
 	{
 		cell_journal_submit(
 		    journal_, j,
-		    [](void *arg, uint64_t, enum cell_fate f, ogl_time) {
-			    static_cast<std::vector<cell_fate> *>(arg)
+		    [](void *arg, uint64_t, enum cell_store_result f,
+			ogl_time) {
+			    static_cast<std::vector<cell_store_result> *>(arg)
 				->push_back(f);
 		    },
 		    results, 0, now_);
@@ -123,7 +124,7 @@
 	/* Makes the store count as slow by an append that takes 120 ms. */
 	void make_store_slow()
 	{
-		std::vector<cell_fate> results;
+		std::vector<cell_store_result> results;
 
 		submit(job(), &results);
 		step_ms(20);
@@ -154,7 +155,7 @@
  */
 TEST_F(Journal, RefusalReachesAllCopiesOfASubmission)
 {
-	std::vector<cell_fate> first, copy, later;
+	std::vector<cell_store_result> first, copy, later;
 	struct cell_job *j = job();
 
 	submit(j, &first);
@@ -163,9 +164,9 @@
 	submit(j, &later);
 	answer(OGL_IO_REFUSED);
 
-	EXPECT_EQ(std::vector<cell_fate>{CELL_NOT_STORED}, first);
-	EXPECT_EQ(std::vector<cell_fate>{CELL_NOT_STORED}, copy);
-	EXPECT_EQ(std::vector<cell_fate>{CELL_NOT_STORED}, later);
+	EXPECT_EQ(std::vector<cell_store_result>{CELL_NOT_STORED}, first);
+	EXPECT_EQ(std::vector<cell_store_result>{CELL_NOT_STORED}, copy);
+	EXPECT_EQ(std::vector<cell_store_result>{CELL_NOT_STORED}, later);
 	step();
 	EXPECT_EQ(1, store_.appends);
 	EXPECT_TRUE(cell_journal_idle(journal_));
@@ -178,7 +179,7 @@
  */
 TEST_F(Journal, RefusalOfTheSecondAppendKeepsTheFirst)
 {
-	std::vector<cell_fate> first, second;
+	std::vector<cell_store_result> first, second;
 	struct cell_job *big = job(std::string(600 * 1024, 'x'));
 	struct cell_job *j = job();
 
@@ -188,16 +189,16 @@
 	answer(OGL_IO_OK);
 	step();
 	answer(OGL_IO_REFUSED);
-	EXPECT_EQ(std::vector<cell_fate>{CELL_NOT_STORED}, second);
+	EXPECT_EQ(std::vector<cell_store_result>{CELL_NOT_STORED}, second);
 	step();
-	EXPECT_EQ(std::vector<cell_fate>{CELL_STORED}, first);
+	EXPECT_EQ(std::vector<cell_store_result>{CELL_STORED}, first);
 }
 
 /* In a refused batch only the new jobs are refused; all else is written
  * again. */
 TEST_F(Journal, RefusalKeepsJobsThatAreNotNew)
 {
-	std::vector<cell_fate> results;
+	std::vector<cell_store_result> results;
 	struct cell_job *known = job();
 	struct cell_job *j = job();
 
@@ -207,7 +208,7 @@
 	step();
 	answer(OGL_IO_REFUSED);
 
-	EXPECT_EQ(std::vector<cell_fate>{CELL_NOT_STORED}, results);
+	EXPECT_EQ(std::vector<cell_store_result>{CELL_NOT_STORED}, results);
 	step();
 	EXPECT_EQ(2, store_.appends);
 	answer(OGL_IO_OK);
@@ -220,14 +221,14 @@
  */
 TEST_F(Journal, OverdueAppendIsRetriedAndFirstAnswerCounts)
 {
-	std::vector<cell_fate> results;
+	std::vector<cell_store_result> results;
 
 	submit(job(), &results);
 	step_ms(20);
 	step_ms(160);
 	EXPECT_EQ((std::vector<uint64_t>{1, 1}), store_.seqs);
 	answer_nth(0, OGL_IO_OK);
-	EXPECT_EQ(std::vector<cell_fate>{CELL_STORED}, results);
+	EXPECT_EQ(std::vector<cell_store_result>{CELL_STORED}, results);
 	answer_nth(1, OGL_IO_OK);
 	EXPECT_TRUE(cell_journal_idle(journal_));
 }
@@ -235,7 +236,7 @@
 /* The wait for an answer must not grow with each lost one. */
 TEST_F(Journal, LostAnswerDoesNotDelayTheNextRetry)
 {
-	std::vector<cell_fate> results;
+	std::vector<cell_store_result> results;
 
 	submit(job(), &results);
 	step_ms(20);
@@ -255,7 +256,7 @@
 /* The wait for a lost answer must not make short jobs late. */
 TEST_F(Journal, FastStoreIsRetriedSoon)
 {
-	std::vector<cell_fate> results;
+	std::vector<cell_store_result> results;
 
 	submit(job(), &results);
 	step_ms(20);
@@ -272,7 +273,7 @@
  * in the second after it returns. */
 TEST_F(Journal, RetriesBackOffWhileTheStoreIsDown)
 {
-	std::vector<cell_fate> results;
+	std::vector<cell_store_result> results;
 	std::vector<size_t> sent;
 
 	submit(job(), &results);
@@ -289,7 +290,7 @@
  * have been stored, and a caller that got a refusal would see its job run. */
 TEST_F(Journal, NoRefusalWhileAnAttemptMayBeStored)
 {
-	std::vector<cell_fate> results;
+	std::vector<cell_store_result> results;
 
 	submit(job(), &results);
 	step_ms(20);
@@ -300,14 +301,14 @@
 	EXPECT_TRUE(results.empty());
 	step_ms(120);
 	answer(OGL_IO_OK);
-	EXPECT_EQ(std::vector<cell_fate>{CELL_STORED}, results);
+	EXPECT_EQ(std::vector<cell_store_result>{CELL_STORED}, results);
 }
 
 /* Without overlapping appends, a call that comes just after an append was sent
  * would wait for that append and then for its own. */
 TEST_F(Journal, SlowStoreGetsOverlappingAppends)
 {
-	std::vector<cell_fate> first, second;
+	std::vector<cell_store_result> first, second;
 
 	make_store_slow();
 	submit(job(), &first);
@@ -316,17 +317,17 @@
 	step_ms(60);
 	EXPECT_EQ((std::vector<uint64_t>{2, 3}), store_.seqs);
 	answer_nth(0, OGL_IO_OK);
-	EXPECT_EQ(std::vector<cell_fate>{CELL_STORED}, first);
+	EXPECT_EQ(std::vector<cell_store_result>{CELL_STORED}, first);
 	EXPECT_TRUE(second.empty());
 	answer_nth(1, OGL_IO_OK);
-	EXPECT_EQ(std::vector<cell_fate>{CELL_STORED}, second);
+	EXPECT_EQ(std::vector<cell_store_result>{CELL_STORED}, second);
 }
 
 /* Answers may arrive out of order, but the store accepts appends only in
  * order. */
 TEST_F(Journal, AnswerConfirmsEarlierAppends)
 {
-	std::vector<cell_fate> first, second;
+	std::vector<cell_store_result> first, second;
 
 	make_store_slow();
 	submit(job(), &first);
@@ -334,8 +335,8 @@
 	submit(job(), &second);
 	step_ms(60);
 	answer_nth(1, OGL_IO_OK);
-	EXPECT_EQ(std::vector<cell_fate>{CELL_STORED}, first);
-	EXPECT_EQ(std::vector<cell_fate>{CELL_STORED}, second);
+	EXPECT_EQ(std::vector<cell_store_result>{CELL_STORED}, first);
+	EXPECT_EQ(std::vector<cell_store_result>{CELL_STORED}, second);
 	answer_nth(0, OGL_IO_LOST);
 	EXPECT_TRUE(cell_journal_idle(journal_));
 }
@@ -345,7 +346,7 @@
  * again. */
 TEST_F(Journal, TwoRefusedAppendsRefuseBothCallers)
 {
-	std::vector<cell_fate> first, second, third;
+	std::vector<cell_store_result> first, second, third;
 
 	make_store_slow();
 	submit(job(), &first);
@@ -355,13 +356,13 @@
 	answer_nth(0, OGL_IO_REFUSED);
 	EXPECT_TRUE(first.empty());
 	answer_nth(1, OGL_IO_REFUSED);
-	EXPECT_EQ(std::vector<cell_fate>{CELL_NOT_STORED}, first);
-	EXPECT_EQ(std::vector<cell_fate>{CELL_NOT_STORED}, second);
+	EXPECT_EQ(std::vector<cell_store_result>{CELL_NOT_STORED}, first);
+	EXPECT_EQ(std::vector<cell_store_result>{CELL_NOT_STORED}, second);
 	submit(job(), &third);
 	step();
 	EXPECT_EQ((std::vector<uint64_t>{2, 3, 2}), store_.seqs);
 	answer(OGL_IO_OK);
-	EXPECT_EQ(std::vector<cell_fate>{CELL_STORED}, third);
+	EXPECT_EQ(std::vector<cell_store_result>{CELL_STORED}, third);
 }
 
 /* The first append is refused and the answer to the second lost.  The second
@@ -369,7 +370,7 @@
  * sent again in order. */
 TEST_F(Journal, LostAppendAfterARefusedOneIsNotRefused)
 {
-	std::vector<cell_fate> first, second;
+	std::vector<cell_store_result> first, second;
 
 	make_store_slow();
 	submit(job(), &first);
@@ -386,7 +387,7 @@
 	step_ms(1);
 	EXPECT_EQ(3u, store_.seqs.back());
 	answer(OGL_IO_OK);
-	EXPECT_EQ(std::vector<cell_fate>{CELL_STORED}, second);
+	EXPECT_EQ(std::vector<cell_store_result>{CELL_STORED}, second);
 }
 
 } // namespace
--- a/test/test_cell_lead.cc
+++ b/test/test_cell_lead.cc
@@ -373,7 +373,7 @@
 	read_n2(false, 1);
 	read_n2(false, 2);
 	read_n2(false, 2);
-	cell_lead_hear(lead_, 0, 3, "10.0.0.2:1", now_);
+	cell_lead_learn_owner(lead_, 0, 3, "10.0.0.2:1", now_);
 	EXPECT_EQ((std::vector<std::string>{
 		      "1 10.0.0.2:1", "2 10.0.0.2:1", "3 10.0.0.2:1"}),
 	    changes_);
@@ -458,7 +458,7 @@
 	read_n2(false, 1);
 	run_idle(2000);
 	ASSERT_EQ(1U, claims().size());
-	cell_lead_hear(lead_, 0, 2, "10.0.0.1:1", now_);
+	cell_lead_learn_owner(lead_, 0, 2, "10.0.0.1:1", now_);
 	ASSERT_NE(nullptr, store_.claims);
 	answer_claims(claims()[0].value, 2);
 	EXPECT_EQ(2U, won_);
@@ -472,7 +472,7 @@
 {
 	start(1);
 	read_n2(false, 1);
-	cell_lead_hear(lead_, 0, 2, "10.0.0.1:1", now_);
+	cell_lead_learn_owner(lead_, 0, 2, "10.0.0.1:1", now_);
 	ASSERT_NE(nullptr, store_.claims);
 	answer_claims(own_claim(99), 2);
 	EXPECT_EQ("none", owner());
@@ -515,7 +515,7 @@
 
 	cell_lead_probe(lead_, now_);
 	answer_probe(true);
-	EXPECT_EQ(sent_at, cell_lead_confirmed(lead_));
+	EXPECT_EQ(sent_at, cell_lead_confirmed_at(lead_));
 	EXPECT_FALSE(cell_lead_is_owner(lead_, 0));
 	EXPECT_EQ("10.0.0.2:1", owner());
 }
@@ -532,7 +532,7 @@
 	cell_lead_probe(lead_, now_);
 	advance(100);
 	answer_probe(false);
-	EXPECT_EQ(sent_at, cell_lead_confirmed(lead_));
+	EXPECT_EQ(sent_at, cell_lead_confirmed_at(lead_));
 	EXPECT_TRUE(cell_lead_is_owner(lead_, 0));
 }
 
@@ -559,7 +559,7 @@
 {
 	start(1);
 	read_n2(false, 1);
-	cell_lead_doubt(lead_, 0, 1, now_);
+	cell_lead_suspect(lead_, 0, 1, now_);
 	EXPECT_EQ("10.0.0.2:1", owner());
 	struct cell_read_answer lost = {};
 
@@ -567,7 +567,7 @@
 	store_.probe(store_.arg, &lost, now_);
 	EXPECT_EQ("10.0.0.2:1", owner());
 	advance(100);
-	cell_lead_doubt(lead_, 0, 1, now_);
+	cell_lead_suspect(lead_, 0, 1, now_);
 	answer_probe(false);
 	EXPECT_EQ("none", owner());
 }
@@ -631,10 +631,10 @@
 	read_n2(false, 1);
 	for (int i = 0; i < 10; i++) {
 		run_idle(400);
-		cell_lead_heard(lead_, 0, 1, now_);
+		cell_lead_owner_alive(lead_, 0, 1, now_);
 	}
 	EXPECT_EQ(0U, claims().size());
-	cell_lead_heard(lead_, 0, 0, now_);
+	cell_lead_owner_alive(lead_, 0, 0, now_);
 	run_idle(2000);
 	EXPECT_EQ(1U, claims().size());
 }
--- a/test/test_cell_relay.cc
+++ b/test/test_cell_relay.cc
@@ -47,7 +47,7 @@
 		struct cell_relay_events events = {on_send, this};
 
 		relay_ = cell_relay_init(&ops_, link_kbps, &events);
-		cell_relay_fill(relay_, &relayed_);
+		cell_relay_set_ops(relay_, &relayed_);
 		cell_relay_open(relay_, 3);
 		announce_nodes();
 		step(0);
@@ -56,7 +56,7 @@
 	void announce_nodes()
 	{
 		for (const char *addr : {"n1", "n2", "n3"})
-			cell_relay_node(relay_, addr, false, now_);
+			cell_relay_update_node(relay_, addr, false, now_);
 	}
 
 	void step(int ms)
@@ -134,7 +134,7 @@
 TEST_F(Relay, StartThroughForwardingNodeOmitsSpec)
 {
 	begin(2000);
-	cell_relay_told(relay_, job1, "n2");
+	cell_relay_note_spec(relay_, job1, "n2");
 	start(job1);
 	step(10);
 	ASSERT_EQ(1u, sent_.size());
@@ -162,7 +162,7 @@
 TEST_F(Relay, StartIsSentAgainWithMissingSpec)
 {
 	begin(2000);
-	cell_relay_told(relay_, job1, "n2");
+	cell_relay_note_spec(relay_, job1, "n2");
 	start(job1);
 	step(10);
 	answer(sent_[0], OGL__CELL_ORDER_OUTCOME__cell_order_lacks_spec);
@@ -179,7 +179,7 @@
 TEST_F(Relay, CallWithoutAnswerIsLost)
 {
 	begin(2000);
-	cell_relay_told(relay_, job1, "n2");
+	cell_relay_note_spec(relay_, job1, "n2");
 	start(job1);
 	step(10);
 	step(600);
@@ -219,7 +219,7 @@
 TEST_F(Relay, RelayWithUnansweredCallsIsNotUsed)
 {
 	begin(2000);
-	cell_relay_told(relay_, job1, "n2");
+	cell_relay_note_spec(relay_, job1, "n2");
 	start(job1);
 	start(job1);
 	step(10);
@@ -275,10 +275,10 @@
 {
 	begin(2000);
 	for (int i = 0; i < 40; i++)
-		cell_relay_node(
+		cell_relay_update_node(
 		    relay_, ("a" + std::to_string(i)).c_str(), false, now_);
 	now_ += 5 * OGL_SEC;
-	cell_relay_node(relay_, "z", false, now_);
+	cell_relay_update_node(relay_, "z", false, now_);
 	step(0);
 	start(job1);
 	step(10);
@@ -299,7 +299,7 @@
 TEST_F(Relay, DelayIsShortestAnswerTime)
 {
 	begin(2000);
-	EXPECT_EQ(0, cell_relay_delay(relay_, now_));
+	EXPECT_EQ(0, cell_relay_min_delay(relay_, now_));
 	start(job1);
 	start(job1);
 	step(10);
@@ -307,8 +307,8 @@
 	answer(sent_[0], OGL__CELL_ORDER_OUTCOME__cell_order_done);
 	now_ += 50 * OGL_MS;
 	answer(sent_[1], OGL__CELL_ORDER_OUTCOME__cell_order_done);
-	EXPECT_EQ(310 * OGL_MS, cell_relay_delay(relay_, now_));
-	EXPECT_EQ(0, cell_relay_delay(relay_, now_ + OGL_SEC));
+	EXPECT_EQ(310 * OGL_MS, cell_relay_min_delay(relay_, now_));
+	EXPECT_EQ(0, cell_relay_min_delay(relay_, now_ + OGL_SEC));
 }
 
 /* The node that makes the calls. */
@@ -437,7 +437,7 @@
 
 TEST_F(RelayServe, StartUsesSpecOfForwardedJob)
 {
-	cell_relay_serve_spec(serve_, job1, "kept");
+	cell_relay_serve_add_spec(serve_, job1, "kept");
 	serve_start(false);
 	ASSERT_EQ(1u, specs_.size());
 	EXPECT_EQ("kept", specs_[0]);
@@ -460,7 +460,7 @@
 /* Guards against more connections to a worker than it accepts. */
 TEST_F(RelayServe, OrdersToOneWorkerAreQueued)
 {
-	cell_relay_serve_spec(serve_, job1, "kept");
+	cell_relay_serve_add_spec(serve_, job1, "kept");
 	serve_start(false);
 	serve_start(false);
 	EXPECT_EQ(1u, specs_.size());
@@ -474,7 +474,7 @@
 /* Guards against sending a start after the timeout of its owner. */
 TEST_F(RelayServe, QueuedOrderIsNotSentAfterTimeout)
 {
-	cell_relay_serve_spec(serve_, job1, "kept");
+	cell_relay_serve_add_spec(serve_, job1, "kept");
 	serve_start(false);
 	serve_start(false);
 	now_ += OGL_SEC;
@@ -488,7 +488,7 @@
 /* Guards against carrying out an order long after the timeout of its owner. */
 TEST_F(RelayServe, RefusedOrdersAreNotCarriedOut)
 {
-	cell_relay_serve_spec(serve_, job1, "kept");
+	cell_relay_serve_add_spec(serve_, job1, "kept");
 	serve_start(true);
 	step();
 	EXPECT_TRUE(specs_.empty());
@@ -517,7 +517,7 @@
  * cell_relay_serve_end. */
 TEST_F(RelayServe, CallMayEndAfterServeEnd)
 {
-	cell_relay_serve_spec(serve_, job1, "kept");
+	cell_relay_serve_add_spec(serve_, job1, "kept");
 	serve_start(false);
 	cell_relay_serve_end(serve_);
 	serve_ = nullptr;
--- a/test/test_cell_schedule.cc
+++ b/test/test_cell_schedule.cc
@@ -132,7 +132,7 @@
 		a.clock_ms = 1000;
 		for (const Hold &h : holds_) {
 			h.done(h.arg, &a, now_);
-			cell_fleet_named(fleet_, h.worker.c_str(), 1);
+			cell_fleet_record_stored(fleet_, h.worker.c_str(), 1);
 		}
 		now_ += OGL_MS;
 		cell_fleet_confirm(fleet_, now_);
@@ -150,7 +150,7 @@
 		q->policy.needed = true;
 		q->policy.decide_ms = 5;
 		q->policy.valid_ms = 2500;
-		cell_sched_config(sched_, c);
+		cell_sched_set_config(sched_, c);
 		cell_config_unref(c);
 	}
 
@@ -177,7 +177,7 @@
 		job_ = cell_job_new(d, now_);
 		job_->stored = true;
 		job_->settled = true;
-		stage_ = &cell_job_begin(job_, 0, now_)->stages[0];
+		stage_ = &cell_job_begin_occurrence(job_, 0, now_)->stages[0];
 		cell_sched_add(sched_, stage_);
 	}
 
@@ -188,7 +188,7 @@
 		asked_.clear();
 		for (unsigned i = 0; i < kWorkers; i++)
 			worker(i)->holding = false;
-		cell_advice_node(advice_, "n", now_);
+		cell_advice_update_node(advice_, "n", now_);
 		cell_sched_pass(sched_, now_);
 	}
 
--- a/test/test_cell_window.cc
+++ b/test/test_cell_window.cc
@@ -33,7 +33,7 @@
 	{
 		for (int i = 0; i < calls; i++) {
 			cell_window_ended(&w_);
-			cell_window_served(&w_);
+			cell_window_answered(&w_);
 		}
 	}
 
@@ -56,7 +56,7 @@
 {
 	EXPECT_EQ(1, fill());
 	cell_window_ended(&w_);
-	cell_window_turned_away(&w_, now_);
+	cell_window_refused(&w_, now_);
 	EXPECT_EQ(0, fill());
 	now_ += 149 * OGL_MS;
 	EXPECT_EQ(0, fill());
@@ -71,7 +71,7 @@
 	answer(fill());
 	EXPECT_EQ(4, fill());
 	cell_window_ended(&w_);
-	cell_window_turned_away(&w_, now_);
+	cell_window_refused(&w_, now_);
 	EXPECT_EQ(1, fill());
 }
 
@@ -83,9 +83,9 @@
 		answer(fill());
 	int before = fill();
 	answer(before);
-	cell_window_delay(&w_, 300 * OGL_MS, now_);
+	cell_window_round_trip(&w_, 300 * OGL_MS, now_);
 	int once = fill();
-	cell_window_delay(&w_, 300 * OGL_MS, now_ + OGL_MS);
+	cell_window_round_trip(&w_, 300 * OGL_MS, now_ + OGL_MS);
 
 	EXPECT_EQ(before, once);
 	EXPECT_FALSE(cell_window_allows(&w_, now_));
@@ -98,7 +98,7 @@
 	answer(fill());
 	unsigned before = w_.size;
 
-	cell_window_delay(&w_, 20 * OGL_MS, now_);
+	cell_window_round_trip(&w_, 20 * OGL_MS, now_);
 	EXPECT_EQ(before, w_.size);
 }
 
--- a/test/test_platform.cc
+++ b/test/test_platform.cc
@@ -245,7 +245,7 @@
 	EXPECT_EQ(401U, platform_http_status(CELL_NO_KEY));
 	EXPECT_EQ(404U, platform_http_status(CELL_NO_QUEUE));
 	EXPECT_EQ(410U, platform_http_status(CELL_NO_JOB));
-	EXPECT_EQ(429U, platform_http_status(CELL_OVER));
+	EXPECT_EQ(429U, platform_http_status(CELL_OVER_RATE));
 	EXPECT_EQ(503U, platform_http_status(CELL_BUSY));
 	EXPECT_EQ(504U, platform_http_status(CELL_UNSURE));
 	a.has_state = true;
