--- a/bench/bench_lend.c
+++ b/bench/bench_lend.c
@@ -149,8 +149,8 @@
 	w.kind = p->ask.kind;
 	w.tasks = 1;
 	w.res = p->ask.res;
-	w.since = p->since;
-	w.first = p->times > 0;
+	w.waiting_since = p->since;
+	w.preempted = p->times > 0;
 	ogl_queue_push(c->queue, &w, c->now);
 	c->waiting[p->team]++;
 }
--- a/bench/bench_replay.c
+++ b/bench/bench_replay.c
@@ -167,7 +167,7 @@
 	    (unsigned)(id * 104729 % COST_LABELS));
 	w.team = team;
 	w.label = label;
-	w.since = now;
+	w.waiting_since = now;
 	ogl_queue_push(q, &w, now);
 }
 
--- a/bench/lib_baseline.c
+++ b/bench/lib_baseline.c
@@ -88,7 +88,7 @@
 	struct order *o = p;
 
 	(void)now;
-	ogl_queue_heap_add(&o->heap, it->w.since, it);
+	ogl_queue_heap_add(&o->heap, it->w.waiting_since, it);
 }
 
 static void
@@ -108,13 +108,14 @@
 
 	(void)now;
 	if (!it->ranked) {
-		double cost = (double)declared(&it->w) * it->rate / f->weight;
+		double cost =
+		    (double)declared(&it->w) * it->dominant_demand / f->weight;
 
 		f->last = MAX(f->last, o->clock) + cost;
-		it->sort = (uint64_t)(f->last * TAG_SCALE);
+		it->policy_key = (uint64_t)(f->last * TAG_SCALE);
 		it->ranked = true;
 	}
-	ogl_queue_heap_add(&o->heap, (int64_t)it->sort, it);
+	ogl_queue_heap_add(&o->heap, (int64_t)it->policy_key, it);
 }
 
 static struct ogl_queue_item *
@@ -142,8 +143,8 @@
 #define BASELINE(push_fn, label)                                               \
 	{                                                                      \
 		.name = (label), .init = order_init, .end = order_end,         \
-		.team = order_team, .push = (push_fn), .pop = order_pop,       \
-		.unlink = order_unlink                                         \
+		.set_team_share = order_team, .push = (push_fn),               \
+		.pop = order_pop, .unlink = order_unlink                       \
 	}
 
 const struct ogl_queue_policy baseline_fcfs = BASELINE(fcfs_push, "fcfs");
--- a/bench/lib_replay.c
+++ b/bench/lib_replay.c
@@ -103,7 +103,7 @@
 	w->res = x->res;
 	w->declared_ms =
 	    r->oracle ? (uint64_t)(x->run / OGL_MS) : x->declared_ms;
-	w->since = x->at;
+	w->waiting_since = x->at;
 }
 
 /* The fullest server with room; `freed` is tried first, being the only one
--- a/daemon/cell_host.c
+++ b/daemon/cell_host.c
@@ -398,9 +398,9 @@
 
 	ogl_http_in_limits_default(&limits);
 	limits.calls_only = true;
-	limits.body_max = BODY_MAX_BYTES;
-	limits.body_total_max = BODIES_MAX_BYTES;
-	limits.header_max = HEADERS_MAX_BYTES;
+	limits.body_max_bytes = BODY_MAX_BYTES;
+	limits.body_total_max_bytes = BODIES_MAX_BYTES;
+	limits.header_buffer_bytes = HEADERS_MAX_BYTES;
 	limits.budget_header = platform_deadline_header;
 	return ogl_http_in_init(
 	    h->loop, addr, &limits, sink, ops, h->log, error);
--- a/daemon/http_client.c
+++ b/daemon/http_client.c
@@ -335,7 +335,7 @@
 
 	x->done = r->done;
 	x->arg = r->arg;
-	x->may_resend = r->again;
+	x->may_resend = r->resend_allowed;
 	x->kind = r->kind != NULL ? r->kind : "other";
 	for (i = 0; i < r->nheaders; i++)
 		x->headers = curl_slist_append(x->headers, r->headers[i]);
--- a/daemon/http_client.h
+++ b/daemon/http_client.h
@@ -38,7 +38,7 @@
 	GBytes *body;        /* NULL: GET; else POST */
 	const char *kind;    /* to count its bytes by; a string literal */
 	uint32_t timeout_ms; /* for the whole request, connecting included */
-	bool again;          /* may be sent again if a reused connection ends */
+	bool resend_allowed; /* may be sent again if a reused connection ends */
 	ogl_http_done *done;
 	void *arg;
 };
--- a/daemon/http_in.c
+++ b/daemon/http_in.c
@@ -117,10 +117,10 @@
 void
 ogl_http_in_limits_default(struct ogl_http_in_limits *l)
 {
-	l->body_max = (size_t)1024 * 1024;
-	l->body_total_max = (size_t)32 * 1024 * 1024;
+	l->body_max_bytes = (size_t)1024 * 1024;
+	l->body_total_max_bytes = (size_t)32 * 1024 * 1024;
 	l->connections_max = connections_max();
-	l->header_max = 8 * 1024;
+	l->header_buffer_bytes = 8 * 1024;
 	l->request_timeout_ms = 10000;
 	l->idle_timeout_s = 75;
 	l->budget_header = "Ogl-Timeout-Ms";
@@ -211,7 +211,7 @@
 refuse_at_once(struct call *c, uint64_t length)
 {
 	return get_header(c, MHD_HTTP_HEADER_EXPECT).n > 0 ||
-	       length > DISCARD_FACTOR * c->in->limits.body_max;
+	       length > DISCARD_FACTOR * c->in->limits.body_max_bytes;
 }
 
 static enum MHD_Result
@@ -222,7 +222,7 @@
 	c->headers_seen = true;
 	if (!known_method(method))
 		c->refusal_status = MHD_HTTP_METHOD_NOT_ALLOWED;
-	if (length > c->in->limits.body_max) {
+	if (length > c->in->limits.body_max_bytes) {
 		c->refusal_status = MHD_HTTP_CONTENT_TOO_LARGE;
 		c->in->counts.too_big++;
 	}
@@ -247,14 +247,14 @@
 	struct ogl_http_in *h = c->in;
 
 	c->received += n;
-	if (c->received > DISCARD_FACTOR * h->limits.body_max)
+	if (c->received > DISCARD_FACTOR * h->limits.body_max_bytes)
 		return MHD_NO;
-	if (c->refusal_status == 0 && c->received > h->limits.body_max) {
+	if (c->refusal_status == 0 && c->received > h->limits.body_max_bytes) {
 		c->refusal_status = MHD_HTTP_CONTENT_TOO_LARGE;
 		h->counts.too_big++;
 	}
 	if (c->refusal_status == 0 &&
-	    h->body_total + n > h->limits.body_total_max) {
+	    h->body_total + n > h->limits.body_total_max_bytes) {
 		c->refusal_status = MHD_HTTP_SERVICE_UNAVAILABLE;
 		h->counts.no_room++;
 	}
@@ -716,7 +716,8 @@
 	    NULL, NULL, on_request, h, MHD_OPTION_LISTEN_SOCKET, fd,
 	    MHD_OPTION_LISTEN_BACKLOG_SIZE, LISTEN_BACKLOG,
 	    MHD_OPTION_CONNECTION_LIMIT, h->limits.connections_max,
-	    MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)h->limits.header_max,
+	    MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+	    (size_t)h->limits.header_buffer_bytes,
 	    MHD_OPTION_CONNECTION_TIMEOUT, h->limits.idle_timeout_s,
 	    MHD_OPTION_NOTIFY_CONNECTION, on_connection, h,
 	    MHD_OPTION_NOTIFY_COMPLETED, on_completed, h,
--- a/examples/schedule.c
+++ b/examples/schedule.c
@@ -64,7 +64,7 @@
 			w.tasks = 1;
 			w.res.cpu_milli = 1000;
 			w.res.mem_mb = 512;
-			w.since = now;
+			w.waiting_since = now;
 			ogl_queue_push(queue, &w, now);
 		}
 	}
--- a/orioleglade.h
+++ b/orioleglade.h
@@ -330,11 +330,11 @@
 	const char *team;  /* path; copied */
 	const char *label; /* equal for similar work; copied */
 	Ogl__Kind kind;
-	uint32_t tasks;       /* number of tasks of a gang, else 1 */
-	struct ogl_res res;   /* of each task */
-	uint64_t declared_ms; /* run time as submitted, 0: none */
-	ogl_time since;       /* when it began to wait */
-	bool first; /* preempted: goes before similar work of its team */
+	uint32_t tasks;         /* number of tasks of a gang, else 1 */
+	struct ogl_res res;     /* of each task */
+	uint64_t declared_ms;   /* run time as submitted, 0: none */
+	ogl_time waiting_since; /* when it began to wait */
+	bool preempted; /* preempted: goes before similar work of its team */
 };
 
 struct ogl_queue_policy; /* table of function pointers, see src/queue.h */
--- a/src/calls.c
+++ b/src/calls.c
@@ -412,7 +412,7 @@
 		return next_owned(n, a);
 	if ((oa->name != NULL) != (ob->name != NULL))
 		return oa->name != NULL ? a : b;
-	return ob->free_cpu > oa->free_cpu ? b : a;
+	return ob->free_cpu_milli > oa->free_cpu_milli ? b : a;
 }
 
 /* ---- answers ---------------------------------------------------------- */
@@ -1004,7 +1004,7 @@
 		goto out;
 	}
 	if (ogl_node_settings_stale(n, n->now)) {
-		n->counters.stale++;
+		n->counters.stale_refused++;
 		reply_error(n, ev->token, 503, OGL_NOT_RUN, STALE_RETRY_MS,
 		    "the settings can't be confirmed, so no key counts");
 		goto out;
--- a/src/claim.c
+++ b/src/claim.c
@@ -195,7 +195,7 @@
 		sh->state->complete = true;
 		/* The claim names this epoch, so that an owner that is still
 		 * alive sees that it is superseded. */
-		sh->state->epoch = sh->state->guess_epoch;
+		sh->state->epoch = sh->state->likely_epoch;
 	}
 	send_claim(sh, now);
 }
--- a/src/lend.c
+++ b/src/lend.c
@@ -887,7 +887,9 @@
 {
 	const struct pending *x = a, *y = b;
 
-	return x->w.turn < y->w.turn ? -1 : x->w.turn > y->w.turn;
+	return x->w.queue_position < y->w.queue_position
+		   ? -1
+		   : x->w.queue_position > y->w.queue_position;
 }
 
 /* Leaves only the work that may preempt, in the order of turns.  Freed room
@@ -902,7 +904,7 @@
 		struct pending *k =
 		    &g_array_index(l->pending, struct pending, i);
 
-		if (k->w.turn != 0)
+		if (k->w.queue_position != 0)
 			g_array_index(l->pending, struct pending, n++) = *k;
 	}
 	g_array_set_size(l->pending, n);
--- a/src/lend.h
+++ b/src/lend.h
@@ -36,14 +36,15 @@
 	uint32_t tasks;     /* a gang's size, else 1 */
 	/* Position among the work that reached the head of the queue and
 	 * found no room, from 1; 0 for work that did not reach it. */
-	uint32_t turn;
+	uint32_t queue_position;
 	ogl_time since;
 };
 
 struct ogl_lend_preemption {
 	size_t task; /* index in the order added in this round, from 0 */
 	Ogl__StopMode mode;
-	ogl_time lost; /* run time so far; 0 if preempted in an earlier round */
+	ogl_time
+	    lost_run_time; /* run time so far; 0 if preempted in an earlier round */
 };
 
 struct ogl_lend *ogl_lend_init(void);
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -12,7 +12,7 @@
 	X(denied, "denied_total", "calls with an unknown or withdrawn key")    \
 	X(bad_input, "bad_input_total", "calls refused for what they say")     \
 	X(refused, "refused_total", "calls refused as not run for load")       \
-	X(stale, "stale_refused_total",                                        \
+	X(stale_refused, "stale_refused_total",                                \
 	    "calls refused since the settings could not be confirmed")         \
 	X(forwarded, "forwarded_total", "calls passed to a shard's owner")     \
 	X(req_ran, "requests_ran_total", "short requests answered as ran")     \
@@ -26,7 +26,7 @@
 	X(jobs, "jobs_accepted_total", "jobs recorded on the log")             \
 	X(starts, "task_starts_total", "start commands for tasks")             \
 	X(ends, "task_ends_total", "tasks that ended, by any end")             \
-	X(lapses, "task_lapses_total", "tasks lost with their lease")          \
+	X(task_lapses, "task_lapses_total", "tasks lost with their lease")     \
 	X(task_stops, "task_stops_total", "tasks told to stop")                \
 	X(lend_taken, "lent_taken_total",                                      \
 	    "tasks taken back from teams above their share")                   \
@@ -35,7 +35,7 @@
 	X(syncs, "worker_syncs_total", "messages to workers")                  \
 	X(sync_fails, "worker_sync_failures_total",                            \
 	    "messages to workers left unanswered")                             \
-	X(set_aside, "worker_refusals_total",                                  \
+	X(worker_refusals, "worker_refusals_total",                            \
 	    "stale messages workers refused")                                  \
 	X(claims, "claims_total", "shards claimed")                            \
 	X(lost_shards, "shards_lost_total", "shards taken over by others")     \
--- a/src/node.c
+++ b/src/node.c
@@ -402,7 +402,7 @@
 		clear_owner(o);
 		o->name = g_strdup(p->fact->name);
 		o->epoch = f->epoch;
-		o->free_cpu = f->free_cpu_milli;
+		o->free_cpu_milli = f->free_cpu_milli;
 		o->ready = f->ready;
 		o->offered = f->offered;
 	}
@@ -428,7 +428,7 @@
 			ogl_shard_fact(n->shards[i], &f);
 			o->name = g_strdup(n->name);
 			o->epoch = f.epoch;
-			o->free_cpu = f.free_cpu_milli;
+			o->free_cpu_milli = f.free_cpu_milli;
 			o->ready = f.ready;
 		}
 	}
--- a/src/node_impl.h
+++ b/src/node_impl.h
@@ -14,9 +14,9 @@
 struct ogl_owner {
 	char *name; /* NULL: no owner is known */
 	uint64_t epoch;
-	uint64_t free_cpu; /* thousandths of a processor */
-	bool ready;        /* it knows which tasks run */
-	bool offered;      /* it wants another node to claim the shard */
+	uint64_t free_cpu_milli; /* thousandths of a processor */
+	bool ready;              /* it knows which tasks run */
+	bool offered;            /* it wants another node to claim the shard */
 };
 
 struct ogl_calls;
--- a/src/place.c
+++ b/src/place.c
@@ -357,7 +357,7 @@
 {
 	if (!ogl_place_known(p, w))
 		return;
-	p->workers[w].open = st == OGL_PLACE_SCHEDULABLE;
+	p->workers[w].schedulable = st == OGL_PLACE_SCHEDULABLE;
 	if (st == OGL_PLACE_UNSCHEDULABLE)
 		ogl_place_unreserve_worker(p, w);
 	ogl_place_reindex(p, w);
--- a/src/place.h
+++ b/src/place.h
@@ -139,9 +139,9 @@
 	uint16_t njobs, jobs_allocated;
 	uint32_t reserved_tasks;   /* hidden from others; 0 if not in force */
 	ogl_time quarantine_until; /* end of the present state */
-	uint8_t aside;             /* enum ogl_quarantine */
+	uint8_t quarantine_state;  /* enum ogl_quarantine */
 	bool known;                /* the number is in use */
-	bool open;
+	bool schedulable;
 	bool in_totals; /* counted in the sums of struct ogl_place */
 };
 
--- a/src/place_aside.c
+++ b/src/place_aside.c
@@ -19,11 +19,11 @@
 {
 	struct ogl_place_worker *k = &p->workers[w];
 
-	if (k->aside == OGL_QUARANTINE_NONE)
+	if (k->quarantine_state == OGL_QUARANTINE_NONE)
 		g_array_append_val(p->quarantined, w);
-	if (k->aside == OGL_QUARANTINE_PROBE_DUE)
+	if (k->quarantine_state == OGL_QUARANTINE_PROBE_DUE)
 		p->probes_due--;
-	k->aside = OGL_QUARANTINE_COOLDOWN;
+	k->quarantine_state = OGL_QUARANTINE_COOLDOWN;
 	k->quarantine_until = ogl_health_start_quarantine(p->health, w, now);
 	p->next_quarantine_update =
 	    MIN(p->next_quarantine_update, k->quarantine_until);
@@ -36,11 +36,11 @@
 {
 	uint32_t i;
 
-	if (p->workers[w].aside == OGL_QUARANTINE_NONE)
+	if (p->workers[w].quarantine_state == OGL_QUARANTINE_NONE)
 		return;
-	if (p->workers[w].aside == OGL_QUARANTINE_PROBE_DUE)
+	if (p->workers[w].quarantine_state == OGL_QUARANTINE_PROBE_DUE)
 		p->probes_due--;
-	p->workers[w].aside = OGL_QUARANTINE_NONE;
+	p->workers[w].quarantine_state = OGL_QUARANTINE_NONE;
 	for (i = 0; g_array_index(p->quarantined, uint32_t, i) != w; i++)
 		;
 	g_array_remove_index_fast(p->quarantined, i);
@@ -59,13 +59,13 @@
 	for (i = p->quarantined->len; i-- > 0;) {
 		w = g_array_index(p->quarantined, uint32_t, i);
 		k = &p->workers[w];
-		if (k->aside == OGL_QUARANTINE_PROBE_DUE)
+		if (k->quarantine_state == OGL_QUARANTINE_PROBE_DUE)
 			continue;
 		if (now < k->quarantine_until) {
 			p->next_quarantine_update =
 			    MIN(p->next_quarantine_update, k->quarantine_until);
-		} else if (k->aside == OGL_QUARANTINE_COOLDOWN) {
-			k->aside = OGL_QUARANTINE_PROBE_DUE;
+		} else if (k->quarantine_state == OGL_QUARANTINE_COOLDOWN) {
+			k->quarantine_state = OGL_QUARANTINE_PROBE_DUE;
 			p->probes_due++;
 		} else {
 			ogl_place_end_quarantine(p, w);
@@ -90,11 +90,11 @@
 		    p->quarantined, uint32_t, (at + i) % p->quarantined->len);
 		k = &p->workers[*w];
 		room = ogl_place_free_room(k);
-		if (k->aside != OGL_QUARANTINE_PROBE_DUE || !k->open ||
-		    !ogl_res_fits(&k->held, &k->capacity) ||
+		if (k->quarantine_state != OGL_QUARANTINE_PROBE_DUE ||
+		    !k->schedulable || !ogl_res_fits(&k->held, &k->capacity) ||
 		    !ogl_res_fits(&ask->res, &room))
 			continue;
-		k->aside = OGL_QUARANTINE_PROBING;
+		k->quarantine_state = OGL_QUARANTINE_PROBING;
 		k->quarantine_until = now + PROBE_SUCCESS_AFTER;
 		p->next_quarantine_update =
 		    MIN(p->next_quarantine_update, k->quarantine_until);
@@ -128,12 +128,13 @@
 	if (!ogl_place_known(p, w))
 		return;
 	suspect = ogl_health_result(p->health, w, job, ok, now);
-	if (p->workers[w].aside == OGL_QUARANTINE_PROBING) {
+	if (p->workers[w].quarantine_state == OGL_QUARANTINE_PROBING) {
 		if (ok)
 			ogl_place_end_quarantine(p, w);
 		else
 			quarantine(p, w, now);
-	} else if (suspect && p->workers[w].aside == OGL_QUARANTINE_NONE &&
+	} else if (suspect &&
+		   p->workers[w].quarantine_state == OGL_QUARANTINE_NONE &&
 		   may_quarantine(p)) {
 		quarantine(p, w, now);
 	}
--- a/src/place_index.c
+++ b/src/place_index.c
@@ -154,7 +154,8 @@
 static bool
 usable(const struct ogl_place_worker *k)
 {
-	return k->known && k->open && k->aside == OGL_QUARANTINE_NONE &&
+	return k->known && k->schedulable &&
+	       k->quarantine_state == OGL_QUARANTINE_NONE &&
 	       ogl_res_fits(&k->held, &k->capacity);
 }
 
--- a/src/queue.c
+++ b/src/queue.c
@@ -138,7 +138,7 @@
 	it->w.label = it->label;
 	it->w.tasks = MAX(w->tasks, 1);
 	it->seq = ++q->seq;
-	it->rate = ogl_queue_demand(&it->w);
+	it->dominant_demand = ogl_queue_demand(&it->w);
 	g_hash_table_insert(q->items, &it->w.id, it);
 	return it;
 }
@@ -154,7 +154,7 @@
 void
 ogl_queue_set_share(struct ogl_queue *q, const char *team, double share)
 {
-	q->policy->team(q->policy_state, intern(q, team), share);
+	q->policy->set_team_share(q->policy_state, intern(q, team), share);
 }
 
 void
@@ -168,7 +168,7 @@
 		return;
 	it = item_new(q, w);
 	it->state = OGL_QUEUE_WAITING;
-	ogl_queue_heap_add(&q->age, it->w.since, it);
+	ogl_queue_heap_add(&q->age, it->w.waiting_since, it);
 	q->policy->push(q->policy_state, it, now);
 }
 
@@ -195,7 +195,7 @@
 	if (q->policy->deferred != NULL)
 		q->policy->deferred(q->policy_state, it, now);
 	it->state = OGL_QUEUE_DEFERRED;
-	ogl_queue_heap_add(&q->age, it->w.since, it);
+	ogl_queue_heap_add(&q->age, it->w.waiting_since, it);
 	it->slot[OGL_HEAP_POLICY] = q->deferred->len;
 	g_ptr_array_add(q->deferred, it);
 }
@@ -270,7 +270,7 @@
 {
 	const struct ogl_queue_item *it = ogl_queue_heap_top(&q->age);
 
-	if (it == NULL || it->w.since >= now)
+	if (it == NULL || it->w.waiting_since >= now)
 		return 0;
-	return (uint64_t)((now - it->w.since) / OGL_MS);
+	return (uint64_t)((now - it->w.waiting_since) / OGL_MS);
 }
--- a/src/queue.h
+++ b/src/queue.h
@@ -28,16 +28,16 @@
 	uint64_t seq;      /* order of pushing; breaks ties */
 	size_t slot[OGL_HEAP_USES];
 	enum ogl_queue_state state;
-	ogl_time started_at; /* when it began to run */
-	double rate;         /* ogl_queue_demand of the work */
+	ogl_time started_at;    /* when it began to run */
+	double dominant_demand; /* ogl_queue_demand of the work */
 
 	/* Owned by the policy. */
-	void *policy_team; /* its state for the item's team */
-	uint64_t sort;     /* hash of kind, size class and label */
-	uint32_t level;    /* of the expected run time */
-	bool ranked;       /* level is set; deferring the item keeps it */
-	bool deferred;     /* counted against its team until pushed again */
-	bool aged;         /* popped early because it had waited too long */
+	void *policy_team;   /* its state for the item's team */
+	uint64_t policy_key; /* hash of kind, size class and label */
+	uint32_t level;      /* of the expected run time */
+	bool ranked;         /* level is set; deferring the item keeps it */
+	bool deferred;       /* counted against its team until pushed again */
+	bool aged;           /* popped early because it had waited too long */
 
 	char label[]; /* zero-terminated */
 };
@@ -46,7 +46,7 @@
 	const char *name;
 	void *(*init)(uint64_t seed);
 	void (*end)(void *p);
-	void (*team)(void *p, const char *team, double share);
+	void (*set_team_share)(void *p, const char *team, double share);
 	void (*push)(void *p, struct ogl_queue_item *it, ogl_time now);
 	struct ogl_queue_item *(*pop)(void *p, ogl_time now);
 	/* Removes a waiting item from the order; the caller still owns it. */
--- a/src/queue_learned.c
+++ b/src/queue_learned.c
@@ -163,7 +163,7 @@
 		g_hash_table_insert(p->by_name, (gpointer)it->w.team, t);
 	}
 	it->policy_team = t;
-	it->sort = ogl_learn_class(&it->w, p->seed);
+	it->policy_key = ogl_learn_class(&it->w, p->seed);
 	return t;
 }
 
@@ -172,7 +172,8 @@
 run_level(struct team *t, const struct ogl_queue_item *it, ogl_time now,
     bool *awaited)
 {
-	ogl_time run = ogl_learn_estimate(t->learn, it->sort, now, awaited);
+	ogl_time run =
+	    ogl_learn_estimate(t->learn, it->policy_key, now, awaited);
 	uint32_t level = 0;
 
 	for (run /= OGL_MS; run > 1 && level < LEVELS - 1; run /= 2)
@@ -222,7 +223,7 @@
 	bool awaited;
 	uint32_t level = run_level(t, it, now, &awaited);
 
-	t->service[level] += it->rate * (double)ran;
+	t->service[level] += it->dominant_demand * (double)ran;
 	decay_service(t);
 }
 
@@ -268,7 +269,7 @@
 {
 	uint32_t level = rule_of(it)->rank(t, it, now);
 
-	return it->w.first ? MIN(level, t->policy->short_level + 1) : level;
+	return it->w.preempted ? MIN(level, t->policy->short_level + 1) : level;
 }
 
 static void
@@ -283,14 +284,14 @@
 		return;
 	h->level = (uint32_t)__builtin_ctz(t->used_levels);
 	it = ogl_queue_heap_top(&t->level[h->level]);
-	h->since = it->w.since;
+	h->since = it->w.waiting_since;
 	h->seq = it->seq;
 }
 
 static void
 order_insert(struct team *t, struct ogl_queue_item *it)
 {
-	ogl_queue_heap_add(&t->level[it->level], it->w.since, it);
+	ogl_queue_heap_add(&t->level[it->level], it->w.waiting_since, it);
 	t->used_levels |= 1u << it->level;
 	update_head(t);
 }
@@ -308,7 +309,7 @@
 undefer(struct team *t, struct ogl_queue_item *it)
 {
 	if (it->deferred)
-		ogl_fair_change_deferred(t->leaf, -it->rate);
+		ogl_fair_change_deferred(t->leaf, -it->dominant_demand);
 	it->deferred = false;
 }
 
@@ -319,7 +320,7 @@
 
 	(void)data;
 	(void)now;
-	ogl_fair_change_deferred(t->leaf, it->rate);
+	ogl_fair_change_deferred(t->leaf, it->dominant_demand);
 	it->deferred = true;
 }
 
@@ -329,7 +330,7 @@
 	struct team *t = team_of(data, it);
 
 	if (!it->ranked) {
-		ogl_learn_pushed(t->learn, it->sort, now);
+		ogl_learn_pushed(t->learn, it->policy_key, now);
 		it->level = rank_item(t, it, now);
 		it->ranked = true;
 	}
@@ -370,8 +371,8 @@
 static bool
 waits_longer(const struct ogl_queue_item *a, const struct ogl_queue_item *b)
 {
-	if (a->w.since != b->w.since)
-		return a->w.since < b->w.since;
+	if (a->w.waiting_since != b->w.waiting_since)
+		return a->w.waiting_since < b->w.waiting_since;
 	return a->seq < b->seq;
 }
 
@@ -424,7 +425,7 @@
 	if (!aged_allowed)
 		return it;
 	longest = oldest(t);
-	if (now - longest->w.since <= rule_of(longest)->wait_max)
+	if (now - longest->w.waiting_since <= rule_of(longest)->wait_max)
 		return it;
 	longest->aged = true;
 	return longest;
@@ -555,7 +556,7 @@
 
 	(void)data;
 	undefer(t, it);
-	ogl_learn_withdrawn(t->learn, it->sort);
+	ogl_learn_withdrawn(t->learn, it->policy_key);
 }
 
 static void
@@ -563,9 +564,9 @@
 {
 	struct team *t = team_of(data, it);
 
-	ogl_learn_started(t->learn, it->sort, now);
-	ogl_fair_change_held(t->leaf, it->rate, now);
-	add_held(t, it, it->rate, now);
+	ogl_learn_started(t->learn, it->policy_key, now);
+	ogl_fair_change_held(t->leaf, it->dominant_demand, now);
+	add_held(t, it, it->dominant_demand, now);
 }
 
 static void
@@ -574,17 +575,18 @@
 	struct team *t = it->policy_team;
 
 	(void)data;
-	ogl_learn_ended(t->learn, it->sort, now - it->started_at, ok, now);
+	ogl_learn_ended(
+	    t->learn, it->policy_key, now - it->started_at, ok, now);
 	rule_of(it)->count(t, it, now);
-	ogl_fair_change_held(t->leaf, -it->rate, now);
-	add_held(t, it, -it->rate, now);
+	ogl_fair_change_held(t->leaf, -it->dominant_demand, now);
+	add_held(t, it, -it->dominant_demand, now);
 }
 
 const struct ogl_queue_policy ogl_queue_learned = {
     .name = "learned",
     .init = learned_init,
     .end = learned_end,
-    .team = learned_team,
+    .set_team_share = learned_team,
     .push = learned_push,
     .pop = learned_pop,
     .unlink = learned_unlink,
--- a/src/reqs.c
+++ b/src/reqs.c
@@ -267,7 +267,7 @@
 	w.kind = OGL__KIND__request;
 	w.tasks = 1;
 	w.res.cpu_milli = 1000;
-	w.since = r->since;
+	w.waiting_since = r->since;
 	r->phase = REQ_WAITING;
 	r->expiry =
 	    g_sequence_insert_sorted(q->expiry, r, compare_wait_until, NULL);
--- a/src/sched.c
+++ b/src/sched.c
@@ -29,10 +29,10 @@
 	sh->queue =
 	    ogl_queue_init(&ogl_queue_learned, ogl_random_next(&sh->env->rnd));
 	sh->lend = ogl_lend_init();
-	sh->missed = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	sh->works =
+	sh->unplaced = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	sh->queue_refs =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-	sh->held =
+	sh->placed_tasks_by_team =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	sh->requeue = g_ptr_array_new();
 	sh->nplaced = 0;
@@ -48,9 +48,9 @@
 	sh->placer = NULL;
 	sh->queue = NULL;
 	g_clear_pointer(&sh->lend, ogl_lend_end);
-	g_clear_pointer(&sh->missed, g_array_unref);
-	g_clear_pointer(&sh->works, g_hash_table_destroy);
-	g_clear_pointer(&sh->held, g_hash_table_destroy);
+	g_clear_pointer(&sh->unplaced, g_array_unref);
+	g_clear_pointer(&sh->queue_refs, g_hash_table_destroy);
+	g_clear_pointer(&sh->placed_tasks_by_team, g_hash_table_destroy);
 	g_clear_pointer(&sh->requeue, g_ptr_array_unref);
 }
 
@@ -78,11 +78,12 @@
 static void
 add_held(struct ogl_shard *sh, const char *path, int64_t n)
 {
-	uint64_t *held = g_hash_table_lookup(sh->held, path);
+	uint64_t *held = g_hash_table_lookup(sh->placed_tasks_by_team, path);
 
 	if (held == NULL) {
 		held = g_new0(uint64_t, 1);
-		g_hash_table_insert(sh->held, g_strdup(path), held);
+		g_hash_table_insert(
+		    sh->placed_tasks_by_team, g_strdup(path), held);
 	}
 	*held += (uint64_t)n;
 }
@@ -90,7 +91,8 @@
 uint64_t
 ogl_sched_placed_count(const struct ogl_shard *sh, const char *team)
 {
-	const uint64_t *held = g_hash_table_lookup(sh->held, team);
+	const uint64_t *held =
+	    g_hash_table_lookup(sh->placed_tasks_by_team, team);
 
 	return held != NULL ? *held : 0;
 }
@@ -111,7 +113,7 @@
 		uint64_t allowed = ogl_escrow_allowed(sh, path);
 		uint64_t held = ogl_sched_placed_count(sh, path);
 
-		if (sh->limbo && allowed != UINT64_MAX) {
+		if (sh->recovering && allowed != UINT64_MAX) {
 			ok = false;
 		} else if (allowed < n || held > allowed - n) {
 			ogl_escrow_want(sh, path, held + n);
@@ -142,8 +144,8 @@
 
 	if (restartable_a != restartable_b)
 		return restartable_a ? -1 : 1;
-	if (ta->since != tb->since)
-		return ta->since > tb->since ? -1 : 1;
+	if (ta->bound_at != tb->bound_at)
+		return ta->bound_at > tb->bound_at ? -1 : 1;
 	return ra->job->number > rb->job->number ? -1 : 1;
 }
 
@@ -163,9 +165,9 @@
 	struct ogl_task *t = &j->tasks[i];
 	struct ogl_session *s;
 
-	if (t->phase != OGL_TASK_PLACED || t->stopping || t->ending)
+	if (t->phase != OGL_TASK_PLACED || t->stopping || t->end_pending)
 		return;
-	if (!t->sent && !t->running) {
+	if (!t->start_sent && !t->running) {
 		/* The worker was never sent the task, so it could neither
 		 * stop it nor report its end, and the room would stay held. */
 		ogl_sched_unbind(sh, j, i, true, now);
@@ -267,7 +269,8 @@
 static bool
 task_waits(const struct ogl_task *t)
 {
-	return t->phase == OGL_TASK_WAITING && !t->ending && t->work == 0;
+	return t->phase == OGL_TASK_WAITING && !t->end_pending &&
+	       t->work_number == 0;
 }
 
 static uint32_t
@@ -299,12 +302,12 @@
 	w.tasks = tasks;
 	w.res = ask.res;
 	w.declared_ms = j->spec->run_ms;
-	w.first = ogl_sched_was_preempted(sh, j, index);
-	w.since = now;
+	w.preempted = ogl_sched_was_preempted(sh, j, index);
+	w.waiting_since = now;
 	if (j->accepted_ms < (uint64_t)(now / OGL_MS))
-		w.since = (ogl_time)j->accepted_ms * OGL_MS;
+		w.waiting_since = (ogl_time)j->accepted_ms * OGL_MS;
 	*key = (int64_t)w.id;
-	g_hash_table_insert(sh->works, key, ref);
+	g_hash_table_insert(sh->queue_refs, key, ref);
 	ogl_queue_push(sh->queue, &w, now);
 	sh->place_due = true;
 	return w.id;
@@ -350,14 +353,15 @@
 	work = push_work(sh, j, first, n, now);
 	for (uint32_t i = 0; i < j->ntasks; i++) {
 		if (j->tasks[i].phase == OGL_TASK_WAITING)
-			j->tasks[i].work = work;
+			j->tasks[i].work_number = work;
 	}
 }
 
 void
 ogl_sched_enqueue(struct ogl_shard *sh, struct ogl_job *j, ogl_time now)
 {
-	if (ogl_job_ended(j) || j->cancelling || (sh->limbo && j->inherited))
+	if (ogl_job_ended(j) || j->cancel_pending ||
+	    (sh->recovering && j->inherited))
 		return;
 	if (j->spec->kind == OGL__KIND__gang) {
 		enqueue_gang(sh, j, now);
@@ -367,7 +371,7 @@
 		struct ogl_task *t = &j->tasks[i];
 
 		if (task_waits(t))
-			t->work = push_work(sh, j, i, 1, now);
+			t->work_number = push_work(sh, j, i, 1, now);
 	}
 }
 
@@ -376,7 +380,7 @@
 {
 	int64_t key = (int64_t)work;
 
-	g_hash_table_remove(sh->works, &key);
+	g_hash_table_remove(sh->queue_refs, &key);
 }
 
 void
@@ -385,11 +389,11 @@
 	for (uint32_t i = 0; i < j->ntasks; i++) {
 		struct ogl_task *t = &j->tasks[i];
 
-		if (t->phase != OGL_TASK_WAITING || t->work == 0)
+		if (t->phase != OGL_TASK_WAITING || t->work_number == 0)
 			continue;
-		ogl_queue_remove(sh->queue, t->work);
-		remove_work_ref(sh, t->work);
-		t->work = 0;
+		ogl_queue_remove(sh->queue, t->work_number);
+		remove_work_ref(sh, t->work_number);
+		t->work_number = 0;
 	}
 	ogl_place_unreserve(sh->placer, j->number);
 }
@@ -410,10 +414,10 @@
 	t->worker = s->number;
 	t->attempt = attempt;
 	t->running = false;
-	t->held = false;
-	t->sent = false;
+	t->awaits_intent = false;
+	t->start_sent = false;
 	t->stopping = false;
-	t->since = now;
+	t->bound_at = now;
 	j->nplaced++;
 	sh->nplaced++;
 	for_team_and_ancestors(j->team, add_held, sh, 1);
@@ -428,7 +432,7 @@
 	if (j->number == 0)
 		j->number = ++sh->job_number;
 	ogl_sched_ask_of(j, &ask);
-	if (!s->placed || !ogl_place_hold(sh->placer, s->place, &ask))
+	if (!s->in_placer || !ogl_place_hold(sh->placer, s->placer_index, &ask))
 		return false;
 	bind(sh, s, j, i, attempt, now);
 	return true;
@@ -454,20 +458,20 @@
 	struct ogl_task *t = &j->tasks[i];
 	struct ogl_session *s;
 	struct ogl_demand ask;
-	uint64_t work = t->work;
+	uint64_t work = t->work_number;
 
 	if (t->phase != OGL_TASK_PLACED)
 		return;
 	s = g_ptr_array_index(sh->sessions, t->worker);
 	remove_ref(s, j, i);
 	ogl_sched_ask_of(j, &ask);
-	if (s->placed)
-		ogl_place_free(sh->placer, s->place, &ask);
+	if (s->in_placer)
+		ogl_place_free(sh->placer, s->placer_index, &ask);
 	t->phase = OGL_TASK_WAITING;
 	t->running = false;
-	t->held = false;
+	t->awaits_intent = false;
 	t->stopping = false;
-	t->work = 0;
+	t->work_number = 0;
 	j->nplaced--;
 	sh->nplaced--;
 	for_team_and_ancestors(j->team, add_held, sh, -1);
@@ -502,7 +506,7 @@
 {
 	Ogl__Record *r = ogl_shard_record(sh, now);
 
-	j->tasks[i].held = true;
+	j->tasks[i].awaits_intent = true;
 	r->body_case = OGL__RECORD__BODY_TASK_INTENT;
 	r->task_intent = malloc(sizeof *r->task_intent);
 	ogl__task_intent__init(r->task_intent);
@@ -518,9 +522,10 @@
 {
 	struct ogl_task *t = &j->tasks[i];
 
-	if (t->phase != OGL_TASK_PLACED || !t->held || t->attempt != attempt)
+	if (t->phase != OGL_TASK_PLACED || !t->awaits_intent ||
+	    t->attempt != attempt)
 		return;
-	t->held = false;
+	t->awaits_intent = false;
 	ogl_session_wake(sh, g_ptr_array_index(sh->sessions, t->worker), now);
 }
 
@@ -528,10 +533,10 @@
 start_on(struct ogl_shard *sh, struct ogl_job *j, uint32_t i, uint32_t place,
     uint64_t work, ogl_time now)
 {
-	struct ogl_session *s = g_ptr_array_index(sh->by_place, place);
+	struct ogl_session *s = g_ptr_array_index(sh->by_placer_index, place);
 
 	bind(sh, s, j, i, new_attempt(sh, &j->tasks[i]), now);
-	j->tasks[i].work = work;
+	j->tasks[i].work_number = work;
 	if (!j->spec->restartable)
 		record_intent(sh, j, i, now);
 	else
@@ -559,7 +564,7 @@
 	ogl_place_unreserve(sh->placer, j->number);
 	for (uint32_t i = 0; i < j->ntasks; i++) {
 		if (j->tasks[i].phase == OGL_TASK_WAITING &&
-		    j->tasks[i].work == w->id)
+		    j->tasks[i].work_number == w->id)
 			start_on(sh, j, i, places[k++], w->id, now);
 	}
 	g_free(places);
@@ -570,7 +575,7 @@
 start_work(struct ogl_shard *sh, const struct ogl_work *w, ogl_time now)
 {
 	int64_t key = (int64_t)w->id;
-	struct ogl_work_ref *ref = g_hash_table_lookup(sh->works, &key);
+	struct ogl_work_ref *ref = g_hash_table_lookup(sh->queue_refs, &key);
 	struct ogl_demand ask;
 	uint32_t place;
 	bool ok;
@@ -588,7 +593,7 @@
 			start_on(sh, ref->job, ref->index, place, w->id, now);
 	}
 	if (!ok)
-		g_array_append_val(sh->missed, w->id);
+		g_array_append_val(sh->unplaced, w->id);
 	return ok;
 }
 
@@ -601,7 +606,7 @@
 
 	sh->place_due = false;
 	ogl_queue_retry_deferred(sh->queue, now);
-	g_array_set_size(sh->missed, 0);
+	g_array_set_size(sh->unplaced, 0);
 	while (placed < STEP_PLACEMENTS_MAX &&
 	       misses < CONSECUTIVE_MISSES_MAX &&
 	       ogl_queue_pop(sh->queue, now, &w)) {
--- a/src/sched_lend.c
+++ b/src/sched_lend.c
@@ -49,10 +49,11 @@
 		struct ogl_res room;
 
 		worker_of[i] = OGL_LEND_NO_WORKER;
-		if (!s->placed)
+		if (!s->in_placer)
 			continue;
-		w = &sh->placer->workers[s->place];
-		if (!w->open || w->aside != OGL_QUARANTINE_NONE)
+		w = &sh->placer->workers[s->placer_index];
+		if (!w->schedulable ||
+		    w->quarantine_state != OGL_QUARANTINE_NONE)
 			continue;
 		room = ogl_place_free_room(w);
 		worker_of[i] =
@@ -76,7 +77,7 @@
 	lt.kind = j->spec->kind;
 	lt.res = ask.res;
 	lt.worker = worker;
-	lt.since = t->since;
+	lt.since = t->bound_at;
 	lt.restartable = j->spec->restartable;
 	lt.stopping = t->stopping;
 	ogl_lend_add_task(sh->lend, &lt);
@@ -143,14 +144,14 @@
 		w.tasks = 0;
 		for (uint32_t i = 0; i < j->ntasks; i++)
 			w.tasks += j->tasks[i].phase == OGL_TASK_WAITING &&
-				   j->tasks[i].work == work;
+				   j->tasks[i].work_number == work;
 	}
 	if (!within_limits(sh, added, j->team, w.tasks, false))
 		return;
 	within_limits(sh, added, j->team, w.tasks, true);
 	ogl_sched_ask_of(j, &ask);
 	w.res = ask.res;
-	w.turn = turn;
+	w.queue_position = turn;
 	w.since = now;
 	/* A damaged log may give a future time, which could overflow. */
 	if (j->accepted_ms < (uint64_t)(now / OGL_MS))
@@ -169,14 +170,14 @@
 	GHashTableIter it;
 	void *k, *v;
 
-	for (guint i = 0; i < sh->missed->len; i++) {
-		k = &g_array_index(sh->missed, uint64_t, i);
-		v = g_hash_table_lookup(sh->works, k);
+	for (guint i = 0; i < sh->unplaced->len; i++) {
+		k = &g_array_index(sh->unplaced, uint64_t, i);
+		v = g_hash_table_lookup(sh->queue_refs, k);
 		g_hash_table_add(missed, k);
 		if (v != NULL)
 			add_want(sh, v, *(uint64_t *)k, added, i + 1, now);
 	}
-	g_hash_table_iter_init(&it, sh->works);
+	g_hash_table_iter_init(&it, sh->queue_refs);
 	while (g_hash_table_iter_next(&it, &k, &v)) {
 		if (!g_hash_table_contains(missed, k))
 			add_want(sh, v, *(uint64_t *)k, added, 0, now);
@@ -199,7 +200,8 @@
 		return;
 	}
 	sh->env->counters->lend_taken++;
-	sh->env->counters->lend_lost_ms += (uint64_t)(k->lost / OGL_MS);
+	sh->env->counters->lend_lost_ms +=
+	    (uint64_t)(k->lost_run_time / OGL_MS);
 	ogl_sched_stop_task(sh, ref->job, ref->index, k->mode, now);
 }
 
@@ -208,7 +210,7 @@
 static bool
 may_reclaim(const struct ogl_shard *sh, ogl_time now)
 {
-	return !sh->limbo && ogl_shard_may_act(sh, now) &&
+	return !sh->recovering && ogl_shard_may_act(sh, now) &&
 	       ogl_shard_log_up(sh, now);
 }
 
--- a/src/session.c
+++ b/src/session.c
@@ -65,7 +65,7 @@
 ogl_sessions_init(struct ogl_shard *sh)
 {
 	sh->sessions = g_ptr_array_new_with_free_func(session_free);
-	sh->by_place = g_ptr_array_new();
+	sh->by_placer_index = g_ptr_array_new();
 	sh->by_worker = g_hash_table_new(g_str_hash, g_str_equal);
 	sh->by_token =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
@@ -76,7 +76,7 @@
 ogl_sessions_end(struct ogl_shard *sh)
 {
 	g_clear_pointer(&sh->by_token, g_hash_table_destroy);
-	g_clear_pointer(&sh->by_place, g_ptr_array_unref);
+	g_clear_pointer(&sh->by_placer_index, g_ptr_array_unref);
 	g_clear_pointer(&sh->by_worker, g_hash_table_destroy);
 	g_clear_pointer(&sh->sessions, g_ptr_array_unref);
 }
@@ -107,7 +107,7 @@
 	s->stops = g_ptr_array_new_with_free_func(stop_free);
 	s->acks = g_ptr_array_new_with_free_func(ack_free);
 	s->next_sync = now;
-	s->on = g_hash_table_contains(sh->state->workers, name);
+	s->in_use = g_hash_table_contains(sh->state->workers, name);
 	g_ptr_array_add(sh->sessions, s);
 	g_hash_table_insert(sh->by_worker, s->name, s);
 	return s;
@@ -127,11 +127,12 @@
 static void
 update_schedulable(struct ogl_shard *sh, struct ogl_session *s)
 {
-	bool schedulable = s->known && s->on && !s->leaving && !s->want_full;
+	bool schedulable =
+	    s->reported && s->in_use && !s->leaving && !s->needs_full_report;
 
-	if (!s->placed)
+	if (!s->in_placer)
 		return;
-	ogl_place_set_state(sh->placer, s->place,
+	ogl_place_set_state(sh->placer, s->placer_index,
 	    schedulable ? OGL_PLACE_SCHEDULABLE : OGL_PLACE_UNSCHEDULABLE);
 	sh->place_due |= schedulable;
 }
@@ -199,8 +200,8 @@
 {
 	ogl_time t = s->lease_end > 0 ? s->lease_end + drift_margin(sh) : 0;
 
-	if (!s->known && s->on)
-		t = MAX(t, sh->limbo_until);
+	if (!s->reported && s->in_use)
+		t = MAX(t, sh->recovery_until);
 	return t;
 }
 
@@ -213,12 +214,12 @@
 		struct ogl_job *j = t->job;
 		uint32_t index = t->index;
 
-		if (!j->tasks[index].sent && !j->tasks[index].running) {
+		if (!j->tasks[index].start_sent && !j->tasks[index].running) {
 			ogl_sched_unbind(sh, j, index, true, now);
 			g_ptr_array_add(sh->requeue, j);
 			continue;
 		}
-		sh->env->counters->lapses++;
+		sh->env->counters->task_lapses++;
 		ogl_shard_task_end(
 		    sh, j, index, OGL__TASK_STATE__lapsed, why, now);
 	}
@@ -232,17 +233,17 @@
 	Ogl__Record *r;
 
 	lapse_tasks(sh, s, "its worker was lost", now);
-	s->known = false;
+	s->reported = false;
 	s->lease_end = 0;
-	if (s->placed) {
-		ogl_place_remove_worker(sh->placer, s->place);
-		s->placed = false;
+	if (s->in_placer) {
+		ogl_place_remove_worker(sh->placer, s->placer_index);
+		s->in_placer = false;
 	}
 	g_ptr_array_set_size(s->stops, 0);
 	g_ptr_array_set_size(s->acks, 0);
-	if (s->on) {
-		s->on = false;
-		s->asked_on = false;
+	if (s->in_use) {
+		s->in_use = false;
+		s->in_use_pending = false;
 		r = ogl_shard_record(sh, now);
 		r->body_case = OGL__RECORD__BODY_WORKER_OFF;
 		r->worker_off = malloc(sizeof *r->worker_off);
@@ -261,7 +262,7 @@
 		const struct ogl_session *s =
 		    g_ptr_array_index(sh->sessions, i);
 
-		if (s->on && !s->known)
+		if (s->in_use && !s->reported)
 			return true;
 	}
 	return false;
@@ -307,10 +308,11 @@
 
 		if (m->n_start == OGL_SYNC_MAX_TASKS)
 			break;
-		if (t->running || t->ending || t->stopping || t->held)
+		if (t->running || t->end_pending || t->stopping ||
+		    t->awaits_intent)
 			continue;
 		add_start(m, s, ref);
-		t->sent = true;
+		t->start_sent = true;
 	}
 }
 
@@ -381,12 +383,12 @@
 	m->shard = sh->index;
 	m->epoch = sh->state->epoch;
 	m->seq = ++s->seq;
-	m->boot = s->known ? s->boot : 0;
+	m->boot = s->reported ? s->boot : 0;
 	m->owner = strdup(c->name);
 	/* Changes reported in a lost answer may be missing: ask for all. */
-	m->full =
-	    !s->known || s->want_full || s->fails > 0 || stopping_unreported(s);
-	if (s->known && s->on && !s->want_full) {
+	m->full = !s->reported || s->needs_full_report || s->fails > 0 ||
+		  stopping_unreported(s);
+	if (s->reported && s->in_use && !s->needs_full_report) {
 		m->lease_from_ms = s->clock_ms;
 		m->lease_ms = c->lease_ms;
 		s->lease_end =
@@ -523,8 +525,8 @@
 		t->running = true;
 		return;
 	}
-	if (t != NULL && t->phase == OGL_TASK_WAITING && !t->ending &&
-	    !ogl_job_ended(j) && r->attempt >= t->attempt && sh->limbo &&
+	if (t != NULL && t->phase == OGL_TASK_WAITING && !t->end_pending &&
+	    !ogl_job_ended(j) && r->attempt >= t->attempt && sh->recovering &&
 	    ogl_sched_bind(sh, s, j, i, r->attempt, now)) {
 		j->tasks[i].running = true;
 		return;
@@ -563,11 +565,11 @@
 	 * again.  It must not be bound now: its own end would be dropped since
 	 * one is pending, and the pending one would be ignored as that of an
 	 * older attempt, so that the task would never end. */
-	if (t != NULL && t->ending)
+	if (t != NULL && t->end_pending)
 		return;
-	orphan = t != NULL && t->phase == OGL_TASK_WAITING && sh->limbo &&
+	orphan = t != NULL && t->phase == OGL_TASK_WAITING && sh->recovering &&
 		 (r->attempt > t->attempt ||
-		     (r->attempt == t->attempt && t->intended));
+		     (r->attempt == t->attempt && t->intent_recorded));
 	if (t == NULL || !(orphan || bound_here(s, t, r->attempt))) {
 		push_ack(s, r->task, r->attempt);
 		return;
@@ -602,7 +604,7 @@
 static void
 lapse_task(struct ogl_shard *sh, const struct ogl_task_ref *ref, ogl_time now)
 {
-	sh->env->counters->lapses++;
+	sh->env->counters->task_lapses++;
 	ogl_shard_task_end(sh, ref->job, ref->index, OGL__TASK_STATE__lapsed,
 	    "its worker started anew", now);
 }
@@ -637,7 +639,7 @@
 		char *name = g_strdup_printf("%s.%u", ref.job->id, ref.index);
 
 		if (!g_hash_table_contains(reported, name)) {
-			if (t->running || (restarted && t->sent))
+			if (t->running || (restarted && t->start_sent))
 				lapse_task(sh, &ref, now);
 			else if (t->stopping || s->leaving)
 				undo_start(sh, s, &ref, name, now);
@@ -658,19 +660,20 @@
 		cap.mem_mb = r->capacity->mem_mb;
 		cap.accel = r->capacity->accel;
 	}
-	if (s->placed && memcmp(&cap, &s->capacity, sizeof cap) == 0)
+	if (s->in_placer && memcmp(&cap, &s->capacity, sizeof cap) == 0)
 		return;
 	g_free(s->zone);
 	g_free(s->rack);
 	s->zone = g_strdup(r->zone);
 	s->rack = g_strdup(r->rack);
 	s->capacity = cap;
-	s->place =
+	s->placer_index =
 	    ogl_place_worker(sh->placer, s->name, &cap, s->zone, s->rack);
-	s->placed = true;
-	if (sh->by_place->len <= s->place)
-		g_ptr_array_set_size(sh->by_place, (gint)s->place + 1);
-	g_ptr_array_index(sh->by_place, s->place) = s;
+	s->in_placer = true;
+	if (sh->by_placer_index->len <= s->placer_index)
+		g_ptr_array_set_size(
+		    sh->by_placer_index, (gint)s->placer_index + 1);
+	g_ptr_array_index(sh->by_placer_index, s->placer_index) = s;
 }
 
 /* Appends the record that the worker is in use, which precedes any start. */
@@ -679,9 +682,9 @@
 {
 	Ogl__Record *r;
 
-	if (s->on || s->asked_on || s->leaving)
+	if (s->in_use || s->in_use_pending || s->leaving)
 		return;
-	s->asked_on = true;
+	s->in_use_pending = true;
 	r = ogl_shard_record(sh, now);
 	r->body_case = OGL__RECORD__BODY_WORKER_ON;
 	r->worker_on = malloc(sizeof *r->worker_on);
@@ -699,8 +702,8 @@
 
 	if (s == NULL || !on)
 		return;
-	s->asked_on = false;
-	s->on = true;
+	s->in_use_pending = false;
+	s->in_use = true;
 	sh->sessions_due = now;
 	update_schedulable(sh, s);
 	ogl_session_wake(sh, s, now);
@@ -710,12 +713,12 @@
 apply_report(struct ogl_shard *sh, struct ogl_session *s,
     const Ogl__WorkerReport *r, ogl_time now)
 {
-	bool was_known = s->known;
+	bool was_known = s->reported;
 	bool restarted = s->boot != 0 && r->boot != s->boot;
 
 	if (was_known && r->boot != s->boot && !r->full) {
 		/* It restarted: a report of changes only is not enough. */
-		s->want_full = true;
+		s->needs_full_report = true;
 		update_schedulable(sh, s);
 		s->next_sync = now;
 		return;
@@ -730,12 +733,12 @@
 		on_task_report(sh, s, r->tasks[i], now);
 	if (r->full) {
 		handle_unreported(sh, s, r, restarted, now);
-		s->known = true;
-		s->want_full = false;
+		s->reported = true;
+		s->needs_full_report = false;
 	}
 	record_in_use(sh, s, now);
 	update_schedulable(sh, s);
-	if (!was_known && s->known)
+	if (!was_known && s->reported)
 		ogl_session_wake(sh, s, now);
 }
 
@@ -748,7 +751,8 @@
 		const struct ogl_task_ref *ref = g_ptr_array_index(s->tasks, i);
 		const struct ogl_task *t = &ref->job->tasks[ref->index];
 
-		if (!t->running && !t->ending && !t->stopping && !t->held)
+		if (!t->running && !t->end_pending && !t->stopping &&
+		    !t->awaits_intent)
 			return true;
 	}
 	return false;
@@ -788,7 +792,7 @@
 	}
 	if (ev->u.worker->refused || ev->u.worker->epoch > sh->state->epoch) {
 		/* An owner with a higher epoch may exist: read its claim. */
-		sh->env->counters->set_aside++;
+		sh->env->counters->worker_refusals++;
 		ogl_stream_read_now(sh->stream, now);
 		s->next_sync = now + sh->env->cfg->sync_ms * OGL_MS;
 		s->seq = MAX(s->seq, ev->u.worker->seq);
@@ -814,7 +818,7 @@
 		    *(struct ogl_task_ref *)g_ptr_array_index(s->tasks, i - 1);
 		const struct ogl_task *t = &ref.job->tasks[ref.index];
 
-		if (t->sent || t->running || t->held)
+		if (t->start_sent || t->running || t->awaits_intent)
 			continue;
 		ogl_sched_unbind(sh, ref.job, ref.index, true, now);
 		g_ptr_array_add(sh->requeue, ref.job);
@@ -826,9 +830,9 @@
 {
 	ogl_time end = leases_over_at(sh, s);
 
-	if (end > 0 && now >= end && (s->known || s->on))
+	if (end > 0 && now >= end && (s->reported || s->in_use))
 		mark_lost(sh, s, now);
-	if (!s->on && !s->known && s->leaving && s->tasks->len == 0) {
+	if (!s->in_use && !s->reported && s->leaving && s->tasks->len == 0) {
 		s->gone = true;
 		/* If the list shows it as staying later on, its old report
 		 * must not keep it from being contacted again. */
@@ -869,7 +873,7 @@
 		t = s->sent_at + 2 * OGL_SYNC_TIMEOUT_MS * OGL_MS;
 	else if (!s->gone)
 		t = s->next_sync;
-	if (end > now && (s->known || s->on))
+	if (end > now && (s->reported || s->in_use))
 		t = MIN(t, end);
 	return t;
 }
--- a/src/shard.c
+++ b/src/shard.c
@@ -96,7 +96,7 @@
 	g_clear_pointer(&sh->state, ogl_state_free);
 	sh->role = OGL_ROLE_NONE;
 	sh->claim_sent = false;
-	sh->limbo = false;
+	sh->recovering = false;
 }
 
 void
@@ -124,7 +124,7 @@
 bool
 ogl_shard_ready(const struct ogl_shard *sh)
 {
-	return sh->role == OGL_ROLE_OWNER && !sh->limbo;
+	return sh->role == OGL_ROLE_OWNER && !sh->recovering;
 }
 
 void
@@ -135,7 +135,7 @@
 	ogl_place_totals(sh->placer, &total, &held);
 	f->shard = sh->index;
 	f->epoch = sh->state->epoch;
-	f->ready = !sh->limbo;
+	f->ready = !sh->recovering;
 	f->free_cpu_milli = total.cpu_milli > held.cpu_milli
 				? total.cpu_milli - held.cpu_milli
 				: 0;
@@ -175,8 +175,9 @@
 	    (!ok && state != OGL__TASK_STATE__failed))
 		return;
 	s = g_ptr_array_index(sh->sessions, t->worker);
-	if (s->placed)
-		ogl_place_task_ended(sh->placer, s->place, j->number, ok, now);
+	if (s->in_placer)
+		ogl_place_task_ended(
+		    sh->placer, s->placer_index, j->number, ok, now);
 }
 
 void
@@ -186,7 +187,7 @@
 	struct ogl_task *t = &j->tasks[i];
 	Ogl__Record *r;
 
-	if (t->ending)
+	if (t->end_pending)
 		return;
 	report_to_placer(sh, j, t, state, now);
 	ogl_sched_unbind(sh, j, i,
@@ -194,7 +195,7 @@
 		state == OGL__TASK_STATE__stopped ||
 		state == OGL__TASK_STATE__checkpointed,
 	    now);
-	t->ending = true;
+	t->end_pending = true;
 	r = ogl_shard_record(sh, now);
 	r->body_case = OGL__RECORD__BODY_TASK_ENDED;
 	r->task_ended = malloc(sizeof *r->task_ended);
@@ -252,8 +253,8 @@
 	sh->role = OGL_ROLE_OWNER;
 	sh->claim_sent = false;
 	sh->claimed_at = now;
-	sh->limbo = true;
-	sh->limbo_until = recovery_deadline(sh, r->claim->late, now);
+	sh->recovering = true;
+	sh->recovery_until = recovery_deadline(sh, r->claim->late, now);
 	sh->outranked_since = 0;
 	sh->promise_until = 0;
 	sh->next_promise_ask = 0;
@@ -338,11 +339,11 @@
 	(void)now;
 	if (!is_current_owner(sh))
 		return;
-	if (t->worker < sh->sessions->len && t->ending) {
+	if (t->worker < sh->sessions->len && t->end_pending) {
 		s = g_ptr_array_index(sh->sessions, t->worker);
 		ogl_session_ack(sh, s->name, j->id, i, e->attempt);
 	}
-	t->ending = false;
+	t->end_pending = false;
 	t->worker = OGL_NO_WORKER;
 	sh->env->counters->ends++;
 	g_ptr_array_add(sh->requeue, j);
@@ -396,14 +397,14 @@
 
 static const struct ogl_state_hooks hooks = {
     .claimed = hook_claimed,
-    .job = hook_job,
+    .job_accepted = hook_job,
     .cancelled = hook_cancelled,
     .task_ended = hook_task_ended,
-    .intent = hook_intent,
+    .start_intended = hook_intent,
     .referred = hook_referred,
-    .id = hook_id,
-    .worker = hook_worker,
-    .allot = hook_allot,
+    .id_changed = hook_id,
+    .worker_in_use_changed = hook_worker,
+    .allot_changed = hook_allot,
 };
 
 /* Handles a state that later records can't be applied to.  A reader replaces
@@ -468,7 +469,8 @@
 	for (uint32_t i = 0; i < j->ntasks; i++) {
 		struct ogl_task *t = &j->tasks[i];
 
-		if (t->phase == OGL_TASK_WAITING && t->intended && !t->ending)
+		if (t->phase == OGL_TASK_WAITING && t->intent_recorded &&
+		    !t->end_pending)
 			ogl_shard_task_end(sh, j, i, OGL__TASK_STATE__lapsed,
 			    "its owner was lost while it was started", now);
 	}
@@ -484,9 +486,9 @@
 	/* A worker that restarts forgets the new epoch and would obey the old
 	 * owner again, so the old owner's right to act must have ended too. */
 	if (now < right ||
-	    (now < sh->limbo_until && ogl_sessions_any_unreported(sh)))
+	    (now < sh->recovery_until && ogl_sessions_any_unreported(sh)))
 		return;
-	sh->limbo = false;
+	sh->recovering = false;
 	sh->place_due = true;
 	g_hash_table_iter_init(&it, sh->state->jobs);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
@@ -616,7 +618,7 @@
 	requeue_jobs(sh, now);
 	ogl_right_ask_promises(sh, now);
 	ogl_sessions_tick(sh, now);
-	if (sh->limbo)
+	if (sh->recovering)
 		end_recovery(sh, now);
 	ogl_escrow_tick(sh, now);
 	if (now >= sh->next_maintenance) {
--- a/src/shard_impl.h
+++ b/src/shard_impl.h
@@ -26,13 +26,13 @@
 	char *addr;
 	char *zone;
 	char *rack;
-	uint32_t number; /* index in sh->sessions */
-	uint32_t place;  /* index in sh->placer, valid when placed */
-	bool placed;     /* the placer has an entry for it */
-	bool on;         /* recorded as in use, so starts are allowed */
-	bool asked_on;   /* the record of its use is not confirmed yet */
-	bool known;      /* it reported all its tasks in this epoch */
-	bool want_full;  /* the next sync asks for a full report */
+	uint32_t number;        /* index in sh->sessions */
+	uint32_t placer_index;  /* index in sh->placer, valid when placed */
+	bool in_placer;         /* the placer has an entry for it */
+	bool in_use;            /* recorded as in use, so starts are allowed */
+	bool in_use_pending;    /* the record of its use is not confirmed yet */
+	bool reported;          /* it reported all its tasks in this epoch */
+	bool needs_full_report; /* the next sync asks for a full report */
 	bool leaving;
 	bool says_leaving; /* according to its newest report */
 	bool gone;         /* not in the host list, and no task left */
@@ -79,8 +79,8 @@
 
 	/* The owner's state. */
 	ogl_time claimed_at;
-	ogl_time limbo_until; /* all earlier leases have ended by then */
-	bool limbo; /* tasks of earlier owners may run unknown to us */
+	ogl_time recovery_until; /* all earlier leases have ended by then */
+	bool recovering; /* tasks of earlier owners may run unknown to us */
 	ogl_time promise_until; /* every successor promised up to then */
 	ogl_time next_promise_ask;
 	GHashTable *promises; /* successor -> ogl_time *, end of its promise */
@@ -95,19 +95,20 @@
 	struct ogl_place *placer;
 	struct ogl_queue *queue;
 	struct ogl_lend *lend;
-	GArray *missed; /* uint64_t, work that didn't fit, in queue order */
-	GPtrArray *sessions;     /* struct ogl_session, by number */
-	GPtrArray *by_place;     /* struct ogl_session, by index in placer */
-	GHashTable *by_worker;   /* name -> struct ogl_session */
-	GHashTable *by_token;    /* token -> struct ogl_session */
-	GHashTable *works;       /* number -> struct ogl_work_ref */
-	GHashTable *held;        /* team path -> uint64_t *, tasks placed */
-	GHashTable *submits;     /* job id -> GArray of waiters */
-	GHashTable *pending_ids; /* request key -> id of a job that is not
+	GArray *unplaced; /* uint64_t, work that didn't fit, in queue order */
+	GPtrArray *sessions;        /* struct ogl_session, by number */
+	GPtrArray *by_placer_index; /* struct ogl_session, by index in placer */
+	GHashTable *by_worker;      /* name -> struct ogl_session */
+	GHashTable *by_token;       /* token -> struct ogl_session */
+	GHashTable *queue_refs;     /* number -> struct ogl_work_ref */
+	GHashTable
+	    *placed_tasks_by_team; /* team path -> uint64_t *, tasks placed */
+	GHashTable *submits;       /* job id -> GArray of waiters */
+	GHashTable *pending_ids;   /* request key -> id of a job that is not
 				    on the log yet */
-	GHashTable *referrals;   /* request key -> GArray of waiters */
-	GHashTable *cancels;     /* job id -> GArray of waiters */
-	GHashTable *inflight;    /* request id -> struct ogl_inflight */
+	GHashTable *referrals;     /* request key -> GArray of waiters */
+	GHashTable *cancels;       /* job id -> GArray of waiters */
+	GHashTable *inflight;      /* request id -> struct ogl_inflight */
 	struct ogl_escrow *escrow;
 	ogl_time next_hosts;
 	ogl_time sessions_due; /* no session has work before this time */
--- a/src/shardcall.c
+++ b/src/shardcall.c
@@ -128,7 +128,7 @@
 			if (t->phase == OGL_TASK_ENDED)
 				tasks[i].state =
 				    (char *)ogl__task_state__descriptor
-					.values[t->end]
+					.values[t->end_state]
 					.name;
 			if (t->phase == OGL_TASK_PLACED) {
 				s = g_ptr_array_index(sh->sessions, t->worker);
@@ -457,13 +457,13 @@
 static bool
 workers_unreported(const struct ogl_shard *sh)
 {
-	if (sh->limbo)
+	if (sh->recovering)
 		return true;
 	for (guint i = 0; i < sh->sessions->len; i++) {
 		const struct ogl_session *s =
 		    g_ptr_array_index(sh->sessions, i);
 
-		if (!s->known && !s->gone && s->fails < UNRESPONSIVE_FAILS)
+		if (!s->reported && !s->gone && s->fails < UNRESPONSIVE_FAILS)
 			return true;
 	}
 	return false;
@@ -572,7 +572,7 @@
 static bool
 never_started(const struct ogl_shard *sh, const struct ogl_job *j)
 {
-	if (j->nplaced > 0 || j->nended > 0 || (sh->limbo && j->inherited))
+	if (j->nplaced > 0 || j->nended > 0 || (sh->recovering && j->inherited))
 		return false;
 	for (uint32_t i = 0; i < j->ntasks; i++) {
 		if (j->tasks[i].attempt != 0)
@@ -590,7 +590,7 @@
 	Ogl__Record *r;
 
 	/* No task is started from here on, so a not_run verdict stays true. */
-	j->cancelling = true;
+	j->cancel_pending = true;
 	ogl_sched_dequeue(sh, j);
 	r = ogl_shard_record(sh, now);
 	r->body_case = OGL__RECORD__BODY_JOB_CANCELLED;
@@ -613,7 +613,7 @@
 		return;
 	}
 	add_waiter(sh->cancels, j->id, c->waiter);
-	if (!j->cancelling)
+	if (!j->cancel_pending)
 		record_cancel(sh, j, "", now);
 }
 
@@ -633,14 +633,15 @@
 		struct ogl_job *j = v;
 		const char *why;
 
-		if (ogl_job_ended(j) || j->cancelling || j->nplaced > 0)
+		if (ogl_job_ended(j) || j->cancel_pending || j->nplaced > 0)
 			continue;
 		why = infeasible_reason(sh, j->spec);
 		if (why == NULL)
-			j->never_since = 0;
-		else if (j->never_since == 0)
-			j->never_since = now;
-		else if (now - j->never_since >= INFEASIBLE_MIN_S * OGL_SEC)
+			j->infeasible_since = 0;
+		else if (j->infeasible_since == 0)
+			j->infeasible_since = now;
+		else if (now - j->infeasible_since >=
+			 INFEASIBLE_MIN_S * OGL_SEC)
 			record_cancel(sh, j, why, now);
 	}
 }
--- a/src/shardview.c
+++ b/src/shardview.c
@@ -18,7 +18,7 @@
 		    json_string(g_ptr_array_index(sh->state->successors, i)));
 	return json_pack("{s:i,s:s,s:I,s:b,s:b,s:o,s:i,s:I,s:i,s:i,s:I}",
 	    "shard", (int)sh->index, "owner", sh->env->cfg->name, "epoch",
-	    (json_int_t)sh->state->epoch, "ready", !sh->limbo, "may_act",
+	    (json_int_t)sh->state->epoch, "ready", !sh->recovering, "may_act",
 	    ogl_shard_may_act(sh, now), "successors", names, "jobs",
 	    (int)g_hash_table_size(sh->state->jobs), "tasks_placed",
 	    (json_int_t)sh->nplaced, "cpu_milli", (int)total.cpu_milli,
@@ -48,7 +48,7 @@
 		    json_pack("{s:s,s:s,s:s,s:s,s:i,s:b,s:b,s:b,s:i,s:I}",
 			"worker", s->name, "addr", s->addr, "zone", s->zone,
 			"rack", s->rack, "shard", (int)sh->index, "known",
-			s->known, "in_use", s->on, "leaving", s->leaving,
+			s->reported, "in_use", s->in_use, "leaving", s->leaving,
 			"tasks", (int)s->tasks->len, "heard_ms_ago",
 			(json_int_t)(s->heard > 0 ? (now - s->heard) / OGL_MS
 						  : -1)));
--- a/src/state.c
+++ b/src/state.c
@@ -96,7 +96,7 @@
 {
 	if (st == NULL)
 		return;
-	ogl_state_free(st->building);
+	ogl_state_free(st->partial_snapshot);
 	g_hash_table_destroy(st->by_request);
 	g_hash_table_destroy(st->jobs);
 	g_hash_table_destroy(st->ids);
@@ -176,7 +176,7 @@
     const char *reason)
 {
 	t->phase = OGL_TASK_ENDED;
-	t->end = (uint8_t)end;
+	t->end_state = (uint8_t)end;
 	g_free(t->reason);
 	t->reason = reason[0] != '\0' ? g_strdup(reason) : NULL;
 	j->nended++;
@@ -203,7 +203,7 @@
 	if (hooks != NULL)
 		hooks->task_ended(ctx, j, e->index, e, now);
 	t->attempt = e->attempt;
-	t->intended = false;
+	t->intent_recorded = false;
 	if (e->state == OGL__TASK_STATE__failed)
 		t->failures++;
 	if (end_is_final(j, t, e->state)) {
@@ -225,11 +225,11 @@
 	if (j == NULL || t->index >= j->ntasks ||
 	    j->tasks[t->index].phase == OGL_TASK_ENDED)
 		return;
-	j->tasks[t->index].intended = true;
+	j->tasks[t->index].intent_recorded = true;
 	j->tasks[t->index].attempt =
 	    MAX(j->tasks[t->index].attempt, t->attempt);
 	if (hooks != NULL)
-		hooks->intent(ctx, j, t->index, t->attempt, now);
+		hooks->start_intended(ctx, j, t->index, t->attempt, now);
 }
 
 static void
@@ -387,7 +387,7 @@
 	else
 		g_hash_table_remove(st->workers, name);
 	if (hooks != NULL)
-		hooks->worker(ctx, name, addr != NULL, now);
+		hooks->worker_in_use_changed(ctx, name, addr != NULL, now);
 }
 
 static void
@@ -398,7 +398,7 @@
 
 	g_hash_table_replace(st->allots, copy->team, copy);
 	if (hooks != NULL)
-		hooks->allot(ctx, copy, now);
+		hooks->allot_changed(ctx, copy, now);
 }
 
 /* ---- snapshots -------------------------------------------------------- */
@@ -419,7 +419,7 @@
 			continue;
 		j->tasks[t->index].attempt = t->attempt;
 		j->tasks[t->index].failures = (uint8_t)t->tries;
-		j->tasks[t->index].intended = t->intended;
+		j->tasks[t->index].intent_recorded = t->intended;
 		if (t->ended)
 			task_finish(
 			    j, &j->tasks[t->index], t->state, t->reason);
@@ -468,12 +468,12 @@
 	struct ogl_state *b;
 
 	if (s->part == 0) {
-		ogl_state_free(st->building);
-		st->building = ogl_state_new();
+		ogl_state_free(st->partial_snapshot);
+		st->partial_snapshot = ogl_state_new();
 		st->building_number = s->snap;
 		st->building_next_part = 0;
 	}
-	b = st->building;
+	b = st->partial_snapshot;
 	if (b == NULL || s->snap != st->building_number ||
 	    s->part != st->building_next_part)
 		return;
@@ -481,7 +481,7 @@
 	st->building_next_part++;
 	if (st->building_next_part < s->parts)
 		return;
-	st->building = NULL;
+	st->partial_snapshot = NULL;
 	if (b->epoch < st->least_epoch) {
 		ogl_state_free(b);
 		return;
@@ -490,7 +490,7 @@
 	struct ogl_state old = *st;
 	*st = *b;
 	*b = old;
-	b->building = NULL;
+	b->partial_snapshot = NULL;
 	ogl_state_free(b);
 	st->complete = true;
 }
@@ -544,16 +544,16 @@
 		Ogl__TaskSnap *ts;
 
 		if (t->phase != OGL_TASK_ENDED && t->failures == 0 &&
-		    !t->intended)
+		    !t->intent_recorded)
 			continue;
 		ts = malloc(sizeof *ts);
 		ogl__task_snap__init(ts);
 		ts->index = i;
 		ts->attempt = t->attempt;
 		ts->tries = t->failures;
-		ts->intended = t->intended;
+		ts->intended = t->intent_recorded;
 		ts->ended = t->phase == OGL_TASK_ENDED;
-		ts->state = t->end;
+		ts->state = t->end_state;
 		if (t->reason != NULL)
 			ts->reason = strdup(t->reason);
 		s->ended[s->n_ended++] = ts;
@@ -765,7 +765,7 @@
 	case OGL__RECORD__BODY_JOB_ACCEPTED:
 		j = job_add(st, r->job_accepted);
 		if (j != NULL && hooks != NULL)
-			hooks->job(ctx, j, now);
+			hooks->job_accepted(ctx, j, now);
 		break;
 	case OGL__RECORD__BODY_TASK_ENDED:
 		apply_task_ended(st, r->task_ended, hooks, ctx, r->at_ms, now);
@@ -784,13 +784,13 @@
 		id = idrec_get_or_add(st, r->id_intent->id);
 		id->at_ms = r->id_intent->at_ms;
 		if (hooks != NULL)
-			hooks->id(ctx, id, now);
+			hooks->id_changed(ctx, id, now);
 		break;
 	case OGL__RECORD__BODY_ID_OUTCOME:
 		id = idrec_get_or_add(st, r->id_outcome->id);
 		idrec_outcome(id, r->id_outcome);
 		if (hooks != NULL)
-			hooks->id(ctx, id, now);
+			hooks->id_changed(ctx, id, now);
 		/* What certainly did not run may be requested again. */
 		if (id->verdict == OGL__VERDICT__not_run)
 			g_hash_table_remove(st->ids, id->id);
@@ -845,8 +845,8 @@
 
 	if (r->body_case == OGL__RECORD__BODY_CLAIM) {
 		st->least_epoch = MAX(st->least_epoch, known + 1);
-		if (known >= st->guess_epoch)
-			st->guess_epoch = offset + 1;
+		if (known >= st->likely_epoch)
+			st->likely_epoch = offset + 1;
 		return;
 	}
 	if (r->body_case == OGL__RECORD__BODY_SHARD_SNAP &&
@@ -855,7 +855,7 @@
 	if (st->complete)
 		return;
 	st->least_epoch = MAX(st->least_epoch, known);
-	st->guess_epoch = MAX(st->guess_epoch, known);
+	st->likely_epoch = MAX(st->likely_epoch, known);
 }
 
 bool
@@ -870,7 +870,7 @@
 	struct ogl_state *st = ogl_state_new();
 
 	st->least_epoch = writers_epoch(r);
-	st->guess_epoch = st->least_epoch;
+	st->likely_epoch = st->least_epoch;
 	return st;
 }
 
--- a/src/state.h
+++ b/src/state.h
@@ -14,19 +14,19 @@
 };
 
 struct ogl_task {
-	uint8_t phase;    /* enum ogl_task_phase */
-	uint8_t end;      /* Ogl__TaskState, valid in OGL_TASK_ENDED */
-	bool ending;      /* owner: its end is being appended */
-	bool running;     /* owner: the worker reported that it runs */
-	bool stopping;    /* owner: it is to be stopped */
-	bool sent;        /* owner: a start of this attempt was sent */
-	bool intended;    /* the log holds the intent to start it */
-	bool held;        /* owner: not sent until that record applies */
-	uint8_t failures; /* attempts that ended as failed */
-	uint32_t attempt; /* newest attempt known */
-	uint32_t worker;  /* owner: session number while placed */
-	ogl_time since;   /* owner: when it was bound to its worker */
-	uint64_t work;    /* owner: number in the queue, 0: none */
+	uint8_t phase;        /* enum ogl_task_phase */
+	uint8_t end_state;    /* Ogl__TaskState, valid in OGL_TASK_ENDED */
+	bool end_pending;     /* owner: its end is being appended */
+	bool running;         /* owner: the worker reported that it runs */
+	bool stopping;        /* owner: it is to be stopped */
+	bool start_sent;      /* owner: a start of this attempt was sent */
+	bool intent_recorded; /* the log holds the intent to start it */
+	bool awaits_intent;   /* owner: not sent until that record applies */
+	uint8_t failures;     /* attempts that ended as failed */
+	uint32_t attempt;     /* newest attempt known */
+	uint32_t worker;      /* owner: session number while placed */
+	ogl_time bound_at;    /* owner: when it was bound to its worker */
+	uint64_t work_number; /* owner: number in the queue, 0: none */
 	char *reason;
 };
 
@@ -44,11 +44,11 @@
 	uint32_t nplaced; /* owner: tasks bound to workers */
 	bool cancelled;
 	Ogl__Verdict cancel_verdict;
-	char *cancel_reason;  /* by the owner; NULL: by a caller */
-	ogl_time never_since; /* owner: since when no worker can hold it */
-	bool cancelling;      /* owner: the cancel is being appended */
-	bool inherited;       /* owner: accepted by an earlier owner */
-	uint64_t number;      /* owner: for placement and spreading */
+	char *cancel_reason;       /* by the owner; NULL: by a caller */
+	ogl_time infeasible_since; /* owner: since when no worker can hold it */
+	bool cancel_pending;       /* owner: the cancel is being appended */
+	bool inherited;            /* owner: accepted by an earlier owner */
+	uint64_t number;           /* owner: for placement and spreading */
 };
 
 /* A request id and the answer to its request. */
@@ -75,30 +75,31 @@
 	GHashTable *workers;    /* name -> addr, in use: tasks may run there */
 	GHashTable *allots;     /* team -> Ogl__Allot */
 	/* The snapshot that is being read, NULL: none. */
-	struct ogl_state *building;
+	struct ogl_state *partial_snapshot;
 	uint64_t building_number; /* its Ogl__ShardSnap.snap */
 	uint32_t building_next_part;
 	uint64_t records; /* applied since the last snapshot */
 	/* While incomplete: learned from records before the snapshot. */
-	uint64_t least_epoch; /* the epoch in force is at least this */
-	uint64_t guess_epoch; /* the epoch in force is probably this */
-	uint64_t owner_ms;    /* at_ms of the owner's newest record */
+	uint64_t least_epoch;  /* the epoch in force is at least this */
+	uint64_t likely_epoch; /* the epoch in force is probably this */
+	uint64_t owner_ms;     /* at_ms of the owner's newest record */
 };
 
 /* Called for the owner when a record takes effect. */
 struct ogl_state_hooks {
 	void (*claimed)(void *ctx, const Ogl__Record *r, ogl_time now);
-	void (*job)(void *ctx, struct ogl_job *j, ogl_time now);
+	void (*job_accepted)(void *ctx, struct ogl_job *j, ogl_time now);
 	void (*cancelled)(void *ctx, struct ogl_job *j, ogl_time now);
 	/* Called before the task's phase changes. */
 	void (*task_ended)(void *ctx, struct ogl_job *j, uint32_t i,
 	    const Ogl__TaskEnded *e, ogl_time now);
-	void (*intent)(void *ctx, struct ogl_job *j, uint32_t i,
+	void (*start_intended)(void *ctx, struct ogl_job *j, uint32_t i,
 	    uint32_t attempt, ogl_time now);
 	void (*referred)(void *ctx, const Ogl__JobReferred *r, ogl_time now);
-	void (*id)(void *ctx, struct ogl_request_id *r, ogl_time now);
-	void (*worker)(void *ctx, const char *name, bool on, ogl_time now);
-	void (*allot)(void *ctx, const Ogl__Allot *a, ogl_time now);
+	void (*id_changed)(void *ctx, struct ogl_request_id *r, ogl_time now);
+	void (*worker_in_use_changed)(
+	    void *ctx, const char *name, bool on, ogl_time now);
+	void (*allot_changed)(void *ctx, const Ogl__Allot *a, ogl_time now);
 };
 
 struct ogl_state *ogl_state_new(void);
--- a/test/test_daemon_http_in.cc
+++ b/test/test_daemon_http_in.cc
@@ -195,7 +195,7 @@
 			   "Connection: close\r\nContent-Length: 600\r\n\r\n" +
 			   std::string(600, 'x');
 
-	limits.body_total_max = 1000;
+	limits.body_total_max_bytes = 1000;
 	start();
 	int held = connect_to(ogl_http_in_port(h));
 	send_all(held, text.substr(0, text.size() - 1));
--- a/test/test_queue.cc
+++ b/test/test_queue.cc
@@ -98,7 +98,7 @@
 	work.kind = w.kind;
 	work.tasks = 1;
 	work.res.cpu_milli = 1000;
-	work.since = w.since;
+	work.waiting_since = w.since;
 	works[id] = w;
 	ogl_queue_push(q, &work, now);
 }
@@ -128,7 +128,7 @@
 	work.kind = w.kind;
 	work.tasks = 1;
 	work.res.cpu_milli = 1000;
-	work.since = w.since;
+	work.waiting_since = w.since;
 	w.started_at = now;
 	ogl_time &l = longest_wait[w.team + " " + w.label];
 	l = std::max(l, now - w.since);
@@ -363,10 +363,11 @@
 			w.label = label.c_str();
 			w.kind = static_cast<Ogl__Kind>(draw(4));
 			w.res.cpu_milli = static_cast<uint32_t>(draw(4000));
-			w.since = now - static_cast<ogl_time>(draw(OGL_SEC));
+			w.waiting_since =
+			    now - static_cast<ogl_time>(draw(OGL_SEC));
 			ogl_queue_push(q, &w, now);
 			waiting.insert(id);
-			since[id] = w.since;
+			since[id] = w.waiting_since;
 		} else if (op < 8) {
 			bool got = ogl_queue_pop(q, now, &w);
 			ASSERT_EQ(!waiting.empty(), got);
