--- a/cell/advice.c
+++ b/cell/advice.c
@@ -240,8 +240,8 @@
 	}
 	g_free(g->ticket);
 	g->ticket = g_strdup(ticket);
-	g->until = until;
-	g->born_ms = w->life;
+	g->expires = until;
+	g->born_ms = w->incarnation;
 }
 
 /*
@@ -342,7 +342,7 @@
 {
 	const struct cell_approval *g = cell_stage_approval(s, w->serial);
 
-	if (g == NULL || g->born_ms != w->life)
+	if (g == NULL || g->born_ms != w->incarnation)
 		return NULL;
 	return g;
 }
--- a/cell/cell_config.h
+++ b/cell/cell_config.h
@@ -29,7 +29,7 @@
 	/* A job's objective is objective_ms plus slack times its run time. */
 	uint32_t objective_ms;
 	double slack;
-	bool open; /* submitting needs no key */
+	bool is_public; /* submitting needs no key */
 	struct cell_policy policy;
 };
 
--- a/cell/fleet.c
+++ b/cell/fleet.c
@@ -219,10 +219,10 @@
 
 		worker_forget_runs(w);
 		w->fenced = false;
-		w->holding = false;
-		w->life = 0;
+		w->hold_pending = false;
+		w->incarnation = 0;
 		w->ends_stored = 0;
-		w->taken = 0;
+		w->ends_reported = 0;
 		w->lease_end_ms = 0;
 		w->listed = false;
 		w->expected = false;
@@ -294,9 +294,9 @@
 	g_snprintf(text, sizeof text,
 	    "worker=%s addr=%s life=%" G_GUINT64_FORMAT
 	    " runs=%u failures=%u draining=%d hold_ms=%" G_GINT64_FORMAT "%s%s",
-	    w->id, w->addr, w->life, g_hash_table_size(w->runs), w->failures,
-	    w->draining, w->hold_duration / OGL_MS, *why != '\0' ? " why=" : "",
-	    why);
+	    w->id, w->addr, w->incarnation, g_hash_table_size(w->runs),
+	    w->failures, w->draining, w->hold_duration / OGL_MS,
+	    *why != '\0' ? " why=" : "", why);
 	f->ops->log(f->ops->ctx, "fleet", event, text);
 }
 
@@ -362,16 +362,17 @@
 		w->next_hold_at = now;
 		/* A new incarnation has seen no epoch, so it is called at once.
 		 * A hold in flight belongs to the last incarnation. */
-		if (w->life != 0 && e->born_ms != 0 && e->born_ms != w->life) {
+		if (w->incarnation != 0 && e->born_ms != 0 &&
+		    e->born_ms != w->incarnation) {
 			w->fenced = false;
-			w->holding = false;
+			w->hold_pending = false;
 			w->hold_number++;
 			/* No more ends of that incarnation are acknowledged. */
 			w->ends_acked = w->ends_stored;
 		}
 	}
 	if (f->open)
-		f->events.room(f->events.arg, now);
+		f->events.room_freed(f->events.arg, now);
 }
 
 void
@@ -397,7 +398,7 @@
 	g_snprintf(text, sizeof text, "evacuated=%u of=%u runs=%u", evacuated,
 	    g_hash_table_size(f->workers), running);
 	f->ops->log(f->ops->ctx, "fleet", "workers_evacuated", text);
-	f->events.room(f->events.arg, now);
+	f->events.room_freed(f->events.arg, now);
 }
 
 void
@@ -433,13 +434,13 @@
 	    record < w->recorded_min)
 		return;
 	w->recorded = true;
-	f->events.room(f->events.arg, f->opened_at);
+	f->events.room_freed(f->events.arg, f->opened_at);
 }
 
 bool
 cell_worker_silent(const struct cell_worker *w, ogl_time now)
 {
-	return CELL_USES_SILENT && w->life != 0 && w->failures > 0 &&
+	return CELL_USES_SILENT && w->incarnation != 0 && w->failures > 0 &&
 	       now - w->silent_since > SILENT_RECORDED_AFTER;
 }
 
@@ -458,7 +459,7 @@
 
 	f->confirmed_at = MAX(f->confirmed_at, at);
 	if (wanted && !cell_fleet_awaits_confirmation(f))
-		f->events.room(f->events.arg, at);
+		f->events.room_freed(f->events.arg, at);
 }
 
 bool
@@ -500,8 +501,9 @@
 static bool
 hold_overdue(const struct cell_worker *w, ogl_time now)
 {
-	return w->holding && now - w->hold_sent_at >
-				 HOLD_WAIT_MS * OGL_MS + HOLD_OVERDUE_AFTER;
+	return w->hold_pending &&
+	       now - w->hold_sent_at >
+		   HOLD_WAIT_MS * OGL_MS + HOLD_OVERDUE_AFTER;
 }
 
 bool
@@ -509,7 +511,7 @@
 {
 	return w->listed && w->recorded && !w->draining && !w->evacuated &&
 	       w->fenced && w->failures == 0 && w->norphans == 0 &&
-	       now >= w->aside_until && !hold_overdue(w, now);
+	       now >= w->cooldown_until && !hold_overdue(w, now);
 }
 
 /*
@@ -532,7 +534,7 @@
 	w->failure_streak++;
 	if (w->failure_streak < FAILURE_STREAK_MAX)
 		return;
-	w->aside_until =
+	w->cooldown_until =
 	    now + (COOLDOWN << MIN(w->cooldowns, COOLDOWN_DOUBLINGS_MAX));
 	w->cooldowns++;
 	/* After the cooldown a single failure is enough. */
@@ -615,7 +617,7 @@
 	r->worker = NULL;
 	if (!r->order_pending)
 		run_free(r);
-	f->events.room(f->events.arg, now);
+	f->events.room_freed(f->events.arg, now);
 }
 
 static void
@@ -649,7 +651,7 @@
 {
 	uint64_t until;
 
-	if (w->life == 0)
+	if (w->incarnation == 0)
 		return 0;
 	until = estimate_clock(w, now) + MIN(LEASE_MS, f->limits->lease_max_ms);
 	w->lease_end_ms = MAX(w->lease_end_ms, until);
@@ -809,7 +811,7 @@
 	log_worker(f, w, "worker_reborn");
 	w->ends_acked = 0;
 	w->ends_stored = 0;
-	w->taken = 0;
+	w->ends_reported = 0;
 	w->lease_end_ms = 0;
 	memset(&w->pace, 0, sizeof w->pace);
 	lose_runs(f, w, a, asked_at, now);
@@ -826,7 +828,7 @@
 	r->running_since = now;
 	if (r->state == CELL_RUN_STARTING)
 		r->state = CELL_RUN_RUNNING;
-	f->events.up(f->events.arg, r, now);
+	f->events.run_started(f->events.arg, r, now);
 }
 
 /* The progress of a gang is that of its slowest member, and a lasting task
@@ -882,9 +884,9 @@
 		const struct cell_run_row *row = &a->ended[i];
 		struct cell_run *r;
 
-		if (row->number <= w->taken)
+		if (row->number <= w->ends_reported)
 			continue;
-		w->taken = row->number;
+		w->ends_reported = row->number;
 		r = find_run(w, row);
 		if (r != NULL)
 			run_ended(f, r, row->how, row->checkpoint, now);
@@ -920,32 +922,32 @@
     const struct cell_hold_answer *a, ogl_time now)
 {
 	struct cell_worker *w = c->worker;
-	uint64_t taken = w->taken;
+	uint64_t taken = w->ends_reported;
 	bool first = !w->fenced;
 	GHashTable *seen;
 
 	if (w->failures > 0)
 		log_worker(f, w, "worker_regained");
 	f->record_outdated |= w->recorded_silent;
-	if (w->gone && w->life == a->born_ms)
+	if (w->gone && w->incarnation == a->born_ms)
 		log_worker(f, w, "worker_was_not_gone");
 	w->gone = false;
 	w->conn_refusals = 0;
 	w->failures = 0;
 	w->tasks_recorded = false;
 	w->last_answer_at = now;
-	if (w->life != 0 && w->life != a->born_ms)
+	if (w->incarnation != 0 && w->incarnation != a->born_ms)
 		worker_reborn(f, w, a, c->sent, now);
 	read_clock(w, a->clock_ms, now);
-	if (w->life != a->born_ms) {
+	if (w->incarnation != a->born_ms) {
 		taken = 0;
 		/* An earlier owner may just have renewed the lease of the
 		 * runs there, for the longest time that an owner asks for. */
 		w->lease_end_ms = a->clock_ms + LEASE_MS;
 	}
-	if (w->life == a->born_ms)
+	if (w->incarnation == a->born_ms)
 		w->ends_acked = MAX(w->ends_acked, c->ends_acked);
-	w->life = a->born_ms;
+	w->incarnation = a->born_ms;
 	w->fenced = true;
 	w->expected = false;
 	seen = g_hash_table_new(NULL, NULL);
@@ -955,7 +957,7 @@
 		process_missing(f, w, seen, c->sent, now);
 	g_hash_table_unref(seen);
 	w->next_hold_at = now;
-	if (w->taken != taken) {
+	if (w->ends_reported != taken) {
 		w->next_hold_at = now + ENDS_BATCH_DELAY;
 		f->events.ends_processed(f->events.arg, w, now);
 	}
@@ -1046,7 +1048,7 @@
 	struct cell_worker *w = c->worker;
 
 	if (c->generation == f->generation && c->number == w->hold_number) {
-		w->holding = false;
+		w->hold_pending = false;
 		w->hold_duration = now - c->sent;
 		if (a->io == OGL_IO_OK)
 			process_hold(f, c, a, now);
@@ -1122,17 +1124,17 @@
 	c->ends_acked = h.last_seen;
 	c->number = ++w->hold_number;
 	w->calls_pending++;
-	w->holding = true;
+	w->hold_pending = true;
 	w->hold_sent_at = now;
 	w->hold_immediate = false;
 	f->ops->count(f->ops->ctx, "holds", 1);
-	f->ops->hold(f->ops->outside, &h, on_hold, c);
+	f->ops->hold(f->ops->backend_ctx, &h, on_hold, c);
 }
 
 static bool
 wants_hold(const struct cell_worker *w, ogl_time now)
 {
-	if (w->holding || now < w->next_hold_at || w->addr == NULL)
+	if (w->hold_pending || now < w->next_hold_at || w->addr == NULL)
 		return false;
 	if (!w->listed && !w->expected && g_hash_table_size(w->runs) == 0)
 		return false;
@@ -1141,7 +1143,7 @@
 	if (!w->fenced || w->failures > 0)
 		return true;
 	/* Its ends are not stored yet: it would only list them again. */
-	if (w->taken > w->ends_stored &&
+	if (w->ends_reported > w->ends_stored &&
 	    now - w->hold_sent_at < LEASE_RENEW_AFTER)
 		return false;
 	return g_hash_table_size(w->runs) > 0 || w->hold_immediate;
@@ -1152,9 +1154,9 @@
     uint64_t incarnation, uint64_t number)
 {
 	(void)f;
-	if (incarnation != w->life || !w->fenced)
+	if (incarnation != w->incarnation || !w->fenced)
 		return;
-	if (number <= w->ends_stored || number > w->taken)
+	if (number <= w->ends_stored || number > w->ends_reported)
 		return;
 	w->ends_stored = number;
 	w->hold_immediate = g_hash_table_size(w->runs) == 0;
@@ -1197,9 +1199,9 @@
 	};
 
 	r->tries++;
-	r->ordered = true;
+	r->start_sent = true;
 	f->ops->count(f->ops->ctx, "starts", 1);
-	f->ops->start(f->ops->outside, &o, on_start, order_call(f, r, now));
+	f->ops->start(f->ops->backend_ctx, &o, on_start, order_call(f, r, now));
 }
 
 static void
@@ -1214,7 +1216,7 @@
 	};
 
 	f->ops->count(f->ops->ctx, "stops", 1);
-	f->ops->stop(f->ops->outside, &o, on_stop, order_call(f, r, now));
+	f->ops->stop(f->ops->backend_ctx, &o, on_stop, order_call(f, r, now));
 }
 
 void
@@ -1437,7 +1439,7 @@
 	r->ticket = g_strdup(ticket);
 	r->checkpoint = g_strdup(t->checkpoint);
 	r->rank = rank;
-	r->began = now;
+	r->created_at = now;
 	send_start(f, r, now);
 	return r;
 }
@@ -1454,7 +1456,7 @@
 	r->stage = s;
 	r->state = CELL_RUN_RUNNING;
 	r->rank = rank;
-	r->began = now;
+	r->created_at = now;
 	r->running_since = now;
 	r->percent = row->percent;
 	r->checkpoint = g_strdup(row->checkpoint);
@@ -1514,7 +1516,7 @@
 step_worker(
     struct cell_fleet *f, struct cell_worker *w, bool runs, ogl_time now)
 {
-	if (w->life != 0 && g_hash_table_size(w->runs) > 0 &&
+	if (w->incarnation != 0 && g_hash_table_size(w->runs) > 0 &&
 	    now > lease_expires_at(w)) {
 		log_worker(f, w, "worker_lapsed");
 		lose_runs(f, w, NULL, now, now);
@@ -1591,8 +1593,8 @@
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		const struct cell_worker *w = p;
 
-		if ((w->listed || w->expected) && w->life == 0 && !w->gone &&
-		    !w->tasks_recorded)
+		if ((w->listed || w->expected) && w->incarnation == 0 &&
+		    !w->gone && !w->tasks_recorded)
 			return false;
 	}
 	return true;
--- a/cell/fleet.h
+++ b/cell/fleet.h
@@ -36,13 +36,13 @@
 	char *spec; /* kept while the start may have to be repeated */
 	char *ticket;
 	char *checkpoint;
-	ogl_time began;         /* when the start was decided */
+	ogl_time created_at;    /* when the start was decided */
 	ogl_time running_since; /* first known to run, 0 not yet */
 	uint32_t percent;
 	struct cell_progress progress;
 	bool order_pending;    /* a start or stop awaits its answer */
 	bool start_unanswered; /* the answer to a start was lost */
-	bool ordered;          /* a start was sent */
+	bool start_sent;       /* a start was sent */
 	bool stop_answered;
 	ogl_time stop_answered_at;
 	ogl_time retry_at;
@@ -75,7 +75,7 @@
 	bool evacuated; /* its zone is evacuated: nothing starts there */
 	uint64_t entry_born_ms; /* incarnation that the list entry describes */
 
-	uint64_t life;         /* born_ms of the last incarnation, 0 none yet */
+	uint64_t incarnation;  /* born_ms of the last incarnation, 0 none yet */
 	bool fenced;           /* this incarnation has seen our epoch */
 	uint64_t clock_ms;     /* its clock as last read, */
 	ogl_time clock_at;     /* and when that answer came */
@@ -88,11 +88,11 @@
 	/* The record lists every task that may run there, so a takeover does
 	 * not wait for its answer. */
 	bool tasks_recorded;
-	uint64_t ends_stored; /* ends up to this are stored */
-	uint64_t ends_acked;  /* ends up to this were acknowledged to it */
-	uint64_t taken;       /* ends up to this were reported to the owner */
-	uint64_t hold_number; /* of the hold whose answer counts */
-	bool holding;         /* a hold awaits its answer */
+	uint64_t ends_stored;   /* ends up to this are stored */
+	uint64_t ends_acked;    /* ends up to this were acknowledged to it */
+	uint64_t ends_reported; /* ends up to this were reported to the owner */
+	uint64_t hold_number;   /* of the hold whose answer counts */
+	bool hold_pending;      /* a hold awaits its answer */
 	ogl_time hold_sent_at;
 	ogl_time lossy_until;        /* an answer was lost shortly before */
 	ogl_time hold_duration;      /* of the last hold, answered or not */
@@ -113,7 +113,7 @@
 	uint32_t norphans;
 	uint32_t failure_streak; /* failed ends in a row, of different jobs */
 	char *last_failed_job;   /* the last job of the streak */
-	ogl_time aside_until;    /* gets no work until then */
+	ogl_time cooldown_until; /* gets no work until then */
 	uint32_t cooldowns;      /* in a row */
 	struct cell_pace pace;
 };
@@ -133,7 +133,7 @@
 	void (*end_found)(void *arg, struct cell_worker *w,
 	    const struct cell_run_row *row, ogl_time now);
 	/* A worker lists the end of a run that is not known here. */
-	void (*up)(void *arg, struct cell_run *r, ogl_time now);
+	void (*run_started)(void *arg, struct cell_run *r, ogl_time now);
 	/* A run is first known to be running. */
 	void (*ends_processed)(void *arg, struct cell_worker *w, ogl_time now);
 	/* Ends up to w->taken were reported; to be followed by
@@ -142,7 +142,7 @@
 	/* A worker has seen our epoch for the first time, or has ended. */
 	void (*outranked)(void *arg, ogl_time now);
 	/* A worker has seen a higher epoch than ours. */
-	void (*room)(void *arg, ogl_time now);
+	void (*room_freed)(void *arg, ogl_time now);
 	/* There may be room for more runs. */
 	void *arg;
 };
--- a/cell/front.c
+++ b/cell/front.c
@@ -294,7 +294,7 @@
 	if (!cell_front_cut_off(f, now))
 		return;
 	if (c->record.n > 0) {
-		config = f->ops->decode_config(f->ops->outside, c->record);
+		config = f->ops->decode_config(f->ops->backend_ctx, c->record);
 		if (config != NULL)
 			apply_config(f, config, c->record);
 		cell_config_unref(config);
@@ -425,9 +425,9 @@
 	f->reading = true;
 	f->read_sent_at = now;
 	if (f->loaded)
-		f->ops->read(f->ops->outside, &r, on_read, f);
+		f->ops->read(f->ops->backend_ctx, &r, on_read, f);
 	else
-		f->ops->newest(f->ops->outside, &q, on_newest, f);
+		f->ops->newest(f->ops->backend_ctx, &q, on_newest, f);
 }
 
 /* ---- answers ---------------------------------------------------------- */
@@ -631,7 +631,7 @@
 read_job(struct cell_front *f, const struct cell_queue *q, const char *team,
     const char *id, const struct cell_request *r, const char **why)
 {
-	Ogl__CellJob *j = f->ops->decode_job(f->ops->outside, r->body, why);
+	Ogl__CellJob *j = f->ops->decode_job(f->ops->backend_ctx, r->body, why);
 
 	if (j == NULL)
 		return NULL;
@@ -733,7 +733,7 @@
 		return;
 	}
 	team = cell_config_team_of_key(f->config, r->key);
-	if (team == NULL && !q->open) {
+	if (team == NULL && !q->is_public) {
 		refuse(f, r, token, CELL_NO_KEY, 0, "unknown key");
 		return;
 	}
--- a/cell/job.c
+++ b/cell/job.c
@@ -93,7 +93,7 @@
 
 	for (i = 0; i < s->ntasks; i++) {
 		g_free(s->tasks[i].checkpoint);
-		g_free(s->tasks[i].avoid);
+		g_free(s->tasks[i].avoid_worker);
 		if (s->tasks[i].failed_runs != NULL)
 			g_array_unref(s->tasks[i].failed_runs);
 	}
@@ -173,7 +173,7 @@
 	for (i = 0; i < j->def->n_steps; i++) {
 		const Ogl__CellStep *s = j->def->steps[i];
 
-		j->work +=
+		j->cpu_seconds +=
 		    s->count * (s->estimate_ms / 1e3) * (s->cpu_milli / 1e3);
 	}
 	measure_chains_from(j);
@@ -312,7 +312,7 @@
 {
 	struct cell_task *t = cell_stage_shared_task(s, index);
 
-	t->due = MAX(t->due, until);
+	t->not_before = MAX(t->not_before, until);
 	t->holds++;
 }
 
@@ -322,7 +322,7 @@
 	struct cell_task *t = cell_stage_shared_task(s, index);
 
 	if (t->holds > 0 && --t->holds == 0)
-		t->due = MIN(t->due, now);
+		t->not_before = MIN(t->not_before, now);
 }
 
 struct cell_approval *
--- a/cell/job.h
+++ b/cell/job.h
@@ -25,9 +25,9 @@
 	char *checkpoint;    /* NULL none */
 	struct cell_run *active; /* NULL: no run, and none may exist */
 	struct cell_run *copy;   /* second run, where the step allows it */
-	bool supposed;           /* may run on a worker that has not answered */
-	char *avoid;             /* worker of the last failed run; NULL none */
-	ogl_time due;            /* earliest start */
+	bool assumed_running;    /* may run on a worker that has not answered */
+	char *avoid_worker;      /* worker of the last failed run; NULL none */
+	ogl_time not_before;     /* earliest start */
 	uint32_t holds;          /* silent workers on which it may run */
 	uint32_t moves;          /* times it was stopped to run elsewhere */
 };
@@ -36,7 +36,7 @@
 struct cell_approval {
 	uint32_t worker; /* serial number */
 	char *ticket;
-	ogl_time until;   /* the ticket counts as expired from then on */
+	ogl_time expires; /* the ticket counts as expired from then on */
 	uint64_t born_ms; /* incarnation of the worker it is valid for */
 };
 
@@ -89,17 +89,17 @@
 	uint64_t ended_ms; /* wall clock */
 	bool begun;
 	bool stored;           /* the submission is stored */
-	bool over;             /* submitted beyond its team's rate */
+	bool beyond_rate;      /* submitted beyond its team's rate */
 	bool dirty;            /* queued in the journal */
 	bool write_def;        /* the submission has to be written */
 	bool drop_def;         /* its record has to be dropped */
-	bool forget;           /* both records have to be dropped */
+	bool drop_records;     /* both records have to be dropped */
 	uint32_t nruns;        /* runs on any worker, whatever their state */
-	double work;           /* processor seconds declared, all steps */
+	double cpu_seconds;    /* processor seconds declared, all steps */
 	double chain_ms;       /* longest chain of declared run times */
 	double *chain_from_ms; /* the same, from each step on */
 	double *measured_ms;   /* longest finished run of each step; 0 none */
-	bool shown;            /* its end is stored, so callers may see it */
+	bool end_stored;       /* its end is stored, so callers may see it */
 	uint64_t queue_config_version;   /* version it is taken from */
 	struct cell_queue *queue_config; /* of its queue; NULL not looked up */
 	/* Accepted by this owner, or all workers have answered since the
--- a/cell/journal.c
+++ b/cell/journal.c
@@ -399,7 +399,7 @@
 	GBytes *v;
 	size_t n = 0;
 
-	if (j->forget) {
+	if (j->drop_records) {
 		add_put(b, 'p', j->id, NULL);
 		return 0;
 	}
@@ -513,7 +513,7 @@
 	    .fenced = true,
 	    .epoch = g->epoch,
 	    .seq = b->seq,
-	    .at = -1,
+	    .expected_end = -1,
 	    .puts = (const struct cell_put *)(void *)b->puts->data,
 	    .nputs = b->puts->len,
 	    .timeout_ms = ATTEMPT_TIMEOUT_MS,
@@ -529,7 +529,7 @@
 	b->in_flight++;
 	b->retry_at = now + retry_delay_ms(g, b) * OGL_MS;
 	g->last_sent_at = now;
-	g->ops->append(g->ops->outside, &a, on_appended, s);
+	g->ops->append(g->ops->backend_ctx, &a, on_appended, s);
 }
 
 /* Adapts to the latency of the last answer.  The value decreases slowly. */
--- a/cell/lead.c
+++ b/cell/lead.c
@@ -537,7 +537,7 @@
 		return;
 	l->probing = true;
 	l->probe_sent_at = now;
-	l->ops->read(l->ops->outside, &r, on_probe, l);
+	l->ops->read(l->ops->backend_ctx, &r, on_probe, l);
 }
 
 /* The number of shards is the first record of the stream, but the page may list
@@ -580,9 +580,9 @@
 	l->reading = true;
 	l->read_sent_at = now;
 	if (l->newest_next)
-		l->ops->newest(l->ops->outside, &q, on_newest, l);
+		l->ops->newest(l->ops->backend_ctx, &q, on_newest, l);
 	else
-		l->ops->read(l->ops->outside, &r, on_read, l);
+		l->ops->read(l->ops->backend_ctx, &r, on_read, l);
 }
 
 /* ---- the claims of a shard -------------------------------------------- */
@@ -623,7 +623,7 @@
 	    .timeout_ms = PROBE_TIMEOUT_MS};
 
 	s->reading_claims = true;
-	s->lead->ops->newest(s->lead->ops->outside, &q, on_newest_claim, s);
+	s->lead->ops->newest(s->lead->ops->backend_ctx, &q, on_newest_claim, s);
 }
 
 static void
@@ -653,7 +653,7 @@
 	if (s->reading_claims)
 		return;
 	s->reading_claims = true;
-	l->ops->read(l->ops->outside, &r, on_claims, s);
+	l->ops->read(l->ops->backend_ctx, &r, on_claims, s);
 }
 
 /* ---- writing ---------------------------------------------------------- */
@@ -666,7 +666,7 @@
 	struct cell_put put = {key, NULL};
 	struct cell_append a = {.stream = m->claim ? CELL_CLAIMS : CELL_LEAD,
 	    .shard = m->claim ? s->shard : 0,
-	    .at = m->claim ? (int64_t)s->epoch : -1,
+	    .expected_end = m->claim ? (int64_t)s->epoch : -1,
 	    .puts = &put,
 	    .nputs = 1,
 	    .timeout_ms = APPEND_TIMEOUT_MS};
@@ -685,7 +685,7 @@
 	p = g_malloc(n);
 	ogl__cell_lead__pack(m, p);
 	put.value = g_bytes_new_take(p, n);
-	l->ops->append(l->ops->outside, &a, done, arg);
+	l->ops->append(l->ops->backend_ctx, &a, done, arg);
 	g_bytes_unref(put.value);
 }
 
@@ -753,8 +753,9 @@
 
 	s->claiming = false;
 	if (a->io != OGL_IO_OK) {
-		log_owner(s, a->moved ? "claim_late" : "claim_failed", l->addr);
-		if (a->moved || a->io == OGL_IO_LOST)
+		log_owner(
+		    s, a->end_moved ? "claim_late" : "claim_failed", l->addr);
+		if (a->end_moved || a->io == OGL_IO_LOST)
 			read_claims(s);
 		return;
 	}
@@ -890,7 +891,7 @@
 	char key[] = PLAN_KEY;
 	struct cell_put put = {key, NULL};
 	struct cell_append a = {.stream = CELL_LEAD,
-	    .at = (int64_t)l->next_offset,
+	    .expected_end = (int64_t)l->next_offset,
 	    .puts = &put,
 	    .nputs = 1,
 	    .timeout_ms = APPEND_TIMEOUT_MS};
@@ -903,7 +904,7 @@
 	ogl__cell_plan__pack(&m, p);
 	put.value = g_bytes_new_take(p, n);
 	l->planning = true;
-	l->ops->append(l->ops->outside, &a, on_plan, l);
+	l->ops->append(l->ops->backend_ctx, &a, on_plan, l);
 	g_bytes_unref(put.value);
 }
 
--- a/cell/loader.c
+++ b/cell/loader.c
@@ -331,14 +331,14 @@
 	    .shard = l->shard,
 	    .fenced = true,
 	    .epoch = l->epoch,
-	    .at = -1,
+	    .expected_end = -1,
 	    .timeout_ms = FENCE_TIMEOUT_MS};
 
 	if (l->fences_pending >= PENDING_FENCES_MAX)
 		return;
 	l->fences_pending++;
 	l->next_request_at = now + l->fence_overdue_ms * OGL_MS;
-	l->ops->append(l->ops->outside, &a, on_fenced, exchange_new(l));
+	l->ops->append(l->ops->backend_ctx, &a, on_fenced, exchange_new(l));
 }
 
 /* ---- records ---------------------------------------------------------- */
@@ -621,7 +621,7 @@
 	    .timeout_ms = l->page_overdue_ms};
 
 	l->tail_pending = true;
-	l->ops->read(l->ops->outside, &r, on_tail, exchange_new(l));
+	l->ops->read(l->ops->backend_ctx, &r, on_tail, exchange_new(l));
 }
 
 static void
@@ -638,7 +638,7 @@
 	x->range = r->number;
 	r->requests_pending++;
 	r->next_request_at = now + l->page_overdue_ms * OGL_MS;
-	l->ops->newest(l->ops->outside, &q, on_page, x);
+	l->ops->newest(l->ops->backend_ctx, &q, on_page, x);
 }
 
 static void
--- a/cell/node.c
+++ b/cell/node.c
@@ -275,7 +275,7 @@
 	q->shard = shard;
 	q->to = g_strdup(from);
 	q->token = a->token;
-	n->ops->ask(n->ops->outside, &ask, on_advice, q);
+	n->ops->ask(n->ops->backend_ctx, &ask, on_advice, q);
 }
 
 /* ---- calls to workers for an owner ------------------------------------ */
--- a/cell/ops.h
+++ b/cell/ops.h
@@ -45,7 +45,8 @@
 	bool fenced;
 	uint64_t epoch;
 	uint64_t seq;
-	int64_t at; /* refused unless the stream ends there; -1: no check */
+	int64_t
+	    expected_end; /* refused unless the stream ends there; -1: no check */
 	const struct cell_put *puts;
 	size_t nputs; /* 0: only tells the store the epoch */
 	uint32_t timeout_ms;
@@ -54,7 +55,7 @@
 struct cell_append_answer {
 	enum ogl_io_result io;
 	bool outranked;  /* refused: a higher epoch was seen */
-	bool moved;      /* refused: the stream does not end at `at` */
+	bool end_moved;  /* refused: the stream does not end at `at` */
 	uint64_t offset; /* of the first record, when OK */
 	uint64_t end;    /* offset after the last record, when OK or moved */
 };
@@ -328,8 +329,8 @@
 	void (*observe)(void *ctx, const char *name, uint64_t ms);
 	/* Add to a counter and to a latency histogram. */
 
-	void *outside; /* passed to the functions up to decode_job */
-	void *ctx;     /* passed to those after it */
+	void *backend_ctx; /* passed to the functions up to decode_job */
+	void *ctx;         /* passed to those after it */
 };
 
 /* Limits of a deployment, from the settings file. */
--- a/cell/owner.c
+++ b/cell/owner.c
@@ -134,7 +134,7 @@
 	    "job=%s task=%u.%u.%u run=%" G_GUINT64_FORMAT
 	    " worker=%s age_ms=%" G_GINT64_FORMAT " %s",
 	    r->name.id, r->name.occurrence, r->name.step, r->name.index,
-	    r->number, r->worker->id, (now - r->began) / OGL_MS, more);
+	    r->number, r->worker->id, (now - r->created_at) / OGL_MS, more);
 	o->ops->log(o->ops->ctx, "owner", event, text);
 }
 
@@ -219,7 +219,7 @@
 	if (fate == CELL_STORED) {
 		j = job_of(n->owner, n->name);
 		if (j != NULL)
-			j->shown = true;
+			j->end_stored = true;
 	}
 	g_free(n->name);
 	g_free(n);
@@ -252,7 +252,7 @@
 
 		if (t->done || t->run == 0 || t->active != NULL)
 			continue;
-		t->supposed = true;
+		t->assumed_running = true;
 		cell_fleet_team_charge(o->fleet, st->job->def->team, &need);
 	}
 }
@@ -262,9 +262,9 @@
 {
 	struct ogl_res need = cell_stage_need(st);
 
-	if (!t->supposed)
+	if (!t->assumed_running)
 		return;
-	t->supposed = false;
+	t->assumed_running = false;
 	cell_fleet_team_uncharge(o->fleet, st->job->def->team, &need);
 }
 
@@ -285,7 +285,7 @@
 	uint32_t i;
 
 	for (i = 0; i < st->ntasks; i++) {
-		if (now >= cell_stage_shared_task(st, i)->due)
+		if (now >= cell_stage_shared_task(st, i)->not_before)
 			clear_assumed(o, st, &st->tasks[i]);
 	}
 }
@@ -464,9 +464,9 @@
 
 	if (!cell_task_record_failure(t, run))
 		return;
-	g_free(st->tasks[index].avoid);
-	st->tasks[index].avoid = g_strdup(worker);
-	t->due = now;
+	g_free(st->tasks[index].avoid_worker);
+	st->tasks[index].avoid_worker = g_strdup(worker);
+	t->not_before = now;
 	if (!st->def->lasting && q.attempts_max > 0 &&
 	    cell_task_failures(t) >= q.attempts_max)
 		end_job(o, st->job, OGL__CELL_JOB_STATE__cell_failed,
@@ -528,9 +528,9 @@
 	if (st == NULL)
 		return;
 	/* If an earlier owner started the run, its start time is not known. */
-	if (how == CELL_END_DONE && r->ordered)
+	if (how == CELL_END_DONE && r->start_sent)
 		cell_job_record_run_ms(
-		    st->job, st->step, (double)(now - r->began) / OGL_MS);
+		    st->job, st->step, (double)(now - r->created_at) / OGL_MS);
 	detach_run(st, &st->tasks[r->name.index], r);
 	apply_end(o, st, r->name.index, r->number, how,
 	    checkpoint != NULL && *checkpoint != '\0' ? checkpoint
@@ -555,10 +555,10 @@
 	if (why == CELL_REFUSED_TICKET || why == CELL_REFUSED_INCARNATION) {
 		g = cell_stage_approval(st, r->worker->serial);
 		if (g != NULL)
-			g->until = 0;
+			g->expires = 0;
 	}
 	if (why == CELL_REFUSED_BUSY)
-		r->worker->aside_until = now + OGL_SEC;
+		r->worker->cooldown_until = now + OGL_SEC;
 	/* Started members of a gang would wait for this one forever. */
 	if (st->def->gang) {
 		uint32_t i;
@@ -681,8 +681,8 @@
 	(void)now;
 	n->owner = o;
 	n->name = g_strdup(w->id);
-	n->life = w->life;
-	cell_journal_notify(o->journal, on_ends_stored, n, w->taken);
+	n->life = w->incarnation;
+	cell_journal_notify(o->journal, on_ends_stored, n, w->ends_reported);
 }
 
 static void
@@ -944,7 +944,7 @@
 		if (!cell_job_state_ended(m->state) || job_of(o, id) != NULL)
 			continue;
 		j = cell_job_new_ended(id, m);
-		j->shown = true;
+		j->end_stored = true;
 		g_hash_table_insert(o->jobs, j->id, j);
 	}
 }
@@ -1239,9 +1239,9 @@
 	    "over_rate=%d rate=%.2f objective_ms=%.0f "
 	    "store_ms=%" G_GINT64_FORMAT,
 	    j->def->team, j->def->queue, j->def->n_steps,
-	    j->def->steps[0]->count, j->chain_ms, j->work, j->over,
-	    t != NULL ? t->rate : 0, cell_sched_objective_ms(o->sched, j),
-	    (now - j->accepted) / OGL_MS);
+	    j->def->steps[0]->count, j->chain_ms, j->cpu_seconds,
+	    j->beyond_rate, t != NULL ? t->rate : 0,
+	    cell_sched_objective_ms(o->sched, j), (now - j->accepted) / OGL_MS);
 	log_job(o, j, "job_accepted", more);
 }
 
@@ -1436,7 +1436,7 @@
 	j = cell_job_new(c->job, now);
 	c->job = NULL;
 	j->settled = true;
-	j->over = over;
+	j->beyond_rate = over;
 	j->def->accepted_ms = (uint64_t)(o->wall / OGL_MS);
 	g_hash_table_insert(o->jobs, j->id, j);
 	cell_relay_note_spec(o->relay, j->id, from);
@@ -1494,7 +1494,7 @@
 	}
 	r.token = c->token;
 	r.state = j->state;
-	if (cell_job_state_ended(j->state) && !j->shown)
+	if (cell_job_state_ended(j->state) && !j->end_stored)
 		r.state = OGL__CELL_JOB_STATE__cell_running;
 	o->events.reply(o->events.arg, from, &r);
 }
@@ -1647,7 +1647,7 @@
 			mixed = true;
 			continue;
 		}
-		if (now - r->began < GANG_REPAIR_DELAY)
+		if (now - r->created_at < GANG_REPAIR_DELAY)
 			return;
 		run = r->number;
 	}
@@ -1691,7 +1691,7 @@
 	if (fate == CELL_STORED) {
 		struct cell_job *j = job_of(n->owner, n->name);
 
-		if (j != NULL && j->forget) {
+		if (j != NULL && j->drop_records) {
 			cell_journal_unmark(n->owner->journal, j);
 			g_hash_table_remove(n->owner->jobs, n->name);
 		}
@@ -1705,9 +1705,10 @@
 {
 	uint64_t keep = o->limits->status_ms + ENDED_JOB_MARGIN_MS;
 
-	if (j->forget || j->ended_ms + keep > (uint64_t)(o->wall / OGL_MS))
+	if (j->drop_records ||
+	    j->ended_ms + keep > (uint64_t)(o->wall / OGL_MS))
 		return;
-	j->forget = true;
+	j->drop_records = true;
 	job_changed(o, j, false, now);
 	call_after_store(o, j->id, on_forgotten, 0);
 }
--- a/cell/plan.c
+++ b/cell/plan.c
@@ -133,5 +133,5 @@
 		g_hash_table_remove_all(p->services);
 		p->count_so_far = 0;
 	}
-	p->ops->newest(p->ops->outside, &q, on_page, p);
+	p->ops->newest(p->ops->backend_ctx, &q, on_page, p);
 }
--- a/cell/relay.c
+++ b/cell/relay.c
@@ -408,7 +408,7 @@
 	if (r->active && !must_call_directly(r, o->to.id))
 		n = choose_for_job(r, o->task.id, &has_spec);
 	if (n == NULL) {
-		r->ops->start(r->ops->outside, o, done, arg);
+		r->ops->start(r->ops->backend_ctx, o, done, arg);
 		return;
 	}
 	m = order_message(OGL__CELL_ORDER_KIND__cell_order_start, o);
@@ -435,7 +435,7 @@
 	Ogl__CellOrder *m;
 
 	if (n == NULL) {
-		r->ops->stop(r->ops->outside, o, done, arg);
+		r->ops->stop(r->ops->backend_ctx, o, done, arg);
 		return;
 	}
 	m = order_message(OGL__CELL_ORDER_KIND__cell_order_stop, o);
@@ -452,7 +452,7 @@
 	Ogl__CellOrder *m;
 
 	if (n == NULL) {
-		r->ops->hold(r->ops->outside, h, done, arg);
+		r->ops->hold(r->ops->backend_ctx, h, done, arg);
 		return;
 	}
 	m = message_new(
@@ -477,7 +477,7 @@
 	if (r->active && q->stream == CELL_WORKERS)
 		n = choose_node(r, WORKER_LIST_KEY, HOLD_RELAYS_MAX);
 	if (n == NULL) {
-		r->ops->read(r->ops->outside, q, done, arg);
+		r->ops->read(r->ops->backend_ctx, q, done, arg);
 		return;
 	}
 	m = message_new(
@@ -493,7 +493,7 @@
 {
 	struct cell_relay *r = ctx;
 
-	r->ops->newest(r->ops->outside, q, done, arg);
+	r->ops->newest(r->ops->backend_ctx, q, done, arg);
 }
 
 void
@@ -504,7 +504,7 @@
 	ops->start = relay_start;
 	ops->stop = relay_stop;
 	ops->hold = relay_hold;
-	ops->outside = r;
+	ops->backend_ctx = r;
 }
 
 /* ---- answers ---------------------------------------------------------- */
--- a/cell/relay_serve.c
+++ b/cell/relay_serve.c
@@ -410,7 +410,7 @@
 	    .wait_ms = m->wait_ms,
 	    .timeout_ms = m->timeout_ms};
 
-	ops->hold(ops->outside, &h, on_hold, c);
+	ops->hold(ops->backend_ctx, &h, on_hold, c);
 }
 
 /* ---- list of workers -------------------------------------------------- */
@@ -505,7 +505,7 @@
 	    .timeout_ms = m->timeout_ms};
 
 	c->from = m->from;
-	ops->read(ops->outside, &q, on_list, c);
+	ops->read(ops->backend_ctx, &q, on_list, c);
 }
 
 /* ---- orders ----------------------------------------------------------- */
@@ -542,7 +542,7 @@
 		reject(c, OGL__CELL_ORDER_OUTCOME__cell_order_lacks_spec, now);
 		return false;
 	}
-	v->ops->start(v->ops->outside, &o, on_order, c);
+	v->ops->start(v->ops->backend_ctx, &o, on_order, c);
 	return true;
 }
 
@@ -561,7 +561,7 @@
 	}
 	o = order_from_msg(m);
 	q->running++;
-	v->ops->stop(v->ops->outside, &o, on_order, c);
+	v->ops->stop(v->ops->backend_ctx, &o, on_order, c);
 }
 
 /* Carries out waiting orders.  The owner counts an order that has waited past
--- a/cell/roster.c
+++ b/cell/roster.c
@@ -180,7 +180,8 @@
 		return;
 	r->reading = true;
 	if (r->following)
-		r->ops->read(r->ops->outside, &t, on_tail, exchange_new(r));
+		r->ops->read(r->ops->backend_ctx, &t, on_tail, exchange_new(r));
 	else
-		r->ops->newest(r->ops->outside, &q, on_page, exchange_new(r));
+		r->ops->newest(
+		    r->ops->backend_ctx, &q, on_page, exchange_new(r));
 }
--- a/cell/schedule.c
+++ b/cell/schedule.c
@@ -311,7 +311,8 @@
 		precedence = PRECEDENCE_TOO_LATE;
 	else if (end > objective)
 		precedence = 1;
-	return j->over ? precedence + PRECEDENCE_BEYOND_RATE : precedence;
+	return j->beyond_rate ? precedence + PRECEDENCE_BEYOND_RATE
+			      : precedence;
 }
 
 static bool
@@ -413,7 +414,7 @@
 			s->some_at_worker_max = true;
 			continue;
 		}
-		if (g->born_ms == w->life && g->until > now)
+		if (g->born_ms == w->incarnation && g->expires > now)
 			g_ptr_array_add(s->candidates, w);
 		else
 			g_ptr_array_add(s->expired, w);
@@ -485,7 +486,7 @@
 	if (*st->def->data_rack != '\0' &&
 	    strcmp(st->def->data_rack, w->rack) != 0)
 		cost += 1e6;
-	if (t->avoid != NULL && strcmp(t->avoid, w->id) == 0)
+	if (t->avoid_worker != NULL && strcmp(t->avoid_worker, w->id) == 0)
 		cost += 1e7;
 	return cost;
 }
@@ -885,7 +886,7 @@
 static bool
 task_startable(const struct cell_task *t, ogl_time now)
 {
-	return !t->done && t->active == NULL && now >= t->due;
+	return !t->done && t->active == NULL && now >= t->not_before;
 }
 
 static void
@@ -917,7 +918,7 @@
 
 		if (t->done || t->active != NULL)
 			continue;
-		if (now < t->due) {
+		if (now < t->not_before) {
 			all = false;
 			continue;
 		}
@@ -1153,7 +1154,9 @@
 	const struct cell_stage *x = *(struct cell_stage *const *)a;
 	const struct cell_stage *y = *(struct cell_stage *const *)b;
 
-	return x->job->work < y->job->work ? -1 : x->job->work > y->job->work;
+	return x->job->cpu_seconds < y->job->cpu_seconds
+		   ? -1
+		   : x->job->cpu_seconds > y->job->cpu_seconds;
 }
 
 /*
--- a/test/fake_cell.c
+++ b/test/fake_cell.c
@@ -657,7 +657,7 @@
 answer_append_moved(struct fake_cell *f, void *arg)
 {
 	struct call *c = arg;
-	struct cell_append_answer a = {.io = OGL_IO_REFUSED, .moved = true};
+	struct cell_append_answer a = {.io = OGL_IO_REFUSED, .end_moved = true};
 
 	answer_append(c, &a);
 	call_unref(f, c);
@@ -998,7 +998,7 @@
 	c->fenced = a->fenced;
 	c->epoch = a->epoch;
 	c->seq = a->seq;
-	c->expected_end = a->at;
+	c->expected_end = a->expected_end;
 	c->puts = g_ptr_array_new_with_free_func(record_free);
 	for (i = 0; i < a->nputs; i++) {
 		struct record *r = g_new0(struct record, 1);
@@ -2259,7 +2259,7 @@
 	o->log = on_log;
 	o->count = on_count;
 	o->observe = on_count;
-	o->outside = n;
+	o->backend_ctx = n;
 	o->ctx = n;
 }
 
--- a/test/test_cell_fleet.cc
+++ b/test/test_cell_fleet.cc
@@ -58,13 +58,13 @@
 		struct cell_fleet_events e = {};
 
 		ops_.hold = on_hold;
-		ops_.outside = &worker_;
+		ops_.backend_ctx = &worker_;
 		ops_.log = [](void *, const char *, const char *,
 			       const char *) {};
 		ops_.count = [](void *, const char *, uint64_t) {};
 		limits_.lease_max_ms = 10000;
 		e.answered = [](void *, struct cell_worker *, ogl_time) {};
-		e.room = [](void *, ogl_time) {};
+		e.room_freed = [](void *, ogl_time) {};
 		e.run_found = [](void *arg, struct cell_worker *w,
 				  const struct cell_run_row *row,
 				  ogl_time now) {
@@ -73,7 +73,7 @@
 			cell_fleet_stop_orphan(t->fleet_, w, row, now);
 		};
 		e.arg = this;
-		e.up = [](void *, struct cell_run *, ogl_time) {};
+		e.run_started = [](void *, struct cell_run *, ogl_time) {};
 		e.run_ended = [](void *arg, struct cell_run *, enum cell_end,
 				  const char *, ogl_time) {
 			static_cast<Fleet *>(arg)->ended_++;
--- a/test/test_cell_front.cc
+++ b/test/test_cell_front.cc
@@ -45,7 +45,7 @@
 		ops_.log = [](void *, const char *, const char *,
 			       const char *) {};
 		ops_.count = [](void *, const char *, uint64_t) {};
-		ops_.outside = this;
+		ops_.backend_ctx = this;
 		ops_.ctx = this;
 		limits_.revoke_ms = 60000;
 		front_ = cell_front_init(&ops_, &limits_, &events);
@@ -69,7 +69,7 @@
 		q->host = g_strdup("h");
 		q->prefix = g_strdup("/q/");
 		q->service = g_strdup("s");
-		q->open = true;
+		q->is_public = true;
 		r.config = c;
 		r.value = ogl_str("");
 		a.records = &r;
--- a/test/test_cell_journal.cc
+++ b/test/test_cell_journal.cc
@@ -51,7 +51,7 @@
 		ops_.append = on_append;
 		ops_.log = on_log;
 		ops_.count = [](void *, const char *, uint64_t) {};
-		ops_.outside = &store_;
+		ops_.backend_ctx = &store_;
 		journal_ = cell_journal_init(
 		    &ops_, 0, [](void *, ogl_time) {}, nullptr);
 		cell_journal_open(journal_, 7, 0);
--- a/test/test_cell_lead.cc
+++ b/test/test_cell_lead.cc
@@ -47,8 +47,8 @@
 	auto *p =
 	    static_cast<const char *>(g_bytes_get_data(a->puts[0].value, &n));
 
-	s->written.push_back({a->stream, a->shard, a->at, std::string(p, n),
-	    done, arg, std::make_shared<bool>(false)});
+	s->written.push_back({a->stream, a->shard, a->expected_end,
+	    std::string(p, n), done, arg, std::make_shared<bool>(false)});
 }
 
 void
@@ -142,7 +142,7 @@
 		ops_.newest = on_newest;
 		ops_.log = on_log;
 		ops_.count = on_count;
-		ops_.outside = &store_;
+		ops_.backend_ctx = &store_;
 		events_.planned = [](void *, uint32_t, ogl_time) {};
 		events_.won = [](void *arg, uint32_t, uint64_t epoch,
 				  ogl_time) {
@@ -493,7 +493,7 @@
 	struct cell_append_answer moved = {};
 
 	moved.io = OGL_IO_REFUSED;
-	moved.moved = true;
+	moved.end_moved = true;
 	answer(c, moved);
 	ASSERT_NE(nullptr, store_.claims);
 	answer_claims_n2(2);
--- a/test/test_cell_loader.cc
+++ b/test/test_cell_loader.cc
@@ -45,7 +45,7 @@
 		};
 		ops_.log = [](void *, const char *, const char *,
 			       const char *text) { EXPECT_NE(nullptr, text); };
-		ops_.outside = this;
+		ops_.backend_ctx = this;
 		events.outranked = [](void *arg, ogl_time) {
 			static_cast<Loader *>(arg)->outranked_++;
 		};
--- a/test/test_cell_relay.cc
+++ b/test/test_cell_relay.cc
@@ -33,7 +33,7 @@
 		};
 		ops_.log = [](void *, const char *, const char *,
 			       const char *) {};
-		ops_.outside = this;
+		ops_.backend_ctx = this;
 	}
 
 	void TearDown() override
@@ -75,7 +75,7 @@
 		o.run = 1;
 		o.timeout_ms = 600;
 		o.spec = "the spec";
-		relayed_.start(relayed_.outside, &o, on_order, this);
+		relayed_.start(relayed_.backend_ctx, &o, on_order, this);
 	}
 
 	void answer(const Sent &s, Ogl__CellOrderOutcome outcome)
@@ -333,7 +333,7 @@
 			t->read_ = done;
 			t->arg_ = arg;
 		};
-		ops_.outside = this;
+		ops_.backend_ctx = this;
 		serve_ = cell_relay_serve_init(&ops_, on_send, this);
 	}
 
--- a/test/test_cell_schedule.cc
+++ b/test/test_cell_schedule.cc
@@ -51,11 +51,11 @@
 			       const char *) {};
 		ops_.count = [](void *, const char *, uint64_t) {};
 		ops_.observe = ops_.count;
-		ops_.outside = this;
+		ops_.backend_ctx = this;
 		limits_.lease_max_ms = 10000;
 		fe.answered = [](void *, struct cell_worker *, ogl_time) {};
-		fe.room = [](void *, ogl_time) {};
-		fe.up = [](void *, struct cell_run *, ogl_time) {};
+		fe.room_freed = [](void *, ogl_time) {};
+		fe.run_started = [](void *, struct cell_run *, ogl_time) {};
 		fleet_ = cell_fleet_init(&ops_, &limits_, &fe);
 		ae.send = [](void *arg, const char *, const Ogl__CellAsk *a) {
 			auto *t = static_cast<Schedule *>(arg);
@@ -187,7 +187,7 @@
 		now_ += ms * OGL_MS;
 		asked_.clear();
 		for (unsigned i = 0; i < kWorkers; i++)
-			worker(i)->holding = false;
+			worker(i)->hold_pending = false;
 		cell_advice_update_node(advice_, "n", now_);
 		cell_sched_pass(sched_, now_);
 	}
