--- a/test/fake_cell.c
+++ b/test/fake_cell.c
@@ -896,7 +896,9 @@
 static guint
 page_size(const struct fake_cell *f, enum cell_stream s)
 {
-	return f->shape.page > 0 && s != CELL_LEAD ? f->shape.page : G_MAXUINT;
+	return f->shape.page_records > 0 && s != CELL_LEAD
+		   ? f->shape.page_records
+		   : G_MAXUINT;
 }
 
 static void
@@ -1454,7 +1456,7 @@
 		return CELL_REFUSED_OLD;
 	if (c->lease_until_ms <= worker_clock_ms(f, w))
 		return CELL_REFUSED_LATE;
-	if (!f->shape.policy)
+	if (!f->shape.needs_advice)
 		return CELL_NOT_REFUSED;
 	ticket = g_strdup_printf("%s.%u.%u %s %" G_GUINT64_FORMAT, c->task.id,
 	    c->task.occurrence, c->task.step, w->id, w->born_ms);
@@ -1478,13 +1480,13 @@
 		return;
 	}
 	s = &j->steps[c->task.step];
-	check_start(f, w, j, &c->task, s->cpu);
+	check_start(f, w, j, &c->task, s->cpu_milli);
 	check_zone(f, w, c);
 	r = g_new0(struct run, 1);
 	r->task = c->task;
 	r->number = c->run;
 	r->id = ++f->last_run_id;
-	r->cpu_milli = s->cpu;
+	r->cpu_milli = s->cpu_milli;
 	r->run_ms = s->run_ms;
 	r->gang = s->gang;
 	r->gang_size = s->count;
@@ -1806,7 +1808,7 @@
 	struct call *c = arg;
 	struct worker *w = c->worker;
 
-	if (f->shape.refuses && w != NULL && !w->up) {
+	if (f->shape.crashed_refuse && w != NULL && !w->up) {
 		transmit(c, 0, (int)c->node->index, answer_hold_refused);
 		call_unref(f, c);
 		return;
@@ -2053,7 +2055,7 @@
 
 	ogl__cell_step__init(p);
 	p->count = s->count;
-	p->cpu_milli = s->cpu;
+	p->cpu_milli = s->cpu_milli;
 	p->mem_mb = 100;
 	p->estimate_ms = s->run_ms;
 	p->gang = s->gang;
@@ -2461,7 +2463,7 @@
 
 	g_string_printf(s, "%" G_GUINT64_FORMAT " %d %u %u %u",
 	    ++f->config_version,
-	    f->shape.policy ? 1 + (int)f->shape.advice_worker_ms : 0,
+	    f->shape.needs_advice ? 1 + (int)f->shape.advice_worker_ms : 0,
 	    f->shape.attempts_max, f->team_cpu_milli,
 	    f->shape.team_rate > 0 ? f->shape.team_rate : RATE_UNLIMITED);
 	for (i = 0; i < G_N_ELEMENTS(keys); i++) {
@@ -2733,7 +2735,7 @@
 	f->shape = *shape;
 	f->caller_timeout_ms = 3000;
 	f->now = OGL_SEC;
-	f->team_cpu_milli = shape->team_cpu_max;
+	f->team_cpu_milli = shape->team_cpu_milli_max;
 	f->events = g_sequence_new(NULL);
 	f->rand = g_rand_new_with_seed((guint32)shape->seed);
 	f->jobs =
@@ -2755,7 +2757,7 @@
 		g_queue_init(&s->recent_appends);
 		g_queue_init(&s->readers);
 	}
-	if (!shape->unplanned)
+	if (!shape->no_shard_plan)
 		put_plan(f);
 	put_config(f);
 	for (i = 0; i < shape->workers; i++)
--- a/test/fake_cell.h
+++ b/test/fake_cell.h
@@ -18,23 +18,25 @@
 
 struct fake_cell_params {
 	unsigned nodes;
-	unsigned workers; /* 16 processors and 64 GB each; six to a rack, or
+	unsigned workers;    /* 16 processors and 64 GB each; six to a rack, or
 			   * one to a rack if there are several shards */
-	unsigned shards;  /* 0 means 1 */
-	bool refuses;     /* a hold at a crashed worker is refused at once;
+	unsigned shards;     /* 0 means 1 */
+	bool crashed_refuse; /* a hold at a crashed worker is refused at once;
 			   * otherwise it times out */
-	bool unplanned;   /* the nodes decide how many shards there are */
+	bool no_shard_plan;  /* the nodes decide how many shards there are */
 	uint64_t seed;
-	bool policy;           /* every step needs advice */
-	uint32_t team_cpu_max; /* thousandths of a processor that the team may
+	bool needs_advice; /* every step needs advice */
+	uint32_t
+	    team_cpu_milli_max; /* thousandths of a processor that the team may
 				* use, 0 no limit */
-	uint32_t team_rate;    /* the team's jobs a second, 0 no limit */
+	uint32_t team_rate;     /* the team's jobs a second, 0 no limit */
 	uint32_t attempts_max;
 	uint32_t link_kbps; /* capacity of each node's link, each way; 0 no
 			     * limit */
 	unsigned zones;     /* workers are spread evenly over them; 0 means 1 */
 	uint32_t advice_worker_ms; /* time a question takes for each worker */
-	unsigned page; /* most records in an answer of newest records, 0 all */
+	unsigned
+	    page_records; /* most records in an answer of newest records, 0 all */
 };
 
 struct fake_cell *fake_cell_init(const struct fake_cell_params *shape);
@@ -49,10 +51,10 @@
 
 /* One step of a job to submit. */
 struct fake_step {
-	uint32_t count;  /* tasks */
-	uint32_t cpu;    /* thousandths of a processor for each task */
-	uint32_t run_ms; /* duration of a task */
-	int32_t after;   /* step that has to complete first, -1 none */
+	uint32_t count;     /* tasks */
+	uint32_t cpu_milli; /* thousandths of a processor for each task */
+	uint32_t run_ms;    /* duration of a task */
+	int32_t after;      /* step that has to complete first, -1 none */
 	bool gang;
 	bool fails; /* every run ends as failed */
 	bool checkpoints;
--- a/test/test_cell_answers.cc
+++ b/test/test_cell_answers.cc
@@ -50,7 +50,7 @@
 		struct fake_step s = {};
 
 		s.count = 2;
-		s.cpu = 1000;
+		s.cpu_milli = 1000;
 		s.run_ms = 500;
 		s.after = -1;
 		fake_cell_submit(
--- a/test/test_cell_scripts.cc
+++ b/test/test_cell_scripts.cc
@@ -345,16 +345,17 @@
 		shape_.nodes = num(o["nodes"]);
 		shape_.workers = num(o["workers"]);
 		shape_.seed = o.count("seed") != 0 ? num(o["seed"]) : 1;
-		shape_.policy = o.count("policy") != 0;
+		shape_.needs_advice = o.count("policy") != 0;
 		shape_.shards = o.count("shards") != 0 ? num(o["shards"]) : 1;
-		shape_.unplanned = o.count("no-shard-plan") != 0;
-		shape_.refuses = o.count("refuse-connections") != 0;
-		shape_.team_cpu_max = o.count("max") != 0 ? num(o["max"]) : 0;
+		shape_.no_shard_plan = o.count("no-shard-plan") != 0;
+		shape_.crashed_refuse = o.count("refuse-connections") != 0;
+		shape_.team_cpu_milli_max =
+		    o.count("max") != 0 ? num(o["max"]) : 0;
 		shape_.team_rate = o.count("rate") != 0 ? num(o["rate"]) : 0;
 		shape_.link_kbps = o.count("link") != 0 ? num(o["link"]) : 0;
 		shape_.advice_worker_ms =
 		    o.count("ask") != 0 ? num(o["ask"]) : 0;
-		shape_.page =
+		shape_.page_records =
 		    o.count("page-records") != 0 ? num(o["page-records"]) : 0;
 		shape_.zones = o.count("zones") != 0 ? num(o["zones"]) : 1;
 		shape_.attempts_max =
@@ -385,7 +386,8 @@
 			struct fake_step s = {};
 
 			s.count = o.count("tasks") != 0 ? num(o["tasks"]) : 1;
-			s.cpu = o.count("cpu") != 0 ? num(o["cpu"]) : 1000;
+			s.cpu_milli =
+			    o.count("cpu") != 0 ? num(o["cpu"]) : 1000;
 			s.run_ms = o.count("run") != 0 ? num(o["run"]) : 1000;
 			s.after = o.count("after") != 0
 				      ? static_cast<int>(num(o["after"]))
--- a/test/test_cell_seeds.cc
+++ b/test/test_cell_seeds.cc
@@ -32,16 +32,17 @@
 		shape_.workers =
 		    shards == 1 ? 3 + random_below(10) : 12 + random_below(20);
 		shape_.shards = shards;
-		shape_.refuses = stops_nodes;
+		shape_.crashed_refuse = stops_nodes;
 		shape_.seed = seed;
 		shape_.link_kbps = link_kbps;
 		shape_.zones = zones;
-		shape_.page = zones > 1 ? 1 + seed % 3 : 0;
-		shape_.policy = random_below(2) == 0;
-		shape_.team_cpu_max = random_below(3) == 0 ? 40000 * shards : 0;
+		shape_.page_records = zones > 1 ? 1 + seed % 3 : 0;
+		shape_.needs_advice = random_below(2) == 0;
+		shape_.team_cpu_milli_max =
+		    random_below(3) == 0 ? 40000 * shards : 0;
 		shape_.attempts_max = 3;
 		if (usable_workers(1) == 0)
-			shape_.policy = false;
+			shape_.needs_advice = false;
 		cell_ = fake_cell_init(&shape_);
 		fake_cell_advance(cell_, 1000);
 	}
@@ -99,8 +100,8 @@
 		unsigned least = shape_.workers;
 
 		if (shape_.shards == 1)
-			return shape_.policy ? shape_.workers / 2
-					     : shape_.workers;
+			return shape_.needs_advice ? shape_.workers / 2
+						   : shape_.workers;
 		for (unsigned i = 0; i < shape_.workers; i++) {
 			std::string rack = "r" + std::to_string(i);
 
@@ -121,12 +122,13 @@
 	 * end. */
 	void make_feasible(struct fake_step &s) const
 	{
-		unsigned most_workers = usable_workers(shape_.policy ? 1 : 0);
+		unsigned most_workers =
+		    usable_workers(shape_.needs_advice ? 1 : 0);
 
 		if (s.worker_max > 0)
 			s.count = std::min(s.count, most_workers);
 		if (s.gang)
-			s.count = std::min(s.count, 16000 / s.cpu);
+			s.count = std::min(s.count, 16000 / s.cpu_milli);
 		if (s.gang && s.worker_max > 0)
 			s.count = 1;
 	}
@@ -139,7 +141,7 @@
 
 		for (size_t i = 0; i < n; i++) {
 			s[i].count = 1 + random_below(5);
-			s[i].cpu = 500 + random_below(4000);
+			s[i].cpu_milli = 500 + random_below(4000);
 			s[i].run_ms = 100 + random_below(3000);
 			s[i].after = i == 0 ? -1 : 0;
 			s[i].gang = random_below(4) == 0;
@@ -217,7 +219,7 @@
 			fake_cell_expire_entries(cell_);
 			break;
 		case 8:
-			if (shape_.team_cpu_max > 0)
+			if (shape_.team_cpu_milli_max > 0)
 				fake_cell_set_team_limit(cell_,
 				    shape_.shards *
 					(20000 + 10000 * random_below(4)));
