--- a/bench/bench_lend.c
+++ b/bench/bench_lend.c
@@ -5,8 +5,8 @@
  * the second always have work waiting; the second comes for 300 s and leaves
  * for 300 s, in turn, its waiting work with it.  Run times are bounded Pareto
  * (alpha 1.1) from two minutes to a quarter of an hour, in a second mix
- * (`_quick`) from 10 s, where room falls free all the time; one task in ten may not be
- * restarted.  The queue and the placer are the shipping ones.
+ * (`_quick`) from 10 s, where room falls free all the time; one task in ten may
+ * not be restarted.  The queue and the placer are the shipping ones.
  *
  * Three contenders: without taking back (`_off`); with it, where a task taken
  * back starts over (`_stop`, the worst case); with it, where its state is
--- a/bench/lib_mix.h
+++ b/bench/lib_mix.h
@@ -25,8 +25,8 @@
 
 uint32_t mix_cell(
     struct mix *m, struct ogl_place *p, uint32_t workers, uint32_t zones);
-/* Adds open workers of 16 processors and 64 GB, 8 to a rack, one in twenty
- * with four accelerators; gives how many accelerators. */
+/* Adds schedulable workers of 16 processors and 64 GB, 8 to a rack, one in
+ * twenty with four accelerators; gives how many accelerators. */
 
 double mix_now_ns(void);
 /* A clock for measuring spans. */
--- a/cell/fleet.h
+++ b/cell/fleet.h
@@ -136,7 +136,7 @@
 	void (*run_started)(void *arg, struct cell_run *r, ogl_time now);
 	/* A run is first known to be running. */
 	void (*ends_processed)(void *arg, struct cell_worker *w, ogl_time now);
-	/* Ends up to w->taken were reported; to be followed by
+	/* Ends up to w->ends_reported were reported; to be followed by
 	 * cell_fleet_ends_stored once they are stored. */
 	void (*answered)(void *arg, struct cell_worker *w, ogl_time now);
 	/* A worker has seen our epoch for the first time, or has ended. */
--- a/cell/journal.c
+++ b/cell/journal.c
@@ -29,15 +29,15 @@
  * partition for 2 ms, and 15 ms are not noticeable to a caller against an
  * objective of 250 ms. */
 #define APPEND_INTERVAL (15 * OGL_MS)
-#define APPEND_INTERVAL_THIN_LINK (45 * OGL_MS)
+#define APPEND_INTERVAL_SLOW_LINK (45 * OGL_MS)
 /* Changes that no caller waits for are written within this time. */
 #define LAZY_WRITE_DELAY (250 * OGL_MS)
 /* Bounds of the time after which a missing answer is overdue. */
 #define OVERDUE_MIN_MS 50
 #define OVERDUE_MAX_MS 2400
-/* On a thin link an answer queues behind other bytes, and each retry makes the
+/* On a slow link an answer queues behind other bytes, and each retry makes the
  * queue longer. */
-#define OVERDUE_MIN_THIN_LINK_MS 300
+#define OVERDUE_MIN_SLOW_LINK_MS 300
 /* Limit for the answer to an attempt. */
 #define ATTEMPT_TIMEOUT_MS 2400
 /* Attempts of one append whose answers are awaited. */
@@ -97,7 +97,7 @@
 			      * knows the first number and accepts the appends
 			      * only in order */
 	uint32_t overdue_ms;
-	bool thin_link;
+	bool slow_link;
 	ogl_time last_took; /* latency of the last answered attempt */
 	ogl_time last_sent_at;
 	ogl_time failing_since; /* 0: the last append was stored */
@@ -187,16 +187,16 @@
 	ogl_time ms = took / OGL_MS * 4;
 
 	return (uint32_t)CLAMP(ms,
-	    g->thin_link ? OVERDUE_MIN_THIN_LINK_MS : OVERDUE_MIN_MS,
+	    g->slow_link ? OVERDUE_MIN_SLOW_LINK_MS : OVERDUE_MIN_MS,
 	    OVERDUE_MAX_MS);
 }
 
 void
-cell_journal_set_slow_link(struct cell_journal *g, bool thin_link)
+cell_journal_set_slow_link(struct cell_journal *g, bool slow_link)
 {
-	if (thin_link == g->thin_link)
+	if (slow_link == g->slow_link)
 		return;
-	g->thin_link = thin_link;
+	g->slow_link = slow_link;
 	g->overdue_ms = overdue_ms_for(g, g->last_took);
 }
 
@@ -236,7 +236,7 @@
 }
 
 static void
-notify_waiters(GArray *waiters, enum cell_store_result fate, ogl_time now)
+notify_waiters(GArray *waiters, enum cell_store_result result, ogl_time now)
 {
 	GArray *copy = g_array_sized_new(
 	    FALSE, FALSE, sizeof(struct waiter), waiters->len);
@@ -248,7 +248,7 @@
 	for (i = 0; i < copy->len; i++) {
 		struct waiter *w = &g_array_index(copy, struct waiter, i);
 
-		w->fn(w->arg, w->tag, fate, now);
+		w->fn(w->arg, w->tag, result, now);
 	}
 	g_array_unref(copy);
 }
@@ -812,7 +812,7 @@
 		return MAX(due, g->retry_at);
 	return MAX(due,
 	    g->last_sent_at +
-		(g->thin_link ? APPEND_INTERVAL_THIN_LINK : APPEND_INTERVAL));
+		(g->slow_link ? APPEND_INTERVAL_SLOW_LINK : APPEND_INTERVAL));
 }
 
 ogl_time
--- a/cell/journal.h
+++ b/cell/journal.h
@@ -10,7 +10,7 @@
 
 struct cell_journal;
 
-/* Result told to a callback that waited for the store. */
+/* Result passed to a callback that waited for the store. */
 enum cell_store_result {
 	CELL_STORED,
 	CELL_NOT_STORED,   /* certainly not stored, and never will be */
@@ -18,15 +18,15 @@
 };
 
 typedef void cell_stored_fn(
-    void *arg, uint64_t tag, enum cell_store_result fate, ogl_time now);
+    void *arg, uint64_t tag, enum cell_store_result result, ogl_time now);
 
 struct cell_journal *cell_journal_init(const struct cell_ops *ops,
     uint32_t shard, void (*lost)(void *arg, ogl_time now), void *arg);
 /* Creates the journal for the shard's stream of jobs.  lost is called when the
  * store has refused an append because it has seen a higher epoch. */
 
-void cell_journal_set_slow_link(struct cell_journal *g, bool thin_link);
-/* On a thin link the journal makes fewer and larger appends. */
+void cell_journal_set_slow_link(struct cell_journal *g, bool slow_link);
+/* On a slow link the journal makes fewer and larger appends. */
 void cell_journal_end(struct cell_journal *g);
 
 void cell_journal_open(
@@ -35,8 +35,8 @@
  * the store took for the last append, 0 if unknown. */
 
 void cell_journal_close(struct cell_journal *g, ogl_time now);
-/* Stops writing.  All waiting callbacks get CELL_STORE_UNKNOWN, and answers that
- * arrive later are ignored. */
+/* Stops writing.  All waiting callbacks get CELL_STORE_UNKNOWN, and
+ * answers that arrive later are ignored. */
 
 void cell_journal_mark(
     struct cell_journal *g, struct cell_job *j, bool urgent, ogl_time now);
--- a/cell/ops.h
+++ b/cell/ops.h
@@ -45,8 +45,7 @@
 	bool fenced;
 	uint64_t epoch;
 	uint64_t seq;
-	int64_t
-	    expected_end; /* refused unless the stream ends there; -1: no check */
+	int64_t expected_end; /* refused at any other end; -1: no check */
 	const struct cell_put *puts;
 	size_t nputs; /* 0: only tells the store the epoch */
 	uint32_t timeout_ms;
@@ -55,9 +54,9 @@
 struct cell_append_answer {
 	enum ogl_io_result io;
 	bool outranked;  /* refused: a higher epoch was seen */
-	bool end_moved;  /* refused: the stream does not end at `at` */
+	bool end_moved;  /* refused: it does not end at expected_end */
 	uint64_t offset; /* of the first record, when OK */
-	uint64_t end;    /* offset after the last record, when OK or moved */
+	uint64_t end; /* offset after the last record, when OK or end_moved */
 };
 
 /* The records from an offset on. */
@@ -167,7 +166,7 @@
 
 /* Why a worker refused a call. */
 enum cell_refusal {
-	CELL_NOT_REFUSED,    /* not refused */
+	CELL_NOT_REFUSED,
 	CELL_REFUSED_FENCE,  /* it has seen a higher fencing token */
 	CELL_REFUSED_OLD,    /* the run's number is not above the last */
 	CELL_REFUSED_LATE,   /* the lease asked for has already expired */
--- a/cell/owner.c
+++ b/cell/owner.c
@@ -209,14 +209,14 @@
 
 static void
 on_end_stored(
-    void *arg, uint64_t tag, enum cell_store_result fate, ogl_time now)
+    void *arg, uint64_t tag, enum cell_store_result result, ogl_time now)
 {
 	struct store_wait *n = arg;
 	struct cell_job *j;
 
 	(void)tag;
 	(void)now;
-	if (fate == CELL_STORED) {
+	if (result == CELL_STORED) {
 		j = job_of(n->owner, n->name);
 		if (j != NULL)
 			j->end_stored = true;
@@ -656,13 +656,13 @@
 
 static void
 on_ends_stored(
-    void *arg, uint64_t tag, enum cell_store_result fate, ogl_time now)
+    void *arg, uint64_t tag, enum cell_store_result result, ogl_time now)
 {
 	struct store_wait *n = arg;
 	struct cell_worker *w;
 
 	(void)now;
-	if (fate == CELL_STORED) {
+	if (result == CELL_STORED) {
 		w = cell_fleet_worker(n->owner->fleet, n->name);
 		if (w != NULL)
 			cell_fleet_ends_stored(
@@ -896,14 +896,14 @@
 
 static void
 on_workers_stored(
-    void *arg, uint64_t tag, enum cell_store_result fate, ogl_time now)
+    void *arg, uint64_t tag, enum cell_store_result result, ogl_time now)
 {
 	struct workers_record *n = arg;
 	guint i;
 
 	(void)tag;
 	(void)now;
-	for (i = 0; fate == CELL_STORED && i < n->ids->len; i++)
+	for (i = 0; result == CELL_STORED && i < n->ids->len; i++)
 		cell_fleet_record_stored(
 		    n->owner->fleet, n->ids->pdata[i], n->number);
 	g_ptr_array_unref(n->ids);
@@ -1263,25 +1263,25 @@
 
 static void
 on_submit_stored(
-    void *arg, uint64_t tag, enum cell_store_result fate, ogl_time now)
+    void *arg, uint64_t tag, enum cell_store_result result, ogl_time now)
 {
 	struct waiting_call *w = arg;
 	struct cell_owner *o = w->owner;
 	struct cell_job *j = job_of(o, w->id);
 
 	(void)tag;
-	if (fate == CELL_STORED && j != NULL) {
+	if (result == CELL_STORED && j != NULL) {
 		reply(o, w->to, w->token, OGL__CELL_OUTCOME__cell_ok, 0);
 		if (!j->stored) {
 			j->stored = true;
 			log_accepted(o, j, now);
 			o->pass_needed = true;
 		}
-	} else if (fate == CELL_NOT_STORED && j != NULL && j->stored) {
+	} else if (result == CELL_NOT_STORED && j != NULL && j->stored) {
 		/* An earlier submission of the same job was stored, and its
 		 * answer may have been lost. */
 		reply(o, w->to, w->token, OGL__CELL_OUTCOME__cell_ok, 0);
-	} else if (fate == CELL_NOT_STORED) {
+	} else if (result == CELL_NOT_STORED) {
 		remove_refused_job(o, j, now);
 		refuse(o, w->to, w->token, now);
 	} else {
@@ -1294,15 +1294,15 @@
 /* Answers a call once the change that it made to a job is stored. */
 static void
 on_call_stored(
-    void *arg, uint64_t tag, enum cell_store_result fate, ogl_time now)
+    void *arg, uint64_t tag, enum cell_store_result result, ogl_time now)
 {
 	struct waiting_call *w = arg;
 
 	(void)tag;
 	(void)now;
 	reply(w->owner, w->to, w->token,
-	    fate == CELL_STORED ? OGL__CELL_OUTCOME__cell_ok
-				: OGL__CELL_OUTCOME__cell_not_owner,
+	    result == CELL_STORED ? OGL__CELL_OUTCOME__cell_ok
+				  : OGL__CELL_OUTCOME__cell_not_owner,
 	    0);
 	waiting_call_free(w);
 }
@@ -1682,13 +1682,14 @@
 }
 
 static void
-on_forgotten(void *arg, uint64_t tag, enum cell_store_result fate, ogl_time now)
+on_forgotten(
+    void *arg, uint64_t tag, enum cell_store_result result, ogl_time now)
 {
 	struct store_wait *n = arg;
 
 	(void)tag;
 	(void)now;
-	if (fate == CELL_STORED) {
+	if (result == CELL_STORED) {
 		struct cell_job *j = job_of(n->owner, n->name);
 
 		if (j != NULL && j->drop_records) {
--- a/cell/owner.h
+++ b/cell/owner.h
@@ -56,8 +56,8 @@
 void cell_owner_set_config(struct cell_owner *o, struct cell_config *c);
 void cell_owner_set_zones(
     struct cell_owner *o, const struct cell_zones *z, ogl_time now);
-/* Sets the evacuated zones, which are borrowed as long as the owner lives.  To
- * be called again when they have changed. */
+/* Sets the evacuated zones, which are borrowed as long as the owner
+ * exists.  To be called again when they have changed. */
 
 void cell_owner_call(
     struct cell_owner *o, const char *from, Ogl__CellCall *call, ogl_time now);
--- a/cell/relay.h
+++ b/cell/relay.h
@@ -66,6 +66,7 @@
  * worker. */
 
 bool cell_relay_active(const struct cell_relay *r);
-/* Whether the link is too slow to call the workers over it. */
+/* Whether workers are called through other nodes, since this node's link is
+ * too slow. */
 
 #endif
--- a/cell/schedule.c
+++ b/cell/schedule.c
@@ -551,8 +551,8 @@
 	return max;
 }
 
-/* Millionths of the whole limit that are needed; more than CELL_PART_WHOLE_PPM if
- * the whole limit is not enough. */
+/* Millionths of the whole limit that are needed; more than CELL_PART_WHOLE_PPM
+ * if the whole limit is not enough. */
 static double
 ppm_needed(uint32_t used, uint64_t need, uint32_t max, double share)
 {
--- a/daemon/http_in.h
+++ b/daemon/http_in.h
@@ -20,11 +20,10 @@
 };
 
 struct ogl_http_in_limits {
-	size_t body_max_bytes;       /* bytes of one request's body */
-	size_t body_total_max_bytes; /* bytes of all bodies in memory */
-	unsigned connections_max;    /* open at a time */
-	unsigned
-	    header_buffer_bytes; /* bytes of a connection's header buffer */
+	size_t body_max_bytes;        /* bytes of one request's body */
+	size_t body_total_max_bytes;  /* bytes of all bodies in memory */
+	unsigned connections_max;     /* open at a time */
+	unsigned header_buffer_bytes; /* of each connection */
 	unsigned
 	    request_timeout_ms;    /* from a request's first byte to its last */
 	unsigned idle_timeout_s;   /* of a connection between requests */
--- a/daemon/http_out.h
+++ b/daemon/http_out.h
@@ -1,7 +1,7 @@
 /*
  * HTTP requests to the platform, workers and executors.  Each request ends in
- * exactly one event, whose `io` is the result; see enum ogl_io_result for the meaning
- * of its values.
+ * exactly one event, whose `io` is the result; see enum ogl_io_result for the
+ * meaning of its values.
  */
 #ifndef OGL_HTTP_OUT_H
 #define OGL_HTTP_OUT_H
--- a/examples/schedule.c
+++ b/examples/schedule.c
@@ -1,7 +1,7 @@
 /*
  * Queue and placement alone, in a program of one's own.
  *
- * Two teams hand in more tasks than two workers hold.  The queue says whose
+ * Two teams submit more tasks than two workers hold.  The queue says whose
  * task goes next, the placer where it fits; time is this program's own.  At
  * the end every task has run, and while both teams had work waiting, the one
  * with twice the share ran twice as much.
--- a/orioleglade.h
+++ b/orioleglade.h
@@ -258,7 +258,7 @@
 enum ogl_feasibility {
 	OGL_FEASIBLE = 0,         /* it can run when enough room is free */
 	OGL_INFEASIBLE_NO_WORKER, /* no worker is large enough for one task */
-	OGL_INFEASIBLE_GANG_TOTAL /* the tasks do not fit on all workers together */
+	OGL_INFEASIBLE_GANG_TOTAL /* all workers together are too small */
 };
 
 struct ogl_place *ogl_place_init(uint64_t seed);
@@ -290,12 +290,12 @@
 bool ogl_place_hold(
     struct ogl_place *p, uint32_t w, const struct ogl_demand *ask);
 /* Holds resources at a given worker, e.g. for a task found running there, also
- * when the worker is closed.  Returns false when the capacity would be exceeded.
- */
+ * when the worker gets no new tasks.  Returns false when the capacity would be
+ * exceeded. */
 
 void ogl_place_free(
     struct ogl_place *p, uint32_t w, const struct ogl_demand *ask);
-/* Releases what one task held.  The ask must equal that of the hold. */
+/* Releases what one task held.  The demand must equal that of the hold. */
 
 enum ogl_feasibility ogl_place_feasibility(
     const struct ogl_place *p, const struct ogl_demand *ask, uint32_t n);
@@ -318,7 +318,7 @@
 
 void ogl_place_totals(
     const struct ogl_place *p, struct ogl_res *total, struct ogl_res *held);
-/* Resources of all open workers, and how much of them is held. */
+/* Resources of all schedulable workers, and how much of them is held. */
 
 /* ---- order of waiting work -------------------------------------------- */
 
--- a/soak/world.py
+++ b/soak/world.py
@@ -366,7 +366,7 @@
             return None
         if headers.get("x-expected-instance") != self.id:
             return answer(421, {})
-        b, life = json.loads(body), self.born
+        b, incarnation = json.loads(body), self.born
         if path.endswith("hold"):
             status, why = await self.hold(b)
         else:
@@ -374,11 +374,11 @@
             if self.mode == "late" and self.world.rand.random() < 0.3:
                 asyncio.get_running_loop().call_later(
                     self.world.rand.uniform(2, 8),
-                    lambda: self.born == life and act(b),
+                    lambda: self.born == incarnation and act(b),
                 )
                 return None
             status, why = act(b)
-        if self.born != life or self.mode == "crashed":
+        if self.born != incarnation or self.mode == "crashed":
             return None
         out = {"clock_ms": self.clock(), "born": self.born}
         if why:
--- a/src/lend.c
+++ b/src/lend.c
@@ -1,11 +1,11 @@
 /*
  * Preemption of tasks that run on lent room.
  *
- * Entitlements.  The room that is in use on the open workers, but at least
- * nine tenths of all their room, is distributed down the tree of teams by
+ * Entitlements.  The room that is in use on the schedulable workers, but at
+ * least nine tenths of all their room, is distributed down the tree of teams by
  * weight; no team gets more than what it holds plus what it waits for.  All
  * amounts are dominant shares: the largest part, over the resources, of the
- * open workers' room.  A team above its entitlement holds lent room.
+ * schedulable workers' room.  A team above its entitlement holds lent room.
  *
  * Preemption.  A piece of waiting work preempts others if it has waited longer
  * than a bound, its turn in the queue has come, and its team has been well
--- a/src/lend.h
+++ b/src/lend.h
@@ -2,10 +2,11 @@
  * Preemption of tasks that run on lent room: chooses which running tasks make
  * way for the waiting work of a team that holds less than it is entitled to.
  *
- * A round starts with ogl_lend_begin, continues with one call for every open
- * worker, every placed task and every piece of waiting work, and ends with
- * ogl_lend_decide.  Tasks on workers that are not open are added with
- * OGL_LEND_NO_WORKER: they count as held by their team and are not preempted.
+ * A round starts with ogl_lend_begin, continues with one call for every
+ * schedulable worker, every placed task and every piece of waiting work, and
+ * ends with ogl_lend_decide.  Tasks on workers that are not schedulable are
+ * added with OGL_LEND_NO_WORKER: they count as held by their team and are not
+ * preempted.
  */
 
 #ifndef OGL_LEND_H
@@ -43,8 +44,8 @@
 struct ogl_lend_preemption {
 	size_t task; /* index in the order added in this round, from 0 */
 	Ogl__StopMode mode;
-	ogl_time
-	    lost_run_time; /* run time so far; 0 if preempted in an earlier round */
+	/* Run time so far; 0 if preempted in an earlier round. */
+	ogl_time lost_run_time;
 };
 
 struct ogl_lend *ogl_lend_init(void);
--- a/src/queue.c
+++ b/src/queue.c
@@ -5,13 +5,13 @@
  * baselines that it is compared with are in bench/.
  *
  * An item is waiting (in the policy's order), deferred (popped, but it did not
- * fit; it waits for ogl_queue_retry_deferred), popped, or running.  Invariants: the age
- * heap holds exactly the waiting and the deferred items, so its size is the
- * queue length and the longest wait is at its top; `deferred` holds exactly
+ * fit; it waits for ogl_queue_retry_deferred), popped, or running.  Invariants:
+ * the age heap holds exactly the waiting and the deferred items, so its size is
+ * the queue length and the longest wait is at its top; `deferred` holds exactly
  * the deferred items.
  *
- * Each deferred item was popped once since the last ogl_queue_retry_deferred, so
- * pushing all of them again costs O(log n) for each of those pops.
+ * Each deferred item was popped once since the last ogl_queue_retry_deferred,
+ * so pushing all of them again costs O(log n) for each of those pops.
  */
 
 #include <string.h>
--- a/src/reqs.h
+++ b/src/reqs.h
@@ -9,9 +9,9 @@
 struct ogl_reqs;
 
 struct ogl_reqs_ops {
-	/* The final answer to a request, given once unless ogl_reqs_caller_gone was
-	 * called; retry_after_ms is 0 for none.  The callee references body
-	 * to keep it. */
+	/* The final answer to a request, given once unless
+	 * ogl_reqs_caller_gone was called; retry_after_ms is 0 for none.  The
+	 * callee references body to keep it. */
 	void (*done)(void *ctx, uint64_t cookie, uint32_t status,
 	    enum ogl_verdict v, uint64_t retry_after_ms, GBytes *body,
 	    ogl_time now);
--- a/src/sched.c
+++ b/src/sched.c
@@ -99,7 +99,7 @@
 
 /* Whether n more tasks stay within the limits of the team and its ancestors;
  * asks the bank for what is missing.  While workers have yet to report what
- * they run (limbo), tasks started by an earlier owner may be running
+ * they run (recovering), tasks started by an earlier owner may be running
  * unnoticed, so limited teams have to wait. */
 static bool
 limits_allow(struct ogl_shard *sh, const char *team, uint32_t n)
--- a/src/sched_lend.c
+++ b/src/sched_lend.c
@@ -36,7 +36,8 @@
 	return ogl_lend_next(sh->lend);
 }
 
-/* Adds the open workers; returns the round's worker number of each session. */
+/* Adds the schedulable workers; returns the round's worker number of each
+ * session. */
 static uint32_t *
 add_workers(struct ogl_shard *sh)
 {
@@ -230,7 +231,8 @@
 	refs = add_tasks(sh, worker_of);
 	add_wants(sh, now);
 	n = ogl_lend_decide(sh->lend, now, &takes);
-	/* Copied, because unbinding a task that was never sent frees its ref. */
+	/* Copied, because unbinding a task whose start was never sent frees
+	 * its ref. */
 	for (size_t i = 0; i < n; i++) {
 		struct ogl_task_ref ref =
 		    *(struct ogl_task_ref *)g_ptr_array_index(
--- a/src/shard_impl.h
+++ b/src/shard_impl.h
@@ -27,7 +27,7 @@
 	char *zone;
 	char *rack;
 	uint32_t number;        /* index in sh->sessions */
-	uint32_t placer_index;  /* index in sh->placer, valid when placed */
+	uint32_t placer_index;  /* index in sh->placer, valid if in_placer */
 	bool in_placer;         /* the placer has an entry for it */
 	bool in_use;            /* recorded as in use, so starts are allowed */
 	bool in_use_pending;    /* the record of its use is not confirmed yet */
@@ -101,14 +101,13 @@
 	GHashTable *by_worker;      /* name -> struct ogl_session */
 	GHashTable *by_token;       /* token -> struct ogl_session */
 	GHashTable *queue_refs;     /* number -> struct ogl_work_ref */
-	GHashTable
-	    *placed_tasks_by_team; /* team path -> uint64_t *, tasks placed */
-	GHashTable *submits;       /* job id -> GArray of waiters */
-	GHashTable *pending_ids;   /* request key -> id of a job that is not
+	GHashTable *placed_tasks_by_team; /* team path -> uint64_t * */
+	GHashTable *submits;              /* job id -> GArray of waiters */
+	GHashTable *pending_ids; /* request key -> id of a job that is not
 				    on the log yet */
-	GHashTable *referrals;     /* request key -> GArray of waiters */
-	GHashTable *cancels;       /* job id -> GArray of waiters */
-	GHashTable *inflight;      /* request id -> struct ogl_inflight */
+	GHashTable *referrals;   /* request key -> GArray of waiters */
+	GHashTable *cancels;     /* job id -> GArray of waiters */
+	GHashTable *inflight;    /* request id -> struct ogl_inflight */
 	struct ogl_escrow *escrow;
 	ogl_time next_hosts;
 	ogl_time sessions_due; /* no session has work before this time */
--- a/test/fake_cell.c
+++ b/test/fake_cell.c
@@ -951,8 +951,8 @@
 	return n;
 }
 
-/* The fault that this call meets: half of the writes meet FAKE_STORE_LOSES_ANSWERS and
- * FAKE_STORE_LATE. */
+/* The fault that this call meets: half of the writes meet
+ * FAKE_STORE_LOSES_ANSWERS and FAKE_STORE_LATE. */
 static enum fake_store_fault
 pick_store_fault(struct fake_cell *f, const struct node *n, bool write)
 {
@@ -2527,14 +2527,14 @@
 }
 
 void
-fake_cell_set_team_limit(struct fake_cell *f, uint32_t team_cpu_max)
+fake_cell_set_team_limit(struct fake_cell *f, uint32_t team_cpu_milli_max)
 {
 	if (f->now - f->limit_set_at > LIMIT_SETTLE_TIME)
 		f->earlier_limit_milli = f->team_cpu_milli;
 	else
 		f->earlier_limit_milli =
 		    MAX(f->earlier_limit_milli, f->team_cpu_milli);
-	f->team_cpu_milli = team_cpu_max;
+	f->team_cpu_milli = team_cpu_milli_max;
 	f->limit_set_at = f->now;
 	put_config(f);
 }
--- a/test/fake_cell.h
+++ b/test/fake_cell.h
@@ -26,17 +26,16 @@
 	bool no_shard_plan;  /* the nodes decide how many shards there are */
 	uint64_t seed;
 	bool needs_advice; /* every step needs advice */
-	uint32_t
-	    team_cpu_milli_max; /* thousandths of a processor that the team may
-				* use, 0 no limit */
-	uint32_t team_rate;     /* the team's jobs a second, 0 no limit */
+	/* Thousandths of a processor that the team may use, 0 no limit. */
+	uint32_t team_cpu_milli_max;
+	uint32_t team_rate; /* the team's jobs a second, 0 no limit */
 	uint32_t attempts_max;
 	uint32_t link_kbps; /* capacity of each node's link, each way; 0 no
 			     * limit */
 	unsigned zones;     /* workers are spread evenly over them; 0 means 1 */
 	uint32_t advice_worker_ms; /* time a question takes for each worker */
-	unsigned
-	    page_records; /* most records in an answer of newest records, 0 all */
+	/* Most records in an answer of newest records, 0 all. */
+	unsigned page_records;
 };
 
 struct fake_cell *fake_cell_init(const struct fake_cell_params *shape);
@@ -116,10 +115,10 @@
 
 enum fake_store_fault {
 	FAKE_STORE_OK,
-	FAKE_STORE_UNREACHABLE, /* unreachable: no call arrives */
-	FAKE_STORE_REFUSING,    /* refuses every call */
-	FAKE_STORE_LOSES_ANSWERS, /* does half of the writes, but does not answer */
-	FAKE_STORE_LATE /* as LOSING, and does these writes 1 to 6 s late */
+	FAKE_STORE_UNREACHABLE,   /* no call arrives */
+	FAKE_STORE_REFUSING,      /* refuses every call */
+	FAKE_STORE_LOSES_ANSWERS, /* does half of the writes unanswered */
+	FAKE_STORE_LATE /* the same, and does these writes 1 to 6 s late */
 };
 
 void fake_cell_set_store_fault(
@@ -127,7 +126,7 @@
 /* Sets the fault that calls of a node meet; node -1: of all nodes. */
 void fake_cell_revoke_key(struct fake_cell *f, const char *key);
 /* The operator withdraws an API key. */
-void fake_cell_set_team_limit(struct fake_cell *f, uint32_t team_cpu_max);
+void fake_cell_set_team_limit(struct fake_cell *f, uint32_t team_cpu_milli_max);
 /* The operator changes the team's limit; 0 no limit. */
 void fake_cell_evacuate(struct fake_cell *f, const char *zone, bool on);
 /* The operator evacuates a zone ("z1" and so on), or takes it back. */
@@ -142,7 +141,7 @@
 
 enum fake_worker_fault {
 	FAKE_WORKER_OK,
-	FAKE_WORKER_UNREACHABLE, /* unreachable, its runs go on */
+	FAKE_WORKER_UNREACHABLE, /* its runs go on */
 	FAKE_WORKER_CRASHED, /* down, its runs are lost, its entry is dropped */
 	FAKE_WORKER_FAILING, /* runs it starts end as failed */
 	FAKE_WORKER_LATE,    /* executes four in ten orders 2 to 12 s late and
@@ -164,7 +163,7 @@
 /* Violations of invariants so far, one a line; "" if there were none. */
 bool fake_cell_settle(struct fake_cell *f, uint32_t ms);
 /* Ends all faults, starts all nodes and runs until each accepted job has ended.
- * False, with each open job among the breaches, if that takes longer than ms.
+ * False, with each open job among the violations, if that takes longer than ms.
  * Jobs whose first step is lasting are not waited for. */
 
 #ifdef __cplusplus
--- a/test/fake_cluster.c
+++ b/test/fake_cluster.c
@@ -407,7 +407,7 @@
 	g_hash_table_replace(c->bodies, body, GSIZE_TO_POINTER(runs + 1));
 }
 
-/* ---- life ------------------------------------------------------------- */
+/* ---- creation --------------------------------------------------------- */
 
 /* Keys have to differ, not to be secret; there is no context to keep a
  * state in, and each run has a thread of its own. */
--- a/test/fake_cluster_tell.c
+++ b/test/fake_cluster_tell.c
@@ -1,5 +1,5 @@
 /*
- * From a cluster's calls to events of a history.  Only calls that hand in
+ * From a cluster's calls to events of a history.  Only calls that submit
  * work are events by themselves; of the others what they tell of a job or of
  * the settings is.
  */
--- a/test/test_cell_fleet.cc
+++ b/test/test_cell_fleet.cc
@@ -134,7 +134,7 @@
 	}
 
 	/* Answers the last hold as another worker at the address would. */
-	void refuse_life()
+	void refuse_incarnation()
 	{
 		struct cell_hold_answer a = {};
 		Hold &h = worker_.holds.back();
@@ -281,7 +281,7 @@
 {
 	step(10);
 	EXPECT_FALSE(cell_fleet_settled(fleet_, now_));
-	refuse_life();
+	refuse_incarnation();
 	EXPECT_TRUE(cell_fleet_settled(fleet_, now_));
 }
 
@@ -290,7 +290,7 @@
 TEST_F(Fleet, GoneWorkerListedAtNewAddressIsWaitedFor)
 {
 	step(10);
-	refuse_life();
+	refuse_incarnation();
 	list("10.9.0.2:80");
 	EXPECT_FALSE(cell_fleet_settled(fleet_, now_));
 	step(10);
--- a/test/test_daemon_config.cc
+++ b/test/test_daemon_config.cc
@@ -77,8 +77,8 @@
 	})"));
 }
 
-// Each number is in its range, but leases would end after two lost syncs, and an
-// owner that is cut off would go on for as long as the leases it granted.
+// Each number is in its range, but leases would end after two lost syncs, and
+// an owner that is cut off would go on for as long as the leases it granted.
 TEST(Config, RejectsTimingsThatContradictEachOther)
 {
 	std::string text = valid_file;
--- a/test/test_process.cc
+++ b/test/test_process.cc
@@ -399,7 +399,7 @@
 			"\"}");
 	}
 
-	// Hands in a job until it is taken; the id makes repeats harmless.
+	// Submits a job until it is taken; the id makes repeats harmless.
 	std::string job(int i, int tasks, int run_ms, const std::string &id)
 	{
 		Answer a;
