--- a/src/lend.c
+++ b/src/lend.c
@@ -892,7 +892,7 @@
 		   : x->w.queue_position > y->w.queue_position;
 }
 
-/* Leaves only the work that may preempt, in the order of turns.  Freed room
+/* Leaves only the work that may preempt, in queue order.  Freed room
  * goes to the work whose turn comes first.  So work behind PASSED_OVER_LIMIT
  * pieces that may not preempt is left out: it would free room for them. */
 static void
