--- a/check/check.c
+++ b/check/check.c
@@ -1,6 +1,5 @@
 /*
- * Holds a history against what must always hold: the table of points, and
- * the findings.
+ * Checks the history of a run: the table of invariants, and the findings.
  */
 
 #include <stdarg.h>
@@ -8,7 +7,7 @@
 
 #include "check_index.h"
 
-const struct ogl_check_point ogl_check_points[] = {
+const struct ogl_check_invariant ogl_check_invariants[] = {
     {"overfull", "no host is given more than it holds", check_overfull},
     {"two_places", "no task runs in two places at once", check_two_places},
     {"key", "work runs only for the team whose key came with it", check_key},
@@ -26,30 +25,31 @@
 };
 
 void
-ogl_check_times_default(struct ogl_check_times *t)
+ogl_check_grace_default(struct ogl_check_grace *grace)
 {
-	t->withdrawn = 3 * OGL_SEC;
-	t->lowered = 5 * OGL_SEC;
-	t->leaving = 5 * OGL_SEC;
-	t->in_force = 5 * OGL_SEC;
-	t->settle = 5 * OGL_SEC;
+	grace->key_withdrawn = 3 * OGL_SEC;
+	grace->limit_lowered = 5 * OGL_SEC;
+	grace->leaving = 5 * OGL_SEC;
+	grace->in_force = 5 * OGL_SEC;
+	grace->fault_ended = 5 * OGL_SEC;
 }
 
 struct ogl_check *
-ogl_check_run(struct ogl_history *h, const struct ogl_check_times *t)
+ogl_check_run(struct ogl_history *h, const struct ogl_check_grace *grace)
 {
 	struct ogl_check *c = g_new0(struct ogl_check, 1);
 
 	ogl_history_sort(h);
-	c->times = *t;
+	c->grace = *grace;
 	c->history = h;
-	c->ev = ogl_history_events(h, &c->n);
+	c->events = ogl_history_events(h, &c->nevents);
 	c->findings =
 	    g_array_new(FALSE, FALSE, sizeof(struct ogl_check_finding));
 	check_index(c);
-	for (c->point = ogl_check_points; c->point->name != NULL; c->point++) {
-		c->found = 0;
-		c->point->check(c);
+	for (c->invariant = ogl_check_invariants; c->invariant->name != NULL;
+	     c->invariant++) {
+		c->nfindings = 0;
+		c->invariant->check(c);
 	}
 	return c;
 }
@@ -63,7 +63,7 @@
 		struct ogl_check_finding *f =
 		    &g_array_index(c->findings, struct ogl_check_finding, i);
 
-		g_ptr_array_free(f->lines, TRUE);
+		g_ptr_array_free(f->events, TRUE);
 		g_free(f->text);
 	}
 	g_array_free(c->findings, TRUE);
@@ -72,9 +72,9 @@
 }
 
 bool
-ogl_check_whole(const struct ogl_check *c)
+ogl_check_is_complete(const struct ogl_check *c)
 {
-	return c->over != NULL;
+	return c->load_over != NULL;
 }
 
 const struct ogl_check_finding *
@@ -85,22 +85,22 @@
 }
 
 GPtrArray *
-check_lines(const event *first, ...)
+check_event_list(const event *first, ...)
 {
-	GPtrArray *lines = g_ptr_array_new();
+	GPtrArray *events = g_ptr_array_new();
 	va_list args;
 
 	va_start(args, first);
 	for (const event *ev = first; ev != NULL;
 	     ev = va_arg(args, const event *))
-		g_ptr_array_add(lines, (gpointer)ev);
+		g_ptr_array_add(events, (gpointer)ev);
 	va_end(args);
-	return lines;
+	return events;
 }
 
-/* Events lie in one array, in order of time. */
+/* The events are in one array sorted by time, so their addresses compare. */
 static gint
-compare_lines(gconstpointer a, gconstpointer b)
+compare_events(gconstpointer a, gconstpointer b)
 {
 	const event *x = *(const event *const *)a;
 	const event *y = *(const event *const *)b;
@@ -109,24 +109,25 @@
 }
 
 void
-check_find(struct ogl_check *c, GPtrArray *lines, const char *format, ...)
+check_add_finding(
+    struct ogl_check *c, GPtrArray *events, const char *format, ...)
 {
-	struct ogl_check_finding f = {c->point, NULL, lines};
+	struct ogl_check_finding f = {c->invariant, NULL, events};
 	va_list args;
 
-	if (++c->found > FAKE_CHECK_MAX) {
-		g_ptr_array_free(lines, TRUE);
+	if (++c->nfindings > OGL_CHECK_MAX_FINDINGS) {
+		g_ptr_array_free(events, TRUE);
 		return;
 	}
 	va_start(args, format);
 	f.text = g_strdup_vprintf(format, args);
 	va_end(args);
-	g_ptr_array_sort(lines, compare_lines);
+	g_ptr_array_sort(events, compare_events);
 	g_array_append_val(c->findings, f);
 }
 
 bool
-check_answered(const struct call *k, enum history_verdict v)
+check_has_verdict(const struct call *k, enum history_verdict v)
 {
 	return k->answer != NULL && k->answer->u.answer.verdict == (uint32_t)v;
 }
@@ -140,10 +141,10 @@
 		const struct ogl_check_finding *f =
 		    &g_array_index(c->findings, struct ogl_check_finding, i);
 
-		g_string_append_printf(s, "%s: %s (%s)\n", f->point->name,
-		    f->text, f->point->rule);
-		for (guint k = 0; k < f->lines->len; k++) {
-			const event *ev = g_ptr_array_index(f->lines, k);
+		g_string_append_printf(s, "%s: %s (%s)\n", f->invariant->name,
+		    f->text, f->invariant->rule);
+		for (guint k = 0; k < f->events->len; k++) {
+			const event *ev = g_ptr_array_index(f->events, k);
 			char *text = ogl_history_print(ev);
 
 			g_string_append_printf(s, "  %s:%u: %s\n",
--- a/check/check.h
+++ b/check/check.h
@@ -1,6 +1,7 @@
 /*
- * Holds a history against what must always hold: one named check a point,
- * each finding with the shortest set of lines that shows it.
+ * Checks the history of a run against the invariants of the system.  Each
+ * invariant has a name and a check of its own, and each finding has the
+ * smallest set of events that shows the violation.
  */
 
 #ifndef OGL_CHECK_H
@@ -12,53 +13,55 @@
 extern "C" {
 #endif
 
-/* How long after a change its effect may be lacking. */
-struct ogl_check_times {
-	ogl_time withdrawn; /* a withdrawn key still works */
-	ogl_time lowered;   /* a team is above a lowered limit */
-	ogl_time leaving;   /* a leaving target is given work */
-	ogl_time in_force;  /* an edit is not in force at some node */
-	ogl_time settle;    /* a fault that is over still breaks calls */
+/* Grace periods: how long after a change its effect may be missing. */
+struct ogl_check_grace {
+	ogl_time key_withdrawn; /* a withdrawn key still works */
+	ogl_time limit_lowered; /* a team is above a lowered limit */
+	ogl_time leaving;       /* a leaving target is still given work */
+	ogl_time in_force;      /* an accepted edit is not in force at a node */
+	ogl_time fault_ended;   /* a fault that has ended still breaks calls */
 };
 
 struct ogl_check;
 
-struct ogl_check_point {
+struct ogl_check_invariant {
 	const char *name;
-	const char *rule;
+	const char *rule; /* the invariant in words */
 	void (*check)(struct ogl_check *c);
 };
 
-extern const struct ogl_check_point ogl_check_points[];
-/* Ends with a NULL name. */
+extern const struct ogl_check_invariant ogl_check_invariants[];
+/* All invariants; the last entry has a NULL name. */
 
 struct ogl_check_finding {
-	const struct ogl_check_point *point;
+	const struct ogl_check_invariant *invariant;
 	char *text;
-	GPtrArray *lines; /* of const struct history_event, in order */
+	GPtrArray *events; /* of const struct history_event, by time */
 };
 
-void ogl_check_times_default(struct ogl_check_times *t);
+void ogl_check_grace_default(struct ogl_check_grace *grace);
 
 struct ogl_check *ogl_check_run(
-    struct ogl_history *h, const struct ogl_check_times *t);
-/* Sorts the history and checks every point.  The history must stay as it is
- * while the result is used. */
+    struct ogl_history *h, const struct ogl_check_grace *grace);
+/* Sorts the history and checks every invariant.  The history must not change
+ * while the result is used.  Free it with ogl_check_end(). */
 
 void ogl_check_end(struct ogl_check *c);
 
 const struct ogl_check_finding *ogl_check_findings(
     const struct ogl_check *c, size_t *n);
-/* At most FAKE_CHECK_MAX a point. */
+/* The findings and their number, at most OGL_CHECK_MAX_FINDINGS for each
+ * invariant; valid until ogl_check_end(). */
 
-#define FAKE_CHECK_MAX 10
+#define OGL_CHECK_MAX_FINDINGS 10
 
-bool ogl_check_whole(const struct ogl_check *c);
-/* Whether the history has its end mark; without one nothing is said of
- * answers and jobs that are missing at its end. */
+bool ogl_check_is_complete(const struct ogl_check *c);
+/* Whether the history has a HISTORY_OVER event.  Without one, answers and jobs
+ * that are missing at its end are not reported. */
 
 char *ogl_check_report(const struct ogl_check *c);
-/* Every finding with its lines, for people; "" when there is none; g_free. */
+/* Every finding with its events as readable text, "" if there is none; free
+ * with g_free(). */
 
 #ifdef __cplusplus
 }
--- a/check/check_calls.c
+++ b/check/check_calls.c
@@ -12,8 +12,8 @@
 	return g_ptr_array_index(list, i);
 }
 
-/* The first call of a body that was sent by the time of the run and that the
- * filter takes; NULL when there is none. */
+/* Returns the first call of the request that was sent before the run and that
+ * the filter accepts, or NULL. */
 static const struct call *
 find_call(const struct request *r, const event *run,
     bool (*filter)(const struct call *k, const event *run))
@@ -47,7 +47,7 @@
 not_refused(const struct call *k, const event *run)
 {
 	(void)run;
-	return !check_answered(k, HISTORY_NOT_RUN);
+	return !check_has_verdict(k, HISTORY_NOT_RUN);
 }
 
 /* ---- keys -------------------------------------------------------------- */
@@ -60,10 +60,11 @@
 		const struct call *k = find_call(r, run, any_call);
 
 		if (k == NULL)
-			check_find(c, check_lines(run, NULL),
+			check_add_finding(c, check_event_list(run, NULL),
 			    "%s runs what nobody had sent", run->u.run.exec);
 		else if (find_call(r, run, same_team) == NULL)
-			check_find(c, check_lines(k->sent, run, NULL),
+			check_add_finding(c,
+			    check_event_list(k->sent, run, NULL),
 			    "a request of team %s runs for team %s",
 			    k->sent->u.call.team, run->u.run.team);
 	}
@@ -76,14 +77,15 @@
 	    j->submit->u.call.team[0] == '\0' ||
 	    strcmp(j->submit->u.call.team, j->started->u.task.team) == 0)
 		return;
-	check_find(c, check_lines(j->submit, j->told, j->started, NULL),
+	check_add_finding(c,
+	    check_event_list(j->submit, j->first_report, j->started, NULL),
 	    "a job of team %s runs for team %s", j->submit->u.call.team,
 	    j->started->u.task.team);
 }
 
-/* A run that only this call can have brought about; NULL when none. */
+/* Returns a run that only this call can have caused, or NULL. */
 static const event *
-own_run(const struct ogl_check *c, const struct call *k)
+only_run(const struct ogl_check *c, const struct call *k)
 {
 	const struct request *r =
 	    g_hash_table_lookup(c->requests, k->sent->u.call.body);
@@ -99,17 +101,18 @@
 {
 	for (guint i = 0; i < c->call_list->len; i++) {
 		const struct call *k = call_at(c->call_list, i);
-		const event *shown;
+		const event *effect;
 
 		if (strcmp(k->sent->u.call.key, edit->u.edit.key) != 0 ||
-		    k->sent->at <= edit->at + c->times.withdrawn)
+		    k->sent->at <= edit->at + c->grace.key_withdrawn)
 			continue;
-		shown = own_run(c, k);
-		if (shown == NULL && k->answer != NULL &&
+		effect = only_run(c, k);
+		if (effect == NULL && k->answer != NULL &&
 		    k->answer->u.answer.status / 100 == 2)
-			shown = k->answer;
-		if (shown != NULL)
-			check_find(c, check_lines(edit, k->sent, shown, NULL),
+			effect = k->answer;
+		if (effect != NULL)
+			check_add_finding(c,
+			    check_event_list(edit, k->sent, effect, NULL),
 			    "key %s works though it was withdrawn",
 			    edit->u.edit.key);
 	}
@@ -123,8 +126,8 @@
 		check_run_teams(c, g_ptr_array_index(c->request_list, i));
 	for (guint i = 0; i < c->job_list->len; i++)
 		check_job_team(c, g_ptr_array_index(c->job_list, i));
-	for (size_t i = 0; i < c->n; i++) {
-		const event *ev = &c->ev[i];
+	for (size_t i = 0; i < c->nevents; i++) {
+		const event *ev = &c->events[i];
 
 		if (ev->type == HISTORY_EDIT && ev->u.edit.accepted &&
 		    ev->u.edit.what == HISTORY_EDIT_KEY_WITHDRAWN)
@@ -134,18 +137,19 @@
 
 /* ---- answers ----------------------------------------------------------- */
 
-/* Executors echo "team|kind|body". */
+/* Whether the answer belongs to the call and is whole.  Executors answer with
+ * "team|kind|body"; with an unknown team only the end is compared. */
 static bool
-own_echo(const struct call *k)
+answer_is_own(const struct call *k)
 {
 	const char *team = k->sent->u.call.team;
-	char *echo = g_strdup_printf(
+	char *expected = g_strdup_printf(
 	    "%s|%s|%s", team, k->sent->u.call.kind, k->sent->u.call.body);
-	const char *got = k->answer->u.answer.body;
-	bool own = team[0] == '\0' ? g_str_has_suffix(got, echo)
-				   : strcmp(got, echo) == 0;
+	const char *actual = k->answer->u.answer.body;
+	bool own = team[0] == '\0' ? g_str_has_suffix(actual, expected)
+				   : strcmp(actual, expected) == 0;
 
-	g_free(echo);
+	g_free(expected);
 	return own;
 }
 
@@ -155,14 +159,14 @@
 	const struct call *k = g_hash_table_lookup(c->calls, ev->u.answer.call);
 
 	if (k == NULL || k->answer == NULL)
-		check_find(c, check_lines(ev, NULL),
+		check_add_finding(c, check_event_list(ev, NULL),
 		    "call %s is answered and was not made", ev->u.answer.call);
 	else if (k->answer != ev)
-		check_find(c, check_lines(k->answer, ev, NULL),
+		check_add_finding(c, check_event_list(k->answer, ev, NULL),
 		    "call %s is answered twice", ev->u.answer.call);
 	else if (!k->sent->u.call.job && ev->u.answer.status == 200 &&
-		 ev->u.answer.verdict == HISTORY_RAN && !own_echo(k))
-		check_find(c, check_lines(k->sent, ev, NULL),
+		 ev->u.answer.verdict == HISTORY_RAN && !answer_is_own(k))
+		check_add_finding(c, check_event_list(k->sent, ev, NULL),
 		    "call %s gets another's answer, or a part of one",
 		    ev->u.answer.call);
 }
@@ -176,7 +180,8 @@
 	       strcmp(id, b->u.call.request_id) == 0;
 }
 
-/* Two submits that are not one request have two jobs. */
+/* Two submissions must have different jobs unless their team and request id are
+ * the same. */
 static void
 check_job_answer(struct ogl_check *c, const struct call *k)
 {
@@ -186,16 +191,17 @@
 		return;
 	j = g_hash_table_lookup(c->jobs, k->job->u.job.job);
 	if (j->submit != k->sent && !same_request(j->submit, k->sent))
-		check_find(c,
-		    check_lines(j->submit, j->told, k->sent, k->job, NULL),
+		check_add_finding(c,
+		    check_event_list(
+			j->submit, j->first_report, k->sent, k->job, NULL),
 		    "two requests are told of one job %s", k->job->u.job.job);
 }
 
 void
 check_answer(struct ogl_check *c)
 {
-	for (size_t i = 0; i < c->n; i++) {
-		const event *ev = &c->ev[i];
+	for (size_t i = 0; i < c->nevents; i++) {
+		const event *ev = &c->events[i];
 		const struct call *k;
 
 		if (ev->type == HISTORY_ANSWER)
@@ -204,7 +210,8 @@
 			continue;
 		k = g_hash_table_lookup(c->calls, ev->u.call.call);
 		if (k->sent != ev)
-			check_find(c, check_lines(k->sent, ev, NULL),
+			check_add_finding(c,
+			    check_event_list(k->sent, ev, NULL),
 			    "two calls are named %s: the history is faulty",
 			    ev->u.call.call);
 	}
@@ -225,8 +232,9 @@
 			const struct call *k = find_call(r, run, any_call);
 
 			if (k != NULL && find_call(r, run, not_refused) == NULL)
-				check_find(c,
-				    check_lines(k->sent, k->answer, run, NULL),
+				check_add_finding(c,
+				    check_event_list(
+					k->sent, k->answer, run, NULL),
 				    "call %s ran though its answer was not_run",
 				    k->sent->u.call.call);
 		}
@@ -236,7 +244,8 @@
 
 		if (j->ended != NULL && j->started != NULL &&
 		    j->ended->u.job.verdict == HISTORY_NOT_RUN)
-			check_find(c, check_lines(j->ended, j->started, NULL),
+			check_add_finding(c,
+			    check_event_list(j->ended, j->started, NULL),
 			    "job %s ran though it ended as not_run",
 			    j->ended->u.job.job);
 	}
@@ -253,15 +262,15 @@
 			continue;
 		sent = call_at(r->calls, 0)->sent;
 		if (!sent->u.call.idempotent)
-			check_find(c,
-			    check_lines(sent, r->runs->pdata[0],
+			check_add_finding(c,
+			    check_event_list(sent, r->runs->pdata[0],
 				r->runs->pdata[1], NULL),
 			    "call %s is not idempotent and runs %u times",
 			    sent->u.call.call, r->runs->len);
 	}
 }
 
-/* ---- lost and doubled -------------------------------------------------- */
+/* ---- lost and duplicated ----------------------------------------------- */
 
 static void
 check_call_lost(struct ogl_check *c, const struct call *k)
@@ -269,13 +278,13 @@
 	const struct request *r =
 	    g_hash_table_lookup(c->requests, k->sent->u.call.body);
 
-	if (c->over != NULL && k->answer == NULL)
-		check_find(c, check_lines(k->sent, NULL),
+	if (c->load_over != NULL && k->answer == NULL)
+		check_add_finding(c, check_event_list(k->sent, NULL),
 		    "call %s is never answered", k->sent->u.call.call);
 	if (c->has_runs && !k->sent->u.call.job &&
-	    check_answered(k, HISTORY_RAN) && k->answer != NULL &&
+	    check_has_verdict(k, HISTORY_RAN) && k->answer != NULL &&
 	    k->answer->u.answer.status == 200 && r->runs->len == 0)
-		check_find(c, check_lines(k->sent, k->answer, NULL),
+		check_add_finding(c, check_event_list(k->sent, k->answer, NULL),
 		    "call %s is said to have run and did not",
 		    k->sent->u.call.call);
 }
@@ -283,24 +292,29 @@
 static void
 check_job_lost(struct ogl_check *c, const struct job *j)
 {
-	if (j->told == NULL)
+	if (j->first_report == NULL)
 		return;
 	if (j->missing != NULL)
-		check_find(c, check_lines(j->told, j->missing, NULL),
-		    "job %s was accepted and is not known", j->told->u.job.job);
-	else if (c->over != NULL && j->ended == NULL && j->last < c->over)
-		check_find(c, check_lines(j->last, NULL),
+		check_add_finding(c,
+		    check_event_list(j->first_report, j->missing, NULL),
+		    "job %s was accepted and is not known",
+		    j->first_report->u.job.job);
+	else if (c->load_over != NULL && j->ended == NULL &&
+		 j->last_report < c->load_over)
+		check_add_finding(c, check_event_list(j->last_report, NULL),
 		    "job %s has no end and nobody knows of it",
-		    j->told->u.job.job);
+		    j->first_report->u.job.job);
 	if (c->has_starts && j->succeeded == NULL && j->ended != NULL &&
 	    j->ended->u.job.state == HISTORY_JOB_DONE)
-		check_find(c, check_lines(j->told, j->ended, NULL),
+		check_add_finding(c,
+		    check_event_list(j->first_report, j->ended, NULL),
 		    "job %s is said to be done and no task of it is",
-		    j->told->u.job.job);
+		    j->first_report->u.job.job);
 }
 
 static void
-check_job_doubled(struct ogl_check *c, GHashTable *by_id, const struct call *k)
+check_job_duplicated(
+    struct ogl_check *c, GHashTable *by_id, const struct call *k)
 {
 	char *id;
 	const event *first;
@@ -311,7 +325,7 @@
 	    "%s %s", k->sent->u.call.team, k->sent->u.call.request_id);
 	first = g_hash_table_lookup(by_id, id);
 	if (first != NULL && strcmp(first->u.job.job, k->job->u.job.job) != 0)
-		check_find(c, check_lines(first, k->job, NULL),
+		check_add_finding(c, check_event_list(first, k->job, NULL),
 		    "one request id makes two jobs, %s and %s",
 		    first->u.job.job, k->job->u.job.job);
 	if (first == NULL)
@@ -321,7 +335,7 @@
 }
 
 static void
-check_success(struct ogl_check *c, GHashTable *by_task, const event *ev)
+check_task_success(struct ogl_check *c, GHashTable *by_task, const event *ev)
 {
 	const event *first;
 
@@ -330,7 +344,7 @@
 		return;
 	first = g_hash_table_lookup(by_task, ev->u.task.task);
 	if (first != NULL)
-		check_find(c, check_lines(first, ev, NULL),
+		check_add_finding(c, check_event_list(first, ev, NULL),
 		    "task %s succeeds twice", ev->u.task.task);
 	g_hash_table_insert(by_task, (gpointer)ev->u.task.task, (gpointer)ev);
 }
@@ -344,12 +358,12 @@
 
 	for (guint i = 0; i < c->call_list->len; i++) {
 		check_call_lost(c, call_at(c->call_list, i));
-		check_job_doubled(c, by_id, call_at(c->call_list, i));
+		check_job_duplicated(c, by_id, call_at(c->call_list, i));
 	}
 	for (guint i = 0; i < c->job_list->len; i++)
 		check_job_lost(c, g_ptr_array_index(c->job_list, i));
-	for (size_t i = 0; i < c->n; i++)
-		check_success(c, by_task, &c->ev[i]);
+	for (size_t i = 0; i < c->nevents; i++)
+		check_task_success(c, by_task, &c->events[i]);
 	g_hash_table_destroy(by_task);
 	g_hash_table_destroy(by_id);
 }
--- a/check/check_index.c
+++ b/check/check_index.c
@@ -1,7 +1,7 @@
 /*
- * Puts the events of a history together: answers to calls, runs to bodies,
- * ends to starts, tasks to jobs, and the times when nodes are not to be
- * relied on.  One pass in order of time; all else points into the history.
+ * Builds the index of a history in one pass by time: joins answers to calls,
+ * runs to bodies, ends to starts and tasks to jobs, and collects the outages
+ * of nodes.  The index points into the history and copies no events.
  */
 
 #include <inttypes.h>
@@ -9,9 +9,9 @@
 
 #include "check_index.h"
 
-/* Finds or makes the entry of a table; new ones also go on the list. */
+/* Finds the entry of a table or adds a zeroed one to the table and the list. */
 static void *
-entry(GHashTable *table, GPtrArray *list, const char *key, size_t size)
+find_or_add(GHashTable *table, GPtrArray *list, const char *key, size_t size)
 {
 	void *p = g_hash_table_lookup(table, key);
 
@@ -24,10 +24,10 @@
 }
 
 static struct request *
-request_of(struct ogl_check *c, const char *body)
+find_request(struct ogl_check *c, const char *body)
 {
 	struct request *r =
-	    entry(c->requests, c->request_list, body, sizeof(*r));
+	    find_or_add(c->requests, c->request_list, body, sizeof(*r));
 
 	if (r->calls == NULL) {
 		r->calls = g_ptr_array_new();
@@ -46,9 +46,9 @@
 	g_free(r);
 }
 
-/* The job of a task named <job>.<index>. */
+/* Finds the job of a task, which is named <job>.<index>. */
 static struct job *
-job_of_task(struct ogl_check *c, const char *task)
+find_job_of_task(struct ogl_check *c, const char *task)
 {
 	const char *dot = strrchr(task, '.');
 	char *name = dot != NULL ? g_strndup(task, (gsize)(dot - task)) : NULL;
@@ -63,24 +63,26 @@
 add_call(struct ogl_check *c, const event *ev)
 {
 	struct call *k =
-	    entry(c->calls, c->call_list, ev->u.call.call, sizeof(*k));
+	    find_or_add(c->calls, c->call_list, ev->u.call.call, sizeof(*k));
 
 	if (k->sent != NULL)
-		return; /* check_answer tells of it */
+		return; /* check_answer reports the duplicate */
 	k->sent = ev;
 	if (!ev->u.call.job)
-		g_ptr_array_add(request_of(c, ev->u.call.body)->calls, k);
+		g_ptr_array_add(find_request(c, ev->u.call.body)->calls, k);
 }
 
 static void
 add_job(struct ogl_check *c, const event *ev)
 {
-	struct job *j = entry(c->jobs, c->job_list, ev->u.job.job, sizeof(*j));
+	struct job *j =
+	    find_or_add(c->jobs, c->job_list, ev->u.job.job, sizeof(*j));
 	struct call *k = g_hash_table_lookup(c->calls, ev->u.job.call);
 	uint32_t state = ev->u.job.state;
 
 	if (state == HISTORY_JOB_UNKNOWN) {
-		if (j->told != NULL && j->ended == NULL && j->missing == NULL)
+		if (j->first_report != NULL && j->ended == NULL &&
+		    j->missing == NULL)
 			j->missing = ev;
 		return;
 	}
@@ -88,9 +90,9 @@
 		k->job = ev;
 	if (k != NULL && j->submit == NULL)
 		j->submit = k->sent;
-	if (j->told == NULL)
-		j->told = ev;
-	j->last = ev;
+	if (j->first_report == NULL)
+		j->first_report = ev;
+	j->last_report = ev;
 	if (state >= HISTORY_JOB_DONE && j->ended == NULL)
 		j->ended = ev;
 }
@@ -98,7 +100,7 @@
 /* ---- tasks ------------------------------------------------------------- */
 
 static void
-span_end(struct span *s, const event *ev)
+end_span(struct span *s, const event *ev)
 {
 	s->end = ev;
 	s->to = ev->at;
@@ -112,81 +114,82 @@
 }
 
 static void
-add_start(struct ogl_check *c, GHashTable *open, const event *ev)
+add_start(struct ogl_check *c, GHashTable *open_spans, const event *ev)
 {
 	struct span *s = g_new0(struct span, 1);
 
 	s->start = ev;
 	s->to = OGL_NEVER;
 	g_ptr_array_add(c->spans, s);
-	g_hash_table_replace(open, span_key(ev), s);
+	g_hash_table_replace(open_spans, span_key(ev), s);
 }
 
 static void
-add_end(GHashTable *open, const event *ev)
+add_end(GHashTable *open_spans, const event *ev)
 {
 	char *key = span_key(ev);
-	struct span *s = g_hash_table_lookup(open, key);
+	struct span *s = g_hash_table_lookup(open_spans, key);
 
 	if (s != NULL)
-		span_end(s, ev);
-	g_hash_table_remove(open, key);
+		end_span(s, ev);
+	g_hash_table_remove(open_spans, key);
 	g_free(key);
 }
 
-/* A worker that comes up again has none of its last boot's tasks left. */
+/* A worker that starts again has lost the tasks of its earlier boots. */
 static void
-end_older_boots(GHashTable *open, const event *ev)
+end_older_boots(GHashTable *open_spans, const event *ev)
 {
 	GHashTableIter it;
 	gpointer p;
 
-	g_hash_table_iter_init(&it, open);
+	g_hash_table_iter_init(&it, open_spans);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct span *s = p;
 		const event *start = s->start;
 
 		if (strcmp(start->u.task.worker, ev->u.worker.worker) == 0 &&
 		    start->u.task.boot != ev->u.worker.boot) {
-			span_end(s, ev);
+			end_span(s, ev);
 			g_hash_table_iter_remove(&it);
 		}
 	}
 }
 
 static void
-add_mark(struct ogl_check *c, ogl_time at, enum mark_type type,
+add_to_timeline(struct ogl_check *c, ogl_time at, enum timeline_type type,
     const struct span *span, const event *ev)
 {
-	struct mark m = {at, type, span, ev};
+	struct timeline_entry entry = {at, type, span, ev};
 
-	g_array_append_val(c->marks, m);
+	g_array_append_val(c->timeline, entry);
 }
 
 static gint
-compare_marks(gconstpointer a, gconstpointer b)
+compare_entries(gconstpointer a, gconstpointer b)
 {
-	const struct mark *x = a;
-	const struct mark *y = b;
+	const struct timeline_entry *x = a;
+	const struct timeline_entry *y = b;
 
 	if (x->at != y->at)
 		return x->at < y->at ? -1 : 1;
 	return (gint)x->type - (gint)y->type;
 }
 
-/* A start at the very time of an end elsewhere does not overlap it, so ends
- * count first, and a span without length does not count at all. */
+/* A start at the same time as an end elsewhere does not overlap it, so ends
+ * are sorted first, and a span of zero length is left out. */
 static void
-make_marks(struct ogl_check *c)
+make_timeline(struct ogl_check *c)
 {
 	for (guint i = 0; i < c->spans->len; i++) {
 		const struct span *s = g_ptr_array_index(c->spans, i);
-		struct job *j = job_of_task(c, s->start->u.task.task);
+		struct job *j = find_job_of_task(c, s->start->u.task.task);
 
 		if (s->start->at < s->to)
-			add_mark(c, s->start->at, MARK_START, s, s->start);
+			add_to_timeline(
+			    c, s->start->at, TIMELINE_START, s, s->start);
 		if (s->start->at < s->to && s->end != NULL)
-			add_mark(c, s->to, MARK_END, s, s->end);
+			add_to_timeline(c, s->to, TIMELINE_END, s, s->end);
 		if (j != NULL && j->started == NULL)
 			j->started = s->start;
 		if (j != NULL && j->succeeded == NULL && s->end != NULL &&
@@ -194,23 +197,23 @@
 		    s->end->u.task.state == OGL__TASK_STATE__succeeded)
 			j->succeeded = s->end;
 	}
-	for (size_t i = 0; i < c->n; i++) {
-		const event *ev = &c->ev[i];
+	for (size_t i = 0; i < c->nevents; i++) {
+		const event *ev = &c->events[i];
 
 		if (ev->type == HISTORY_WORKER)
-			add_mark(c, ev->at, MARK_CAPACITY, NULL, ev);
+			add_to_timeline(c, ev->at, TIMELINE_CAPACITY, NULL, ev);
 		if (ev->type == HISTORY_EDIT &&
 		    ev->u.edit.what == HISTORY_EDIT_LIMIT)
-			add_mark(c, ev->at + c->times.lowered + 1, MARK_LIMIT,
-			    NULL, ev);
+			add_to_timeline(c, ev->at + c->grace.limit_lowered + 1,
+			    TIMELINE_LIMIT, NULL, ev);
 	}
-	g_array_sort(c->marks, compare_marks);
+	g_array_sort(c->timeline, compare_entries);
 }
 
 /* ---- nodes ------------------------------------------------------------- */
 
 static void
-outage_begin(struct ogl_check *c, enum outage_type type, const char *who,
+begin_outage(struct ogl_check *c, enum outage_type type, const char *who,
     const event *ev)
 {
 	struct outage o = {type, who, ev, ev->at, OGL_NEVER, OGL_NEVER};
@@ -218,12 +221,13 @@
 	g_array_append_val(c->outages, o);
 }
 
-/* Ends the node's open outages; only its pauses when it was resumed. */
+/* Ends the open outages of a node that is up, or its pauses if it was resumed.
+ * A node that comes up for the first time was not started before. */
 static void
-node_back(struct ogl_check *c, const event *ev)
+end_outages(struct ogl_check *c, const event *ev)
 {
 	bool resumed = ev->u.node.state == HISTORY_NODE_RESUMED;
-	bool seen = false;
+	bool had_outage = false;
 
 	for (guint i = 0; i < c->outages->len; i++) {
 		struct outage *o = &g_array_index(c->outages, struct outage, i);
@@ -231,21 +235,21 @@
 		if (o->type == OUTAGE_FAULT ||
 		    strcmp(o->who, ev->u.node.node) != 0)
 			continue;
-		seen = true;
+		had_outage = true;
 		if (o->to == OGL_NEVER && (!resumed || o->type == OUTAGE_PAUSE))
 			o->to = ev->at;
 	}
-	if (!seen && !resumed) {
-		struct outage first = {OUTAGE_BEFORE, ev->u.node.node, ev,
-		    INT64_MIN, OGL_NEVER, ev->at};
+	if (!had_outage && !resumed) {
+		struct outage before_start = {OUTAGE_NOT_STARTED,
+		    ev->u.node.node, ev, INT64_MIN, OGL_NEVER, ev->at};
 
-		g_array_append_val(c->outages, first);
+		g_array_append_val(c->outages, before_start);
 	}
 }
 
-/* A stop ends with the process, be it by itself or killed. */
+/* A planned stop ends when the process exits or is killed. */
 static void
-node_exited(struct ogl_check *c, const event *ev)
+end_stops(struct ogl_check *c, const event *ev)
 {
 	for (guint i = 0; i < c->outages->len; i++) {
 		struct outage *o = &g_array_index(c->outages, struct outage, i);
@@ -263,20 +267,20 @@
 
 	switch ((enum history_node)ev->u.node.state) {
 	case HISTORY_NODE_DOWN:
-		node_exited(c, ev);
-		outage_begin(c, OUTAGE_KILL, node, ev);
+		end_stops(c, ev);
+		begin_outage(c, OUTAGE_KILL, node, ev);
 		return;
 	case HISTORY_NODE_PAUSED:
-		outage_begin(c, OUTAGE_PAUSE, node, ev);
+		begin_outage(c, OUTAGE_PAUSE, node, ev);
 		return;
 	case HISTORY_NODE_STOPPING:
-		outage_begin(c, OUTAGE_STOP, node, ev);
+		begin_outage(c, OUTAGE_STOP, node, ev);
 		return;
 	case HISTORY_NODE_EXITED:
-		node_exited(c, ev);
+		end_stops(c, ev);
 		return;
 	default:
-		node_back(c, ev);
+		end_outages(c, ev);
 	}
 }
 
@@ -284,7 +288,7 @@
 add_fault(struct ogl_check *c, const event *ev)
 {
 	if (ev->u.fault.on) {
-		outage_begin(c, OUTAGE_FAULT, ev->u.fault.who, ev);
+		begin_outage(c, OUTAGE_FAULT, ev->u.fault.who, ev);
 		return;
 	}
 	for (guint i = 0; i < c->outages->len; i++) {
@@ -297,10 +301,10 @@
 	}
 }
 
-/* ---- the pass ---------------------------------------------------------- */
+/* ---- index ------------------------------------------------------------- */
 
 static void
-add_event(struct ogl_check *c, GHashTable *open, const event *ev)
+add_event(struct ogl_check *c, GHashTable *open_spans, const event *ev)
 {
 	struct call *k;
 
@@ -319,19 +323,19 @@
 	case HISTORY_RUN:
 		c->has_runs = true;
 		g_ptr_array_add(
-		    request_of(c, ev->u.run.body)->runs, (gpointer)ev);
+		    find_request(c, ev->u.run.body)->runs, (gpointer)ev);
 		return;
 	case HISTORY_WORKER:
-		end_older_boots(open, ev);
+		end_older_boots(open_spans, ev);
 		return;
 	case HISTORY_START:
 		c->has_starts = true;
-		add_start(c, open, ev);
+		add_start(c, open_spans, ev);
 		return;
 	case HISTORY_END:
 	case HISTORY_LAPSE:
 	case HISTORY_CRASH:
-		add_end(open, ev);
+		add_end(open_spans, ev);
 		return;
 	case HISTORY_NODE:
 		add_node(c, ev);
@@ -340,8 +344,8 @@
 		add_fault(c, ev);
 		return;
 	case HISTORY_OVER:
-		if (c->over == NULL)
-			c->over = ev;
+		if (c->load_over == NULL)
+			c->load_over = ev;
 		return;
 	default:
 		return;
@@ -351,7 +355,7 @@
 void
 check_index(struct ogl_check *c)
 {
-	GHashTable *open =
+	GHashTable *open_spans =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 
 	c->calls = g_hash_table_new(g_str_hash, g_str_equal);
@@ -361,13 +365,13 @@
 	c->request_list = g_ptr_array_new_with_free_func(request_free);
 	c->job_list = g_ptr_array_new_with_free_func(g_free);
 	c->spans = g_ptr_array_new_with_free_func(g_free);
-	c->marks = g_array_new(FALSE, FALSE, sizeof(struct mark));
+	c->timeline = g_array_new(FALSE, FALSE, sizeof(struct timeline_entry));
 	c->outages = g_array_new(FALSE, FALSE, sizeof(struct outage));
-	for (size_t i = 0; i < c->n; i++)
-		add_event(c, open, &c->ev[i]);
-	c->end = c->n > 0 ? c->ev[c->n - 1].at : 0;
-	g_hash_table_destroy(open);
-	make_marks(c);
+	for (size_t i = 0; i < c->nevents; i++)
+		add_event(c, open_spans, &c->events[i]);
+	c->end_time = c->nevents > 0 ? c->events[c->nevents - 1].at : 0;
+	g_hash_table_destroy(open_spans);
+	make_timeline(c);
 }
 
 void
@@ -380,6 +384,6 @@
 	g_ptr_array_free(c->request_list, TRUE);
 	g_ptr_array_free(c->job_list, TRUE);
 	g_ptr_array_free(c->spans, TRUE);
-	g_array_free(c->marks, TRUE);
+	g_array_free(c->timeline, TRUE);
 	g_array_free(c->outages, TRUE);
 }
--- a/check/check_index.h
+++ b/check/check_index.h
@@ -1,6 +1,7 @@
 /*
- * What the checks share: the events of a history put together by call, body,
- * task, job and node.  Everything points into the history.
+ * Index that the checks share: the events of a history grouped by call, body,
+ * task, job and node.  Every event pointer points into the history, which owns
+ * the events.
  */
 
 #ifndef OGL_CHECK_INDEX_H
@@ -10,103 +11,108 @@
 
 typedef struct history_event event;
 
-/* One call and what its caller heard. */
+/* One call and what its caller was told. */
 struct call {
 	const event *sent;
-	const event *answer;
-	const event *job; /* it made, or was told of */
+	const event *answer; /* the first one */
+	const event *job;    /* first HISTORY_JOB that names this call */
 };
 
-/* All calls and runs with one body. */
+/* All calls and runs with the same body. */
 struct request {
 	GPtrArray *calls; /* of struct call */
-	GPtrArray *runs;  /* of event */
+	GPtrArray *runs;  /* of event: HISTORY_RUN */
 };
 
-/* One task's time on one worker. */
+/* The time during which one attempt of a task runs on one worker. */
 struct span {
 	const event *start;
-	const event *end; /* NULL: never seen */
-	ogl_time to;
+	const event *end; /* NULL: no end in the history */
+	ogl_time to;      /* OGL_NEVER without an end */
 };
 
-enum mark_type { /* in the order in which they count at one time */
-	MARK_END,
-	MARK_CAPACITY,
-	MARK_START,
-	MARK_LIMIT /* a lowered limit's grace is over */
+/* Entries with the same time take effect in this order. */
+enum timeline_type {
+	TIMELINE_END,
+	TIMELINE_CAPACITY,
+	TIMELINE_START,
+	TIMELINE_LIMIT /* the grace period after an edit of a limit is over */
 };
 
-/* Something changes for workers or teams. */
-struct mark {
+/* A change in what workers or teams have or may have. */
+struct timeline_entry {
 	ogl_time at;
-	enum mark_type type;
-	const struct span *span;
-	const event *ev;
+	enum timeline_type type;
+	const struct span *span; /* for TIMELINE_START and _END, else NULL */
+	const event *ev;         /* that causes the change */
 };
 
 struct job {
-	const event *submit; /* HISTORY_CALL, NULL unknown */
-	const event *told;   /* first */
-	const event *last;
-	const event *ended;
-	const event *missing;   /* unknown, though accepted and not ended */
-	const event *started;   /* first start of a task */
-	const event *succeeded; /* first such end of a task */
+	const event *submit;       /* its HISTORY_CALL, NULL if unknown */
+	const event *first_report; /* first HISTORY_JOB with a known state */
+	const event *last_report;
+	const event *ended;   /* first report of an ended state */
+	const event *missing; /* unknown to nodes after acceptance, not ended */
+	const event *started; /* first start of one of its tasks */
+	const event *succeeded; /* first successful end of one of its tasks */
 };
 
 enum outage_type {
-	OUTAGE_BEFORE, /* not started yet */
+	OUTAGE_NOT_STARTED, /* before the first start of the node */
 	OUTAGE_STOP,
 	OUTAGE_KILL,
 	OUTAGE_PAUSE,
 	OUTAGE_FAULT
 };
 
-/* A node, or with "" all of them, cannot be expected to do its part. */
+/* A period in which a node may fail to do what it should. */
 struct outage {
 	enum outage_type type;
-	const char *who;
+	const char *who; /* node, or node or target of a fault; "": all nodes */
 	const event *ev;
 	ogl_time from;
-	ogl_time exited; /* of a stop */
+	ogl_time exited; /* of OUTAGE_STOP: when the process ended */
 	ogl_time to;
 };
 
 struct ogl_check {
-	struct ogl_check_times times;
+	struct ogl_check_grace grace;
 	const struct ogl_history *history;
-	const event *ev;
-	size_t n;
-	ogl_time end;      /* time of the last event */
-	const event *over; /* NULL: the history is cut short */
-	bool has_runs;
-	bool has_starts;
-	GHashTable *calls;    /* id -> struct call */
-	GHashTable *requests; /* body -> struct request */
-	GHashTable *jobs;     /* id -> struct job */
-	GPtrArray *call_list; /* in order */
+	const event *events; /* of the history, sorted by time */
+	size_t nevents;
+	ogl_time end_time;      /* time of the last event */
+	const event *load_over; /* HISTORY_OVER, NULL: incomplete history */
+	bool has_runs;          /* some HISTORY_RUN is recorded */
+	bool has_starts;        /* some HISTORY_START is recorded */
+	GHashTable *calls;      /* id -> struct call */
+	GHashTable *requests;   /* body -> struct request */
+	GHashTable *jobs;       /* id -> struct job */
+	GPtrArray *call_list;   /* these lists in order of first events */
 	GPtrArray *job_list;
 	GPtrArray *request_list;
-	GPtrArray *spans;
-	GArray *marks;
-	GArray *outages;
-	const struct ogl_check_point *point; /* under way */
-	size_t found;                        /* at this point */
-	GArray *findings;
+	GPtrArray *spans; /* of struct span, by start */
+	GArray *timeline; /* of struct timeline_entry, by time */
+	GArray *outages;  /* of struct outage */
+	const struct ogl_check_invariant *invariant; /* being checked */
+	size_t nfindings;                            /* for this invariant */
+	GArray *findings; /* of struct ogl_check_finding */
 };
 
 void check_index(struct ogl_check *c);
+/* Fills the index from c->events. */
+
 void check_index_end(struct ogl_check *c);
+/* Frees what the index holds. */
 
-GPtrArray *check_lines(const event *first, ...) G_GNUC_NULL_TERMINATED;
-/* A list of the events up to NULL. */
+GPtrArray *check_event_list(const event *first, ...) G_GNUC_NULL_TERMINATED;
+/* A new list of the events up to the first NULL. */
 
-void check_find(struct ogl_check *c, GPtrArray *lines, const char *format, ...)
-    G_GNUC_PRINTF(3, 4);
-/* Adds a finding at the point under way; takes the lines. */
+void check_add_finding(struct ogl_check *c, GPtrArray *events,
+    const char *format, ...) G_GNUC_PRINTF(3, 4);
+/* Adds a finding for c->invariant and takes over the list of events. */
 
-bool check_answered(const struct call *k, enum history_verdict v);
+bool check_has_verdict(const struct call *k, enum history_verdict v);
+/* Whether the call is answered with the verdict. */
 
 void check_overfull(struct ogl_check *c);
 void check_two_places(struct ogl_check *c);
--- a/check/check_nodes.c
+++ b/check/check_nodes.c
@@ -1,6 +1,6 @@
 /*
- * Checks of the nodes: planned stops, and settings in force.  Neither says
- * anything of a node while it is down, paused or cut off.
+ * Checks of the nodes: planned stops, and settings in force.  Neither reports
+ * anything that an outage of the node explains: down, paused or cut off.
  */
 
 #include <inttypes.h>
@@ -14,23 +14,23 @@
 	return &g_array_index(c->outages, struct outage, i);
 }
 
-#define TIMER_SLACK (50 * OGL_MS) /* of a timeout, early or late */
+#define TIMEOUT_TOLERANCE (50 * OGL_MS) /* a timeout fires early or late */
 
 /* ---- planned stops ----------------------------------------------------- */
 
-/* When an outage no longer explains a broken call.  A killed node breaks
- * what it had at that time, and nothing more until it is back. */
+/* Returns when an outage no longer explains a broken call.  A killed node
+ * breaks the calls that it had at that time, and no more until it is back. */
 static ogl_time
-excuses_until(const struct ogl_check *c, const struct outage *o)
+explains_until(const struct ogl_check *c, const struct outage *o)
 {
 	ogl_time to = o->type == OUTAGE_KILL ? o->from : o->to;
 
-	return to == OGL_NEVER ? OGL_NEVER : to + c->times.settle;
+	return to == OGL_NEVER ? OGL_NEVER : to + c->grace.fault_ended;
 }
 
-/* Whether something else than a planned stop can have broken the call. */
+/* Whether something other than a planned stop can have broken the call. */
 static bool
-excused(const struct ogl_check *c, const struct call *k)
+has_other_cause(const struct ogl_check *c, const struct call *k)
 {
 	const struct request *r =
 	    g_hash_table_lookup(c->requests, k->sent->u.call.body);
@@ -38,13 +38,13 @@
 	ogl_time took = k->answer->at - k->sent->at;
 	ogl_time timeout = (ogl_time)k->sent->u.call.timeout_ms * OGL_MS;
 
-	if (timeout > 0 && took + TIMER_SLACK >= timeout)
+	if (timeout > 0 && took + TIMEOUT_TOLERANCE >= timeout)
 		return true;
 	for (guint i = 0; i < c->outages->len; i++) {
 		const struct outage *o = outage_at(c, i);
 
 		if (o->type >= OUTAGE_KILL && o->from <= k->answer->at &&
-		    excuses_until(c, o) >= k->sent->at)
+		    explains_until(c, o) >= k->sent->at)
 			return true;
 	}
 	for (guint i = 0; r != NULL && i < r->runs->len; i++) {
@@ -64,13 +64,14 @@
 	for (guint i = 0; i < c->call_list->len; i++) {
 		const struct call *k = g_ptr_array_index(c->call_list, i);
 
-		if (!check_answered(k, HISTORY_BROKEN) &&
-		    !check_answered(k, HISTORY_MAY_HAVE_RUN))
+		if (!check_has_verdict(k, HISTORY_BROKEN) &&
+		    !check_has_verdict(k, HISTORY_MAY_HAVE_RUN))
 			continue;
 		if (k->sent->at > until || k->answer->at < stop->from ||
-		    excused(c, k))
+		    has_other_cause(c, k))
 			continue;
-		check_find(c, check_lines(stop->ev, k->sent, k->answer, NULL),
+		check_add_finding(c,
+		    check_event_list(stop->ev, k->sent, k->answer, NULL),
 		    "call %s is cut while %s stops", k->sent->u.call.call,
 		    stop->who);
 	}
@@ -83,118 +84,122 @@
 		if (outage_at(c, i)->type == OUTAGE_STOP)
 			check_one_stop(c, outage_at(c, i));
 	}
-	for (size_t i = 0; i < c->n; i++) {
-		if (c->ev[i].type == HISTORY_CUT)
-			check_find(c, check_lines(&c->ev[i], NULL),
+	for (size_t i = 0; i < c->nevents; i++) {
+		if (c->events[i].type == HISTORY_CUT)
+			check_add_finding(c,
+			    check_event_list(&c->events[i], NULL),
 			    "%s gives up call %s at its stop",
-			    c->ev[i].u.cut.node, c->ev[i].u.cut.call);
+			    c->events[i].u.cut.node, c->events[i].u.cut.call);
 	}
 }
 
 /* ---- settings ---------------------------------------------------------- */
 
-/* One node's versions, and whence it counts anew. */
-struct follower {
+/* The versions of the settings that one node had in force. */
+struct node_versions {
 	const char *name;
 	GPtrArray *versions; /* of event: HISTORY_IN_FORCE */
-	const event *last;   /* since it came up */
+	const event *last;   /* NULL: none since the node came up */
 };
 
 static void
-follower_free(gpointer p)
+node_versions_free(gpointer p)
 {
-	struct follower *f = p;
+	struct node_versions *node = p;
 
-	g_ptr_array_free(f->versions, TRUE);
-	g_free(f);
+	g_ptr_array_free(node->versions, TRUE);
+	g_free(node);
 }
 
-static struct follower *
-follower_of(GPtrArray *list, const char *name)
+static struct node_versions *
+find_node_versions(GPtrArray *list, const char *name)
 {
-	struct follower *f;
+	struct node_versions *node;
 
 	for (guint i = 0; i < list->len; i++) {
-		f = g_ptr_array_index(list, i);
-		if (strcmp(f->name, name) == 0)
-			return f;
+		node = g_ptr_array_index(list, i);
+		if (strcmp(node->name, name) == 0)
+			return node;
 	}
-	f = g_new0(struct follower, 1);
-	f->name = name;
-	f->versions = g_ptr_array_new();
-	g_ptr_array_add(list, f);
-	return f;
+	node = g_new0(struct node_versions, 1);
+	node->name = name;
+	node->versions = g_ptr_array_new();
+	g_ptr_array_add(list, node);
+	return node;
 }
 
 static void
-take_version(struct ogl_check *c, struct follower *f, const event *ev)
+add_version(struct ogl_check *c, struct node_versions *node, const event *ev)
 {
-	if (f->last != NULL &&
-	    ev->u.in_force.version < f->last->u.in_force.version)
-		check_find(c, check_lines(f->last, ev, NULL),
+	if (node->last != NULL &&
+	    ev->u.in_force.version < node->last->u.in_force.version)
+		check_add_finding(c, check_event_list(node->last, ev, NULL),
 		    "settings at %s go back from version %" PRIu64
 		    " to %" PRIu64,
-		    f->name, f->last->u.in_force.version,
+		    node->name, node->last->u.in_force.version,
 		    ev->u.in_force.version);
-	f->last = ev;
-	g_ptr_array_add(f->versions, (gpointer)ev);
+	node->last = ev;
+	g_ptr_array_add(node->versions, (gpointer)ev);
 }
 
-/* When the node must have what was accepted at a time: so long after it, or
- * after the last outage that came in between. */
+/* Returns when an edit accepted at a time must be in force at the node: after
+ * the grace period, which starts anew at the end of each outage within it. */
 static ogl_time
 deadline(const struct ogl_check *c, const char *node, ogl_time accepted)
 {
-	ogl_time due = accepted + c->times.in_force;
-	bool moved;
+	ogl_time due = accepted + c->grace.in_force;
+	bool extended;
 
 	do {
-		moved = false;
+		extended = false;
 		for (guint i = 0; i < c->outages->len; i++) {
 			const struct outage *o = outage_at(c, i);
 
 			if ((o->who[0] != '\0' && strcmp(o->who, node) != 0) ||
-			    o->from > due || o->to <= due - c->times.in_force)
+			    o->from > due || o->to <= due - c->grace.in_force)
 				continue;
 			if (o->to == OGL_NEVER)
 				return OGL_NEVER;
-			due = o->to + c->times.in_force;
-			moved = true;
+			due = o->to + c->grace.in_force;
+			extended = true;
 		}
-	} while (moved);
+	} while (extended);
 	return due;
 }
 
 static void
-check_in_force(struct ogl_check *c, const struct follower *f, const event *edit)
+check_in_force(
+    struct ogl_check *c, const struct node_versions *node, const event *edit)
 {
-	ogl_time due = deadline(c, f->name, edit->at);
+	ogl_time due = deadline(c, node->name, edit->at);
 	const event *last = NULL;
 
-	if (due > c->end)
+	if (due > c->end_time)
 		return;
-	for (guint i = 0; i < f->versions->len; i++) {
-		const event *ev = g_ptr_array_index(f->versions, i);
+	for (guint i = 0; i < node->versions->len; i++) {
+		const event *ev = g_ptr_array_index(node->versions, i);
 
 		if (ev->at <= due)
 			last = ev;
 	}
 	if (last == NULL || last->u.in_force.version < edit->u.edit.version)
-		check_find(c, check_lines(edit, last, NULL),
+		check_add_finding(c, check_event_list(edit, last, NULL),
 		    "version %" PRIu64 " is not in force at %s in time",
-		    edit->u.edit.version, f->name);
+		    edit->u.edit.version, node->name);
 }
 
-/* An edit asked for after another was accepted has the larger version. */
+/* An edit sent after another was accepted must have the larger version. */
 static void
-check_order(struct ogl_check *c, const GPtrArray *edits, const event *edit)
+check_version_order(
+    struct ogl_check *c, const GPtrArray *edits, const event *edit)
 {
 	for (guint i = 0; i < edits->len; i++) {
 		const event *older = g_ptr_array_index(edits, i);
 
 		if (edit->u.edit.asked > older->at &&
 		    edit->u.edit.version <= older->u.edit.version)
-			check_find(c, check_lines(older, edit, NULL),
+			check_add_finding(c,
+			    check_event_list(older, edit, NULL),
 			    "version %" PRIu64 " is accepted after %" PRIu64,
 			    edit->u.edit.version, older->u.edit.version);
 	}
@@ -203,33 +208,33 @@
 void
 check_settings(struct ogl_check *c)
 {
-	GPtrArray *followers = g_ptr_array_new_with_free_func(follower_free);
+	GPtrArray *nodes = g_ptr_array_new_with_free_func(node_versions_free);
 	GPtrArray *edits = g_ptr_array_new();
 
-	for (size_t i = 0; i < c->n; i++) {
-		const event *ev = &c->ev[i];
+	for (size_t i = 0; i < c->nevents; i++) {
+		const event *ev = &c->events[i];
 
 		if (ev->type == HISTORY_NODE &&
 		    ev->u.node.state == HISTORY_NODE_UP)
-			follower_of(followers, ev->u.node.node)->last = NULL;
+			find_node_versions(nodes, ev->u.node.node)->last = NULL;
 		if (ev->type == HISTORY_IN_FORCE)
-			take_version(
-			    c, follower_of(followers, ev->u.in_force.node), ev);
+			add_version(c,
+			    find_node_versions(nodes, ev->u.in_force.node), ev);
 		if (ev->type != HISTORY_EDIT || !ev->u.edit.accepted ||
 		    ev->u.edit.version == 0)
 			continue;
-		check_order(c, edits, ev);
+		check_version_order(c, edits, ev);
 		g_ptr_array_add(edits, (gpointer)ev);
 	}
 	for (guint i = 0; i < edits->len; i++) {
-		for (guint k = 0; k < followers->len; k++) {
-			const struct follower *f =
-			    g_ptr_array_index(followers, k);
+		for (guint k = 0; k < nodes->len; k++) {
+			const struct node_versions *node =
+			    g_ptr_array_index(nodes, k);
 
-			if (f->versions->len > 0)
-				check_in_force(c, f, edits->pdata[i]);
+			if (node->versions->len > 0)
+				check_in_force(c, node, edits->pdata[i]);
 		}
 	}
 	g_ptr_array_free(edits, TRUE);
-	g_ptr_array_free(followers, TRUE);
+	g_ptr_array_free(nodes, TRUE);
 }
--- a/check/check_tasks.c
+++ b/check/check_tasks.c
@@ -1,39 +1,39 @@
 /*
- * Checks of what ran on workers: room, places, teams' limits and leaving
- * targets.  The first three walk the marks, the times at which something
- * starts, ends or changes.
+ * Checks of what ran on workers: capacity, tasks on two workers at once, the
+ * limits of teams, and leaving targets.  The first three go through the
+ * timeline of starts, ends and changes of capacity and limits.
  */
 
 #include <string.h>
 
 #include "check_index.h"
 
-#define DIMENSIONS 3
+#define NRESOURCES 3
 
-/* What a worker holds, as the walk goes on. */
-struct host {
+/* The capacity and load of a worker at the current entry of the timeline. */
+struct worker_load {
 	const event *capacity;
-	uint64_t held[DIMENSIONS];
+	uint64_t used[NRESOURCES];
 };
 
-static const char *const dimension_names[DIMENSIONS] = {
+static const char *const resource_names[NRESOURCES] = {
     "processors", "memory", "accelerators"};
 
 static uint32_t
-dimension(const struct ogl_res *r, int d)
+resource_amount(const struct ogl_res *r, int d)
 {
-	const uint32_t all[DIMENSIONS] = {r->cpu_milli, r->mem_mb, r->accel};
+	const uint32_t all[NRESOURCES] = {r->cpu_milli, r->mem_mb, r->accel};
 
 	return all[d];
 }
 
-static const struct mark *
-mark_at(const struct ogl_check *c, guint i)
+static const struct timeline_entry *
+entry_at(const struct ogl_check *c, guint i)
 {
-	return &g_array_index(c->marks, struct mark, i);
+	return &g_array_index(c->timeline, struct timeline_entry, i);
 }
 
-/* Whether the span has begun by the time of an event and goes on beyond. */
+/* Whether the span starts no later than an event and ends after it. */
 static bool
 runs_at(const struct span *s, const event *ev)
 {
@@ -45,20 +45,22 @@
 {
 	const event *x = *(const event *const *)a;
 	const event *y = *(const event *const *)b;
-	uint32_t n = dimension(&x->u.task.res, *(int *)d);
-	uint32_t m = dimension(&y->u.task.res, *(int *)d);
+	uint32_t n = resource_amount(&x->u.task.res, *(int *)d);
+	uint32_t m = resource_amount(&y->u.task.res, *(int *)d);
 
 	return (n < m) - (n > m);
 }
 
-/* The new start, and the fewest others with which it is too much. */
+/* Returns the capacity, the start that exceeds it, and the smallest set of
+ * other starts with which it does. */
 static GPtrArray *
-overfull_lines(
-    const struct ogl_check *c, const struct host *h, const event *start, int d)
+overfull_events(const struct ogl_check *c, const struct worker_load *load,
+    const event *start, int d)
 {
-	uint64_t room = dimension(&h->capacity->u.worker.capacity, d);
-	uint64_t sum = dimension(&start->u.task.res, d);
-	GPtrArray *lines = check_lines(h->capacity, start, NULL);
+	uint64_t capacity =
+	    resource_amount(&load->capacity->u.worker.capacity, d);
+	uint64_t sum = resource_amount(&start->u.task.res, d);
+	GPtrArray *events = check_event_list(load->capacity, start, NULL);
 	GPtrArray *others = g_ptr_array_new();
 
 	for (guint i = 0; i < c->spans->len; i++) {
@@ -69,32 +71,34 @@
 			g_ptr_array_add(others, (gpointer)s->start);
 	}
 	g_ptr_array_sort_with_data(others, compare_size, &d);
-	for (guint i = 0; sum <= room && i < others->len; i++) {
+	for (guint i = 0; sum <= capacity && i < others->len; i++) {
 		const event *other = g_ptr_array_index(others, i);
 
-		sum += dimension(&other->u.task.res, d);
-		g_ptr_array_add(lines, (gpointer)other);
+		sum += resource_amount(&other->u.task.res, d);
+		g_ptr_array_add(events, (gpointer)other);
 	}
 	g_ptr_array_free(others, TRUE);
-	return lines;
+	return events;
 }
 
-/* A capacity that shrinks below what is held is no fault; to add is one. */
+/* A capacity that shrinks below the load is no violation; a start that adds to
+ * a load above the capacity is one. */
 static void
-check_room(struct ogl_check *c, const struct host *h, const event *start)
+check_capacity(
+    struct ogl_check *c, const struct worker_load *load, const event *start)
 {
-	const struct ogl_res *room;
+	const struct ogl_res *capacity;
 
-	if (h->capacity == NULL)
+	if (load->capacity == NULL)
 		return;
-	room = &h->capacity->u.worker.capacity;
-	for (int d = 0; d < DIMENSIONS; d++) {
-		if (dimension(&start->u.task.res, d) == 0 ||
-		    h->held[d] <= dimension(room, d))
+	capacity = &load->capacity->u.worker.capacity;
+	for (int d = 0; d < NRESOURCES; d++) {
+		if (resource_amount(&start->u.task.res, d) == 0 ||
+		    load->used[d] <= resource_amount(capacity, d))
 			continue;
-		check_find(c, overfull_lines(c, h, start, d),
+		check_add_finding(c, overfull_events(c, load, start, d),
 		    "%s is given more %s than it holds", start->u.task.worker,
-		    dimension_names[d]);
+		    resource_names[d]);
 		return;
 	}
 }
@@ -102,41 +106,42 @@
 void
 check_overfull(struct ogl_check *c)
 {
-	GHashTable *hosts =
+	GHashTable *workers =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
 
-	for (guint i = 0; i < c->marks->len; i++) {
-		const struct mark *m = mark_at(c, i);
-		const char *name = m->type == MARK_CAPACITY
-				       ? m->ev->u.worker.worker
-				       : m->ev->u.task.worker;
-		struct host *h;
+	for (guint i = 0; i < c->timeline->len; i++) {
+		const struct timeline_entry *entry = entry_at(c, i);
+		const char *name = entry->type == TIMELINE_CAPACITY
+				       ? entry->ev->u.worker.worker
+				       : entry->ev->u.task.worker;
+		struct worker_load *load;
 
-		if (m->type == MARK_LIMIT)
+		if (entry->type == TIMELINE_LIMIT)
 			continue;
-		if (m->span != NULL)
-			name = m->span->start->u.task.worker;
-		h = g_hash_table_lookup(hosts, name);
-		if (h == NULL) {
-			h = g_new0(struct host, 1);
-			g_hash_table_insert(hosts, (gpointer)name, h);
+		if (entry->span != NULL)
+			name = entry->span->start->u.task.worker;
+		load = g_hash_table_lookup(workers, name);
+		if (load == NULL) {
+			load = g_new0(struct worker_load, 1);
+			g_hash_table_insert(workers, (gpointer)name, load);
 		}
-		if (m->type == MARK_CAPACITY) {
-			h->capacity = m->ev;
+		if (entry->type == TIMELINE_CAPACITY) {
+			load->capacity = entry->ev;
 			continue;
 		}
-		if (m->span == NULL)
-			continue; /* only a capacity has none */
-		for (int d = 0; d < DIMENSIONS; d++) {
-			uint32_t n = dimension(&m->span->start->u.task.res, d);
-
-			h->held[d] += m->type == MARK_START ? n : 0;
-			h->held[d] -= m->type == MARK_END ? n : 0;
+		if (entry->span == NULL)
+			continue; /* not reached: other types have a span */
+		for (int d = 0; d < NRESOURCES; d++) {
+			uint32_t n =
+			    resource_amount(&entry->span->start->u.task.res, d);
+
+			load->used[d] += entry->type == TIMELINE_START ? n : 0;
+			load->used[d] -= entry->type == TIMELINE_END ? n : 0;
 		}
-		if (m->type == MARK_START)
-			check_room(c, h, m->ev);
+		if (entry->type == TIMELINE_START)
+			check_capacity(c, load, entry->ev);
 	}
-	g_hash_table_destroy(hosts);
+	g_hash_table_destroy(workers);
 }
 
 void
@@ -144,62 +149,65 @@
 {
 	GHashTable *running = g_hash_table_new(g_str_hash, g_str_equal);
 
-	for (guint i = 0; i < c->marks->len; i++) {
-		const struct mark *m = mark_at(c, i);
+	for (guint i = 0; i < c->timeline->len; i++) {
+		const struct timeline_entry *entry = entry_at(c, i);
 		const struct span *other;
 		const char *task;
 
-		if (m->span == NULL)
+		if (entry->span == NULL)
 			continue;
-		task = m->span->start->u.task.task;
+		task = entry->span->start->u.task.task;
 		other = g_hash_table_lookup(running, task);
-		if (m->type == MARK_END && other == m->span)
+		if (entry->type == TIMELINE_END && other == entry->span)
 			g_hash_table_remove(running, task);
-		if (m->type != MARK_START)
+		if (entry->type != TIMELINE_START)
 			continue;
 		if (other != NULL)
-			check_find(c, check_lines(other->start, m->ev, NULL),
+			check_add_finding(c,
+			    check_event_list(other->start, entry->ev, NULL),
 			    "task %s starts on %s while it runs on %s", task,
-			    m->ev->u.task.worker, other->start->u.task.worker);
-		g_hash_table_insert(running, (gpointer)task, (gpointer)m->span);
+			    entry->ev->u.task.worker,
+			    other->start->u.task.worker);
+		g_hash_table_insert(
+		    running, (gpointer)task, (gpointer)entry->span);
 	}
 	g_hash_table_destroy(running);
 }
 
 /* ---- teams' limits ----------------------------------------------------- */
 
-/* A team with a limit, as the walk goes on. */
-struct limit {
-	GPtrArray *edits; /* of its limit, in order of their answers */
-	uint64_t running; /* in it and below it */
-	bool above;       /* and told of */
+/* A team with a limit, at the current entry of the timeline. */
+struct team_limit {
+	GPtrArray *edits; /* of the limit, in order of their answers */
+	uint64_t running; /* tasks of the team and its subteams */
+	bool above;       /* the limit is exceeded and that is reported */
 };
 
 static void
-limit_free(gpointer p)
+team_limit_free(gpointer p)
 {
-	struct limit *l = p;
+	struct team_limit *l = p;
 
 	g_ptr_array_free(l->edits, TRUE);
 	g_free(l);
 }
 
 static GHashTable *
-limits_of(const struct ogl_check *c)
+collect_limits(const struct ogl_check *c)
 {
-	GHashTable *limits =
-	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, limit_free);
+	GHashTable *limits = g_hash_table_new_full(
+	    g_str_hash, g_str_equal, NULL, team_limit_free);
 
-	for (size_t i = 0; i < c->n; i++) {
-		const event *ev = &c->ev[i];
-		struct limit *l;
+	for (size_t i = 0; i < c->nevents; i++) {
+		const event *ev = &c->events[i];
+		struct team_limit *l;
 
 		if (ev->type != HISTORY_EDIT ||
 		    ev->u.edit.what != HISTORY_EDIT_LIMIT)
 			continue;
 		l = g_hash_table_lookup(limits, ev->u.edit.team);
 		if (l == NULL) {
-			l = g_new0(struct limit, 1);
+			l = g_new0(struct team_limit, 1);
 			l->edits = g_ptr_array_new();
 			g_hash_table_insert(
 			    limits, (gpointer)ev->u.edit.team, l);
@@ -210,30 +218,31 @@
 }
 
 /*
- * The edit that allows the most at a time, NULL when nothing limits yet.  A
- * limit may be in force from when it was asked for, and until the grace after
- * the next accepted one is over.
+ * Returns the edit that allows the most tasks at a time, or NULL if no limit
+ * is certainly in force.  A limit may be in force from the time it was asked
+ * for until the grace period after the next accepted one is over.
  */
 static const event *
-loosest(const struct ogl_check *c, const struct limit *l, ogl_time at)
+most_permissive_edit(
+    const struct ogl_check *c, const struct team_limit *l, ogl_time at)
 {
 	const event *best = NULL;
 
 	for (guint i = 0; i < l->edits->len; i++) {
 		const event *ev = g_ptr_array_index(l->edits, i);
-		bool settled =
-		    ev->u.edit.accepted && ev->at + c->times.lowered < at;
+		bool in_force =
+		    ev->u.edit.accepted && ev->at + c->grace.limit_lowered < at;
 
-		if (settled || (best != NULL && ev->u.edit.asked <= at &&
-				   ev->u.edit.limit > best->u.edit.limit))
+		if (in_force || (best != NULL && ev->u.edit.asked <= at &&
+				    ev->u.edit.limit > best->u.edit.limit))
 			best = ev;
 	}
 	return best;
 }
 
-/* Whether the path is the team's or lies below it. */
+/* Whether the path names the team or one of its subteams. */
 static bool
-within(const char *path, const char *team)
+is_in_team(const char *path, const char *team)
 {
 	size_t n = strlen(team);
 
@@ -241,51 +250,53 @@
 	       (path[n] == '\0' || path[n] == '/');
 }
 
-/* The edit, and the latest starts that are one too many under it. */
+/* Returns the edit and the latest starts, one more than it allows. */
 static GPtrArray *
-limit_lines(const struct ogl_check *c, const event *edit, ogl_time at)
+limit_events(const struct ogl_check *c, const event *edit, ogl_time at)
 {
-	GPtrArray *lines = check_lines(edit, NULL);
-	uint64_t left = edit->u.edit.limit + 1;
+	GPtrArray *events = check_event_list(edit, NULL);
+	uint64_t wanted = edit->u.edit.limit + 1;
 
-	for (guint i = c->spans->len; i-- > 0 && left > 0;) {
+	for (guint i = c->spans->len; i-- > 0 && wanted > 0;) {
 		const struct span *s = g_ptr_array_index(c->spans, i);
 
 		if (s->start->at > at || s->to <= at ||
-		    !within(s->start->u.task.team, edit->u.edit.team))
+		    !is_in_team(s->start->u.task.team, edit->u.edit.team))
 			continue;
-		g_ptr_array_add(lines, (gpointer)s->start);
-		left--;
+		g_ptr_array_add(events, (gpointer)s->start);
+		wanted--;
 	}
-	return lines;
+	return events;
 }
 
 static void
-check_count(struct ogl_check *c, struct limit *l, const char *team, ogl_time at)
+check_team_running(
+    struct ogl_check *c, struct team_limit *l, const char *team, ogl_time at)
 {
-	const event *edit = loosest(c, l, at);
+	const event *edit = most_permissive_edit(c, l, at);
 	bool above = edit != NULL && l->running > edit->u.edit.limit;
 
 	if (above && !l->above)
-		check_find(c, limit_lines(c, edit, at),
+		check_add_finding(c, limit_events(c, edit, at),
 		    "team %s has more running than its limit of %u", team,
 		    (unsigned)edit->u.edit.limit);
 	l->above = above;
 }
 
-/* Counts a start or an end in the team and in each above it. */
+/* Counts a start or an end for the team and each team above it. */
 static void
-count_task(struct ogl_check *c, GHashTable *limits, const struct mark *m)
+count_task(
+    struct ogl_check *c, GHashTable *limits, const struct timeline_entry *entry)
 {
-	char *team = g_strdup(m->span->start->u.task.team);
+	char *team = g_strdup(entry->span->start->u.task.team);
 	char *slash;
 
 	do {
-		struct limit *l = g_hash_table_lookup(limits, team);
+		struct team_limit *l = g_hash_table_lookup(limits, team);
 
 		if (l != NULL) {
-			l->running += m->type == MARK_START ? 1 : -1;
-			check_count(c, l, team, m->at);
+			l->running += entry->type == TIMELINE_START ? 1 : -1;
+			check_team_running(c, l, team, entry->at);
 		}
 		slash = strrchr(team, '/');
 		if (slash != NULL)
@@ -297,17 +308,17 @@
 void
 check_limit(struct ogl_check *c)
 {
-	GHashTable *limits = limits_of(c);
+	GHashTable *limits = collect_limits(c);
 
-	for (guint i = 0; i < c->marks->len; i++) {
-		const struct mark *m = mark_at(c, i);
+	for (guint i = 0; i < c->timeline->len; i++) {
+		const struct timeline_entry *entry = entry_at(c, i);
 
-		if (m->type == MARK_LIMIT && m->at <= c->end)
-			check_count(c,
-			    g_hash_table_lookup(limits, m->ev->u.edit.team),
-			    m->ev->u.edit.team, m->at);
-		else if (m->span != NULL)
-			count_task(c, limits, m);
+		if (entry->type == TIMELINE_LIMIT && entry->at <= c->end_time)
+			check_team_running(c,
+			    g_hash_table_lookup(limits, entry->ev->u.edit.team),
+			    entry->ev->u.edit.team, entry->at);
+		else if (entry->span != NULL)
+			count_task(c, limits, entry);
 	}
 	g_hash_table_destroy(limits);
 }
@@ -315,7 +326,7 @@
 /* ---- leaving targets --------------------------------------------------- */
 
 static void
-list_target(GHashTable *leaving, const event *ev)
+update_leaving(GHashTable *leaving, const event *ev)
 {
 	const char *name = ev->u.listed.target;
 
@@ -330,13 +341,13 @@
 {
 	GHashTable *leaving = g_hash_table_new(g_str_hash, g_str_equal);
 
-	for (size_t i = 0; i < c->n; i++) {
-		const event *ev = &c->ev[i];
+	for (size_t i = 0; i < c->nevents; i++) {
+		const event *ev = &c->events[i];
 		const event *listed;
 		const char *name;
 
 		if (ev->type == HISTORY_LISTED)
-			list_target(leaving, ev);
+			update_leaving(leaving, ev);
 		if (ev->type == HISTORY_RUN)
 			name = ev->u.run.exec;
 		else if (ev->type == HISTORY_START)
@@ -344,8 +355,8 @@
 		else
 			continue;
 		listed = g_hash_table_lookup(leaving, name);
-		if (listed != NULL && ev->at > listed->at + c->times.leaving)
-			check_find(c, check_lines(listed, ev, NULL),
+		if (listed != NULL && ev->at > listed->at + c->grace.leaving)
+			check_add_finding(c, check_event_list(listed, ev, NULL),
 			    "%s gets new work though it is leaving", name);
 	}
 	g_hash_table_destroy(leaving);
--- a/check/main.c
+++ b/check/main.c
@@ -1,6 +1,7 @@
 /*
- * orioleglade-check: holds the histories of a run against what must always
- * hold.  Several files, one from each who took part, count as one history.
+ * orioleglade-check: checks the history of a run against the invariants of
+ * the system.  Several files, one from each participant, are merged into one
+ * history.
  */
 
 #include <argp.h>
@@ -10,9 +11,9 @@
 #include "check.h"
 
 enum {
-	EXIT_CLEAN,
-	EXIT_FOUND,
-	EXIT_UNREAD /* a file could not be read, or the options are wrong */
+	EXIT_NO_VIOLATION,
+	EXIT_VIOLATION,
+	EXIT_ERROR /* a file could not be read, or the options are wrong */
 };
 
 enum {
@@ -24,7 +25,7 @@
 };
 
 struct options {
-	struct ogl_check_times times;
+	struct ogl_check_grace grace;
 	char **files;
 	int nfiles;
 };
@@ -46,9 +47,10 @@
 parse_option(int key, char *arg, struct argp_state *state)
 {
 	struct options *o = state->input;
-	struct ogl_check_times *t = &o->times;
-	ogl_time *const to[] = {
-	    &t->withdrawn, &t->lowered, &t->leaving, &t->in_force, &t->settle};
+	struct ogl_check_grace *grace = &o->grace;
+	ogl_time *const periods[] = {&grace->key_withdrawn,
+	    &grace->limit_lowered, &grace->leaving, &grace->in_force,
+	    &grace->fault_ended};
 	char *end;
 
 	switch (key) {
@@ -57,7 +59,7 @@
 	case OPT_LEAVING:
 	case OPT_IN_FORCE:
 	case OPT_SETTLE:
-		*to[key - OPT_WITHDRAWN] = strtol(arg, &end, 10) * OGL_MS;
+		*periods[key - OPT_WITHDRAWN] = strtol(arg, &end, 10) * OGL_MS;
 		if (end == arg || *end != '\0')
 			argp_error(state, "%s is no number", arg);
 		return 0;
@@ -74,24 +76,24 @@
 }
 
 static int
-check(struct ogl_history *h, const struct ogl_check_times *times)
+check_history(struct ogl_history *h, const struct ogl_check_grace *grace)
 {
-	struct ogl_check *c = ogl_check_run(h, times);
+	struct ogl_check *c = ogl_check_run(h, grace);
 	char *report = ogl_check_report(c);
-	size_t found;
-	size_t lines;
+	size_t nfindings;
+	size_t nevents;
 
-	ogl_check_findings(c, &found);
-	ogl_history_events(h, &lines);
+	ogl_check_findings(c, &nfindings);
+	ogl_history_events(h, &nevents);
 	fputs(report, stdout);
-	if (!ogl_check_whole(c))
+	if (!ogl_check_is_complete(c))
 		printf(
 		    "no end mark: what is missing at the end is not judged\n");
-	if (found == 0)
-		printf("no violation in %zu lines\n", lines);
+	if (nfindings == 0)
+		printf("no violation in %zu lines\n", nevents);
 	g_free(report);
 	ogl_check_end(c);
-	return found == 0 ? EXIT_CLEAN : EXIT_FOUND;
+	return nfindings == 0 ? EXIT_NO_VIOLATION : EXIT_VIOLATION;
 }
 
 int
@@ -104,10 +106,10 @@
 	struct ogl_history *h = ogl_history_init(NULL);
 	struct options o = {0};
 	GError *error = NULL;
-	int rc = EXIT_UNREAD;
+	int rc = EXIT_ERROR;
 
-	ogl_check_times_default(&o.times);
-	argp_err_exit_status = EXIT_UNREAD;
+	ogl_check_grace_default(&o.grace);
+	argp_err_exit_status = EXIT_ERROR;
 	if (argp_parse(&argp, argc, argv, 0, NULL, &o) != 0)
 		goto out;
 	for (int i = 0; i < o.nfiles; i++) {
@@ -116,7 +118,7 @@
 			goto out;
 		}
 	}
-	rc = check(h, &o.times);
+	rc = check_history(h, &o.grace);
 out:
 	g_clear_error(&error);
 	ogl_history_end(h);
--- a/test/fake_faults.c
+++ b/test/fake_faults.c
@@ -966,14 +966,14 @@
 static void
 check_history(struct fake_faults *f)
 {
-	struct ogl_check_times t;
+	struct ogl_check_grace grace;
 	struct ogl_check *k;
 	const struct ogl_check_finding *found;
 	char *report;
 	size_t n;
 
-	ogl_check_times_default(&t);
-	k = ogl_check_run(fake_cluster_history(f->c), &t);
+	ogl_check_grace_default(&grace);
+	k = ogl_check_run(fake_cluster_history(f->c), &grace);
 	found = ogl_check_findings(k, &n);
 	report = ogl_check_report(k);
 	fake_cluster_note(f->c, report);
@@ -981,7 +981,7 @@
 	for (size_t i = 0; i < n; i++) {
 		if (!is_allowed(&found[i]))
 			fake_cluster_fault(f->c, "history: %s: %s",
-			    found[i].point->name, found[i].text);
+			    found[i].invariant->name, found[i].text);
 	}
 	ogl_check_end(k);
 }
--- a/test/test_check.cc
+++ b/test/test_check.cc
@@ -120,19 +120,19 @@
 std::string
 found(struct ogl_history *h, std::set<std::string> *points)
 {
-	struct ogl_check_times times;
+	struct ogl_check_grace grace;
 	std::string s;
 	size_t n;
 
-	ogl_check_times_default(&times);
-	struct ogl_check *c = ogl_check_run(h, &times);
+	ogl_check_grace_default(&grace);
+	struct ogl_check *c = ogl_check_run(h, &grace);
 	const struct ogl_check_finding *f = ogl_check_findings(c, &n);
 	for (size_t i = 0; i < n; i++) {
-		s += (i > 0 ? "; " : "") + std::string(f[i].point->name);
-		points->insert(f[i].point->name);
-		for (guint k = 0; k < f[i].lines->len; k++) {
+		s += (i > 0 ? "; " : "") + std::string(f[i].invariant->name);
+		points->insert(f[i].invariant->name);
+		for (guint k = 0; k < f[i].events->len; k++) {
 			auto *ev =
-			    (const struct history_event *)f[i].lines->pdata[k];
+			    (const struct history_event *)f[i].events->pdata[k];
 
 			s += " " + std::to_string(ev->line);
 		}
@@ -175,7 +175,7 @@
 		g_clear_error(&error);
 		ogl_history_end(h);
 	}
-	while (ogl_check_points[all].name != nullptr)
+	while (ogl_check_invariants[all].name != nullptr)
 		all++;
 	EXPECT_EQ(all, points.size());
 }
