--- a/check/history.c
+++ b/check/history.c
@@ -1,9 +1,9 @@
 /*
  * History of a run.
  *
- * One table names the fields of each type of event, with their places in
- * struct history_event; printing, reading and copying all go by it, so that
- * a new field is one line.  Strings live in one chunk, each text once.
+ * One table names the fields of each type of event and their offsets in struct
+ * history_event.  Printing, reading and copying all use it, so that a new field
+ * needs one line.  A string chunk stores each distinct string once.
  */
 
 #include <errno.h>
@@ -17,75 +17,76 @@
 enum field_type {
 	STR,
 	U32,
-	U64, /* as a signed number in JSON, so that UINT64_MAX is -1 */
-	FLAG,
-	RES,
-	NAME /* a uint32_t, in JSON one of the names */
+	U64, /* a signed number in JSON, so that UINT64_MAX is -1 */
+	BOOL,
+	RESOURCES,
+	ENUM /* a uint32_t, in JSON one of the names */
 };
 
-#define MAX_FIELDS 11 /* of one type, with the end mark */
+#define MAX_FIELDS 11 /* for one type, with the terminator */
 
 struct field {
 	const char *name; /* NULL ends a list */
 	enum field_type type;
-	size_t at; /* offset in struct history_event */
-	const char *const *names;
+	size_t offset;            /* in struct history_event */
+	const char *const *names; /* of ENUM, with a NULL at the end */
 };
 
-struct shape {
+struct event_format {
 	const char *name;
 	struct field fields[MAX_FIELDS];
 };
 
 static const char *const verdict_names[] = {
     "not_run", "ran", "may_have_run", "broken", NULL};
-static const char *const job_names[] = {
+static const char *const job_state_names[] = {
     "queued", "active", "done", "broken", "cancelled", "unknown", NULL};
-static const char *const task_names[] = {"running", "throttled", "succeeded",
-    "failed", "stopped", "checkpointed", "lapsed", "refused", NULL};
-static const char *const node_names[] = {
+static const char *const task_state_names[] = {"running", "throttled",
+    "succeeded", "failed", "stopped", "checkpointed", "lapsed", "refused",
+    NULL};
+static const char *const node_state_names[] = {
     "up", "down", "paused", "resumed", "stopping", "exited", NULL};
-static const char *const edit_names[] = {
+static const char *const edit_type_names[] = {
     "limit", "key_created", "key_withdrawn", "other", NULL};
 
-#define PLACE(part, field) offsetof(struct history_event, u.part.field)
+#define OFFSET(part, field) offsetof(struct history_event, u.part.field)
 #define FIELD(part, field, type)                                               \
 	{                                                                      \
-#field, type, PLACE(part, field), NULL                         \
+#field, type, OFFSET(part, field), NULL                        \
 	}
-#define NAMES(part, field, names)                                              \
+#define ENUM_FIELD(part, field, names)                                         \
 	{                                                                      \
-#field, NAME, PLACE(part, field), names                        \
+#field, ENUM, OFFSET(part, field), names                       \
 	}
 #define TASK_FIELDS                                                            \
 	{                                                                      \
 		FIELD(task, worker, STR), FIELD(task, task, STR),              \
 		    FIELD(task, attempt, U32), FIELD(task, team, STR),         \
-		    FIELD(task, boot, U64), FIELD(task, res, RES),             \
-		    NAMES(task, state, task_names),                            \
+		    FIELD(task, boot, U64), FIELD(task, res, RESOURCES),       \
+		    ENUM_FIELD(task, state, task_state_names),                 \
 	}
 
-static const struct shape shapes[HISTORY_NTYPES] = {
+static const struct event_format event_formats[HISTORY_NTYPES] = {
     [HISTORY_CALL] = {"call",
 	{FIELD(call, call, STR), FIELD(call, node, STR), FIELD(call, team, STR),
 	    FIELD(call, key, STR), FIELD(call, request_id, STR),
 	    FIELD(call, kind, STR), FIELD(call, body, STR),
-	    FIELD(call, timeout_ms, U64), FIELD(call, idempotent, FLAG),
-	    FIELD(call, job, FLAG)}},
+	    FIELD(call, timeout_ms, U64), FIELD(call, idempotent, BOOL),
+	    FIELD(call, job, BOOL)}},
     [HISTORY_ANSWER] = {"answer",
-	{FIELD(answer, call, STR), NAMES(answer, verdict, verdict_names),
+	{FIELD(answer, call, STR), ENUM_FIELD(answer, verdict, verdict_names),
 	    FIELD(answer, status, U32), FIELD(answer, retry_after_ms, U64),
 	    FIELD(answer, body, STR)}},
-    [HISTORY_JOB] = {"job",
-	{FIELD(job, call, STR), FIELD(job, job, STR),
-	    NAMES(job, state, job_names), NAMES(job, verdict, verdict_names)}},
+    [HISTORY_JOB] = {"job", {FIELD(job, call, STR), FIELD(job, job, STR),
+				ENUM_FIELD(job, state, job_state_names),
+				ENUM_FIELD(job, verdict, verdict_names)}},
     [HISTORY_RUN] = {"run",
 	{FIELD(run, exec, STR), FIELD(run, body, STR), FIELD(run, team, STR),
 	    FIELD(run, kind, STR), FIELD(run, token, U64),
-	    FIELD(run, until, U64), FIELD(run, whole, FLAG)}},
+	    FIELD(run, until, U64), FIELD(run, whole, BOOL)}},
     [HISTORY_WORKER] = {"worker",
 	{FIELD(worker, worker, STR), FIELD(worker, boot, U64),
-	    FIELD(worker, capacity, RES)}},
+	    FIELD(worker, capacity, RESOURCES)}},
     [HISTORY_LEASE] = {"lease",
 	{FIELD(lease, worker, STR), FIELD(lease, owner, STR),
 	    FIELD(lease, shard, U32), FIELD(lease, epoch, U64),
@@ -95,30 +96,30 @@
     [HISTORY_LAPSE] = {"lapse", TASK_FIELDS},
     [HISTORY_CRASH] = {"crash", TASK_FIELDS},
     [HISTORY_LISTED] = {"listed",
-	{FIELD(listed, target, STR), FIELD(listed, leaving, FLAG)}},
+	{FIELD(listed, target, STR), FIELD(listed, leaving, BOOL)}},
     [HISTORY_EDIT] = {"edit",
-	{NAMES(edit, what, edit_names), FIELD(edit, accepted, FLAG),
+	{ENUM_FIELD(edit, what, edit_type_names), FIELD(edit, accepted, BOOL),
 	    FIELD(edit, asked, U64), FIELD(edit, version, U64),
 	    FIELD(edit, team, STR), FIELD(edit, key, STR),
 	    FIELD(edit, limit, U64)}},
     [HISTORY_IN_FORCE] = {"in_force",
 	{FIELD(in_force, node, STR), FIELD(in_force, version, U64)}},
     [HISTORY_NODE] = {"node",
-	{FIELD(node, node, STR), NAMES(node, state, node_names)}},
+	{FIELD(node, node, STR), ENUM_FIELD(node, state, node_state_names)}},
     [HISTORY_CUT] = {"cut", {FIELD(cut, node, STR), FIELD(cut, call, STR)}},
     [HISTORY_FAULT] = {"fault",
 	{FIELD(fault, what, STR), FIELD(fault, who, STR),
-	    FIELD(fault, on, FLAG)}},
+	    FIELD(fault, on, BOOL)}},
     [HISTORY_OVER] = {"over", {{0}}},
 };
 
 struct ogl_history {
 	FILE *out;
-	bool own_out;
+	bool owns_out;
 	GArray *events; /* of struct history_event */
 	GPtrArray *files;
-	GStringChunk *texts;
-	uint32_t added; /* by ogl_history_add */
+	GStringChunk *strings;
+	uint32_t nadded; /* events added by ogl_history_add() */
 };
 
 struct ogl_history *
@@ -129,8 +130,8 @@
 	h->out = out;
 	h->events = g_array_new(FALSE, FALSE, sizeof(struct history_event));
 	h->files = g_ptr_array_new_with_free_func(g_free);
-	h->texts = g_string_chunk_new(1 << 16);
-	g_ptr_array_add(h->files, g_strdup("")); /* events added */
+	h->strings = g_string_chunk_new(1 << 16);
+	g_ptr_array_add(h->files, g_strdup("")); /* file of added events */
 	return h;
 }
 
@@ -145,7 +146,7 @@
 		return NULL;
 	}
 	h = ogl_history_init(out);
-	h->own_out = true;
+	h->owns_out = true;
 	return h;
 }
 
@@ -154,11 +155,11 @@
 {
 	if (h == NULL)
 		return;
-	if (h->own_out)
+	if (h->owns_out)
 		fclose(h->out);
 	g_array_free(h->events, TRUE);
 	g_ptr_array_free(h->files, TRUE);
-	g_string_chunk_free(h->texts);
+	g_string_chunk_free(h->strings);
 	g_free(h);
 }
 
@@ -180,7 +181,7 @@
 static json_t *
 field_print(const struct field *f, const struct history_event *ev)
 {
-	const char *base = (const char *)ev + f->at;
+	const char *base = (const char *)ev + f->offset;
 	const void *p = base;
 
 	switch (f->type) {
@@ -193,9 +194,9 @@
 		return json_integer(*(const uint32_t *)p);
 	case U64:
 		return json_integer((json_int_t)(*(const uint64_t *)p));
-	case FLAG:
+	case BOOL:
 		return json_boolean(*(const bool *)p);
-	case RES: {
+	case RESOURCES: {
 		const struct ogl_res *r = p;
 
 		return json_pack("[I, I, I]", (json_int_t)r->cpu_milli,
@@ -209,7 +210,7 @@
 char *
 ogl_history_print(const struct history_event *ev)
 {
-	const struct shape *s = &shapes[ev->type];
+	const struct event_format *s = &event_formats[ev->type];
 	json_t *o =
 	    json_pack("{s:I, s:s}", "at", (json_int_t)ev->at, "event", s->name);
 	char *text;
@@ -226,17 +227,18 @@
 
 /* ---- adding ------------------------------------------------------------ */
 
-/* Strings become the history's own. */
+/* Appends the event after replacing its strings by copies in the history. */
 static void
-keep(struct ogl_history *h, struct history_event *ev)
+append(struct ogl_history *h, struct history_event *ev)
 {
-	for (const struct field *f = shapes[ev->type].fields; f->name != NULL;
-	     f++) {
-		const char **s = (const char **)(void *)((char *)ev + f->at);
+	for (const struct field *f = event_formats[ev->type].fields;
+	     f->name != NULL; f++) {
+		const char **s =
+		    (const char **)(void *)((char *)ev + f->offset);
 
 		if (f->type == STR)
 			*s = g_string_chunk_insert_const(
-			    h->texts, *s != NULL ? *s : "");
+			    h->strings, *s != NULL ? *s : "");
 	}
 	g_array_append_val(h->events, *ev);
 }
@@ -248,8 +250,8 @@
 	char *line;
 
 	copy.file = 0;
-	copy.line = ++h->added;
-	keep(h, &copy);
+	copy.line = ++h->nadded;
+	append(h, &copy);
 	if (h->out == NULL)
 		return;
 	line = ogl_history_print(ev);
@@ -261,7 +263,7 @@
 /* ---- reading ----------------------------------------------------------- */
 
 static bool
-read_res(struct ogl_res *r, json_t *v)
+read_resources(struct ogl_res *r, json_t *v)
 {
 	json_int_t n[3];
 
@@ -274,7 +276,7 @@
 }
 
 static bool
-read_name(uint32_t *to, const char *const *names, json_t *v)
+read_enum(uint32_t *to, const char *const *names, json_t *v)
 {
 	const char *s = json_string_value(v);
 
@@ -287,11 +289,12 @@
 	return false;
 }
 
-/* An absent field is zero or empty; false when it has another type. */
+/* An absent field stays zero or empty.  Returns false if the value has another
+ * type. */
 static bool
 read_field(const struct field *f, struct history_event *ev, json_t *v)
 {
-	void *p = (char *)ev + f->at;
+	void *p = (char *)ev + f->offset;
 
 	if (v == NULL)
 		return true;
@@ -305,18 +308,18 @@
 	case U64:
 		*(uint64_t *)p = (uint64_t)json_integer_value(v);
 		return json_is_integer(v);
-	case FLAG:
+	case BOOL:
 		*(bool *)p = json_is_true(v);
 		return json_is_boolean(v);
-	case RES:
-		return read_res(p, v);
+	case RESOURCES:
+		return read_resources(p, v);
 	default:
-		return read_name(p, f->names, v);
+		return read_enum(p, f->names, v);
 	}
 }
 
 static const struct field *
-find_field(const struct shape *s, const char *name)
+find_field(const struct event_format *s, const char *name)
 {
 	for (const struct field *f = s->fields; f->name != NULL; f++) {
 		if (strcmp(f->name, name) == 0)
@@ -325,7 +328,8 @@
 	return NULL;
 }
 
-/* Strings of *ev borrow from o.  Gives NULL or what is wrong; g_free. */
+/* Reads an event whose strings belong to o.  Returns NULL, or an error message
+ * to be freed with g_free(). */
 static char *
 read_event(struct history_event *ev, json_t *o)
 {
@@ -336,7 +340,7 @@
 
 	memset(ev, 0, sizeof(*ev));
 	while (ev->type < HISTORY_NTYPES && type != NULL &&
-	       strcmp(shapes[ev->type].name, type) != 0)
+	       strcmp(event_formats[ev->type].name, type) != 0)
 		ev->type++;
 	if (type == NULL || ev->type == HISTORY_NTYPES)
 		return g_strdup_printf(
@@ -346,7 +350,8 @@
 	ev->at = json_integer_value(at);
 	json_object_foreach(o, name, v)
 	{
-		const struct field *f = find_field(&shapes[ev->type], name);
+		const struct field *f =
+		    find_field(&event_formats[ev->type], name);
 
 		if (strcmp(name, "at") == 0 || strcmp(name, "event") == 0)
 			continue;
@@ -365,17 +370,17 @@
 	json_error_t e;
 	json_t *o = json_loads(text, 0, &e);
 	struct history_event ev = {0};
-	char *wrong = o != NULL ? read_event(&ev, o) : g_strdup(e.text);
-	bool ok = wrong == NULL;
+	char *message = o != NULL ? read_event(&ev, o) : g_strdup(e.text);
+	bool ok = message == NULL;
 
 	if (ok) {
 		ev.file = h->files->len - 1;
 		ev.line = line;
-		keep(h, &ev);
+		append(h, &ev);
 	} else
 		g_set_error(error, OGL_ERROR, OGL_ERROR_INPUT, "%s:%u: %s",
-		    ogl_history_file(h, h->files->len - 1), line, wrong);
-	g_free(wrong);
+		    ogl_history_file(h, h->files->len - 1), line, message);
+	g_free(message);
 	json_decref(o);
 	return ok;
 }
@@ -415,5 +420,6 @@
 void
 ogl_history_sort(struct ogl_history *h)
 {
-	g_array_sort(h->events, compare_times); /* stable, says GLib */
+	g_array_sort(
+	    h->events, compare_times); /* GLib documents it as stable */
 }
