--- a/test/fake_faults.c
+++ b/test/fake_faults.c
@@ -1,10 +1,11 @@
 /*
  * Random load and faults.
  *
- * Two chains of doings run through the cluster's heap: one lets a caller do
- * something every now and then, the other begins a fault and plans its end.
- * A fault is a row of a table: what begins it, what ends it, and how long it
- * lasts at most.  One in three begins together with another.
+ * Two callbacks reschedule themselves in the event heap of the cluster: one
+ * sends a random call, the other begins a random fault and schedules its end.
+ * A row of a table says how a type of fault begins, how it ends and how long
+ * it lasts at most.  With a probability of one third a second fault begins at
+ * the same time.
  */
 
 #include <string.h>
@@ -13,23 +14,23 @@
 #include "fake_faults.h"
 
 enum {
-	UP_S = 8,          /* until the cell is up */
-	SETTLE_S = 150,    /* accepted work ends within it */
-	GAP_LEAST_MS = 30, /* between two doings of callers */
-	GAP_SPREAD_MS = 200,
-	FAULT_LEAST_MS = 500, /* between two faults */
-	FAULT_SPREAD_MS = 6000,
-	LIMIT_A = 12, /* tasks of team a, its subteams included */
-	TASKS_MOST = 4,
-	LOOK_MS = 1000 /* between looks at jobs at the end */
+	STARTUP_S = 8,             /* until the cell is up */
+	SETTLE_S = 150,            /* accepted jobs end within it */
+	CALL_GAP_MIN_MS = 30,      /* between two calls, at least */
+	CALL_GAP_RANGE_MS = 200,   /* random addition, below this */
+	FAULT_GAP_MIN_MS = 500,    /* between two faults, at least */
+	FAULT_GAP_RANGE_MS = 6000, /* random addition, below this */
+	TEAM_A_LIMIT_TASKS = 12,   /* of team a and its subteams */
+	MAX_TASKS = 4,             /* of one job */
+	POLL_INTERVAL_MS = 1000    /* between queries of jobs at the end */
 };
 
-/* One job that was, or may have been, accepted. */
+/* A job that was or may have been accepted. */
 struct load_job {
-	uint32_t call; /* its first submission */
+	uint32_t call; /* number of the call that first submitted it */
 	uint32_t tasks;
 	bool restartable;
-	char *id; /* once known */
+	char *id; /* NULL until known */
 	bool ended;
 };
 
@@ -38,17 +39,17 @@
 	struct fake_cluster_config cfg;
 	ogl_time until;
 	char *keys[3];
-	uint32_t count;
-	uint32_t names;    /* of replaced nodes */
-	GPtrArray *jobs;   /* struct load_job */
-	GArray *once;      /* uint32_t: calls with an id, not idempotent */
-	GPtrArray *lapses; /* struct lapse */
+	uint32_t call_count;   /* makes bodies and ids of calls unique */
+	uint32_t name_count;   /* makes names of new nodes unique */
+	GPtrArray *jobs;       /* struct load_job */
+	GArray *calls_with_id; /* uint32_t: calls to run at most once */
+	GPtrArray *faults;     /* struct fault_instance, ended ones too */
 };
 
 static const char *const teams[3] = {"a", "a/x", "b"};
 
 static uint64_t
-below(struct fake_faults *f, uint64_t n)
+random_below(struct fake_faults *f, uint64_t n)
 {
 	return ogl_random_next(fake_cluster_random(f->c)) % n;
 }
@@ -74,7 +75,7 @@
 static uint32_t
 live_node(struct fake_faults *f)
 {
-	uint32_t n = (uint32_t)below(f, f->cfg.nodes);
+	uint32_t n = (uint32_t)random_below(f, f->cfg.nodes);
 
 	for (uint32_t i = 0; i < f->cfg.nodes; i++) {
 		if (fake_cluster_alive(f->c, (n + i) % f->cfg.nodes))
@@ -93,9 +94,9 @@
 	return fake_cluster_call(f->c, node, a);
 }
 
-/* The same call again, at whatever node. */
+/* Sends the same call again, to any live node. */
 static void
-send_again(struct fake_faults *f, uint32_t call)
+resend_call(struct fake_faults *f, uint32_t call)
 {
 	const struct fake_call *k = fake_cluster_answer(f->c, call);
 	struct fake_ask a = {.method = k->method,
@@ -113,12 +114,12 @@
 }
 
 static void
-do_request(struct fake_faults *f, bool idempotent, bool with_id)
+send_request(struct fake_faults *f, bool idempotent, bool with_id)
 {
-	uint32_t t = (uint32_t)below(f, 3);
-	char *body = g_strdup_printf(
-	    "r%u run_ms=%u", ++f->count, (unsigned)below(f, 60) + 1);
-	char *id = g_strdup_printf("id%u", f->count);
+	uint32_t t = (uint32_t)random_below(f, 3);
+	char *body = g_strdup_printf("r%u run_ms=%u", ++f->call_count,
+	    (unsigned)random_below(f, 60) + 1);
+	char *id = g_strdup_printf("id%u", f->call_count);
 	struct fake_ask a = {.method = "POST",
 	    .path = "/v1/requests",
 	    .key = f->keys[t],
@@ -126,27 +127,28 @@
 	    .id = with_id ? id : "",
 	    .body = body,
 	    .idempotent = idempotent,
-	    .budget_ms = below(f, 4) == 0 ? 200 : 0};
+	    .budget_ms = random_below(f, 4) == 0 ? 200 : 0};
 	uint32_t call = send_call(f, &a);
 
 	if (with_id && call != UINT32_MAX) {
-		g_array_append_val(f->once, call);
-		if (below(f, 4) == 0)
-			send_again(f, call);
+		g_array_append_val(f->calls_with_id, call);
+		if (random_below(f, 4) == 0)
+			resend_call(f, call);
 	}
 	g_free(body);
 	g_free(id);
 }
 
 static void
-do_submit(struct fake_faults *f)
+submit_job(struct fake_faults *f)
 {
 	static const char *const kinds[] = {"batch", "service", "gang"};
-	uint32_t t = (uint32_t)below(f, 3);
-	uint32_t run = 100 + (uint32_t)below(f, 4000);
+	uint32_t t = (uint32_t)random_below(f, 3);
+	uint32_t run_ms = 100 + (uint32_t)random_below(f, 4000);
 	struct load_job *j = g_new0(struct load_job, 1);
-	uint32_t declared = below(f, 3) == 0 ? run * 10 : run;
-	char *id = g_strdup_printf("job%u", ++f->count);
+	uint32_t declared_run_ms =
+	    random_below(f, 3) == 0 ? run_ms * 10 : run_ms;
+	char *id = g_strdup_printf("job%u", ++f->call_count);
 	char *body;
 	struct fake_ask a = {.method = "POST",
 	    .path = "/v1/jobs",
@@ -154,23 +156,24 @@
 	    .team = teams[t],
 	    .id = id};
 
-	j->tasks = 1 + (uint32_t)below(f, TASKS_MOST);
-	j->restartable = below(f, 2) == 0;
+	j->tasks = 1 + (uint32_t)random_below(f, MAX_TASKS);
+	j->restartable = random_below(f, 2) == 0;
 	body = g_strdup_printf("{\"kind\":\"%s\",\"tasks\":%u,\"res\":"
 			       "{\"cpu_milli\":%u,\"mem_mb\":%u},\"run_ms\":%u,"
 			       "\"payload\":\"run_ms=%u j%u\","
 			       "\"restartable\":%s}",
-	    kinds[below(f, 3)], j->tasks, 200 + (unsigned)below(f, 1800),
-	    100 + (unsigned)below(f, 4000), declared, run, f->count,
-	    j->restartable ? "true" : "false");
+	    kinds[random_below(f, 3)], j->tasks,
+	    200 + (unsigned)random_below(f, 1800),
+	    100 + (unsigned)random_below(f, 4000), declared_run_ms, run_ms,
+	    f->call_count, j->restartable ? "true" : "false");
 	a.body = body;
 	j->call = send_call(f, &a);
 	if (j->call == UINT32_MAX) {
 		job_free(j);
 	} else {
 		g_ptr_array_add(f->jobs, j);
-		if (below(f, 6) == 0)
-			send_again(f, j->call);
+		if (random_below(f, 6) == 0)
+			resend_call(f, j->call);
 	}
 	g_free(body);
 	g_free(id);
@@ -183,8 +186,8 @@
 	       strcmp(a->team, b->team) == 0;
 }
 
-/* The job's name, once its submission, or a repetition of that, has been
- * answered; NULL before. */
+/* Returns the id of the job, or NULL if neither its submission nor a retry of
+ * that has been accepted yet. */
 static const char *
 job_id(struct fake_faults *f, struct load_job *j)
 {
@@ -201,7 +204,7 @@
 }
 
 static void
-do_job_call(struct fake_faults *f, const char *method)
+send_job_call(struct fake_faults *f, const char *method)
 {
 	struct load_job *j;
 	const struct fake_call *k;
@@ -210,7 +213,7 @@
 
 	if (f->jobs->len == 0)
 		return;
-	j = g_ptr_array_index(f->jobs, below(f, f->jobs->len));
+	j = g_ptr_array_index(f->jobs, random_below(f, f->jobs->len));
 	if (job_id(f, j) == NULL)
 		return;
 	k = fake_cluster_answer(f->c, j->call);
@@ -225,9 +228,9 @@
 	g_free(path);
 }
 
-/* The newest version an edit's answer has told. */
+/* Returns the version in the answer to the newest successful edit. */
 static char *
-version_told(struct fake_faults *f)
+newest_version(struct fake_faults *f)
 {
 	for (uint32_t i = fake_cluster_calls(f->c); i > 0; i--) {
 		const struct fake_call *k = fake_cluster_answer(f->c, i - 1);
@@ -240,15 +243,15 @@
 	return g_strdup("0");
 }
 
-/* An operator changes a share, at times from an old version. */
+/* Changes the share of a team.  The base version may be out of date. */
 static void
-do_edit(struct fake_faults *f)
+send_edit(struct fake_faults *f)
 {
-	char *base = version_told(f);
+	char *base = newest_version(f);
 	char *body = g_strdup_printf(
 	    "{\"base_version\":%s,\"who\":\"\",\"changes\":[{\"path\":"
 	    "\"teams/%s/share\",\"value\":\"%u\"}]}",
-	    base, teams[below(f, 3)], 1 + (unsigned)below(f, 9));
+	    base, teams[random_below(f, 3)], 1 + (unsigned)random_below(f, 9));
 	struct fake_ask a = {.method = "POST",
 	    .path = "/v1/settings",
 	    .key = fake_cluster_operator(f->c),
@@ -260,74 +263,77 @@
 }
 
 static void
-do_something(struct fake_faults *f)
+send_random_call(struct fake_faults *f)
 {
-	uint32_t dice = (uint32_t)below(f, 100);
+	uint32_t draw = (uint32_t)random_below(f, 100);
 
-	if (dice < 30)
-		do_request(f, true, false);
-	else if (dice < 38)
-		do_request(f, false, false);
-	else if (dice < 55)
-		do_request(f, false, true);
-	else if (dice < 62 && f->once->len > 0)
-		send_again(f,
-		    g_array_index(f->once, uint32_t, below(f, f->once->len)));
-	else if (dice < 83)
-		do_submit(f);
-	else if (dice < 85)
-		do_edit(f);
+	if (draw < 30)
+		send_request(f, true, false);
+	else if (draw < 38)
+		send_request(f, false, false);
+	else if (draw < 55)
+		send_request(f, false, true);
+	else if (draw < 62 && f->calls_with_id->len > 0)
+		resend_call(f, g_array_index(f->calls_with_id, uint32_t,
+				   random_below(f, f->calls_with_id->len)));
+	else if (draw < 83)
+		submit_job(f);
+	else if (draw < 85)
+		send_edit(f);
 	else
-		do_job_call(f, dice < 92 ? "DELETE" : "GET");
+		send_job_call(f, draw < 92 ? "DELETE" : "GET");
 }
 
 static void
-load_chain(struct fake_cluster *c, void *ctx)
+continue_load(struct fake_cluster *c, void *ctx)
 {
 	struct fake_faults *f = ctx;
 	ogl_time now = fake_cluster_now(c);
 
 	if (now >= f->until)
 		return;
-	do_something(f);
+	send_random_call(f);
 	fake_cluster_at(c,
-	    now + (GAP_LEAST_MS + (ogl_time)below(f, GAP_SPREAD_MS)) * OGL_MS,
-	    load_chain, f);
+	    now + (CALL_GAP_MIN_MS +
+		      (ogl_time)random_below(f, CALL_GAP_RANGE_MS)) *
+		      OGL_MS,
+	    continue_load, f);
 }
 
 /* ---- faults ----------------------------------------------------------- */
 
-/* A fault that has begun. */
-struct lapse {
+/* A fault that has begun.  `node` and `choice` are drawn below the number of
+ * nodes; `choice` selects a second node, a worker, an executor or a variant. */
+struct fault_instance {
 	struct fake_faults *f;
-	const struct fault_row *row;
-	uint32_t a, b;
+	const struct fault_type *type;
+	uint32_t node, choice;
 };
 
-struct fault_row {
+struct fault_type {
 	const char *name;
-	uint32_t most_ms;
-	void (*begin)(struct lapse *l, ogl_time length);
-	void (*end)(struct lapse *l);
+	uint32_t max_ms;
+	void (*begin)(struct fault_instance *fault, ogl_time length);
+	void (*end)(struct fault_instance *fault);
 };
 
 static void
-peers_lossy(struct lapse *l, ogl_time length)
+begin_peer_loss(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_cluster_net(l->f->c)->peer_lost = 300;
+	fake_cluster_net(fault->f->c)->peer_lost = 300;
 }
 
 static void
-peers_well(struct lapse *l)
+end_peer_loss(struct fault_instance *fault)
 {
-	fake_cluster_net(l->f->c)->peer_lost = 0;
+	fake_cluster_net(fault->f->c)->peer_lost = 0;
 }
 
 static void
-peers_mixed(struct lapse *l, ogl_time length)
+begin_peer_reorder(struct fault_instance *fault, ogl_time length)
 {
-	struct fake_net *n = fake_cluster_net(l->f->c);
+	struct fake_net *n = fake_cluster_net(fault->f->c);
 
 	(void)length;
 	n->peer_doubled = 200;
@@ -336,288 +342,294 @@
 }
 
 static void
-peers_ordered(struct lapse *l)
+end_peer_reorder(struct fault_instance *fault)
 {
-	struct fake_net *n = fake_cluster_net(l->f->c);
+	struct fake_net *n = fake_cluster_net(fault->f->c);
 
 	n->peer_doubled = 0;
 	n->peer_late = 0;
 }
 
 static void
-cut_pair(struct lapse *l, ogl_time length)
+cut_pair(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	if (l->a != l->b)
-		fake_cluster_cut(l->f->c, l->a, FAKE_NODE, l->b, true);
+	if (fault->node != fault->choice)
+		fake_cluster_cut(
+		    fault->f->c, fault->node, FAKE_NODE, fault->choice, true);
 }
 
 static void
-heal_pair(struct lapse *l)
+heal_pair(struct fault_instance *fault)
 {
-	if (l->a != l->b)
-		fake_cluster_cut(l->f->c, l->a, FAKE_NODE, l->b, false);
+	if (fault->node != fault->choice)
+		fake_cluster_cut(
+		    fault->f->c, fault->node, FAKE_NODE, fault->choice, false);
 }
 
 static void
-alone(struct lapse *l, bool cut)
+set_isolation(struct fault_instance *fault, bool cut)
 {
-	for (uint32_t i = 0; i < l->f->cfg.nodes; i++) {
-		if (i != l->a)
-			fake_cluster_cut(l->f->c, l->a, FAKE_NODE, i, cut);
+	for (uint32_t i = 0; i < fault->f->cfg.nodes; i++) {
+		if (i != fault->node)
+			fake_cluster_cut(
+			    fault->f->c, fault->node, FAKE_NODE, i, cut);
 	}
-	if (l->b % 2 == 0)
-		fake_cluster_cut(l->f->c, l->a, FAKE_LOG, 0, cut);
+	if (fault->choice % 2 == 0)
+		fake_cluster_cut(fault->f->c, fault->node, FAKE_LOG, 0, cut);
 }
 
 static void
-cut_alone(struct lapse *l, ogl_time length)
+begin_isolation(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	alone(l, true);
+	set_isolation(fault, true);
 }
 
 static void
-heal_alone(struct lapse *l)
+end_isolation(struct fault_instance *fault)
 {
-	alone(l, false);
+	set_isolation(fault, false);
 }
 
 static void
-cut_log(struct lapse *l, ogl_time length)
+cut_log(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_cluster_cut(l->f->c, l->a, FAKE_LOG, 0, true);
+	fake_cluster_cut(fault->f->c, fault->node, FAKE_LOG, 0, true);
 }
 
 static void
-heal_log(struct lapse *l)
+heal_log(struct fault_instance *fault)
 {
-	fake_cluster_cut(l->f->c, l->a, FAKE_LOG, 0, false);
+	fake_cluster_cut(fault->f->c, fault->node, FAKE_LOG, 0, false);
 }
 
 static void
-cut_hosts(struct lapse *l, ogl_time length)
+cut_hosts(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_cluster_cut(l->f->c, l->a, FAKE_HOSTS, 0, true);
+	fake_cluster_cut(fault->f->c, fault->node, FAKE_HOSTS, 0, true);
 }
 
 static void
-heal_hosts(struct lapse *l)
+heal_hosts(struct fault_instance *fault)
 {
-	fake_cluster_cut(l->f->c, l->a, FAKE_HOSTS, 0, false);
+	fake_cluster_cut(fault->f->c, fault->node, FAKE_HOSTS, 0, false);
 }
 
 static void
-cut_worker(struct lapse *l, ogl_time length)
+cut_worker(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_cluster_cut(
-	    l->f->c, l->a, FAKE_WORKER, l->b % l->f->cfg.workers, true);
+	fake_cluster_cut(fault->f->c, fault->node, FAKE_WORKER,
+	    fault->choice % fault->f->cfg.workers, true);
 }
 
 static void
-heal_worker(struct lapse *l)
+heal_worker(struct fault_instance *fault)
 {
-	fake_cluster_cut(
-	    l->f->c, l->a, FAKE_WORKER, l->b % l->f->cfg.workers, false);
+	fake_cluster_cut(fault->f->c, fault->node, FAKE_WORKER,
+	    fault->choice % fault->f->cfg.workers, false);
 }
 
 static void
-log_down(struct lapse *l, ogl_time length)
+log_down(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_log_script(fake_cluster_log(l->f->c))->outage = true;
+	fake_log_script(fake_cluster_log(fault->f->c))->outage = true;
 }
 
 static void
-log_up(struct lapse *l)
+log_up(struct fault_instance *fault)
 {
-	fake_log_script(fake_cluster_log(l->f->c))->outage = false;
+	fake_log_script(fake_cluster_log(fault->f->c))->outage = false;
 }
 
 static void
-log_slow(struct lapse *l, ogl_time length)
+log_slow(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_log_script(fake_cluster_log(l->f->c))->slow =
-	    (200 + (ogl_time)below(l->f, 1500)) * OGL_MS;
+	fake_log_script(fake_cluster_log(fault->f->c))->slow =
+	    (200 + (ogl_time)random_below(fault->f, 1500)) * OGL_MS;
 }
 
 static void
-log_quick(struct lapse *l)
+log_normal(struct fault_instance *fault)
 {
-	fake_log_script(fake_cluster_log(l->f->c))->slow = 0;
+	fake_log_script(fake_cluster_log(fault->f->c))->slow = 0;
 }
 
 static void
-log_loses(struct lapse *l, ogl_time length)
+begin_append_loss(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_cluster_net(l->f->c)->append_lost = 400;
+	fake_cluster_net(fault->f->c)->append_lost = 400;
 }
 
 static void
-log_keeps(struct lapse *l)
+end_append_loss(struct fault_instance *fault)
 {
-	fake_cluster_net(l->f->c)->append_lost = 0;
+	fake_cluster_net(fault->f->c)->append_lost = 0;
 }
 
 static void
-kill_node(struct lapse *l, ogl_time length)
+kill_node(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_cluster_kill(l->f->c, l->a);
+	fake_cluster_kill(fault->f->c, fault->node);
 }
 
 static void
-stop_node(struct lapse *l, ogl_time length)
+stop_node(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_cluster_stop(l->f->c, l->a);
+	fake_cluster_stop(fault->f->c, fault->node);
 }
 
 static void
-start_node(struct lapse *l)
+start_node(struct fault_instance *fault)
 {
 	char *name = NULL;
 
-	if (l->b % 2 == 0)
-		name = g_strdup_printf("m%u", l->f->names++);
-	fake_cluster_start(l->f->c, l->a, name);
+	if (fault->choice % 2 == 0)
+		name = g_strdup_printf("m%u", fault->f->name_count++);
+	fake_cluster_start(fault->f->c, fault->node, name);
 	g_free(name);
 }
 
 static void
-kill_all(struct lapse *l, ogl_time length)
+kill_all(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	for (uint32_t i = 0; i < l->f->cfg.nodes; i++)
-		fake_cluster_kill(l->f->c, i);
+	for (uint32_t i = 0; i < fault->f->cfg.nodes; i++)
+		fake_cluster_kill(fault->f->c, i);
 }
 
 static void
-start_all(struct lapse *l)
+start_all(struct fault_instance *fault)
 {
-	for (uint32_t i = 0; i < l->f->cfg.nodes; i++) {
-		l->a = i;
-		start_node(l);
+	for (uint32_t i = 0; i < fault->f->cfg.nodes; i++) {
+		fault->node = i;
+		start_node(fault);
 	}
 }
 
 static void
-pause_node(struct lapse *l, ogl_time length)
+pause_node(struct fault_instance *fault, ogl_time length)
 {
-	fake_cluster_pause(l->f->c, l->a, length);
+	fake_cluster_pause(fault->f->c, fault->node, length);
 }
 
 static void
-pause_sending(struct lapse *l, ogl_time length)
+pause_sending(struct fault_instance *fault, ogl_time length)
 {
 	static const enum ogl_action_type types[] = {
 	    OGL_ACT_WORKER, OGL_ACT_LOG_APPEND, OGL_ACT_EXEC, OGL_ACT_PEER};
 
-	fake_cluster_pause_sending(l->f->c, l->a, types[l->b % 4], length);
+	fake_cluster_pause_sending(
+	    fault->f->c, fault->node, types[fault->choice % 4], length);
 }
 
 static void
-nothing(struct lapse *l)
+end_nothing(struct fault_instance *fault)
 {
-	(void)l;
+	(void)fault;
 }
 
 static struct fake_worker *
-worker_of(struct lapse *l)
+worker_of_fault(struct fault_instance *fault)
 {
-	return fake_cluster_worker(l->f->c, l->b % l->f->cfg.workers);
+	return fake_cluster_worker(
+	    fault->f->c, fault->choice % fault->f->cfg.workers);
 }
 
 static void
-worker_down(struct lapse *l, ogl_time length)
+worker_down(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_worker_script(worker_of(l))->down = true;
+	fake_worker_script(worker_of_fault(fault))->down = true;
 }
 
 static void
-worker_up(struct lapse *l)
+worker_up(struct fault_instance *fault)
 {
-	fake_worker_script(worker_of(l))->down = false;
+	fake_worker_script(worker_of_fault(fault))->down = false;
 }
 
 static void
-worker_crash(struct lapse *l, ogl_time length)
+restart_worker(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_cluster_restart_worker(l->f->c, l->b % l->f->cfg.workers);
+	fake_cluster_restart_worker(
+	    fault->f->c, fault->choice % fault->f->cfg.workers);
 }
 
 static void
-worker_broken(struct lapse *l, ogl_time length)
+begin_worker_failures(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_worker_script(worker_of(l))->fail_all = true;
+	fake_worker_script(worker_of_fault(fault))->fail_all = true;
 }
 
 static void
-worker_mended(struct lapse *l)
+end_worker_failures(struct fault_instance *fault)
 {
-	fake_worker_script(worker_of(l))->fail_all = false;
+	fake_worker_script(worker_of_fault(fault))->fail_all = false;
 }
 
-/* What leaves does not come back before the end; the first never leaves, so
- * that some are left. */
+/* A leaving worker does not come back before the end.  The first one never
+ * leaves, so that some workers remain. */
 static void
-worker_leaves(struct lapse *l, ogl_time length)
+worker_leaves(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	if (l->b % l->f->cfg.workers == 0)
+	if (fault->choice % fault->f->cfg.workers == 0)
 		return;
-	fake_worker_script(worker_of(l))->leaving = true;
-	fake_cluster_leaving(
-	    l->f->c, FAKE_WORKER, l->b % l->f->cfg.workers, true);
+	fake_worker_script(worker_of_fault(fault))->leaving = true;
+	fake_cluster_leaving(fault->f->c, FAKE_WORKER,
+	    fault->choice % fault->f->cfg.workers, true);
 }
 
 static void
-syncs_lossy(struct lapse *l, ogl_time length)
+begin_sync_loss(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_cluster_net(l->f->c)->sync_lost = 200;
-	fake_cluster_net(l->f->c)->report_lost = 300;
+	fake_cluster_net(fault->f->c)->sync_lost = 200;
+	fake_cluster_net(fault->f->c)->report_lost = 300;
 }
 
 static void
-syncs_well(struct lapse *l)
+end_sync_loss(struct fault_instance *fault)
 {
-	fake_cluster_net(l->f->c)->sync_lost = 0;
-	fake_cluster_net(l->f->c)->report_lost = 0;
+	fake_cluster_net(fault->f->c)->sync_lost = 0;
+	fake_cluster_net(fault->f->c)->report_lost = 0;
 }
 
 static struct fake_exec_script *
-exec_of(struct lapse *l)
+exec_of_fault(struct fault_instance *fault)
 {
-	return fake_exec_script(
-	    fake_cluster_exec(l->f->c, l->b % l->f->cfg.execs));
+	return fake_exec_script(fake_cluster_exec(
+	    fault->f->c, fault->choice % fault->f->cfg.execs));
 }
 
 static void
-exec_bad(struct lapse *l, ogl_time length)
+begin_exec_misbehaviour(struct fault_instance *fault, ogl_time length)
 {
-	struct fake_exec_script *s = exec_of(l);
+	struct fake_exec_script *s = exec_of_fault(fault);
 
 	(void)length;
-	s->fail_all = l->a % 2 == 0;
+	s->fail_all = fault->node % 2 == 0;
 	s->lose = 5;
 	s->cut = 5;
 	s->cross = 5;
-	s->late = (ogl_time)below(l->f, 3000) * OGL_MS;
+	s->late = (ogl_time)random_below(fault->f, 3000) * OGL_MS;
 }
 
 static void
-exec_good(struct lapse *l)
+end_exec_misbehaviour(struct fault_instance *fault)
 {
-	struct fake_exec_script *s = exec_of(l);
+	struct fake_exec_script *s = exec_of_fault(fault);
 	bool leaving = s->leaving;
 
 	memset(s, 0, sizeof *s);
@@ -625,122 +637,127 @@
 }
 
 static void
-exec_leaves(struct lapse *l, ogl_time length)
+exec_leaves(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	if (l->b % l->f->cfg.execs == 0)
+	if (fault->choice % fault->f->cfg.execs == 0)
 		return;
-	exec_of(l)->leaving = true;
-	fake_cluster_leaving(l->f->c, FAKE_EXEC, l->b % l->f->cfg.execs, true);
+	exec_of_fault(fault)->leaving = true;
+	fake_cluster_leaving(
+	    fault->f->c, FAKE_EXEC, fault->choice % fault->f->cfg.execs, true);
 }
 
 static void
-answers_lost(struct lapse *l, ogl_time length)
+begin_answer_loss(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_cluster_net(l->f->c)->request_lost = 300;
+	fake_cluster_net(fault->f->c)->request_lost = 300;
 }
 
 static void
-answers_come(struct lapse *l)
+end_answer_loss(struct fault_instance *fault)
 {
-	fake_cluster_net(l->f->c)->request_lost = 0;
+	fake_cluster_net(fault->f->c)->request_lost = 0;
 }
 
 static void
-hosts_lag(struct lapse *l, ogl_time length)
+begin_hosts_lag(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_cluster_net(l->f->c)->hosts_lag = 20 * OGL_SEC;
+	fake_cluster_net(fault->f->c)->hosts_lag = 20 * OGL_SEC;
 }
 
 static void
-hosts_recent(struct lapse *l)
+end_hosts_lag(struct fault_instance *fault)
 {
-	fake_cluster_net(l->f->c)->hosts_lag = 2 * OGL_SEC;
+	fake_cluster_net(fault->f->c)->hosts_lag = 2 * OGL_SEC;
 }
 
-/* Cancellations in a wave. */
+/* Cancels up to 15 random jobs at once. */
 static void
-cancel_wave(struct lapse *l, ogl_time length)
+cancel_many(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
 	for (uint32_t i = 0; i < 15; i++)
-		do_job_call(l->f, "DELETE");
+		send_job_call(fault->f, "DELETE");
 }
 
-static const struct fault_row fault_table[] = {
-    {"peers lose messages", 10000, peers_lossy, peers_well},
-    {"peers' messages late and doubled", 10000, peers_mixed, peers_ordered},
+static const struct fault_type fault_types[] = {
+    {"peers lose messages", 10000, begin_peer_loss, end_peer_loss},
+    {"peers' messages late and doubled", 10000, begin_peer_reorder,
+	end_peer_reorder},
     {"two nodes cut off from each other", 15000, cut_pair, heal_pair},
-    {"a node cut off from all others", 15000, cut_alone, heal_alone},
+    {"a node cut off from all others", 15000, begin_isolation, end_isolation},
     {"a node cut off from the log", 15000, cut_log, heal_log},
     {"a node without host list", 15000, cut_hosts, heal_hosts},
     {"a node cut off from a worker", 15000, cut_worker, heal_worker},
     {"log down", 20000, log_down, log_up},
-    {"log slow", 10000, log_slow, log_quick},
-    {"log loses answers", 10000, log_loses, log_keeps},
+    {"log slow", 10000, log_slow, log_normal},
+    {"log loses answers", 10000, begin_append_loss, end_append_loss},
     {"node killed", 8000, kill_node, start_node},
     {"node stopped", 8000, stop_node, start_node},
     {"all nodes killed", 3000, kill_all, start_all},
-    {"node paused", 12000, pause_node, nothing},
-    {"node paused before it sends", 12000, pause_sending, nothing},
+    {"node paused", 12000, pause_node, end_nothing},
+    {"node paused before it sends", 12000, pause_sending, end_nothing},
     {"worker down", 20000, worker_down, worker_up},
-    {"worker restarts", 1000, worker_crash, nothing},
-    {"worker fails all", 10000, worker_broken, worker_mended},
-    {"worker leaves", 15000, worker_leaves, nothing},
-    {"syncs lost", 10000, syncs_lossy, syncs_well},
-    {"executor misbehaves", 10000, exec_bad, exec_good},
-    {"executor leaves", 10000, exec_leaves, nothing},
-    {"executors' answers lost", 8000, answers_lost, answers_come},
-    {"host list lags", 20000, hosts_lag, hosts_recent},
-    {"cancellations in a wave", 1000, cancel_wave, nothing},
+    {"worker restarts", 1000, restart_worker, end_nothing},
+    {"worker fails all", 10000, begin_worker_failures, end_worker_failures},
+    {"worker leaves", 15000, worker_leaves, end_nothing},
+    {"syncs lost", 10000, begin_sync_loss, end_sync_loss},
+    {"executor misbehaves", 10000, begin_exec_misbehaviour,
+	end_exec_misbehaviour},
+    {"executor leaves", 10000, exec_leaves, end_nothing},
+    {"executors' answers lost", 8000, begin_answer_loss, end_answer_loss},
+    {"host list lags", 20000, begin_hosts_lag, end_hosts_lag},
+    {"cancellations in a wave", 1000, cancel_many, end_nothing},
 };
 
 static void
-tell_fault(const struct lapse *l, bool on)
+record_fault(const struct fault_instance *fault, bool on)
 {
 	struct history_event ev = {
-	    .type = HISTORY_FAULT, .at = fake_cluster_now(l->f->c)};
+	    .type = HISTORY_FAULT, .at = fake_cluster_now(fault->f->c)};
 
-	ev.u.fault.what = l->row->name;
+	ev.u.fault.what = fault->type->name;
 	ev.u.fault.who = "";
 	ev.u.fault.on = on;
-	ogl_history_add(fake_cluster_history(l->f->c), &ev);
+	ogl_history_add(fake_cluster_history(fault->f->c), &ev);
 }
 
 static void
 end_fault(struct fake_cluster *c, void *ctx)
 {
-	struct lapse *l = ctx;
+	struct fault_instance *fault = ctx;
 
 	(void)c;
-	if (fake_cluster_now(c) < l->f->until) {
-		l->row->end(l);
-		tell_fault(l, false);
+	if (fake_cluster_now(c) < fault->f->until) {
+		fault->type->end(fault);
+		record_fault(fault, false);
 	}
 }
 
 static void
 begin_fault(struct fake_faults *f)
 {
-	struct lapse *l = g_new0(struct lapse, 1);
+	struct fault_instance *fault = g_new0(struct fault_instance, 1);
 	ogl_time length;
 
-	l->f = f;
-	l->row = &fault_table[below(f, G_N_ELEMENTS(fault_table))];
-	l->a = (uint32_t)below(f, f->cfg.nodes);
-	l->b = (uint32_t)below(f, f->cfg.nodes);
-	length = (100 + (ogl_time)below(f, l->row->most_ms)) * OGL_MS;
-	g_ptr_array_add(f->lapses, l);
-	fake_cluster_note(f->c, l->row->name);
-	tell_fault(l, true);
-	l->row->begin(l, length);
-	fake_cluster_at(f->c, fake_cluster_now(f->c) + length, end_fault, l);
+	fault->f = f;
+	fault->type = &fault_types[random_below(f, G_N_ELEMENTS(fault_types))];
+	fault->node = (uint32_t)random_below(f, f->cfg.nodes);
+	fault->choice = (uint32_t)random_below(f, f->cfg.nodes);
+	length =
+	    (100 + (ogl_time)random_below(f, fault->type->max_ms)) * OGL_MS;
+	g_ptr_array_add(f->faults, fault);
+	fake_cluster_note(f->c, fault->type->name);
+	record_fault(fault, true);
+	fault->type->begin(fault, length);
+	fake_cluster_at(
+	    f->c, fake_cluster_now(f->c) + length, end_fault, fault);
 }
 
 static void
-fault_chain(struct fake_cluster *c, void *ctx)
+continue_faults(struct fake_cluster *c, void *ctx)
 {
 	struct fake_faults *f = ctx;
 	ogl_time now = fake_cluster_now(c);
@@ -748,34 +765,35 @@
 	if (now >= f->until)
 		return;
 	begin_fault(f);
-	if (below(f, 3) == 0)
+	if (random_below(f, 3) == 0)
 		begin_fault(f);
 	fake_cluster_at(c,
-	    now +
-		(FAULT_LEAST_MS + (ogl_time)below(f, FAULT_SPREAD_MS)) * OGL_MS,
-	    fault_chain, f);
+	    now + (FAULT_GAP_MIN_MS +
+		      (ogl_time)random_below(f, FAULT_GAP_RANGE_MS)) *
+		      OGL_MS,
+	    continue_faults, f);
 }
 
 /* ---- a run ------------------------------------------------------------ */
 
 static void
-bring_up(struct fake_faults *f)
+start_cell(struct fake_faults *f)
 {
 	char limit[16];
 
-	fake_cluster_run(f->c, UP_S * OGL_SEC);
+	fake_cluster_run(f->c, STARTUP_S * OGL_SEC);
 	for (uint32_t i = 0; i < 3; i++) {
 		char *path = g_strdup_printf("teams/%s", teams[i]);
 
 		fake_cluster_set(f->c, 0, path, "{}");
 		g_free(path);
 	}
-	g_snprintf(limit, sizeof limit, "%d", LIMIT_A);
+	g_snprintf(limit, sizeof limit, "%d", TEAM_A_LIMIT_TASKS);
 	fake_cluster_set(f->c, 0, "teams/a/limit_tasks", limit);
 	for (uint32_t i = 0; i < 3; i++)
 		f->keys[i] = fake_cluster_key(f->c, 0, teams[i], NULL);
 	fake_cluster_run(f->c, OGL_SEC);
-	fake_cluster_limit(f->c, "a", LIMIT_A);
+	fake_cluster_limit(f->c, "a", TEAM_A_LIMIT_TASKS);
 }
 
 struct fake_faults *
@@ -795,11 +813,11 @@
 	f->cfg.capacity.mem_mb = 16384;
 	f->cfg.tune = tune;
 	f->jobs = g_ptr_array_new_with_free_func(job_free);
-	f->once = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-	f->lapses = g_ptr_array_new_with_free_func(g_free);
+	f->calls_with_id = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+	f->faults = g_ptr_array_new_with_free_func(g_free);
 	f->c = fake_cluster_init(&f->cfg);
 	fake_log_script(fake_cluster_log(f->c))->keep_age = 60 * OGL_SEC;
-	bring_up(f);
+	start_cell(f);
 	return f;
 }
 
@@ -810,8 +828,8 @@
 		return;
 	fake_cluster_end(f->c);
 	g_ptr_array_free(f->jobs, TRUE);
-	g_array_free(f->once, TRUE);
-	g_ptr_array_free(f->lapses, TRUE);
+	g_array_free(f->calls_with_id, TRUE);
+	g_ptr_array_free(f->faults, TRUE);
 	for (uint32_t i = 0; i < 3; i++)
 		g_free(f->keys[i]);
 	g_free(f);
@@ -827,16 +845,16 @@
 fake_faults_run(struct fake_faults *f, ogl_time length)
 {
 	f->until = fake_cluster_now(f->c) + length;
-	load_chain(f->c, f);
-	fault_chain(f->c, f);
+	continue_load(f->c, f);
+	continue_faults(f->c, f);
 	fake_cluster_run(f->c, length);
 }
 
 /* ---- at the end ------------------------------------------------------- */
 
-/* Holds a job's last view against what its tasks did. */
+/* Compares the final state of a job with what its tasks did. */
 static void
-check_view(struct fake_faults *f, struct load_job *j, const char *view)
+check_job_view(struct fake_faults *f, struct load_job *j, const char *view)
 {
 	char *state = fake_cluster_field(view, "state");
 	char *verdict = fake_cluster_field(view, "verdict");
@@ -865,9 +883,9 @@
 	g_free(verdict);
 }
 
-/* Asks for a job; whether it has ended. */
+/* Queries a job.  Returns whether it has ended. */
 static bool
-look_at_job(struct fake_faults *f, struct load_job *j)
+poll_job(struct fake_faults *f, struct load_job *j)
 {
 	const struct fake_call *k = fake_cluster_answer(f->c, j->call);
 	char *path = g_strdup_printf("/v1/jobs/%s", j->id);
@@ -880,7 +898,7 @@
 	if (k->status == 200 && g_strcmp0(state, "queued") != 0 &&
 	    g_strcmp0(state, "active") != 0) {
 		j->ended = true;
-		check_view(f, j, k->answer);
+		check_job_view(f, j, k->answer);
 	}
 	if (k->status == 404) {
 		fake_cluster_fault(
@@ -901,14 +919,14 @@
 		struct load_job *j = g_ptr_array_index(f->jobs, i);
 
 		if (!j->ended && job_id(f, j) != NULL)
-			all = look_at_job(f, j);
+			all = poll_job(f, j);
 	}
 	return all;
 }
 
-/* Puts what operators see into the history. */
+/* Queries the operators' views, so that their answers get into the history. */
 static void
-ask_views(struct fake_faults *f)
+query_views(struct fake_faults *f)
 {
 	static const char *const paths[] = {
 	    "/v1/shards", "/v1/queues", "/v1/workers", "/v1/members"};
@@ -923,7 +941,7 @@
 }
 
 static void
-name_unended(struct fake_faults *f)
+report_unended(struct fake_faults *f)
 {
 	bool any = false;
 
@@ -933,21 +951,21 @@
 		if (j->ended || j->id == NULL)
 			continue;
 		if (!any)
-			ask_views(f);
+			query_views(f);
 		any = true;
 		fake_cluster_fault(f->c, "job %s never ended", j->id);
 	}
 }
 
 static void
-start_dead(struct fake_faults *f)
+start_dead_nodes(struct fake_faults *f)
 {
 	for (uint32_t i = 0; i < f->cfg.nodes; i++)
 		fake_cluster_start(f->c, i, NULL);
 }
 
 static void
-tell_over(struct fake_faults *f)
+record_over(struct fake_faults *f)
 {
 	struct history_event ev = {
 	    .type = HISTORY_OVER, .at = fake_cluster_now(f->c)};
@@ -955,10 +973,11 @@
 	ogl_history_add(fake_cluster_history(f->c), &ev);
 }
 
-/* A task that succeeded on a worker nobody could reach until its lease was
- * over is started again, if it may be; others are checked by check_view. */
+/* A restartable task that succeeded on a worker that was unreachable until its
+ * lease ran out is started again, so it may succeed twice.  check_job_view()
+ * reports tasks that are not restartable and start again. */
 static bool
-is_allowed(const struct ogl_check_finding *d)
+is_allowed_finding(const struct ogl_check_finding *d)
 {
 	return g_str_has_suffix(d->text, "succeeds twice");
 }
@@ -967,23 +986,23 @@
 check_history(struct fake_faults *f)
 {
 	struct ogl_check_grace grace;
-	struct ogl_check *k;
+	struct ogl_check *check;
 	const struct ogl_check_finding *found;
 	char *report;
 	size_t n;
 
 	ogl_check_grace_default(&grace);
-	k = ogl_check_run(fake_cluster_history(f->c), &grace);
-	found = ogl_check_findings(k, &n);
-	report = ogl_check_report(k);
+	check = ogl_check_run(fake_cluster_history(f->c), &grace);
+	found = ogl_check_findings(check, &n);
+	report = ogl_check_report(check);
 	fake_cluster_note(f->c, report);
 	g_free(report);
 	for (size_t i = 0; i < n; i++) {
-		if (!is_allowed(&found[i]))
+		if (!is_allowed_finding(&found[i]))
 			fake_cluster_fault(f->c, "history: %s: %s",
 			    found[i].invariant->name, found[i].text);
 	}
-	ogl_check_end(k);
+	ogl_check_end(check);
 }
 
 void
@@ -992,17 +1011,17 @@
 	ogl_time end = fake_cluster_now(f->c) + SETTLE_S * OGL_SEC;
 
 	fake_cluster_heal(f->c);
-	for (guint i = 0; i < f->lapses->len; i++)
-		tell_fault(g_ptr_array_index(f->lapses, i), false);
-	start_dead(f);
-	/* A node told to stop before the end may take so long. */
+	for (guint i = 0; i < f->faults->len; i++)
+		record_fault(g_ptr_array_index(f->faults, i), false);
+	start_dead_nodes(f);
+	/* A node asked to stop just before the end may take this long. */
 	fake_cluster_run(f->c, 15 * OGL_SEC);
-	start_dead(f);
+	start_dead_nodes(f);
 	fake_cluster_run(f->c, 15 * OGL_SEC);
-	tell_over(f);
+	record_over(f);
 	while (!all_ended(f) && fake_cluster_now(f->c) < end)
-		fake_cluster_run(f->c, LOOK_MS * OGL_MS);
-	name_unended(f);
+		fake_cluster_run(f->c, POLL_INTERVAL_MS * OGL_MS);
+	report_unended(f);
 	fake_cluster_run(f->c, 15 * OGL_SEC);
 	for (uint32_t i = 0; i < 3; i++) {
 		uint32_t n = fake_cluster_team_running(f->c, teams[i]);
--- a/test/fake_faults.h
+++ b/test/fake_faults.h
@@ -1,9 +1,8 @@
 /*
- * Random load and random faults for a fake cluster, by seed: callers that
- * send, repeat and cancel, while nodes, links, the log, workers and
- * executors fail one or two at a time.  At the end all is healed, what was
- * accepted has to come to its end, and every answer is held against what
- * ran.
+ * Random load and random faults for a fake cluster, drawn from a seed: callers
+ * send, retry and cancel, while faults of nodes, links, the log, workers and
+ * executors begin one or two at a time.  At the end all faults are healed,
+ * every accepted job has to end, and every answer is compared with what ran.
  */
 
 #ifndef FAKE_FAULTS_H
@@ -18,16 +17,19 @@
 struct fake_faults;
 
 struct fake_faults *fake_faults_init(uint64_t seed);
-/* A cell of a size drawn by the seed, up, with two teams and their keys. */
+/* Starts a cell whose size is drawn from the seed, and creates its teams and
+ * their keys. */
+
 void fake_faults_end(struct fake_faults *f);
 
 struct fake_cluster *fake_faults_cluster(struct fake_faults *f);
 
 void fake_faults_run(struct fake_faults *f, ogl_time length);
-/* Load and faults for so long. */
+/* Generates load and faults for this time. */
 
 void fake_faults_settle(struct fake_faults *f);
-/* Heals all, waits for what was accepted, checks. */
+/* Heals all faults, waits for the accepted jobs to end and checks the history.
+ * Violations are reported by fake_cluster_faults(). */
 
 #ifdef __cplusplus
 }
