--- a/test/test_check.cc
+++ b/test/test_check.cc
@@ -1,5 +1,5 @@
-// The checker of histories: every kind of fault it looks for is found in a
-// history made by hand, and nothing is found in a good one.
+// Tests of the history checker: every kind of violation is found in a
+// handwritten history, and a valid history has no findings.
 
 #include <gtest/gtest.h>
 #include <sys/wait.h>
@@ -34,26 +34,26 @@
 	int fd = g_file_open_tmp("historyXXXXXX", &file, nullptr);
 	struct ogl_history *h = ogl_history_init(nullptr);
 	GError *error = nullptr;
-	std::string wrong;
+	std::string message;
 
 	close(fd);
 	g_file_set_contents(file, text, -1, nullptr);
 	if (!ogl_history_read(h, file, &error))
-		wrong = error->message + strlen(file);
+		message = error->message + strlen(file);
 	g_clear_error(&error);
 	ogl_history_end(h);
 	unlink(file);
 	g_free(file);
-	return wrong;
+	return message;
 }
 
-TEST(History, EventsSurviveWritingAndReading)
+TEST(History, EventsAreReadAsWritten)
 {
 	char *file = nullptr;
 	int fd = g_file_open_tmp("historyXXXXXX", &file, nullptr);
 	FILE *out = fdopen(fd, "w");
 	struct ogl_history *h = ogl_history_init(out);
-	struct ogl_history *again = ogl_history_init(nullptr);
+	struct ogl_history *copy = ogl_history_init(nullptr);
 
 	for (int type = 0; type < HISTORY_NTYPES; type++) {
 		struct history_event ev = {};
@@ -69,26 +69,26 @@
 		ogl_history_add(h, &ev);
 	}
 	fclose(out);
-	ASSERT_TRUE(ogl_history_read(again, file, nullptr));
-	ogl_history_sort(again);
+	ASSERT_TRUE(ogl_history_read(copy, file, nullptr));
+	ogl_history_sort(copy);
 
 	size_t n;
 	size_t m;
 	const struct history_event *a = ogl_history_events(h, &n);
-	const struct history_event *b = ogl_history_events(again, &m);
+	const struct history_event *b = ogl_history_events(copy, &m);
 	ASSERT_EQ(n, m);
 	for (size_t i = 0; i < n; i++) {
 		EXPECT_EQ(print(a[i]), print(b[n - 1 - i]));
 		EXPECT_EQ(a[i].line, b[n - 1 - i].line);
 	}
-	EXPECT_STREQ(file, ogl_history_file(again, b[0].file));
+	EXPECT_STREQ(file, ogl_history_file(copy, b[0].file));
 	ogl_history_end(h);
-	ogl_history_end(again);
+	ogl_history_end(copy);
 	unlink(file);
 	g_free(file);
 }
 
-TEST(History, FaultsOfAFileAreNamed)
+TEST(History, ReadErrorsNameLineAndCause)
 {
 	EXPECT_EQ("", read_error("# nothing\n{\"at\":1,\"event\":\"over\"}\n"));
 	EXPECT_EQ(":2: unknown event \"under\"",
@@ -101,8 +101,9 @@
 	EXPECT_NE("", read_error("{\"at\":1,\"event\":\"over\""));
 }
 
-// Scripts begin with comments; one of them says "# expect: " and then
-// "nothing", or "point line line ...; point line ...".
+// Returns the expected findings of a script.  One of the comments at its start
+// is "# expect: " followed by "nothing" or by "invariant line line ...;
+// invariant line ...".
 std::string
 expected(const std::string &file)
 {
@@ -118,7 +119,7 @@
 }
 
 std::string
-found(struct ogl_history *h, std::set<std::string> *points)
+findings_of(struct ogl_history *h, std::set<std::string> *invariants)
 {
 	struct ogl_check_grace grace;
 	std::string s;
@@ -129,7 +130,7 @@
 	const struct ogl_check_finding *f = ogl_check_findings(c, &n);
 	for (size_t i = 0; i < n; i++) {
 		s += (i > 0 ? "; " : "") + std::string(f[i].invariant->name);
-		points->insert(f[i].invariant->name);
+		invariants->insert(f[i].invariant->name);
 		for (guint k = 0; k < f[i].events->len; k++) {
 			auto *ev =
 			    (const struct history_event *)f[i].events->pdata[k];
@@ -146,24 +147,24 @@
 {
 	const char *dir = OGL_TEST_DIR "/scripts";
 	GDir *d = g_dir_open(dir, 0, nullptr);
-	std::vector<std::string> all;
+	std::vector<std::string> files;
 
 	while (const char *name = g_dir_read_name(d)) {
 		if (g_str_has_prefix(name, "history_"))
-			all.push_back(std::string(dir) + "/" + name);
+			files.push_back(std::string(dir) + "/" + name);
 	}
 	g_dir_close(d);
-	std::sort(all.begin(), all.end());
-	return all;
+	std::sort(files.begin(), files.end());
+	return files;
 }
 
-// Each script breaks a point on purpose, as its first line tells; a user
-// would have met it as a doubled order, a host that swaps, an answer of
-// somebody else's.  A checker that overlooks it would call such a run good.
-TEST(Check, EveryPointIsCaughtWithTheLinesThatShowIt)
+// Each script violates an invariant, as its first line says.  Users would see
+// such violations as duplicate orders, hosts that swap or answers to other
+// requests.  A checker that misses one would accept a faulty run.
+TEST(Check, EachViolationIsFoundWithItsEvents)
 {
-	std::set<std::string> points;
-	size_t all = 0;
+	std::set<std::string> invariants;
+	size_t count = 0;
 
 	for (const std::string &file : scripts()) {
 		struct ogl_history *h = ogl_history_init(nullptr);
@@ -171,22 +172,22 @@
 
 		EXPECT_TRUE(ogl_history_read(h, file.c_str(), &error))
 		    << (error != nullptr ? error->message : "");
-		EXPECT_EQ(expected(file), found(h, &points)) << file;
+		EXPECT_EQ(expected(file), findings_of(h, &invariants)) << file;
 		g_clear_error(&error);
 		ogl_history_end(h);
 	}
-	while (ogl_check_invariants[all].name != nullptr)
-		all++;
-	EXPECT_EQ(all, points.size());
+	while (ogl_check_invariants[count].name != nullptr)
+		count++;
+	EXPECT_EQ(count, invariants.size());
 }
 
-// A run of many small good steps, with what may look like a fault at a
-// careless glance: a task restarted at the very time of its lapse, workers
-// full to the last thousandth, a team at its limit throughout.
-TEST(Check, LongGoodHistoryPasses)
+// A long valid history with edge cases that a wrong check would report: a task
+// restarted at the exact time of its lapse, workers filled to the last
+// thousandth of a processor, a team at its limit throughout.
+TEST(Check, LongValidHistoryHasNoFindings)
 {
 	struct ogl_history *h = ogl_history_init(nullptr);
-	std::set<std::string> points;
+	std::set<std::string> invariants;
 	struct history_event ev = {};
 
 	ev.type = HISTORY_EDIT;
@@ -204,24 +205,24 @@
 		std::string worker = "w" + std::to_string(i % 4);
 		std::string task = std::to_string(i / 2) + ".0";
 		ogl_time at = 10 * OGL_SEC + i * OGL_MS;
-		bool again = i % 2 == 1;
+		bool restarted = i % 2 == 1;
 
 		ev = {};
 		ev.type = HISTORY_START;
-		ev.at = again ? at - OGL_MS + 8 * OGL_MS : at;
+		ev.at = restarted ? at - OGL_MS + 8 * OGL_MS : at;
 		ev.u.task.worker = worker.c_str();
 		ev.u.task.task = task.c_str();
 		ev.u.task.team = "a/b";
-		ev.u.task.attempt = again ? 2 : 1;
+		ev.u.task.attempt = restarted ? 2 : 1;
 		ev.u.task.res = {1000, 8, 0};
 		ogl_history_add(h, &ev);
 		ev.at += 8 * OGL_MS;
-		ev.type = again ? HISTORY_END : HISTORY_LAPSE;
-		ev.u.task.state = again ? OGL__TASK_STATE__succeeded
-					: OGL__TASK_STATE__lapsed;
+		ev.type = restarted ? HISTORY_END : HISTORY_LAPSE;
+		ev.u.task.state = restarted ? OGL__TASK_STATE__succeeded
+					    : OGL__TASK_STATE__lapsed;
 		ogl_history_add(h, &ev);
 	}
-	EXPECT_EQ("nothing", found(h, &points));
+	EXPECT_EQ("nothing", findings_of(h, &invariants));
 	ogl_history_end(h);
 }
 
@@ -235,7 +236,7 @@
 	return WIFEXITED(rc) ? WEXITSTATUS(rc) : -1;
 }
 
-TEST(Check, ProgramTellsByItsExitStatus)
+TEST(Check, ProgramReturnsExitStatus)
 {
 	const std::string dir = OGL_TEST_DIR "/scripts/history_";
 
@@ -249,10 +250,10 @@
 	EXPECT_EQ(2, run_program(""));
 }
 
-// The executor plays a node that remembers no ids.  It loses an answer after
-// the run, the caller sends the request again under its id, and the order is
-// carried out twice.  Told to lose none, the same run is good.
-const char run_programs[] = R"(
+// The stand-in executor acts as a node that remembers no request ids.  It loses
+// an answer after the run, the caller retries the request with the same id, and
+// the request runs twice.  With no answers lost, the same run is valid.
+const char stand_in_script[] = R"(
 set -eu
 bin=$1 lose=$2
 dir=$(mktemp -d)
@@ -282,10 +283,10 @@
 )";
 
 std::string
-programs_found(const char *lose)
+check_stand_ins(const char *lose)
 {
 	const char *argv[] = {
-	    "bash", "-c", run_programs, "bash", OGL_BIN_DIR, lose, nullptr};
+	    "bash", "-c", stand_in_script, "bash", OGL_BIN_DIR, lose, nullptr};
 	char *out = nullptr;
 	int status = -1;
 
@@ -298,10 +299,10 @@
 	return s;
 }
 
-TEST(Check, ProgramsWriteWhatTheCheckerNeeds)
+TEST(Check, StandInsWriteHistoriesThatCanBeChecked)
 {
-	EXPECT_EQ("no violation in 61 lines\n", programs_found("0"));
-	EXPECT_EQ("once\n", programs_found("1"));
+	EXPECT_EQ("no violation in 61 lines\n", check_stand_ins("0"));
+	EXPECT_EQ("once\n", check_stand_ins("1"));
 }
 
 } // namespace
