--- a/test/test_process.cc
+++ b/test/test_process.cc
@@ -1,9 +1,9 @@
-// The real daemons as processes over TCP on loopback: three nodes, the
-// stand-ins, and what happens when some are killed, paused or stopped.
+// Tests of the real daemons as processes over TCP on loopback: three nodes and
+// the stand-ins, while nodes are killed, paused or stopped.
 //
-// Ports come from the kernel: a node's are bound, noted and freed just before
-// it starts.  Waits are polls with deadlines far beyond what is expected;
-// nothing here judges how fast something is.
+// The kernel chooses the ports: a node's ports are bound, recorded and closed
+// just before it starts.  Waits poll with timeouts far beyond the expected
+// time; no test depends on how fast something is.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -32,14 +32,14 @@
 namespace
 {
 
-constexpr int WAIT_S = 25; // deadline of any wait
+constexpr int WAIT_TIMEOUT_S = 25; // of each wait
 
 using Strings = std::vector<std::string>;
 
 bool
-within(const std::function<bool()> &done)
+wait_until(const std::function<bool()> &done)
 {
-	for (int i = 0; i < WAIT_S * 50; i++) {
+	for (int i = 0; i < WAIT_TIMEOUT_S * 50; i++) {
 		if (done())
 			return true;
 		std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -62,7 +62,7 @@
 	return "127.0.0.1:" + std::to_string(ntohs(a.sin_port));
 }
 
-// One process, its standard output in a file.
+// One process.  Its standard output and error go to a file.
 class Process
 {
       public:
@@ -102,7 +102,8 @@
 		ASSERT_EQ(0, kill(pid_, number));
 	}
 
-	// The exit status, -1 when it was killed.
+	// Waits for the process to end.  Returns its exit status, -1 if a
+	// signal ended it.
 	int wait()
 	{
 		int status = 0;
@@ -112,13 +113,13 @@
 		return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 	}
 
-	void stop_hard()
+	void kill_and_wait()
 	{
 		signal(SIGKILL);
 		wait();
 	}
 
-	std::string text() const
+	std::string output() const
 	{
 		std::string s;
 		char part[4096];
@@ -145,7 +146,7 @@
 	std::string body;
 };
 
-// One exchange on a connection of its own, sent once.
+// Sends a request once, on a connection of its own, and reads the answer.
 Answer
 ask(const std::string &addr, const std::string &method, const std::string &path,
     const std::string &key = "", const std::string &body = "",
@@ -156,7 +157,7 @@
 	    (key.empty() ? "" : "Authorization: Bearer " + key + "\r\n") +
 	    headers + "Content-Length: " + std::to_string(body.size()) +
 	    "\r\n\r\n" + body;
-	struct timeval patience = {10, 0};
+	struct timeval timeout = {10, 0};
 	struct sockaddr_in sa = {};
 	Answer a = {0, "", ""};
 	std::string in;
@@ -168,7 +169,7 @@
 	sa.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
 	sa.sin_port = htons(
 	    static_cast<uint16_t>(std::stoi(addr.substr(addr.find(':') + 1))));
-	setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof(patience));
+	setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
 	if (connect(fd, reinterpret_cast<sockaddr *>(&sa), sizeof(sa)) == 0 &&
 	    send(fd, text.data(), text.size(), MSG_NOSIGNAL) ==
 		static_cast<ssize_t>(text.size())) {
@@ -188,7 +189,8 @@
 	return a;
 }
 
-// A text or number of a JSON object.
+// Returns a string or integer field of a JSON object as text, "" if there is
+// none.
 std::string
 field(const std::string &json, const char *name)
 {
@@ -220,7 +222,7 @@
 		ASSERT_NE(nullptr, mkdtemp(name));
 		dir = name;
 		ASSERT_NO_FATAL_FAILURE(start_stand_ins());
-		make_operator();
+		make_operator_key();
 		for (int i = 0; i < NODES; i++) {
 			http[i] = free_addr();
 			peer[i] = free_addr();
@@ -230,14 +232,14 @@
 			start_node(i);
 		}
 		for (int i = 0; i < NODES; i++)
-			ASSERT_TRUE(becomes_ready(i)) << node[i].text();
+			ASSERT_TRUE(becomes_ready(i)) << node[i].output();
 		ASSERT_NO_FATAL_FAILURE(make_team());
 	}
 
 	void TearDown() override
 	{
 		for (int i = 0; HasFailure() && i < NODES; i++)
-			fprintf(stderr, "%s\n", node[i].text().c_str());
+			fprintf(stderr, "%s\n", node[i].output().c_str());
 		for (const char *f :
 		    {"platform", "workers", "executors", "hosts.json", "n0",
 			"n1", "n2", "n0.json", "n1.json", "n2.json"})
@@ -264,13 +266,14 @@
 		return "n" + std::to_string(i);
 	}
 
-	// Lines "port PORT NAME ..." of a stand-in, as {address, name}.
+	// Waits for a number of lines "port PORT NAME ..." of a stand-in.
+	// Returns them as {address, name}.
 	static std::vector<Strings> ports(const Process &p, size_t count)
 	{
 		std::vector<Strings> rows;
 
-		EXPECT_TRUE(within([&] {
-			std::istringstream in(p.text());
+		EXPECT_TRUE(wait_until([&] {
+			std::istringstream in(p.output());
 			std::string word, port, name, rest;
 
 			rows.clear();
@@ -314,7 +317,7 @@
 		       "\",\"zone\":\"z1\",\"rack\":\"r\"}";
 	}
 
-	void make_operator()
+	void make_operator_key()
 	{
 		uint8_t random[32] = {7};
 		char text[80], id[32], hex[65];
@@ -327,7 +330,8 @@
 		operator_hash = hex;
 	}
 
-	// Shorter than what ships, so that leases end within a test.
+	// The timings are shorter than the defaults, so that leases run out
+	// within a test.
 	std::string settings(int i) const
 	{
 		return "{\"node\":{\"name\":\"" + node_name(i) +
@@ -351,7 +355,7 @@
 
 	bool becomes_ready(int i) const
 	{
-		return within([&] {
+		return wait_until([&] {
 			return ask(http[i], "GET", "/readyz").status == 200;
 		});
 	}
@@ -364,17 +368,17 @@
 		ASSERT_EQ(201, a.status) << a.body;
 		key = field(a.body, "key");
 		for (const auto &h : http)
-			ASSERT_TRUE(within([&] {
+			ASSERT_TRUE(wait_until([&] {
 				return ask(h, "GET", "/v1/jobs", key).status ==
 				       200;
 			}));
 	}
 
-	// Whether an edit is taken, made anew from the newest version as an
-	// operator would.
+	// Retries an edit from the newest version until it is accepted, as an
+	// operator would.  Returns whether it was.
 	bool edit(int i, const std::string &path, const std::string &value)
 	{
-		return within([&] {
+		return wait_until([&] {
 			std::string now = field(
 			    ask(http[i], "GET", "/v1/status", operator_key)
 				.body,
@@ -399,34 +403,38 @@
 			"\"}");
 	}
 
-	// Hands in a job until it is taken; the id makes repeats harmless.
-	std::string job(int i, int tasks, int run_ms, const std::string &id)
+	// Submits a job until it is accepted; the request id makes retries
+	// harmless.  Returns the id of the job.
+	std::string submit_until_accepted(
+	    int i, int tasks, int run_ms, const std::string &id)
 	{
 		Answer a;
 
-		EXPECT_TRUE(within([&] {
+		EXPECT_TRUE(wait_until([&] {
 			a = submit(i, tasks, run_ms, id);
 			return a.status == 202;
 		})) << a.body;
 		return field(a.body, "job");
 	}
 
-	bool reaches(int i, const std::string &job, const std::string &state)
+	bool reaches_state(
+	    int i, const std::string &job, const std::string &state)
 	{
-		return within([&] {
+		return wait_until([&] {
 			return field(ask(http[i], "GET", "/v1/jobs/" + job, key)
 					 .body,
 				   "state") == state;
 		});
 	}
 
-	// The node that says it owns the job's shard.
-	int owner(const std::string &job)
+	// Returns the node that reports to own the job's shard, -1 if none
+	// does.
+	int find_owner(const std::string &job)
 	{
 		std::string shard = job.substr(1, job.find('-') - 1);
 		int found = -1;
 
-		EXPECT_TRUE(within([&] {
+		EXPECT_TRUE(wait_until([&] {
 			for (int i = 0; i < NODES && found < 0; i++) {
 				json_t *o =
 				    json_loads(ask(http[i], "GET", "/v1/status",
@@ -450,12 +458,12 @@
 		return found;
 	}
 
-	// By the workers' histories: every task of the job succeeded once,
-	// and none ran at two places at once.
-	void expect_once(const std::string &job, size_t tasks)
+	// Expects of the workers' event lists that every task of the job
+	// succeeded once and that none ran on two workers at once.
+	void expect_tasks_once(const std::string &job, size_t tasks)
 	{
 		std::map<std::string, std::vector<std::pair<json_int_t, int>>>
-		    marks;
+		    changes;
 		std::map<std::string, int> succeeded;
 
 		for (const auto &w : worker_rows) {
@@ -475,7 +483,7 @@
 
 				if (task.rfind(job + ".", 0) != 0)
 					continue;
-				marks[task].push_back(
+				changes[task].push_back(
 				    {json_integer_value(
 					 json_object_get(e, "at_us")),
 					what == "start" ? 1 : -1});
@@ -483,8 +491,8 @@
 			}
 			json_decref(o);
 		}
-		EXPECT_EQ(tasks, marks.size());
-		for (auto &m : marks) {
+		EXPECT_EQ(tasks, changes.size());
+		for (auto &m : changes) {
 			int running = 0;
 
 			EXPECT_EQ(1, succeeded[m.first]) << m.first;
@@ -496,67 +504,67 @@
 		}
 	}
 
-	void order(const std::string &what)
+	void control_platform(const std::string &command)
 	{
-		ASSERT_EQ(
-		    200, ask(platform_addr, "POST", "/ctl", "", what).status);
+		ASSERT_EQ(200,
+		    ask(platform_addr, "POST", "/ctl", "", command).status);
 	}
 };
 
-// The host of the node that places a job's tasks loses power in the midst of
-// it.  Callers would see the job stand still, or its tasks run a second time.
-// The node then starts again under its name, and knows the job.
-TEST_F(ProcessCell, JobOfAKilledOwnerIsCarriedOn)
+// The host of the node that places a job's tasks loses power while the job
+// runs.  The job must neither stall nor run a task twice.  The node then
+// restarts under the same name, and knows the job.
+TEST_F(ProcessCell, JobContinuesAfterItsOwnerIsKilled)
 {
-	std::string id = job(0, 24, 700, "killed");
-	int dead = owner(id);
-	int other = (dead + 1) % NODES;
-
-	ASSERT_GE(dead, 0);
-	ASSERT_TRUE(reaches(other, id, "active"));
-	node[dead].stop_hard();
-	EXPECT_TRUE(reaches(other, id, "done"));
-	expect_once(id, 24);
-
-	start_node(dead);
-	EXPECT_TRUE(becomes_ready(dead));
-	EXPECT_TRUE(reaches(dead, id, "done"));
-	std::string next = job(dead, 2, 50, "after");
-	EXPECT_TRUE(reaches(dead, next, "done"));
-	expect_once(next, 2);
+	std::string id = submit_until_accepted(0, 24, 700, "killed");
+	int killed = find_owner(id);
+	int other = (killed + 1) % NODES;
+
+	ASSERT_GE(killed, 0);
+	ASSERT_TRUE(reaches_state(other, id, "active"));
+	node[killed].kill_and_wait();
+	EXPECT_TRUE(reaches_state(other, id, "done"));
+	expect_tasks_once(id, 24);
+
+	start_node(killed);
+	EXPECT_TRUE(becomes_ready(killed));
+	EXPECT_TRUE(reaches_state(killed, id, "done"));
+	std::string next = submit_until_accepted(killed, 2, 50, "after");
+	EXPECT_TRUE(reaches_state(killed, next, "done"));
+	expect_tasks_once(next, 2);
 }
 
-// A node's machine stalls for longer than the leases that it gave, while
-// another takes its shard; then it goes on in mid-sentence, with all it meant
-// to send.  Tasks would run twice, or the node be of no use until a restart.
-TEST_F(ProcessCell, OwnerPausedPastItsLeasesDoesNoHarm)
+// A node stalls for longer than the leases that it granted, while another node
+// takes over its shard; then it resumes and sends everything that was pending.
+// Tasks must not run twice, and the node must serve calls without a restart.
+TEST_F(ProcessCell, OwnerPausedPastItsLeasesRunsNoTaskTwice)
 {
-	std::string id = job(0, 24, 700, "paused");
-	int asleep = owner(id);
-	int other = (asleep + 1) % NODES;
+	std::string id = submit_until_accepted(0, 24, 700, "paused");
+	int paused = find_owner(id);
+	int other = (paused + 1) % NODES;
 
-	ASSERT_GE(asleep, 0);
-	ASSERT_TRUE(reaches(other, id, "active"));
-	node[asleep].signal(SIGSTOP);
+	ASSERT_GE(paused, 0);
+	ASSERT_TRUE(reaches_state(other, id, "active"));
+	node[paused].signal(SIGSTOP);
 	std::this_thread::sleep_for(std::chrono::seconds(5));
-	node[asleep].signal(SIGCONT);
-	EXPECT_TRUE(becomes_ready(asleep));
-	EXPECT_TRUE(reaches(asleep, id, "done"));
-	expect_once(id, 24);
-	EXPECT_TRUE(edit(asleep, "teams/north/share", "2"));
-	std::string next = job(asleep, 2, 50, "after");
-	EXPECT_TRUE(reaches(other, next, "done"));
+	node[paused].signal(SIGCONT);
+	EXPECT_TRUE(becomes_ready(paused));
+	EXPECT_TRUE(reaches_state(paused, id, "done"));
+	expect_tasks_once(id, 24);
+	EXPECT_TRUE(edit(paused, "teams/north/share", "2"));
+	std::string next = submit_until_accepted(paused, 2, 50, "after");
+	EXPECT_TRUE(reaches_state(other, next, "done"));
 }
 
-// The platform's log is away while a job runs.  What was accepted goes on and
-// idempotent requests are served; what would have to be recorded is refused
-// as certainly not run, and taken again once the log is back.
-TEST_F(ProcessCell, WorkGoesOnWhileTheLogIsDown)
+// The platform's log is down while a job runs.  Accepted jobs continue and
+// idempotent requests are served.  Calls that need a record in the log are
+// refused as not_run, and accepted again once the log is back.
+TEST_F(ProcessCell, JobsAndRequestsContinueWhileTheLogIsDown)
 {
-	std::string id = job(0, 96, 500, "outage");
+	std::string id = submit_until_accepted(0, 96, 500, "outage");
 
-	ASSERT_TRUE(reaches(0, id, "active"));
-	order("{\"outage\":true}");
+	ASSERT_TRUE(reaches_state(0, id, "active"));
+	control_platform("{\"outage\":true}");
 	std::this_thread::sleep_for(std::chrono::seconds(5));
 	for (int i = 0; i < NODES; i++) {
 		Answer a = ask(http[i], "POST", "/v1/requests", key, "run_ms=5",
@@ -567,28 +575,29 @@
 	Answer a = submit(1, 1, 10, "refused");
 	EXPECT_EQ(503, a.status) << a.body;
 	EXPECT_EQ("not_run", a.verdict);
-	order("{\"outage\":false}");
-	EXPECT_TRUE(reaches(1, id, "done"));
-	expect_once(id, 96);
-	std::string next = job(2, 2, 50, "after");
-	EXPECT_TRUE(reaches(2, next, "done"));
+	control_platform("{\"outage\":false}");
+	EXPECT_TRUE(reaches_state(1, id, "done"));
+	expect_tasks_once(id, 96);
+	std::string next = submit_until_accepted(2, 2, 50, "after");
+	EXPECT_TRUE(reaches_state(2, next, "done"));
 }
 
-// Two of three nodes are told to stop at the same moment, as in a careless
-// upgrade, while callers send requests that must not run twice.  A caller
-// whose connection breaks can't know whether its request ran.
-TEST_F(ProcessCell, TwoNodesStopAtOnceAndCutNobody)
+// Two of three nodes are told to stop at the same time, as in a careless
+// upgrade, while callers send requests that must not run twice.  No connection
+// may break, since its caller cannot know whether the request ran.
+TEST_F(ProcessCell, TwoNodesStopAtOnceWithoutBreakingCalls)
 {
-	std::atomic<bool> on(true);
-	std::atomic<int> ran(0), refused(0), bad(0);
+	std::atomic<bool> sending(true);
+	std::atomic<int> ran(0), refused(0), broken(0);
 	std::vector<std::thread> callers;
 
 	for (int c = 0; c < 6; c++) {
 		callers.emplace_back([&, c] {
-			for (int i = c; on; i++) {
+			for (int i = c; sending; i++) {
 				const std::string &h = http[i % NODES];
 
-				// As the balancer: only to who is ready.
+				// Like the load balancer, call only nodes that
+				// are ready.
 				if (ask(h, "GET", "/readyz").status != 200)
 					continue;
 				Answer a = ask(h, "POST", "/v1/requests", key,
@@ -596,29 +605,29 @@
 				ran += a.status == 200 && a.verdict == "ran";
 				refused +=
 				    a.status != 0 && a.verdict == "not_run";
-				bad += a.status == 0 ||
-				       a.verdict == "may_have_run";
+				broken += a.status == 0 ||
+					  a.verdict == "may_have_run";
 			}
 		});
 	}
-	EXPECT_TRUE(within([&] { return ran > 60; }));
+	EXPECT_TRUE(wait_until([&] { return ran > 60; }));
 	node[0].signal(SIGTERM);
 	node[1].signal(SIGTERM);
 	EXPECT_EQ(0, node[0].wait());
 	EXPECT_EQ(0, node[1].wait());
 	int before = ran;
-	EXPECT_TRUE(within([&] { return ran > before + 60; }));
-	on = false;
+	EXPECT_TRUE(wait_until([&] { return ran > before + 60; }));
+	sending = false;
 	for (auto &t : callers)
 		t.join();
-	EXPECT_EQ(0, bad) << ran << " ran, " << refused << " were refused";
-	std::string id = job(2, 2, 50, "after");
-	EXPECT_TRUE(reaches(2, id, "done"));
+	EXPECT_EQ(0, broken) << ran << " ran, " << refused << " were refused";
+	std::string id = submit_until_accepted(2, 2, 50, "after");
+	EXPECT_TRUE(reaches_state(2, id, "done"));
 }
 
-// An operator starts a node with a file that has several slips.  It must not
-// start, and tell them all.
-TEST(Process, BadSettingsEndWithEveryFaultTold)
+// An operator starts a node with a settings file that has several errors.  The
+// node must not start, and must report all of them.
+TEST(Process, BadSettingsReportEveryError)
 {
 	char name[] = "/tmp/ogl-process-XXXXXX";
 	int fd = mkstemp(name);
@@ -636,7 +645,7 @@
 	EXPECT_EQ(2, p.wait());
 	for (const char *path : {"node.name", "node.addr", "listen.peer",
 		 "shards", "operator_key_hash", "colour"})
-		EXPECT_NE(std::string::npos, p.text().find(path)) << path;
+		EXPECT_NE(std::string::npos, p.output().find(path)) << path;
 	unlink(name);
 	unlink(out.c_str());
 }
