--- a/check/check_index.h
+++ b/check/check_index.h
@@ -57,6 +57,7 @@
 	const event *succeeded; /* first successful end of one of its tasks */
 };
 
+/* Calls may break during the types from OUTAGE_KILL on. */
 enum outage_type {
 	OUTAGE_NOT_STARTED, /* before the first start of the node */
 	OUTAGE_STOP,
