--- a/src/claim.c
+++ b/src/claim.c
@@ -190,8 +190,7 @@
 		return;
 	if (!sh->state->complete && ogl_stream_offset(sh->stream) > 0) {
 		ogl_shard_log(sh, OGL_LOG_ERROR,
-		    "no complete snapshot is retained; starting with an empty "
-		    "state");
+		    "no whole snapshot is retained, starting empty");
 		sh->state->complete = true;
 		/* The claim names this epoch, so that an owner that is still
 		 * alive sees that it is superseded. */
--- a/src/shard.c
+++ b/src/shard.c
@@ -428,7 +428,7 @@
 
 	if (ogl_state_stale(sh->state, r)) {
 		ogl_shard_log(sh, OGL_LOG_WARN,
-		    "the snapshot read was written by a superseded owner");
+		    "the snapshot read was a superseded owner's");
 		reset_state(sh, ogl_state_anew(r));
 	}
 	ogl_state_apply(sh->state, r, offset, &hooks, sh, now);
