--- a/src/session.c
+++ b/src/session.c
@@ -248,8 +248,8 @@
 		ogl__worker_off__init(r->worker_off);
 		r->worker_off->worker = strdup(s->name);
 		ogl_shard_append(sh, r, now);
-		ogl_shard_log(sh, OGL_LOG_WARN,
-		    "worker %s is lost: its leases have expired", s->name);
+		ogl_shard_log(
+		    sh, OGL_LOG_WARN, "worker %s is written off", s->name);
 	}
 }
 
