--- a/test/test_fake_programs.cc
+++ b/test/test_fake_programs.cc
@@ -1,5 +1,5 @@
-// The stand-in programs over HTTP: started on free ports, asked a few things,
-// and ended by SIGTERM.
+// Tests of the stand-in programs over HTTP: each is started on a free port,
+// receives some requests and is ended by SIGTERM.
 #include <gtest/gtest.h>
 
 #include <arpa/inet.h>
@@ -18,7 +18,7 @@
 namespace
 {
 
-// One program, its output, and its exit.
+// A child process with its output and exit status.
 class Program
 {
       public:
@@ -42,7 +42,7 @@
 		close(fds[1]);
 		out = fdopen(fds[0], "r");
 	}
-	// A stand-in, on the port that it prints first.
+	// Starts a stand-in server and reads its port from the first line.
 	explicit Program(const char *name) : Program(name, {})
 	{
 		EXPECT_EQ(1, fscanf(out, "port %hu", &port));
@@ -66,8 +66,8 @@
 		pid = -1;
 		return status;
 	}
-	// Headers and body of the answer; empty when there is none.
-	std::string Ask(const std::string &method, const std::string &path,
+	// Returns headers and body of the answer, empty if there is none.
+	std::string Send(const std::string &method, const std::string &path,
 	    const std::string &body = "", const std::string &headers = "") const
 	{
 		std::string text =
@@ -98,76 +98,82 @@
 };
 
 bool
-Has(const std::string &text, const char *part)
+Contains(const std::string &text, const char *part)
 {
 	return text.find(part) != std::string::npos;
 }
 
-TEST(Programs, PlatformKeepsStreamsAndWakesReaders)
+TEST(Programs, PlatformStoresRecordsAndWakesReaders)
 {
 	Program p("ogl-standin-platform");
 	std::string got;
 
-	EXPECT_TRUE(
-	    Has(p.Ask("POST", "/v1/streams/s/append", "a"), "\"offset\":0"));
+	EXPECT_TRUE(Contains(
+	    p.Send("POST", "/v1/streams/s/append", "a"), "\"offset\":0"));
 	std::thread reader([&] {
 		got =
-		    p.Ask("GET", "/v1/streams/s/records?from=1&wait_ms=60000");
+		    p.Send("GET", "/v1/streams/s/records?from=1&wait_ms=60000");
 	});
-	p.Ask("POST", "/v1/streams/s/append", "b");
+	p.Send("POST", "/v1/streams/s/append", "b");
 	reader.join();
-	EXPECT_TRUE(Has(got, "{\"offset\":1,\"data\":\"Yg==\"}"));
-	EXPECT_TRUE(Has(p.Ask("POST", "/ctl", "{\"outag\":true}"), " 422 "));
-	p.Ask("POST", "/ctl",
+	EXPECT_TRUE(Contains(got, "{\"offset\":1,\"data\":\"Yg==\"}"));
+	EXPECT_TRUE(
+	    Contains(p.Send("POST", "/ctl", "{\"outag\":true}"), " 422 "));
+	p.Send("POST", "/ctl",
 	    "{\"outage\":true,\"lag_ms\":0,\"hosts\":[{\"name\":\"w1\"}]}");
-	EXPECT_TRUE(Has(p.Ask("POST", "/v1/streams/s/append", "c"), " 503 "));
-	EXPECT_TRUE(Has(p.Ask("GET", "/v1/hosts"), "\"w1\""));
+	EXPECT_TRUE(
+	    Contains(p.Send("POST", "/v1/streams/s/append", "c"), " 503 "));
+	EXPECT_TRUE(Contains(p.Send("GET", "/v1/hosts"), "\"w1\""));
 	EXPECT_EQ(0, p.Stop());
 }
 
-// The answer of an executor breaks off, or never comes, after the request
-// has run; at its planned stop what runs is still finished and answered.
-TEST(Programs, ExecutorCutsLosesAndDrains)
+// An executor may truncate or lose the answer after the request has run.  On
+// SIGTERM it still finishes and answers running requests.
+TEST(Programs, ExecutorTruncatesAndLosesAnswersAndDrains)
 {
 	Program e("ogl-standin-executor");
 	std::string head = "Ogl-Token: 9\r\nOgl-Team: t\r\nOgl-Kind: k\r\n";
 	std::string got;
 
-	got = e.Ask("POST", "/run", "x run_ms=1", head);
-	EXPECT_TRUE(Has(got, "t|k|x run_ms=1"));
-	EXPECT_TRUE(Has(got, "Ogl-Token: 9"));
-	e.Ask("POST", "/ctl", "{\"cut\":1}");
-	EXPECT_FALSE(Has(e.Ask("POST", "/run", "x run_ms=1", head), "run_ms"));
-	e.Ask("POST", "/ctl", "{\"lose\":1}");
-	EXPECT_EQ("", e.Ask("POST", "/run", "x run_ms=1", head));
-	EXPECT_TRUE(Has(e.Ask("GET", "/counts"), "\"runs\":3"));
+	got = e.Send("POST", "/run", "x run_ms=1", head);
+	EXPECT_TRUE(Contains(got, "t|k|x run_ms=1"));
+	EXPECT_TRUE(Contains(got, "Ogl-Token: 9"));
+	e.Send("POST", "/ctl", "{\"cut\":1}");
+	EXPECT_FALSE(
+	    Contains(e.Send("POST", "/run", "x run_ms=1", head), "run_ms"));
+	e.Send("POST", "/ctl", "{\"lose\":1}");
+	EXPECT_EQ("", e.Send("POST", "/run", "x run_ms=1", head));
+	EXPECT_TRUE(Contains(e.Send("GET", "/counts"), "\"runs\":3"));
 	std::thread caller(
-	    [&] { got = e.Ask("POST", "/run", "y run_ms=300", head); });
-	while (!Has(e.Ask("GET", "/counts"), "y run_ms"))
+	    [&] { got = e.Send("POST", "/run", "y run_ms=300", head); });
+	while (!Contains(e.Send("GET", "/counts"), "y run_ms"))
 		std::this_thread::yield();
 	EXPECT_EQ(0, e.Stop());
 	caller.join();
-	EXPECT_TRUE(Has(got, "t|k|y run_ms=300"));
+	EXPECT_TRUE(Contains(got, "t|k|y run_ms=300"));
 }
 
-TEST(Programs, WorkerSpeaksTheSyncProtocol)
+TEST(Programs, WorkerHandlesSyncs)
 {
 	Program w("ogl-standin-worker");
 	std::string sync = "{\"epoch\":2,\"seq\":1,\"lease_ms\":10000}";
 
-	EXPECT_TRUE(Has(w.Ask("POST", "/v1/sync", sync), "\"refused\":false"));
-	EXPECT_TRUE(Has(w.Ask("POST", "/v1/sync", sync), "\"refused\":true"));
-	EXPECT_TRUE(Has(w.Ask("POST", "/v1/sync", "{\"epok\":2}"), " 422 "));
-	EXPECT_TRUE(Has(w.Ask("GET", "/counts"), "\"running\":0"));
-	w.Ask("POST", "/ctl", "{\"down\":true}");
-	EXPECT_EQ("", w.Ask("POST", "/v1/sync", sync));
+	EXPECT_TRUE(
+	    Contains(w.Send("POST", "/v1/sync", sync), "\"refused\":false"));
+	EXPECT_TRUE(
+	    Contains(w.Send("POST", "/v1/sync", sync), "\"refused\":true"));
+	EXPECT_TRUE(
+	    Contains(w.Send("POST", "/v1/sync", "{\"epok\":2}"), " 422 "));
+	EXPECT_TRUE(Contains(w.Send("GET", "/counts"), "\"running\":0"));
+	w.Send("POST", "/ctl", "{\"down\":true}");
+	EXPECT_EQ("", w.Send("POST", "/v1/sync", sync));
 	EXPECT_EQ(0, w.Stop());
 }
 
-// What the load driver prints of the lines that matter, and its exit status,
-// after 20 requests to an executor that plays the node.
+// Runs the load driver with 20 requests to an executor in place of a node.
+// Returns its result lines that the tests compare, and its exit status.
 std::string
-Drive(const Program &e, std::vector<std::string> more)
+RunCaller(const Program &e, std::vector<std::string> more)
 {
 	std::string addr = "127.0.0.1:" + std::to_string(e.port);
 	std::vector<std::string> args = {"--nodes=" + addr,
@@ -189,32 +195,32 @@
 	return text + "exit " + std::to_string(WEXITSTATUS(status));
 }
 
-// Answers get lost and cut on their way to the caller.  A load driver that
-// overlooked them, or that itself sent a request twice, would pass a cell
-// that loses or doubles work.
-TEST(Programs, CallerTellsLostDoubledAndCutFromGood)
+// Answers may be lost or cut on the way to the caller.  If the load driver
+// missed this, or sent a request twice itself, a cell that loses or doubles
+// work would pass its checks.
+TEST(Programs, CallerReportsLostDoubledAndCutAnswers)
 {
 	Program e("ogl-standin-executor");
 
 	EXPECT_EQ("ran 20\nbroken 0\nwrong answer 0\nlost 0\ndoubled 0\n"
 		  "exit 0",
-	    Drive(e, {"--seed=1", "--want-ran=20"}));
-	e.Ask("POST", "/ctl", "{\"lose\":2}");
+	    RunCaller(e, {"--seed=1", "--want-ran=20"}));
+	e.Send("POST", "/ctl", "{\"lose\":2}");
 	EXPECT_EQ("ran 18\nbroken 2\nwrong answer 0\nlost 2\ndoubled 0\n"
 		  "exit 1",
-	    Drive(e, {"--seed=2"}));
-	e.Ask("POST", "/ctl", "{\"lose\":1}");
+	    RunCaller(e, {"--seed=2"}));
+	e.Send("POST", "/ctl", "{\"lose\":1}");
 	EXPECT_EQ("ran 20\nbroken 0\nwrong answer 0\nlost 0\ndoubled 1\n"
 		  "exit 1",
-	    Drive(e, {"--seed=3", "--ids"}));
-	e.Ask("POST", "/ctl", "{\"lose\":1}");
+	    RunCaller(e, {"--seed=3", "--ids"}));
+	e.Send("POST", "/ctl", "{\"lose\":1}");
 	EXPECT_EQ("ran 20\nbroken 0\nwrong answer 0\nlost 0\ndoubled 0\n"
 		  "exit 0",
-	    Drive(e, {"--seed=4", "--idempotent"}));
-	e.Ask("POST", "/ctl", "{\"cut\":1}");
+	    RunCaller(e, {"--seed=4", "--idempotent"}));
+	e.Send("POST", "/ctl", "{\"cut\":1}");
 	EXPECT_EQ("ran 19\nbroken 0\nwrong answer 1\nlost 1\ndoubled 0\n"
 		  "exit 1",
-	    Drive(e, {"--seed=5"}));
+	    RunCaller(e, {"--seed=5"}));
 }
 
 } // namespace
