--- a/test/test_fake_log.cc
+++ b/test/test_fake_log.cc
@@ -1,4 +1,5 @@
-// The log fake: offsets, retention, rate limit, outages and lost answers.
+// Tests of the fake log: offsets, retention, rate limit, outages and lost
+// answers.
 #include <gtest/gtest.h>
 
 #include "fake_log.h"
@@ -20,17 +21,17 @@
 	enum fake_log_result Append(
 	    const char *text, ogl_time now, const char *stream = "s")
 	{
-		return fake_log_append(l, stream, ogl_str(text), now, &at);
+		return fake_log_append(l, stream, ogl_str(text), now, &offset);
 	}
 	enum fake_log_result Read(uint64_t from, ogl_time now)
 	{
 		return fake_log_read(
-		    l, "s", from, now, &first, &next, got, 4, &n);
+		    l, "s", from, now, &first, &next, entries, 4, &n);
 	}
 
 	struct fake_log *l;
-	uint64_t at = 99, first = 99, next = 99;
-	struct ogl_log_entry got[4] = {};
+	uint64_t offset = 99, first = 99, next = 99;
+	struct ogl_log_entry entries[4] = {};
 	size_t n = 0;
 };
 
@@ -40,16 +41,17 @@
 	EXPECT_EQ(0u, next);
 	Append("a", 1);
 	Append("b", 1);
-	EXPECT_EQ(1u, at);
+	EXPECT_EQ(1u, offset);
 	Append("c", 1, "other");
-	EXPECT_EQ(0u, at);
+	EXPECT_EQ(0u, offset);
 	EXPECT_EQ(FAKE_LOG_OK, Read(1, 1));
 	ASSERT_EQ(1u, n);
-	EXPECT_TRUE(ogl_str_eq(ogl_str("b"), got[0].data));
+	EXPECT_TRUE(ogl_str_eq(ogl_str("b"), entries[0].data));
 	EXPECT_EQ(2u, next);
 }
 
-// A reader that was away too long finds its place gone and must notice.
+// The records at a slow reader's offset may have been dropped; the reader must
+// be able to detect this.
 TEST_F(FakeLog, RetentionByCountAndAgeMovesTheFirstOffset)
 {
 	fake_log_script(l)->keep_count = 3;
@@ -57,7 +59,7 @@
 		Append("x", i * OGL_SEC);
 	Read(0, 4 * OGL_SEC);
 	EXPECT_EQ(2u, first);
-	EXPECT_EQ(2u, got[0].offset);
+	EXPECT_EQ(2u, entries[0].offset);
 	fake_log_script(l)->keep_age = 2 * OGL_SEC;
 	Read(0, 5 * OGL_SEC);
 	EXPECT_EQ(4u, first);
@@ -77,9 +79,9 @@
 	EXPECT_EQ(FAKE_LOG_LIMITED, Append("x", 3999 * OGL_MS));
 }
 
-// The platform may take a record and die before it says so, also in the
-// midst of an outage.  Whoever appends again blindly writes it twice.
-TEST_F(FakeLog, ALostAnswerHidesARecordThatIsThere)
+// The platform may append a record and fail before it answers, also during an
+// outage.  A caller that repeats the append without a check writes it twice.
+TEST_F(FakeLog, KeepsRecordWhoseAnswerIsLost)
 {
 	fake_log_script(l)->outage = true;
 	EXPECT_EQ(FAKE_LOG_DOWN, Append("a", 1));
@@ -90,7 +92,7 @@
 	fake_log_script(l)->outage = false;
 	Read(0, 1);
 	ASSERT_EQ(1u, n);
-	EXPECT_TRUE(ogl_str_eq(ogl_str("b"), got[0].data));
+	EXPECT_TRUE(ogl_str_eq(ogl_str("b"), entries[0].data));
 }
 
 } // namespace
