--- a/test/fake_text.c
+++ b/test/fake_text.c
@@ -1,6 +1,6 @@
 /*
- * Orders to the fakes hidden in payloads and bodies.  Values above
- * MAX_VALUE count as that, so that no sum with a time can overflow.
+ * Directives to the fakes inside payloads and bodies.  Values are limited to
+ * MAX_VALUE, so that adding them to a time cannot overflow.
  */
 
 #include <string.h>
--- a/test/fake_text.h
+++ b/test/fake_text.h
@@ -1,5 +1,5 @@
 /*
- * Orders to the fakes hidden in payloads and bodies: "run_ms=40 fail".
+ * Directives to the fakes inside payloads and bodies, such as "run_ms=40 fail".
  */
 
 #ifndef FAKE_TEXT_H
@@ -8,10 +8,10 @@
 #include "orioleglade.h"
 
 bool fake_text_number(struct ogl_str text, const char *name, uint64_t *value);
-/* Whether the text holds the name (such as "run_ms=") and digits right after
- * it; *value is left alone otherwise. */
+/* Whether the text contains the name (such as "run_ms=") followed by digits;
+ * their value is stored in *value, which is unchanged otherwise. */
 
 bool fake_text_has(struct ogl_str text, const char *word);
-/* Whether the text holds the word anywhere. */
+/* Whether the text contains the word anywhere. */
 
 #endif
