--- a/test/fake_log.c
+++ b/test/fake_log.c
@@ -1,16 +1,16 @@
 /*
- * A platform log without I/O.
+ * A fake of the platform's log, without I/O.
  *
- * A stream is an array of the records retained and the offset of its oldest
- * one; the offset of any other follows from its place in it.
- * Retention is applied when a stream is touched.  The append rate is a token
- * bucket over all streams.
+ * A stream is an array of the retained records and the offset of the oldest
+ * one; the offsets of the others follow from their index.  Retention is applied
+ * at each append and read.  One token bucket limits the append rate of all
+ * streams together.
  */
 
 #include "fake_log.h"
 
-#define DEFAULT_RATE 400.0
-#define BURST_S 0.25 /* bucket size, in seconds of the rate */
+#define DEFAULT_APPENDS_PER_S 400.0
+#define BUCKET_S 0.25 /* capacity of the bucket, in seconds at the rate */
 
 struct record {
 	GBytes *data;
@@ -18,16 +18,16 @@
 };
 
 struct stream {
-	GPtrArray *recent; /* of struct record, oldest first */
-	uint64_t first;
+	GPtrArray *records;    /* of struct record, oldest first */
+	uint64_t first_offset; /* offset of the oldest record */
 };
 
 struct fake_log {
 	struct fake_log_script script;
 	GHashTable *streams; /* name -> struct stream */
-	double tokens;
-	ogl_time filled_at;
-	bool started;
+	double tokens;       /* appends allowed now */
+	ogl_time filled_at;  /* last update of tokens */
+	bool started;        /* tokens and filled_at are valid */
 };
 
 static void
@@ -44,7 +44,7 @@
 {
 	struct stream *s = p;
 
-	g_ptr_array_free(s->recent, TRUE);
+	g_ptr_array_free(s->records, TRUE);
 	g_free(s);
 }
 
@@ -56,7 +56,7 @@
 	if (s != NULL)
 		return s;
 	s = g_new0(struct stream, 1);
-	s->recent = g_ptr_array_new_with_free_func(record_free);
+	s->records = g_ptr_array_new_with_free_func(record_free);
 	g_hash_table_insert(l->streams, g_strdup(name), s);
 	return s;
 }
@@ -67,24 +67,24 @@
 	const struct fake_log_script *c = &l->script;
 	guint drop = 0;
 
-	if (c->keep_count != 0 && s->recent->len > c->keep_count)
-		drop = s->recent->len - (guint)c->keep_count;
-	while (c->keep_age != 0 && drop < s->recent->len) {
-		struct record *r = g_ptr_array_index(s->recent, drop);
+	if (c->keep_count != 0 && s->records->len > c->keep_count)
+		drop = s->records->len - (guint)c->keep_count;
+	while (c->keep_age != 0 && drop < s->records->len) {
+		struct record *r = g_ptr_array_index(s->records, drop);
 
 		if (now - r->at < c->keep_age)
 			break;
 		drop++;
 	}
 	if (drop > 0)
-		g_ptr_array_remove_range(s->recent, 0, drop);
-	s->first += drop;
+		g_ptr_array_remove_range(s->records, 0, drop);
+	s->first_offset += drop;
 }
 
 static bool
 take_token(struct fake_log *l, ogl_time now)
 {
-	double cap = MAX(1.0, l->script.rate * BURST_S);
+	double cap = MAX(1.0, l->script.rate * BUCKET_S);
 	double since = (double)(now - l->filled_at) / (double)OGL_SEC;
 
 	if (!l->started)
@@ -104,7 +104,7 @@
 {
 	struct fake_log *l = g_new0(struct fake_log, 1);
 
-	l->script.rate = DEFAULT_RATE;
+	l->script.rate = DEFAULT_APPENDS_PER_S;
 	l->streams =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, stream_free);
 	return l;
@@ -140,8 +140,8 @@
 	r = g_new(struct record, 1);
 	r->data = g_bytes_new(data.p, data.n);
 	r->at = now;
-	*offset = s->first + s->recent->len;
-	g_ptr_array_add(s->recent, r);
+	*offset = s->first_offset + s->records->len;
+	g_ptr_array_add(s->records, r);
 	stream_trim(l, s, now);
 	if (!lose)
 		return FAKE_LOG_OK;
@@ -160,11 +160,12 @@
 	if (l->script.outage)
 		return FAKE_LOG_DOWN;
 	stream_trim(l, s, now);
-	*first = s->first;
-	*next = s->first + s->recent->len;
-	for (uint64_t o = MAX(from, s->first); o < *next && *n < max; o++) {
+	*first = s->first_offset;
+	*next = s->first_offset + s->records->len;
+	for (uint64_t o = MAX(from, s->first_offset); o < *next && *n < max;
+	     o++) {
 		struct record *r =
-		    g_ptr_array_index(s->recent, (guint)(o - s->first));
+		    g_ptr_array_index(s->records, (guint)(o - s->first_offset));
 		struct ogl_log_entry *e = &entries[(*n)++];
 
 		e->offset = o;
--- a/test/fake_log.h
+++ b/test/fake_log.h
@@ -1,7 +1,7 @@
 /*
- * A platform log without I/O: named streams of records with offsets,
- * retention and a limited append rate, which can be told to be down, slow,
- * or to lose answers.  The present time is an argument throughout.
+ * A fake of the platform's log, without I/O: named streams of records with
+ * offsets, retention and a limited append rate.  It can simulate outages, slow
+ * answers and lost answers.  The current time is always an argument.
  */
 
 #ifndef FAKE_LOG_H
@@ -19,17 +19,17 @@
 	FAKE_LOG_OK,
 	FAKE_LOG_LIMITED, /* append rate exceeded; not appended */
 	FAKE_LOG_DOWN,    /* outage; not appended */
-	FAKE_LOG_LOST     /* appended, but the caller hears nothing of it */
+	FAKE_LOG_LOST     /* appended, but the answer is lost */
 };
 
-/* How the log behaves; may be changed between calls. */
+/* Limits and faults of the log; may be changed between calls. */
 struct fake_log_script {
-	double rate;         /* appends a second over all streams */
-	uint64_t keep_count; /* newest records kept a stream; 0 no bound */
-	ogl_time keep_age;   /* records this old are dropped; 0 no bound */
-	bool outage;         /* neither appends nor reads work */
-	uint32_t lose;       /* next appends whose answers are lost */
-	ogl_time slow;       /* extra delay of each answer, for the driver */
+	double rate;         /* appends per second, over all streams */
+	uint64_t keep_count; /* records kept per stream; 0: no limit */
+	ogl_time keep_age;   /* records this old are dropped; 0: no limit */
+	bool outage;         /* appends and reads fail */
+	uint32_t lose;       /* number of next appends without an answer */
+	ogl_time slow;       /* extra delay of answers; the caller applies it */
 };
 
 struct fake_log *fake_log_init(void);
@@ -39,14 +39,17 @@
 
 enum fake_log_result fake_log_append(struct fake_log *l, const char *stream,
     struct ogl_str data, ogl_time now, uint64_t *offset);
-/* Appends one record; its offset is in *offset also when the answer is lost.
- * A lost answer goes before an outage: the record is there nonetheless. */
+/* Appends one record.  Its offset is stored in *offset, also when the answer is
+ * lost.  `lose` takes precedence over `outage`: such a record is appended even
+ * during an outage. */
 
 enum fake_log_result fake_log_read(struct fake_log *l, const char *stream,
     uint64_t from, ogl_time now, uint64_t *first, uint64_t *next,
     struct ogl_log_entry *entries, size_t max, size_t *n);
-/* Up to max records at and above `from`, or above *first when that is gone.
- * The entries borrow from the log until its next call. */
+/* Reads up to max records from offset `from` on, or from *first on if the
+ * records before it were dropped.  *first and *next are the offsets of the
+ * oldest record and of the next append.  The entries point into the log and
+ * are valid until its next call. */
 
 #ifdef __cplusplus
 }
