--- a/test/standin_caller.c
+++ b/test/standin_caller.c
@@ -1,17 +1,17 @@
 /*
  * Load driver and checker: sends requests or jobs to the nodes, as callers
- * do, and compares what it was told with what executors and workers ran.
+ * do, and compares the answers with what executors and workers ran.
  *
- * Each item (a request or a job) passes through a few steps, each one HTTP
- * exchange; `concurrency` items are under way at a time over one curl multi
- * handle.  A step is repeated only where that cannot run anything twice: the
- * verdict was not_run, the connection was never made, or the item is
- * idempotent or bears an id by which the nodes know it again.
+ * Each item (a request or a job) passes through several steps, each of them
+ * one HTTP exchange; up to `concurrency` items are in progress at a time on
+ * one curl multi handle.  A step is retried only if this cannot run anything
+ * twice: the verdict was not_run, no connection was made, the item is
+ * idempotent, or it has an id by which the nodes detect duplicates.
  *
- * An item is lost when its caller never got a final answer, or was told that
- * it ran and it did not.  It is doubled when it ran twice without being
- * idempotent, and false when it ran after an answer of not_run.  --history
- * writes each exchange, as a call of its own, for orioleglade-check.
+ * An item is lost if it never got a final answer, or if the answer says that
+ * it ran and it did not.  It is doubled if it ran twice without being
+ * idempotent, and a false not_run if it ran although the answer was not_run.
+ * --history writes each sending of an item as a call, for orioleglade-check.
  */
 
 #include <argp.h>
@@ -25,10 +25,10 @@
 #include "history.h"
 #include "fake_text.h"
 
-#define POLL_US (100 * OGL_MS)     /* between looks at a job */
-#define RETRY_US (100 * OGL_MS)    /* when the answer names no time */
-#define RETRY_MAX_US (2 * OGL_SEC) /* of what an answer names */
-#define ANSWER_MAX ((guint)64 << 20)
+#define JOB_POLL_INTERVAL (100 * OGL_MS) /* between polls of a job */
+#define RETRY_DELAY (100 * OGL_MS)       /* if the answer gives no time */
+#define MAX_RETRY_DELAY (2 * OGL_SEC)    /* cap on an answer's time */
+#define MAX_ANSWER_BYTES ((guint)64 << 20)
 
 enum mode {
 	REQUESTS,
@@ -45,7 +45,7 @@
 	const char *history;
 	const char *key_id;
 	enum mode mode;
-	char **kinds; /* of jobs, taken in turn */
+	char **kinds; /* of jobs, in turn */
 	uint32_t count;
 	uint32_t concurrency;
 	uint32_t tasks;
@@ -56,25 +56,25 @@
 	uint64_t seed;
 	bool idempotent;
 	bool ids;
-	bool direct; /* straight to executors, to compare with */
+	bool direct; /* `nodes` are executors; for comparison */
 	uint32_t want_ran;
 };
 
 enum step {
 	SEND,
-	LOOK,
+	POLL_JOB,
 	CANCEL,
 	SETTLED
 };
 
-/* How an item ended, as far as its caller knows. */
+/* The result of an item according to its answers. */
 enum outcome {
-	OPEN, /* no final answer yet */
+	NO_ANSWER, /* no final answer yet */
 	RAN,
 	NOT_RUN,
 	MAY_HAVE_RUN,
-	BROKEN, /* the connection broke and it was not sent again */
-	WRONG,  /* the answer is not this request's, or not whole */
+	BROKEN,       /* the connection broke and it may not be sent again */
+	WRONG_ANSWER, /* the answer is incomplete or not of this request */
 	NOUTCOMES
 };
 
@@ -87,17 +87,17 @@
 	enum outcome outcome;
 	ogl_time first_at;
 	ogl_time ended_at;
-	ogl_time due; /* of the step */
+	ogl_time due_at; /* when the next exchange starts */
 	char *body;
-	char *job;  /* its id, once accepted */
-	char *call; /* its last SEND, as the history names it */
-	uint32_t sends;
-	json_int_t told; /* state and verdict, as last written */
+	char *job;  /* the job's id once accepted */
+	char *call; /* id of its last SEND in the history */
+	uint32_t send_count;
+	json_int_t recorded; /* state and verdict last written to the history */
 	bool sent;
 	uint64_t runs;
 };
 
-/* One connection and the item it carries. */
+/* A curl handle and the item that uses it. */
 struct slot {
 	CURL *curl;
 	struct curl_slist *headers;
@@ -113,7 +113,7 @@
 	CURLM *multi;
 	struct slot *slots;
 	struct item *items;
-	struct ogl_history *history; /* NULL: none is kept */
+	struct ogl_history *history; /* NULL: not written */
 	uint32_t started;
 	uint32_t settled;
 	uint32_t next_node;
@@ -268,13 +268,13 @@
 {
 	GByteArray *to = ctx;
 
-	if (to->len + size * n > ANSWER_MAX)
+	if (to->len + size * n > MAX_ANSWER_BYTES)
 		return 0;
 	g_byte_array_append(to, (const guint8 *)p, (guint)(size * n));
 	return size * n;
 }
 
-/* The value of a header line with this name; NULL when it is another. */
+/* The value of a header line if it has this name; NULL otherwise. */
 static const char *
 header_value(const char *line, const char *name)
 {
@@ -316,7 +316,7 @@
 	g_free(text);
 }
 
-/* Whether an item may be sent twice. */
+/* Whether an item may be sent again although it may have run. */
 static bool
 may_repeat(const struct driver *d)
 {
@@ -345,7 +345,7 @@
 		    s->item->number);
 }
 
-/* What all exchanges have in common. */
+/* Sets the options that all exchanges have in common. */
 static void
 set_options(const struct driver *d, struct slot *s)
 {
@@ -361,10 +361,10 @@
 	curl_easy_setopt(c, CURLOPT_HEADERFUNCTION, on_header);
 	curl_easy_setopt(c, CURLOPT_HEADERDATA, s);
 	/*
-	 * When a kept connection closes before any byte of the answer, curl
-	 * sends the request anew by itself, a POST too.  A node killed in the
-	 * midst of a request would make it run twice, through no fault of the
-	 * nodes; on a fresh connection curl reports the failure instead.
+	 * If a reused connection closes before the first byte of the answer,
+	 * curl itself sends the request again, even a POST.  If a node is
+	 * killed during a request, the request would then run twice without a
+	 * fault of the nodes.  On a new connection curl reports the failure.
 	 */
 	curl_easy_setopt(c, CURLOPT_FRESH_CONNECT, may_repeat(d) ? 0L : 1L);
 }
@@ -390,9 +390,9 @@
 	g_free(url);
 }
 
-/* ---- what is written to the history ------------------------------------ */
+/* ---- history ----------------------------------------------------------- */
 
-/* Item's id as the nodes know it; g_free. */
+/* The request id of the item; g_free. */
 static char *
 request_id(const struct driver *d, const struct item *it)
 {
@@ -400,7 +400,7 @@
 }
 
 static void
-tell_call(struct driver *d, struct item *it, const char *node)
+record_call(struct driver *d, struct item *it, const char *node)
 {
 	struct history_event ev = {
 	    .type = HISTORY_CALL, .at = g_get_real_time()};
@@ -410,7 +410,7 @@
 	if (d->history == NULL || it->step != SEND)
 		goto out;
 	g_free(it->call);
-	it->call = g_strdup_printf("%s.%u", id, ++it->sends);
+	it->call = g_strdup_printf("%s.%u", id, ++it->send_count);
 	ev.u.call.call = it->call;
 	ev.u.call.node = node;
 	ev.u.call.team = d->o.team;
@@ -426,14 +426,14 @@
 	g_free(id);
 }
 
-static bool not_sent(CURLcode rc);
-static enum outcome outcome_of(const struct slot *s);
+static bool connect_failed(CURLcode rc);
+static enum outcome answer_outcome(const struct slot *s);
 
 /*
- * Whether an exchange without an answer never reached a node.  On a kept
- * connection that a killed node closes, curl sends the request anew on a
- * fresh one, and when that is refused the first sending must not count as
- * none: the node may have passed it on.  curl keeps count of the bytes.
+ * Whether a failed exchange certainly did not reach a node.  If a killed node
+ * closes a reused connection, curl sends the request again on a new one.  If
+ * that connection is refused, the first sending still counts, because the node
+ * may have forwarded the request.  CURLINFO_REQUEST_SIZE counts its bytes.
  */
 static bool
 never_sent(const struct slot *s, CURLcode rc)
@@ -441,11 +441,11 @@
 	long bytes = 0;
 
 	curl_easy_getinfo(s->curl, CURLINFO_REQUEST_SIZE, &bytes);
-	return not_sent(rc) && bytes == 0;
+	return connect_failed(rc) && bytes == 0;
 }
 
 static void
-tell_answer(struct driver *d, const struct slot *s, CURLcode rc, long status)
+record_answer(struct driver *d, const struct slot *s, CURLcode rc, long status)
 {
 	static const enum history_verdict verdicts[NOUTCOMES] = {
 	    [RAN] = HISTORY_RAN,
@@ -470,27 +470,27 @@
 	else if (d->o.mode == JOBS && status / 100 == 2)
 		ev.u.answer.verdict = HISTORY_RAN;
 	else
-		ev.u.answer.verdict = verdicts[outcome_of(s)];
+		ev.u.answer.verdict = verdicts[answer_outcome(s)];
 	ogl_history_add(d->history, &ev);
 	g_free(body);
 }
 
-/* Writes how a job stands when that is news. */
+/* Records the state of a job if it has changed. */
 static void
-tell_job(struct driver *d, struct item *it, uint32_t state, uint32_t verdict)
+record_job(struct driver *d, struct item *it, uint32_t state, uint32_t verdict)
 {
 	struct history_event ev = {
 	    .type = HISTORY_JOB, .at = g_get_real_time()};
-	json_int_t told = 1 + (json_int_t)state * 8 + verdict;
+	json_int_t recorded = 1 + (json_int_t)state * 8 + verdict;
 
-	if (d->history == NULL || told == it->told)
+	if (d->history == NULL || recorded == it->recorded)
 		return;
-	ev.u.job.call = it->told == 0 ? it->call : NULL;
+	ev.u.job.call = it->recorded == 0 ? it->call : NULL;
 	ev.u.job.job = it->job;
 	ev.u.job.state = state;
 	ev.u.job.verdict = verdict;
 	ogl_history_add(d->history, &ev);
-	it->told = told;
+	it->recorded = recorded;
 }
 
 /* ---- exchanges --------------------------------------------------------- */
@@ -501,7 +501,7 @@
 	const char *node = d->o.nodes[d->next_node];
 
 	d->next_node = (d->next_node + 1) % g_strv_length(d->o.nodes);
-	tell_call(d, s->item, node);
+	record_call(d, s->item, node);
 	set_options(d, s);
 	set_target(d, s, node);
 	set_headers(d, s);
@@ -513,7 +513,7 @@
 	curl_multi_add_handle(d->multi, s->curl);
 }
 
-/* ---- what an answer means ---------------------------------------------- */
+/* ---- handling of answers ------------------------------------------------ */
 
 static void
 settle(struct driver *d, struct item *it, enum outcome outcome, ogl_time now)
@@ -525,25 +525,25 @@
 }
 
 static void
-retry(struct driver *d, struct slot *s, ogl_time now)
+schedule_retry(struct driver *d, struct slot *s, ogl_time now)
 {
-	ogl_time in = RETRY_US;
+	ogl_time in = RETRY_DELAY;
 
 	if (s->retry_ms > 0)
 		in = (ogl_time)MIN(s->retry_ms, 3600000) * OGL_MS;
-	s->item->due = now + MIN(in, RETRY_MAX_US);
+	s->item->due_at = now + MIN(in, MAX_RETRY_DELAY);
 	d->retries++;
 }
 
-/* Certainly never reached a node. */
+/* Whether the last attempt made no connection. */
 static bool
-not_sent(CURLcode rc)
+connect_failed(CURLcode rc)
 {
 	return rc == CURLE_COULDNT_CONNECT || rc == CURLE_COULDNT_RESOLVE_HOST;
 }
 
 static enum outcome
-outcome_of(const struct slot *s)
+answer_outcome(const struct slot *s)
 {
 	if (strcmp(s->verdict, "ran") == 0)
 		return RAN;
@@ -552,9 +552,9 @@
 	return MAY_HAVE_RUN;
 }
 
-/* An executor answers "team|label|body". */
+/* Whether the answer is that of this request: "team|label|body". */
 static bool
-own_answer(const struct driver *d, const struct slot *s)
+is_own_answer(const struct driver *d, const struct slot *s)
 {
 	char *tail = g_strdup_printf("|%s|%s", d->o.label, s->item->body);
 	struct ogl_str a = {(const char *)s->answer->data, s->answer->len};
@@ -569,21 +569,23 @@
 }
 
 static void
-take_request_answer(struct driver *d, struct slot *s, long status, ogl_time now)
+handle_request_answer(
+    struct driver *d, struct slot *s, long status, ogl_time now)
 {
-	enum outcome out = outcome_of(s);
+	enum outcome out = answer_outcome(s);
 	bool busy = status == 429 || status == 503;
 
 	if (status == 200 && (out == RAN || d->o.direct))
-		settle(d, s->item, own_answer(d, s) ? RAN : WRONG, now);
+		settle(
+		    d, s->item, is_own_answer(d, s) ? RAN : WRONG_ANSWER, now);
 	else if (busy && (out == NOT_RUN || may_repeat(d)))
-		retry(d, s, now);
+		schedule_retry(d, s, now);
 	else
 		settle(d, s->item, out, now);
 }
 
 static const char *
-text_of(const json_t *o, const char *name)
+json_text(const json_t *o, const char *name)
 {
 	const char *t = json_string_value(json_object_get(o, name));
 
@@ -591,7 +593,7 @@
 }
 
 static uint32_t
-name_value(const ProtobufCEnumDescriptor *names, const char *name)
+enum_value(const ProtobufCEnumDescriptor *names, const char *name)
 {
 	const ProtobufCEnumValue *v =
 	    protobuf_c_enum_descriptor_get_value_by_name(names, name);
@@ -599,39 +601,40 @@
 	return v != NULL ? (uint32_t)v->value : 0;
 }
 
-/* A service has done what was asked of it once all its tasks run; then it is
- * cancelled, and its end is looked for. */
+/* A service counts as successful once all its tasks run.  It is then cancelled
+ * and polled until it has ended. */
 static void
-take_job_view(struct driver *d, struct item *it, const json_t *o, ogl_time now)
+handle_job_view(
+    struct driver *d, struct item *it, const json_t *o, ogl_time now)
 {
-	const char *state = text_of(o, "state");
-	bool service = strcmp(text_of(o, "kind"), "service") == 0;
+	const char *state = json_text(o, "state");
+	bool service = strcmp(json_text(o, "kind"), "service") == 0;
 	json_int_t running = json_integer_value(json_object_get(o, "running"));
 
 	if (it->job == NULL)
-		it->job = g_strdup(text_of(o, "job"));
-	tell_job(d, it, name_value(&ogl__job_state__descriptor, state),
-	    name_value(&ogl__verdict__descriptor, text_of(o, "verdict")));
+		it->job = g_strdup(json_text(o, "job"));
+	record_job(d, it, enum_value(&ogl__job_state__descriptor, state),
+	    enum_value(&ogl__verdict__descriptor, json_text(o, "verdict")));
 	if (strcmp(state, "done") == 0)
 		settle(d, it, RAN, now);
 	else if (strcmp(state, "cancelled") == 0)
 		settle(d, it, service ? RAN : NOT_RUN, now);
 	else if (strcmp(state, "broken") == 0)
 		settle(d, it,
-		    strcmp(text_of(o, "verdict"), "not_run") == 0
+		    strcmp(json_text(o, "verdict"), "not_run") == 0
 			? NOT_RUN
 			: MAY_HAVE_RUN,
 		    now);
-	else if (service && it->step == LOOK && running == d->o.tasks)
+	else if (service && it->step == POLL_JOB && running == d->o.tasks)
 		it->step = CANCEL;
 	else
-		it->step = LOOK;
-	if (it->step == LOOK)
-		it->due = now + POLL_US;
+		it->step = POLL_JOB;
+	if (it->step == POLL_JOB)
+		it->due_at = now + JOB_POLL_INTERVAL;
 }
 
 static void
-take_job_answer(struct driver *d, struct slot *s, long status, ogl_time now)
+handle_job_answer(struct driver *d, struct slot *s, long status, ogl_time now)
 {
 	struct item *it = s->item;
 	json_t *o =
@@ -639,40 +642,40 @@
 	bool refused = status >= 400 && status < 500 && status != 429;
 
 	if (status / 100 == 2 && json_is_object(o) &&
-	    (it->job != NULL || text_of(o, "job")[0] != '\0'))
-		take_job_view(d, it, o, now);
+	    (it->job != NULL || json_text(o, "job")[0] != '\0'))
+		handle_job_view(d, it, o, now);
 	else if (status / 100 == 2 && it->step == CANCEL)
-		it->step = LOOK;
+		it->step = POLL_JOB;
 	else if (refused && it->step == SEND)
-		settle(d, it, outcome_of(s), now);
+		settle(d, it, answer_outcome(s), now);
 	else {
-		if (status == 404 && it->step == LOOK)
-			tell_job(d, it, HISTORY_JOB_UNKNOWN, HISTORY_NOT_RUN);
-		retry(d, s, now);
+		if (status == 404 && it->step == POLL_JOB)
+			record_job(d, it, HISTORY_JOB_UNKNOWN, HISTORY_NOT_RUN);
+		schedule_retry(d, s, now);
 	}
 	json_decref(o);
 }
 
 static void
-take_answer(struct driver *d, struct slot *s, CURLcode rc, ogl_time now)
+handle_answer(struct driver *d, struct slot *s, CURLcode rc, ogl_time now)
 {
 	long status = 0;
 
 	curl_easy_getinfo(s->curl, CURLINFO_RESPONSE_CODE, &status);
-	tell_answer(d, s, rc, status);
-	if (rc != CURLE_OK && (not_sent(rc) || may_repeat(d)))
-		retry(d, s, now);
+	record_answer(d, s, rc, status);
+	if (rc != CURLE_OK && (connect_failed(rc) || may_repeat(d)))
+		schedule_retry(d, s, now);
 	else if (rc == CURLE_PARTIAL_FILE)
-		settle(d, s->item, WRONG, now);
+		settle(d, s->item, WRONG_ANSWER, now);
 	else if (rc != CURLE_OK)
 		settle(d, s->item, BROKEN, now);
 	else if (d->o.mode == JOBS)
-		take_job_answer(d, s, status, now);
+		handle_job_answer(d, s, status, now);
 	else
-		take_request_answer(d, s, status, now);
+		handle_request_answer(d, s, status, now);
 }
 
-/* ---- the run ----------------------------------------------------------- */
+/* ---- main loop --------------------------------------------------------- */
 
 static char *
 job_body(const struct options *o, uint32_t i, uint32_t run_ms)
@@ -718,23 +721,23 @@
 	g_rand_free(rand);
 }
 
-/* Gives the slot its next exchange when one is due. */
+/* Starts the slot's next exchange if it is due. */
 static void
-feed(struct driver *d, struct slot *s, ogl_time now)
+fill_slot(struct driver *d, struct slot *s, ogl_time now)
 {
 	if (s->item != NULL && s->item->step == SETTLED)
 		s->item = NULL;
 	if (s->item == NULL && d->started < d->o.count) {
 		s->item = &d->items[d->started++];
 		s->item->first_at = now;
-		s->item->due = now;
+		s->item->due_at = now;
 	}
-	if (s->item != NULL && s->item->due <= now)
+	if (s->item != NULL && s->item->due_at <= now)
 		start_exchange(d, s);
 }
 
 static void
-collect(struct driver *d, ogl_time now)
+collect_answers(struct driver *d, ogl_time now)
 {
 	CURLMsg *m;
 	int left;
@@ -751,7 +754,7 @@
 		s = (struct slot *)(void *)p;
 		curl_multi_remove_handle(d->multi, curl);
 		s->busy = false;
-		take_answer(d, s, rc, now);
+		handle_answer(d, s, rc, now);
 	}
 }
 
@@ -766,34 +769,36 @@
 	while (d->settled < d->o.count && g_get_monotonic_time() < end) {
 		for (uint32_t i = 0; i < d->o.concurrency; i++) {
 			if (!d->slots[i].busy)
-				feed(d, &d->slots[i], g_get_monotonic_time());
+				fill_slot(
+				    d, &d->slots[i], g_get_monotonic_time());
 		}
 		curl_multi_perform(d->multi, &live);
-		collect(d, g_get_monotonic_time());
+		collect_answers(d, g_get_monotonic_time());
 		curl_multi_poll(d->multi, NULL, 0, 5, NULL);
 	}
 }
 
-/* ---- comparing with executors and workers ------------------------------ */
+/* ---- comparison with executors and workers ----------------------------- */
 
-/* What the comparison found. */
-struct verdicts {
+/* Result of the comparison. */
+struct comparison {
 	uint64_t lost;
 	uint64_t doubled;
-	uint64_t untrue;  /* not_run, and yet it ran */
-	uint64_t no_room; /* starts that workers refused as too many */
-	bool blind;       /* someone could not be asked */
+	uint64_t false_not_run; /* answered not_run but ran */
+	uint64_t no_room; /* starts that workers refused for lack of room */
+	bool incomplete;  /* an executor or worker did not answer */
 };
 
-/* One start or end of a task on some worker. */
-struct mark {
+/* A start or end of a task on a worker. */
+struct task_event {
 	char *task;
 	ogl_time at;
 	bool start;
 	bool succeeded;
 };
 
-/* What a stand-in's GET /counts gives; NULL with a message. */
+/* The answer of a stand-in to GET /counts.  On failure prints a message and
+ * returns NULL. */
 static json_t *
 fetch_counts(const char *addr)
 {
@@ -818,7 +823,7 @@
 }
 
 static void
-add_runs(struct driver *d, struct verdicts *v)
+add_run_counts(struct driver *d, struct comparison *v)
 {
 	GHashTable *by_body = g_hash_table_new(g_str_hash, g_str_equal);
 
@@ -829,11 +834,11 @@
 		json_t *one;
 		size_t i;
 
-		v->blind = v->blind || o == NULL;
+		v->incomplete = v->incomplete || o == NULL;
 		json_array_foreach(json_object_get(o, "counts"), i, one)
 		{
-			struct item *it =
-			    g_hash_table_lookup(by_body, text_of(one, "body"));
+			struct item *it = g_hash_table_lookup(
+			    by_body, json_text(one, "body"));
 
 			if (it != NULL)
 				it->runs += (uint64_t)json_integer_value(
@@ -845,28 +850,28 @@
 }
 
 static void
-judge_requests(struct driver *d, struct verdicts *v)
+check_requests(struct driver *d, struct comparison *v)
 {
 	bool counted = d->o.executors != NULL;
 
 	if (counted)
-		add_runs(d, v);
+		add_run_counts(d, v);
 	for (uint32_t i = 0; i < d->o.count; i++) {
 		const struct item *it = &d->items[i];
 
-		v->lost += it->outcome == OPEN || it->outcome == BROKEN ||
-			   it->outcome == WRONG ||
+		v->lost += it->outcome == NO_ANSWER || it->outcome == BROKEN ||
+			   it->outcome == WRONG_ANSWER ||
 			   (counted && it->outcome == RAN && it->runs == 0);
 		v->doubled += !d->o.idempotent && it->runs > 1;
-		v->untrue += it->outcome == NOT_RUN && it->runs > 0;
+		v->false_not_run += it->outcome == NOT_RUN && it->runs > 0;
 	}
 }
 
 static int
-compare_marks(const void *a, const void *b)
+compare_events(const void *a, const void *b)
 {
-	const struct mark *x = a;
-	const struct mark *y = b;
+	const struct task_event *x = a;
+	const struct task_event *y = b;
 	int c = strcmp(x->task, y->task);
 
 	if (c != 0)
@@ -876,28 +881,28 @@
 	return (int)x->start - (int)y->start;
 }
 
-/* Adds the history of one worker. */
+/* Adds the task events of one worker. */
 static void
-add_marks(GArray *marks, const json_t *o)
+add_task_events(GArray *events, const json_t *o)
 {
 	json_t *one;
 	size_t i;
 
 	json_array_foreach(json_object_get(o, "events"), i, one)
 	{
-		struct mark m = {.task = g_strdup(text_of(one, "task")),
+		struct task_event m = {.task = g_strdup(json_text(one, "task")),
 		    .at = json_integer_value(json_object_get(one, "at_us")),
-		    .start = strcmp(text_of(one, "event"), "start") == 0,
+		    .start = strcmp(json_text(one, "event"), "start") == 0,
 		    .succeeded =
-			strcmp(text_of(one, "state"), "succeeded") == 0};
+			strcmp(json_text(one, "state"), "succeeded") == 0};
 
-		g_array_append_val(marks, m);
+		g_array_append_val(events, m);
 	}
 }
 
-/* Name of the job a task belongs to; g_free. */
+/* The id of the job that a task belongs to; g_free. */
 static char *
-job_of(const char *task)
+task_job_id(const char *task)
 {
 	const char *dot = strrchr(task, '.');
 
@@ -905,10 +910,11 @@
 			   : g_strdup(task);
 }
 
-/* The marks of one task, in order of time: whether it ran in two places at
- * once or succeeded twice. */
+/* Whether a task ran in two places at the same time or succeeded twice.
+ * Expects the events of this one task in order of time; *succeeded tells
+ * whether the task succeeded. */
 static bool
-task_doubled(const struct mark *m, size_t n, bool *succeeded)
+task_doubled(const struct task_event *m, size_t n, bool *succeeded)
 {
 	int running = 0;
 	int ends = 0;
@@ -924,24 +930,25 @@
 }
 
 static void
-judge_tasks(struct driver *d, GArray *marks, struct verdicts *v)
+check_tasks(struct driver *d, GArray *events, struct comparison *v)
 {
 	GHashTable *by_job = g_hash_table_new(g_str_hash, g_str_equal);
-	const struct mark *m = (const struct mark *)(void *)marks->data;
+	const struct task_event *m =
+	    (const struct task_event *)(void *)events->data;
 
 	for (uint32_t i = 0; i < d->o.count; i++) {
 		if (d->items[i].job != NULL)
 			g_hash_table_insert(
 			    by_job, d->items[i].job, &d->items[i]);
 	}
-	for (size_t i = 0, n; i < marks->len; i += n) {
-		char *job = job_of(m[i].task);
+	for (size_t i = 0, n; i < events->len; i += n) {
+		char *job = task_job_id(m[i].task);
 		struct item *it = g_hash_table_lookup(by_job, job);
 		bool ok;
 
 		n = 1;
-		while (
-		    i + n < marks->len && strcmp(m[i + n].task, m[i].task) == 0)
+		while (i + n < events->len &&
+		       strcmp(m[i + n].task, m[i].task) == 0)
 			n++;
 		if (it != NULL && task_doubled(&m[i], n, &ok))
 			v->doubled++;
@@ -961,36 +968,37 @@
 }
 
 static void
-judge_jobs(struct driver *d, struct verdicts *v)
+check_jobs(struct driver *d, struct comparison *v)
 {
-	GArray *marks = g_array_new(FALSE, FALSE, sizeof(struct mark));
+	GArray *events = g_array_new(FALSE, FALSE, sizeof(struct task_event));
 	bool counted = d->o.workers != NULL;
 
 	for (char **w = d->o.workers; counted && *w != NULL; w++) {
 		json_t *o = fetch_counts(*w);
 
-		v->blind = v->blind || o == NULL;
+		v->incomplete = v->incomplete || o == NULL;
 		v->no_room +=
 		    (uint64_t)json_integer_value(json_object_get(o, "no_room"));
-		add_marks(marks, o);
+		add_task_events(events, o);
 		json_decref(o);
 	}
-	qsort(marks->data, marks->len, sizeof(struct mark), compare_marks);
-	judge_tasks(d, marks, v);
+	qsort(events->data, events->len, sizeof(struct task_event),
+	    compare_events);
+	check_tasks(d, events, v);
 	for (uint32_t i = 0; i < d->o.count; i++) {
 		const struct item *it = &d->items[i];
 
-		v->lost += it->outcome == OPEN ||
+		v->lost += it->outcome == NO_ANSWER ||
 			   (counted && it->outcome == RAN &&
 			       !is_service(d, it) && it->runs < d->o.tasks);
-		v->untrue += it->outcome == NOT_RUN && it->runs > 0;
+		v->false_not_run += it->outcome == NOT_RUN && it->runs > 0;
 	}
-	for (guint i = 0; i < marks->len; i++)
-		g_free(g_array_index(marks, struct mark, i).task);
-	g_array_free(marks, TRUE);
+	for (guint i = 0; i < events->len; i++)
+		g_free(g_array_index(events, struct task_event, i).task);
+	g_array_free(events, TRUE);
 }
 
-/* ---- the table --------------------------------------------------------- */
+/* ---- output ------------------------------------------------------------ */
 
 static int
 compare_times(const void *a, const void *b)
@@ -1025,9 +1033,10 @@
 	g_free(took);
 }
 
-/* Whether nothing was lost or doubled. */
+/* Prints the results.  Returns whether nothing was lost or doubled, no not_run
+ * was false, all counts were read and want_ran items ran. */
 static bool
-print_table(const struct driver *d, const struct verdicts *v)
+print_results(const struct driver *d, const struct comparison *v)
 {
 	uint32_t by[NOUTCOMES] = {0};
 	bool good;
@@ -1042,11 +1051,12 @@
 	printf("sent again %" PRIu64 "\n", d->retries);
 	printf("lost %" PRIu64 "\n", v->lost);
 	printf("doubled %" PRIu64 "\n", v->doubled);
-	printf("false not_run %" PRIu64 "\n", v->untrue);
+	printf("false not_run %" PRIu64 "\n", v->false_not_run);
 	if (d->o.mode == JOBS)
 		printf("starts beyond room %" PRIu64 "\n", v->no_room);
 	print_times(d);
-	good = v->lost == 0 && v->doubled == 0 && v->untrue == 0 && !v->blind;
+	good = v->lost == 0 && v->doubled == 0 && v->false_not_run == 0 &&
+	       !v->incomplete;
 	return good && by[RAN] >= d->o.want_ran;
 }
 
@@ -1093,7 +1103,7 @@
 	const struct argp argp = {argp_options, parse_option, NULL,
 	    "Sends requests or jobs and checks what came of them.", NULL, NULL,
 	    NULL};
-	struct verdicts v = {0};
+	struct comparison v = {0};
 	bool good = false;
 
 	d.o.kinds = g_strsplit("batch", ",", 0);
@@ -1118,10 +1128,10 @@
 		    d.history, &(struct history_event){.type = HISTORY_OVER,
 				   .at = g_get_real_time()});
 	if (d.o.mode == JOBS)
-		judge_jobs(&d, &v);
+		check_jobs(&d, &v);
 	else
-		judge_requests(&d, &v);
-	good = print_table(&d, &v);
+		check_requests(&d, &v);
+	good = print_results(&d, &v);
 out:
 	driver_free(&d);
 	curl_global_cleanup();
