--- a/test/fake_cluster.c
+++ b/test/fake_cluster.c
@@ -374,7 +374,7 @@
 	struct fake_cluster *c = ctx;
 	struct seen *s = task_seen(c, ev->task);
 
-	fake_feed_worker(c->history, ev);
+	fake_record_worker(c->history, ev);
 	note(c, "%s %s %s attempt %u %s", ev->worker, worker_words[ev->type],
 	    ev->task, ev->attempt,
 	    ogl__task_state__descriptor.values[ev->state].name);
@@ -721,7 +721,7 @@
 	h->role = role;
 	h->leaving = shown_leaving(c, l);
 	if (l->told != (h->leaving != 0))
-		fake_tell_listed(c->history, h->name, h->leaving, c->now);
+		fake_record_listed(c->history, h->name, h->leaving, c->now);
 	l->told = h->leaving != 0;
 	return h;
 }
@@ -786,7 +786,7 @@
 		answer_lost(c, i);
 		return;
 	}
-	fake_tell_lease(c->history, i->act->name, i->act->sync, c->now);
+	fake_record_lease(c->history, i->act->name, i->act->sync, c->now);
 	if (fake_worker_no_room(w) != full)
 		fake_cluster_fault(c,
 		    "worker %s was given more than it holds by %s",
@@ -817,7 +817,7 @@
 	    c->now, &a);
 	a.lost = a.lost || (a.accepted && chance(c, c->net.request_lost));
 	if (a.accepted)
-		fake_feed_exec(c->history, name, body, i->act->name,
+		fake_record_exec(c->history, name, body, i->act->name,
 		    i->act->work_kind, c->now, &a);
 	/* The adapter takes no answer that is cut or another request's. */
 	if (a.lost || a.sent < a.n || a.token != i->act->token) {
@@ -907,7 +907,7 @@
 		note(c, "call %u cut", number);
 		k->verdict = k->arrived ? OGL_MAY_HAVE_RUN : OGL_NOT_RUN;
 		k->answer = g_strdup("");
-		fake_tell_answer(c->history, number, k);
+		fake_record_answer(c->history, number, k);
 		return;
 	}
 	p = g_bytes_get_data(a->data, &n);
@@ -918,7 +918,7 @@
 	note(c, "call %u answered %u %s after %" G_GINT64_FORMAT " ms: %s",
 	    number, k->status, ogl_verdict_name(k->verdict),
 	    (k->answered - k->asked) / OGL_MS, k->answer);
-	fake_tell_answer(c->history, number, k);
+	fake_record_answer(c->history, number, k);
 }
 
 static void
@@ -960,7 +960,7 @@
 {
 	struct slot *s = &c->slots[node];
 
-	fake_tell_node(c->history, s->name,
+	fake_record_node(c->history, s->name,
 	    exited ? HISTORY_NODE_EXITED : HISTORY_NODE_DOWN, c->now);
 	ogl_node_end(s->node);
 	s->node = NULL;
@@ -973,7 +973,7 @@
 		if (k->node != node || k->done)
 			continue;
 		if (exited && k->arrived)
-			fake_tell_cut(c->history, s->name, i, c->now);
+			fake_record_cut(c->history, s->name, i, c->now);
 		if (exited && k->arrived)
 			fake_cluster_fault(
 			    c, "shutdown of %s cut call %u", s->name, i);
@@ -988,7 +988,7 @@
 	const struct slot *s = ctx;
 
 	if (s->node != NULL && s->paused == c->now)
-		fake_tell_node(
+		fake_record_node(
 		    c->history, s->name, HISTORY_NODE_RESUMED, c->now);
 }
 
@@ -997,7 +997,7 @@
 {
 	struct slot *s = &c->slots[node];
 
-	fake_tell_node(c->history, s->name, HISTORY_NODE_PAUSED, c->now);
+	fake_record_node(c->history, s->name, HISTORY_NODE_PAUSED, c->now);
 	fake_cluster_at(c, s->paused, tell_resumed, s);
 }
 
@@ -1076,7 +1076,7 @@
 		s->version = ogl_settings_version(s->node->settings);
 		note(c, "%s goes by settings %" G_GUINT64_FORMAT, s->name,
 		    s->version);
-		fake_tell_version(c->history, s->name, s->version, c->now);
+		fake_record_version(c->history, s->name, s->version, c->now);
 	}
 	plan_wake(c, node);
 }
@@ -1257,7 +1257,7 @@
 	s->node = ogl_node_init(&n, ogl_random_next(&c->rnd), c->now, NULL);
 	s->version = 0;
 	note(c, "%s starts", s->name);
-	fake_tell_node(c->history, s->name, HISTORY_NODE_UP, c->now);
+	fake_record_node(c->history, s->name, HISTORY_NODE_UP, c->now);
 	plan_wake(c, node);
 }
 
@@ -1267,7 +1267,7 @@
 	if (c->slots[node].node == NULL)
 		return;
 	note(c, "%s told to stop", c->slots[node].name);
-	fake_tell_node(
+	fake_record_node(
 	    c->history, c->slots[node].name, HISTORY_NODE_STOPPING, c->now);
 	push_event(c, node, c->slots[node].boot, c->now,
 	    delivery_new(OGL_EV_STOP, 0, OGL_IO_OK));
@@ -1479,7 +1479,7 @@
 	g_ptr_array_add(c->calls, k);
 	note(c, "call %u at %s: %s %s id \"%s\" %s", number,
 	    c->slots[node].name, k->method, k->path, k->id, k->body);
-	fake_tell_call(
+	fake_record_call(
 	    c->history, number, c->slots[node].name, k, ask->budget_ms);
 	d->call = number;
 	d->key = g_strdup(ask->key);
--- a/test/fake_cluster_tell.c
+++ b/test/fake_cluster_tell.c
@@ -25,7 +25,7 @@
 }
 
 void
-fake_tell_call(struct ogl_history *h, uint32_t number, const char *node,
+fake_record_call(struct ogl_history *h, uint32_t number, const char *node,
     const struct fake_call *k, uint64_t timeout_ms)
 {
 	struct history_event ev = {.type = HISTORY_CALL, .at = k->asked};
@@ -111,7 +111,7 @@
 }
 
 void
-fake_tell_answer(
+fake_record_answer(
     struct ogl_history *h, uint32_t number, const struct fake_call *k)
 {
 	struct history_event ev = {.type = HISTORY_ANSWER, .at = k->answered};
@@ -140,8 +140,8 @@
 }
 
 void
-fake_tell_node(struct ogl_history *h, const char *node, enum history_node state,
-    ogl_time now)
+fake_record_node(struct ogl_history *h, const char *node,
+    enum history_node state, ogl_time now)
 {
 	struct history_event ev = {.type = HISTORY_NODE, .at = now};
 
@@ -151,7 +151,7 @@
 }
 
 void
-fake_tell_lease(struct ogl_history *h, const char *worker,
+fake_record_lease(struct ogl_history *h, const char *worker,
     const Ogl__WorkerSync *m, ogl_time now)
 {
 	struct history_event ev = {.type = HISTORY_LEASE, .at = now};
@@ -167,7 +167,7 @@
 }
 
 void
-fake_tell_listed(
+fake_record_listed(
     struct ogl_history *h, const char *target, bool leaving, ogl_time now)
 {
 	struct history_event ev = {.type = HISTORY_LISTED, .at = now};
@@ -178,7 +178,7 @@
 }
 
 void
-fake_tell_version(
+fake_record_version(
     struct ogl_history *h, const char *node, uint64_t version, ogl_time now)
 {
 	struct history_event ev = {.type = HISTORY_IN_FORCE, .at = now};
@@ -189,7 +189,7 @@
 }
 
 void
-fake_tell_cut(
+fake_record_cut(
     struct ogl_history *h, const char *node, uint32_t call, ogl_time now)
 {
 	struct history_event ev = {.type = HISTORY_CUT, .at = now};
--- a/test/fake_cluster_tell.h
+++ b/test/fake_cluster_tell.h
@@ -6,20 +6,20 @@
 #include "fake_cluster.h"
 #include "history.h"
 
-void fake_tell_call(struct ogl_history *h, uint32_t number, const char *node,
+void fake_record_call(struct ogl_history *h, uint32_t number, const char *node,
     const struct fake_call *k, uint64_t timeout_ms);
-void fake_tell_answer(
+void fake_record_answer(
     struct ogl_history *h, uint32_t number, const struct fake_call *k);
 /* The answer, and what it tells of a job or an edit. */
-void fake_tell_node(struct ogl_history *h, const char *node,
+void fake_record_node(struct ogl_history *h, const char *node,
     enum history_node state, ogl_time now);
-void fake_tell_lease(struct ogl_history *h, const char *worker,
+void fake_record_lease(struct ogl_history *h, const char *worker,
     const Ogl__WorkerSync *m, ogl_time now);
-void fake_tell_listed(
+void fake_record_listed(
     struct ogl_history *h, const char *target, bool leaving, ogl_time now);
-void fake_tell_version(
+void fake_record_version(
     struct ogl_history *h, const char *node, uint64_t version, ogl_time now);
-void fake_tell_cut(
+void fake_record_cut(
     struct ogl_history *h, const char *node, uint32_t call, ogl_time now);
 
 #endif
--- a/test/fake_feed.c
+++ b/test/fake_feed.c
@@ -6,7 +6,7 @@
 #include "fake_feed.h"
 
 void
-fake_feed_worker(void *h, const struct fake_worker_event *ev)
+fake_record_worker(void *h, const struct fake_worker_event *ev)
 {
 	static const enum history_type types[] = {
 	    [FAKE_WORKER_START] = HISTORY_START,
@@ -38,7 +38,7 @@
 }
 
 void
-fake_feed_exec(struct ogl_history *h, const char *exec, struct ogl_str body,
+fake_record_exec(struct ogl_history *h, const char *exec, struct ogl_str body,
     const char *team, const char *kind, ogl_time now,
     const struct fake_exec_answer *a)
 {
--- a/test/fake_feed.h
+++ b/test/fake_feed.h
@@ -11,14 +11,14 @@
 extern "C" {
 #endif
 
-void fake_feed_worker(void *h, const struct fake_worker_event *ev);
+void fake_record_worker(void *h, const struct fake_worker_event *ev);
 /* A hook for fake_worker_hook, with the history as its ctx. */
 
 void fake_feed_capacity(struct ogl_history *h, const char *worker,
     uint64_t boot, const struct ogl_res *capacity, ogl_time now);
 /* Adds HISTORY_WORKER. */
 
-void fake_feed_exec(struct ogl_history *h, const char *exec,
+void fake_record_exec(struct ogl_history *h, const char *exec,
     struct ogl_str body, const char *team, const char *kind, ogl_time now,
     const struct fake_exec_answer *a);
 /* Adds HISTORY_RUN for what fake_exec_run accepted. */
--- a/test/standin_executor.c
+++ b/test/standin_executor.c
@@ -82,7 +82,7 @@
 	    fake_http_header(c, "Ogl-Kind"), strtoull(token, NULL, 10), now,
 	    &a);
 	if (s->history != NULL)
-		fake_feed_exec(s->history, s->name, c->body,
+		fake_record_exec(s->history, s->name, c->body,
 		    fake_http_header(c, "Ogl-Team"),
 		    fake_http_header(c, "Ogl-Kind"), now, &a);
 	if (!a.accepted)
--- a/test/standin_worker.c
+++ b/test/standin_worker.c
@@ -263,7 +263,7 @@
 	s->boot = c.boot;
 	s->worker = fake_worker_init(&c);
 	if (s->history != NULL)
-		fake_worker_hook(s->worker, fake_feed_worker, s->history);
+		fake_worker_hook(s->worker, fake_record_worker, s->history);
 	tell_capacity(s, true, (ogl_time)c.boot);
 	s->http = fake_http_start(loop, port, handle, s);
 	if (s->http != NULL)
