--- a/test/fake_cluster.c
+++ b/test/fake_cluster.c
@@ -820,7 +820,7 @@
 		fake_record_exec(c->history, name, body, i->act->name,
 		    i->act->work_kind, c->now, &a);
 	/* The adapter takes no answer that is cut or another request's. */
-	if (a.lost || a.sent < a.n || a.token != i->act->token) {
+	if (a.lost || a.sent_bytes < a.n || a.token != i->act->token) {
 		answer_lost(c, i);
 	} else {
 		d = delivery_new(OGL_EV_EXEC, i->act->token,
@@ -830,7 +830,7 @@
 		d->ev.u.exec.not_run = !a.accepted;
 		d->ev.u.exec.body.p =
 		    g_bytes_get_data(d->data, &d->ev.u.exec.body.n);
-		answer(c, i, d, a.at + net_delay(c));
+		answer(c, i, d, a.answer_at + net_delay(c));
 	}
 	fake_exec_answer_clear(&a);
 }
--- a/test/fake_exec.c
+++ b/test/fake_exec.c
@@ -60,7 +60,7 @@
 }
 
 uint32_t
-fake_exec_busy(struct fake_exec *e, ogl_time now)
+fake_exec_busy_slots(struct fake_exec *e, ogl_time now)
 {
 	for (guint i = e->running->len; i-- > 0;) {
 		if (g_array_index(e->running, ogl_time, i) <= now)
@@ -92,11 +92,11 @@
 refuse(struct fake_exec_answer *a, const char *why, ogl_time now)
 {
 	a->status = 503;
-	a->finish = now;
-	a->at = now;
+	a->finish_at = now;
+	a->answer_at = now;
 	a->body = g_strdup(why);
 	a->n = strlen(why);
-	a->sent = a->n;
+	a->sent_bytes = a->n;
 }
 
 static void
@@ -109,7 +109,7 @@
 	if (body.n > 0)
 		g_string_append_len(s, body.p, (gssize)body.n);
 	a->n = s->len;
-	a->sent = s->len;
+	a->sent_bytes = s->len;
 	a->body = g_string_free(s, FALSE);
 }
 
@@ -118,7 +118,7 @@
     const char *kind, uint64_t token, ogl_time now, struct fake_exec_answer *a)
 {
 	struct fake_exec_script *c = &e->script;
-	uint64_t run_ms = FAKE_EXEC_RUN_MS;
+	uint64_t run_ms = FAKE_EXEC_DEFAULT_RUN_MS;
 
 	memset(a, 0, sizeof(*a));
 	a->token = token;
@@ -126,26 +126,26 @@
 		refuse(a, "leaving", now);
 		return;
 	}
-	if (fake_exec_busy(e, now) >= e->slots) {
+	if (fake_exec_busy_slots(e, now) >= e->slots) {
 		refuse(a, "no free slot", now);
 		return;
 	}
 	fake_text_number(body, "run_ms=", &run_ms);
 	a->accepted = true;
 	a->status = c->fail_all ? 500 : 200;
-	a->finish = now + (ogl_time)run_ms * OGL_MS;
-	a->at = a->finish + c->late;
-	g_array_append_val(e->running, a->finish);
+	a->finish_at = now + (ogl_time)run_ms * OGL_MS;
+	a->answer_at = a->finish_at + c->late;
+	g_array_append_val(e->running, a->finish_at);
 	count_run(e, body);
 	echo(a, body, team, kind);
 	a->lost = take_one(&c->lose);
 	if (!a->lost && take_one(&c->cut))
-		a->sent = a->n / 2;
+		a->sent_bytes = a->n / 2;
 	if (!a->lost && take_one(&c->cross))
 		a->token = token + 1;
 	if (e->hook != NULL) {
 		struct fake_exec_event ev = {
-		    e->name, body, team, kind, now, a->finish};
+		    e->name, body, team, kind, now, a->finish_at};
 
 		e->hook(e->hook_ctx, &ev);
 	}
@@ -159,7 +159,7 @@
 }
 
 uint64_t
-fake_exec_ran(const struct fake_exec *e, struct ogl_str body)
+fake_exec_run_count(const struct fake_exec *e, struct ogl_str body)
 {
 	GBytes *key = g_bytes_new(body.p, body.n);
 	uint64_t n = GPOINTER_TO_SIZE(g_hash_table_lookup(e->counts, key));
@@ -169,7 +169,7 @@
 }
 
 void
-fake_exec_each_count(const struct fake_exec *e,
+fake_exec_each_run_count(const struct fake_exec *e,
     void (*fn)(void *ctx, struct ogl_str body, uint64_t runs), void *ctx)
 {
 	GHashTableIter it;
--- a/test/fake_exec.h
+++ b/test/fake_exec.h
@@ -14,7 +14,7 @@
 #endif
 
 #define FAKE_EXEC_SLOTS 8
-#define FAKE_EXEC_RUN_MS 5 /* when the body names no run time */
+#define FAKE_EXEC_DEFAULT_RUN_MS 5 /* when the body names no run time */
 
 struct fake_exec;
 
@@ -30,15 +30,15 @@
 
 /* What becomes of one request; `body` is freed by fake_exec_answer_clear. */
 struct fake_exec_answer {
-	bool accepted;   /* it runs; otherwise refused, certainly not run */
-	bool lost;       /* no answer is sent */
-	uint32_t status; /* HTTP */
-	uint64_t token;  /* that the answer carries */
-	ogl_time finish; /* end of the run, when its slot falls free */
-	ogl_time at;     /* when the answer is sent */
+	bool accepted;      /* it runs; otherwise refused, certainly not run */
+	bool lost;          /* no answer is sent */
+	uint32_t status;    /* HTTP */
+	uint64_t token;     /* that the answer carries */
+	ogl_time finish_at; /* end of the run, when its slot falls free */
+	ogl_time answer_at; /* when the answer is sent */
 	char *body;
-	size_t n;    /* bytes of the whole body */
-	size_t sent; /* bytes really sent; less than n when cut short */
+	size_t n;          /* bytes of the whole body */
+	size_t sent_bytes; /* bytes really sent; less than n when cut short */
 };
 
 /* One run, for a history checker. */
@@ -66,13 +66,13 @@
 
 void fake_exec_answer_clear(struct fake_exec_answer *a);
 
-uint32_t fake_exec_busy(struct fake_exec *e, ogl_time now);
+uint32_t fake_exec_busy_slots(struct fake_exec *e, ogl_time now);
 /* Slots taken. */
 
-uint64_t fake_exec_ran(const struct fake_exec *e, struct ogl_str body);
+uint64_t fake_exec_run_count(const struct fake_exec *e, struct ogl_str body);
 /* How often this body ran here. */
 
-void fake_exec_each_count(const struct fake_exec *e,
+void fake_exec_each_run_count(const struct fake_exec *e,
     void (*fn)(void *ctx, struct ogl_str body, uint64_t runs), void *ctx);
 /* Calls fn for each distinct body, in no certain order. */
 
--- a/test/fake_feed.c
+++ b/test/fake_feed.c
@@ -53,8 +53,8 @@
 	e.u.run.team = team;
 	e.u.run.kind = kind;
 	e.u.run.token = a->token;
-	e.u.run.until = a->finish;
-	e.u.run.whole = !a->lost && a->sent == a->n;
+	e.u.run.until = a->finish_at;
+	e.u.run.whole = !a->lost && a->sent_bytes == a->n;
 	ogl_history_add(h, &e);
 	g_free(text);
 }
--- a/test/standin_executor.c
+++ b/test/standin_executor.c
@@ -92,9 +92,9 @@
 	c->status = a.status;
 	c->answer = a.body;
 	c->n = a.n;
-	c->sent = a.sent;
+	c->sent = a.sent_bytes;
 	c->drop = a.lost;
-	c->delay = a.at - now;
+	c->delay = a.answer_at - now;
 	return FAKE_HTTP_ANSWER;
 }
 
@@ -125,7 +125,7 @@
 {
 	json_t *list = json_array();
 
-	fake_exec_each_count(s->exec, add_count, list);
+	fake_exec_each_run_count(s->exec, add_count, list);
 	return fake_http_json(
 	    c, 200, json_pack("{s:s, s:o}", "name", s->name, "counts", list));
 }
--- a/test/test_fake_exec.cc
+++ b/test/test_fake_exec.cc
@@ -34,16 +34,16 @@
 {
 	Run("x run_ms=20", 100);
 	EXPECT_TRUE(a.accepted);
-	EXPECT_EQ(100 + 20 * OGL_MS, a.finish);
+	EXPECT_EQ(100 + 20 * OGL_MS, a.finish_at);
 	EXPECT_EQ("north|order|x run_ms=20", std::string(a.body, a.n));
 	EXPECT_EQ(5u, a.token);
 	Run("y run_ms=40", 101);
 	Run("z", 102);
 	EXPECT_FALSE(a.accepted);
 	EXPECT_EQ(503u, a.status);
-	EXPECT_EQ(0u, fake_exec_ran(e, ogl_str("z")));
-	EXPECT_EQ(2u, fake_exec_busy(e, 102));
-	EXPECT_EQ(1u, fake_exec_busy(e, 100 + 20 * OGL_MS));
+	EXPECT_EQ(0u, fake_exec_run_count(e, ogl_str("z")));
+	EXPECT_EQ(2u, fake_exec_busy_slots(e, 102));
+	EXPECT_EQ(1u, fake_exec_busy_slots(e, 100 + 20 * OGL_MS));
 	Run("z", 100 + 20 * OGL_MS);
 	EXPECT_TRUE(a.accepted);
 }
@@ -59,7 +59,7 @@
 	EXPECT_TRUE(a.lost);
 	s->cut = 1;
 	Run("x run_ms=1", 2 * OGL_SEC);
-	EXPECT_LT(a.sent, a.n);
+	EXPECT_LT(a.sent_bytes, a.n);
 	s->cross = 1;
 	Run("x run_ms=1", 3 * OGL_SEC);
 	EXPECT_NE(5u, a.token);
@@ -67,12 +67,12 @@
 	s->fail_all = true;
 	Run("x run_ms=1", 4 * OGL_SEC);
 	EXPECT_EQ(500u, a.status);
-	EXPECT_EQ(a.finish + OGL_SEC, a.at);
-	EXPECT_EQ(4u, fake_exec_ran(e, ogl_str("x run_ms=1")));
+	EXPECT_EQ(a.finish_at + OGL_SEC, a.answer_at);
+	EXPECT_EQ(4u, fake_exec_run_count(e, ogl_str("x run_ms=1")));
 	s->leaving = true;
 	Run("x run_ms=1", 6 * OGL_SEC);
 	EXPECT_FALSE(a.accepted);
-	EXPECT_EQ(4u, fake_exec_ran(e, ogl_str("x run_ms=1")));
+	EXPECT_EQ(4u, fake_exec_run_count(e, ogl_str("x run_ms=1")));
 }
 
 } // namespace
