--- a/test/fake_http.c
+++ b/test/fake_http.c
@@ -64,7 +64,7 @@
 static void
 set_timer(struct exchange *x)
 {
-	ogl_time in = x->phase == WAITING ? x->call.wait : x->call.delay;
+	ogl_time in = x->phase == WAITING ? x->call.max_wait : x->call.delay;
 
 	ev_now_update(x->http->loop);
 	ev_timer_stop(x->http->loop, &x->timer);
@@ -112,7 +112,7 @@
 		resume(x);
 		return;
 	}
-	x->call.last = true;
+	x->call.wait_over = true;
 	ask_handler(x);
 	if (x->phase == WAITING) {
 		x->call.drop = true;
@@ -164,7 +164,7 @@
 read_cut(void *ctx, uint64_t at, char *buf, size_t max)
 {
 	const struct fake_http_call *c = ctx;
-	size_t left = c->sent > at ? c->sent - (size_t)at : 0;
+	size_t left = c->sent_bytes > at ? c->sent_bytes - (size_t)at : 0;
 
 	if (left == 0)
 		return MHD_CONTENT_READER_END_WITH_ERROR;
@@ -182,7 +182,7 @@
 
 	if (c->drop)
 		return MHD_NO;
-	if (c->sent < c->n)
+	if (c->sent_bytes < c->n)
 		r = MHD_create_response_from_callback(
 		    c->n, 1024, read_cut, c, NULL);
 	else
@@ -382,7 +382,7 @@
 }
 
 uint64_t
-fake_http_arg(
+fake_http_query_number(
     const struct fake_http_call *c, const char *name, uint64_t fallback)
 {
 	const char *v = MHD_lookup_connection_value(
@@ -398,7 +398,7 @@
 void
 fake_http_set(struct fake_http_call *c, const char *name, const char *value)
 {
-	g_assert(c->nheaders < FAKE_HTTP_HEADERS);
+	g_assert(c->nheaders < FAKE_HTTP_MAX_HEADERS);
 	c->header_name[c->nheaders] = name;
 	c->header_value[c->nheaders++] = g_strdup(value);
 }
@@ -409,7 +409,7 @@
 	c->status = status;
 	c->answer = text;
 	c->n = strlen(text);
-	c->sent = c->n;
+	c->sent_bytes = c->n;
 	return FAKE_HTTP_ANSWER;
 }
 
@@ -459,19 +459,19 @@
 {
 	switch (t->type) {
 	case FAKE_CTL_FLAG:
-		*(bool *)t->to = json_is_true(v);
+		*(bool *)t->value = json_is_true(v);
 		break;
 	case FAKE_CTL_REAL:
-		*(double *)t->to = json_number_value(v);
+		*(double *)t->value = json_number_value(v);
 		break;
 	case FAKE_CTL_COUNT:
-		*(uint32_t *)t->to = (uint32_t)json_integer_value(v);
+		*(uint32_t *)t->value = (uint32_t)json_integer_value(v);
 		break;
 	case FAKE_CTL_COUNT64:
-		*(uint64_t *)t->to = (uint64_t)json_integer_value(v);
+		*(uint64_t *)t->value = (uint64_t)json_integer_value(v);
 		break;
 	case FAKE_CTL_MS:
-		*(ogl_time *)t->to = json_integer_value(v) * OGL_MS;
+		*(ogl_time *)t->value = json_integer_value(v) * OGL_MS;
 		break;
 	}
 }
--- a/test/fake_http.h
+++ b/test/fake_http.h
@@ -12,7 +12,7 @@
 
 #include "orioleglade.h"
 
-#define FAKE_HTTP_HEADERS 4 /* most headers an answer may be given */
+#define FAKE_HTTP_MAX_HEADERS 4 /* most headers an answer may be given */
 
 struct fake_http; /* one port */
 
@@ -21,25 +21,25 @@
 	const char *method;
 	const char *path; /* without its query */
 	struct ogl_str body;
-	bool last; /* its wait is over: answer now */
+	bool wait_over; /* its wait is over: answer now */
 
 	uint32_t status;
-	char *answer;   /* g_malloc'd; NULL is an empty body */
-	size_t n;       /* length declared */
-	size_t sent;    /* bytes sent; below n the connection breaks */
-	bool drop;      /* close the connection without an answer */
-	ogl_time delay; /* before the answer */
-	ogl_time wait;  /* longest wait after FAKE_HTTP_WAIT */
+	char *answer;      /* g_malloc'd; NULL is an empty body */
+	size_t n;          /* length declared */
+	size_t sent_bytes; /* bytes sent; below n the connection breaks */
+	bool drop;         /* close the connection without an answer */
+	ogl_time delay;    /* before the answer */
+	ogl_time max_wait; /* longest wait after FAKE_HTTP_WAIT */
 	unsigned nheaders;
-	const char *header_name[FAKE_HTTP_HEADERS];
-	char *header_value[FAKE_HTTP_HEADERS];
-	void *connection; /* for fake_http_header and fake_http_arg */
+	const char *header_name[FAKE_HTTP_MAX_HEADERS];
+	char *header_value[FAKE_HTTP_MAX_HEADERS];
+	void *connection; /* for fake_http_header and fake_http_query_number */
 };
 
 enum fake_http_next {
 	FAKE_HTTP_ANSWER, /* the answer is filled in */
 	FAKE_HTTP_WAIT    /* call the handler again after fake_http_wake or
-	                     when call->wait has passed */
+	                     when call->max_wait has passed */
 };
 
 typedef enum fake_http_next (*fake_http_handler)(
@@ -65,7 +65,7 @@
 const char *fake_http_header(const struct fake_http_call *c, const char *name);
 /* A header of the request; "" when absent. */
 
-uint64_t fake_http_arg(
+uint64_t fake_http_query_number(
     const struct fake_http_call *c, const char *name, uint64_t fallback);
 /* A number in the query. */
 
@@ -91,7 +91,7 @@
 		FAKE_CTL_MS,      /* milliseconds into an ogl_time */
 		FAKE_CTL_REAL     /* double */
 	} type;
-	void *to;
+	void *value;
 };
 
 enum fake_http_next fake_ctl_answer(
--- a/test/standin_executor.c
+++ b/test/standin_executor.c
@@ -92,7 +92,7 @@
 	c->status = a.status;
 	c->answer = a.body;
 	c->n = a.n;
-	c->sent = a.sent_bytes;
+	c->sent_bytes = a.sent_bytes;
 	c->drop = a.lost;
 	c->delay = a.answer_at - now;
 	return FAKE_HTTP_ANSWER;
--- a/test/standin_platform.c
+++ b/test/standin_platform.c
@@ -192,9 +192,9 @@
     ogl_time now)
 {
 	struct ogl_log_entry entries[READ_MAX];
-	uint64_t from = fake_http_arg(c, "from", 0);
-	uint64_t max = fake_http_arg(c, "max", READ_MAX);
-	uint64_t wait_ms = fake_http_arg(c, "wait_ms", 0);
+	uint64_t from = fake_http_query_number(c, "from", 0);
+	uint64_t max = fake_http_query_number(c, "max", READ_MAX);
+	uint64_t wait_ms = fake_http_query_number(c, "wait_ms", 0);
 	uint64_t first;
 	uint64_t next;
 	size_t n;
@@ -203,9 +203,9 @@
 	if (fake_log_read(p->log, stream, from, now, &first, &next, entries,
 		MIN(max, READ_MAX), &n) != FAKE_LOG_OK)
 		return fake_http_text(c, 503, g_strdup("outage\n"));
-	if (n == 0 && wait_ms > 0 && !c->last) {
-		if (c->wait == 0)
-			c->wait = (ogl_time)MIN(wait_ms, 60000) * OGL_MS;
+	if (n == 0 && wait_ms > 0 && !c->wait_over) {
+		if (c->max_wait == 0)
+			c->max_wait = (ogl_time)MIN(wait_ms, 60000) * OGL_MS;
 		return FAKE_HTTP_WAIT;
 	}
 	return fake_http_json(c, 200,
