--- a/test/fake_worker.c
+++ b/test/fake_worker.c
@@ -272,7 +272,7 @@
 }
 
 ogl_time
-fake_worker_next(const struct fake_worker *w)
+fake_worker_next_due(const struct fake_worker *w)
 {
 	struct task *t = first_due(w);
 	ogl_time next = t != NULL ? task_due(t) : OGL_NEVER;
@@ -352,10 +352,10 @@
 static ogl_time
 run_length(const struct fake_worker *w, const Ogl__TaskStart *s)
 {
-	uint64_t run_ms = FAKE_WORKER_RUN_MS;
+	uint64_t run_ms = FAKE_WORKER_DEFAULT_RUN_MS;
 
 	if (w->script.fail_all)
-		return FAKE_WORKER_BROKEN_MS * OGL_MS;
+		return FAKE_WORKER_FAIL_RUN_MS * OGL_MS;
 	if (s->run_ms != 0)
 		run_ms = s->run_ms;
 	if (fake_text_number(ogl_str(s->payload), "run_ms=", &run_ms))
--- a/test/fake_worker.h
+++ b/test/fake_worker.h
@@ -12,9 +12,9 @@
 extern "C" {
 #endif
 
-#define FAKE_WORKER_USAGE_LAG_MS 5000 /* before usage is first reported */
-#define FAKE_WORKER_RUN_MS 1000       /* of a task that names no run time */
-#define FAKE_WORKER_BROKEN_MS 10      /* until a broken worker fails a task */
+#define FAKE_WORKER_USAGE_LAG_MS 5000   /* before usage is first reported */
+#define FAKE_WORKER_DEFAULT_RUN_MS 1000 /* of a task that names no run time */
+#define FAKE_WORKER_FAIL_RUN_MS 10      /* until a broken worker fails a task */
 
 struct fake_worker;
 
@@ -76,7 +76,7 @@
  * paused with it.
  */
 
-ogl_time fake_worker_next(const struct fake_worker *w);
+ogl_time fake_worker_next_due(const struct fake_worker *w);
 /* When tick has something to do next; OGL_NEVER when nothing runs. */
 
 bool fake_worker_sync(struct fake_worker *w, const Ogl__WorkerSync *s,
--- a/test/test_fake_worker.cc
+++ b/test/test_fake_worker.cc
@@ -127,7 +127,7 @@
 	EXPECT_EQ((uint64_t)(T0 / OGL_MS) + 500, clock);
 	Sync(T0 + 1, {{"j.0", 1, 1000, "run_ms=40"}, {"j.1", 1, 500, "fail"}});
 	EXPECT_EQ(OGL__TASK_STATE__running, seen.at("j.0/1"));
-	EXPECT_EQ(T0 + 1 + 40 * OGL_MS, fake_worker_next(w));
+	EXPECT_EQ(T0 + 1 + 40 * OGL_MS, fake_worker_next_due(w));
 	for (int i = 0; i < 3; i++)
 		Sync(T0 + (2 + i) * OGL_SEC);
 	EXPECT_EQ(OGL__TASK_STATE__succeeded, seen.at("j.0/1"));
@@ -244,7 +244,7 @@
 	EXPECT_EQ(OGL__TASK_STATE__checkpointed, seen.at("c.0/1"));
 	Sync(
 	    T0 + 3 * OGL_SEC, {}, false, {}, {{"a.0", OGL__STOP_MODE__resume}});
-	EXPECT_EQ(T0 + 3500 * OGL_MS, fake_worker_next(w));
+	EXPECT_EQ(T0 + 3500 * OGL_MS, fake_worker_next_due(w));
 }
 
 TEST_F(FakeWorker, ReportsUsageWithALag)
