--- a/test/fake_cluster.c
+++ b/test/fake_cluster.c
@@ -77,9 +77,9 @@
 	bool pause_armed; /* at the next action of pause_type */
 	enum ogl_action_type pause_type;
 	ogl_time pause_length;
-	bool cut_node[FAKE_CLUSTER_MOST];
-	bool cut_worker[FAKE_CLUSTER_MOST];
-	bool cut_exec[FAKE_CLUSTER_MOST];
+	bool cut_node[FAKE_CLUSTER_MAX_EACH];
+	bool cut_worker[FAKE_CLUSTER_MAX_EACH];
+	bool cut_exec[FAKE_CLUSTER_MAX_EACH];
 	bool cut_log;
 	bool cut_hosts;
 	uint64_t version; /* of the settings, as last told */
@@ -118,16 +118,16 @@
 	ogl_time now;
 	uint64_t seq;
 	GPtrArray *heap; /* struct item */
-	struct slot slots[FAKE_CLUSTER_MOST];
-	char *seeds[FAKE_CLUSTER_MOST];
+	struct slot slots[FAKE_CLUSTER_MAX_EACH];
+	char *seeds[FAKE_CLUSTER_MAX_EACH];
 	char operator_key[80];
 	char operator_hash[65];
 	struct fake_log *log;
-	struct fake_worker *workers[FAKE_CLUSTER_MOST];
-	uint64_t worker_boots[FAKE_CLUSTER_MOST]; /* restarts */
-	struct listed worker_listed[FAKE_CLUSTER_MOST];
-	struct fake_exec *execs[FAKE_CLUSTER_MOST];
-	struct listed exec_listed[FAKE_CLUSTER_MOST];
+	struct fake_worker *workers[FAKE_CLUSTER_MAX_EACH];
+	uint64_t worker_boots[FAKE_CLUSTER_MAX_EACH]; /* restarts */
+	struct listed worker_listed[FAKE_CLUSTER_MAX_EACH];
+	struct fake_exec *execs[FAKE_CLUSTER_MAX_EACH];
+	struct listed exec_listed[FAKE_CLUSTER_MAX_EACH];
 	GPtrArray *calls;   /* struct fake_call */
 	GHashTable *tasks;  /* name -> struct seen */
 	GHashTable *teams;  /* path -> struct tally */
@@ -528,7 +528,7 @@
 {
 	if (c == NULL)
 		return;
-	for (uint32_t i = 0; i < FAKE_CLUSTER_MOST; i++) {
+	for (uint32_t i = 0; i < FAKE_CLUSTER_MAX_EACH; i++) {
 		ogl_node_end(c->slots[i].node);
 		g_free(c->slots[i].name);
 		g_free(c->slots[i].addr);
@@ -1171,7 +1171,7 @@
 }
 
 bool
-fake_cluster_until(struct fake_cluster *c,
+fake_cluster_run_until(struct fake_cluster *c,
     bool (*fn)(struct fake_cluster *c, void *ctx), void *ctx, ogl_time most)
 {
 	ogl_time end = c->now + most;
@@ -1375,7 +1375,7 @@
 }
 
 void
-fake_cluster_cut(struct fake_cluster *c, uint32_t node, enum fake_side side,
+fake_cluster_cut(struct fake_cluster *c, uint32_t node, enum fake_endpoint side,
     uint32_t index, bool cut)
 {
 	struct slot *s = &c->slots[node];
@@ -1414,7 +1414,7 @@
 	l->outage = false;
 	l->lose = 0;
 	l->slow = 0;
-	for (uint32_t i = 0; i < FAKE_CLUSTER_MOST; i++) {
+	for (uint32_t i = 0; i < FAKE_CLUSTER_MAX_EACH; i++) {
 		struct slot *s = &c->slots[i];
 
 		memset(s->cut_node, 0, sizeof s->cut_node);
@@ -1444,8 +1444,8 @@
 }
 
 void
-fake_cluster_leaving(
-    struct fake_cluster *c, enum fake_side side, uint32_t index, bool leaving)
+fake_cluster_leaving(struct fake_cluster *c, enum fake_endpoint side,
+    uint32_t index, bool leaving)
 {
 	struct listed *l = side == FAKE_WORKER ? &c->worker_listed[index]
 					       : &c->exec_listed[index];
@@ -1513,7 +1513,7 @@
 {
 	uint32_t k = fake_cluster_call(c, node, ask);
 
-	fake_cluster_until(c, call_done, &k, 30 * OGL_SEC);
+	fake_cluster_run_until(c, call_done, &k, 30 * OGL_SEC);
 	return fake_cluster_answer(c, k);
 }
 
--- a/test/fake_cluster.h
+++ b/test/fake_cluster.h
@@ -19,7 +19,7 @@
 
 #include "random.h"
 
-#define FAKE_CLUSTER_MOST 16 /* nodes, workers, executors each */
+#define FAKE_CLUSTER_MAX_EACH 16 /* nodes, workers, executors each */
 
 struct fake_cluster;
 struct ogl_history;
@@ -37,7 +37,7 @@
 };
 
 /* What a node may be cut off from; `index` names which of the kind. */
-enum fake_side {
+enum fake_endpoint {
 	FAKE_NODE,
 	FAKE_LOG,
 	FAKE_HOSTS,
@@ -103,7 +103,7 @@
 ogl_time fake_cluster_now(const struct fake_cluster *c);
 void fake_cluster_run(struct fake_cluster *c, ogl_time length);
 /* Lets so much time pass. */
-bool fake_cluster_until(struct fake_cluster *c,
+bool fake_cluster_run_until(struct fake_cluster *c,
     bool (*fn)(struct fake_cluster *c, void *ctx), void *ctx, ogl_time most);
 /* Lets time pass until fn holds, at most so long; whether it came to hold. */
 
@@ -145,11 +145,11 @@
 struct fake_exec *fake_cluster_exec(struct fake_cluster *c, uint32_t e);
 struct ogl_random *fake_cluster_random(struct fake_cluster *c);
 void fake_cluster_cut(struct fake_cluster *c, uint32_t node,
-    enum fake_side side, uint32_t index, bool cut);
+    enum fake_endpoint side, uint32_t index, bool cut);
 void fake_cluster_heal(struct fake_cluster *c);
 /* Ends every cut, outage, loss and fault; what is dead stays dead. */
-void fake_cluster_leaving(
-    struct fake_cluster *c, enum fake_side side, uint32_t index, bool leaving);
+void fake_cluster_leaving(struct fake_cluster *c, enum fake_endpoint side,
+    uint32_t index, bool leaving);
 /* Marks a worker or executor as leaving on the host list, in its lag. */
 
 /* ---- callers ---------------------------------------------------------- */
