--- a/test/fake_exec.c
+++ b/test/fake_exec.c
@@ -1,9 +1,9 @@
 /*
- * An executor of short requests without I/O.
+ * A fake executor of short requests, without I/O.
  *
- * A request accepted holds a slot until its finish time; the finish times of
- * what is running are kept, and those that have passed are dropped whenever
- * a slot is asked for.  The run counts live in a table from body to count.
+ * An accepted request holds a slot until its finish time.  The executor keeps
+ * the finish times of running requests and removes those that have passed
+ * whenever it counts the slots in use.
  */
 
 #include <string.h>
@@ -15,8 +15,8 @@
 	struct fake_exec_script script;
 	char *name;
 	uint32_t slots;
-	GArray *running;    /* of ogl_time: when each slot taken falls free */
-	GHashTable *counts; /* GBytes -> runs */
+	GArray *running;    /* of ogl_time: when each used slot becomes free */
+	GHashTable *counts; /* body (GBytes) -> number of runs */
 	void (*hook)(void *ctx, const struct fake_exec_event *ev);
 	void *hook_ctx;
 };
@@ -80,7 +80,7 @@
 }
 
 static bool
-take_one(uint32_t *left)
+consume_one(uint32_t *left)
 {
 	if (*left == 0)
 		return false;
@@ -138,10 +138,10 @@
 	g_array_append_val(e->running, a->finish_at);
 	count_run(e, body);
 	echo(a, body, team, kind);
-	a->lost = take_one(&c->lose);
-	if (!a->lost && take_one(&c->cut))
+	a->lost = consume_one(&c->lose);
+	if (!a->lost && consume_one(&c->cut))
 		a->sent_bytes = a->n / 2;
-	if (!a->lost && take_one(&c->cross))
+	if (!a->lost && consume_one(&c->cross))
 		a->token = token + 1;
 	if (e->hook != NULL) {
 		struct fake_exec_event ev = {
--- a/test/fake_exec.h
+++ b/test/fake_exec.h
@@ -1,7 +1,8 @@
 /*
- * An executor of short requests without I/O: a fixed number of slots, an
- * answer that echoes the request, and scripted faults.  It counts how often
- * each distinct body ran, which is how doubled requests are found.
+ * A fake executor of short requests, without I/O: it has a fixed number of
+ * slots, answers with an echo of the request, and injects scripted faults.
+ * It counts how often each distinct body ran, by which tests find requests
+ * that ran twice.
  */
 
 #ifndef FAKE_EXEC_H
@@ -14,34 +15,34 @@
 #endif
 
 #define FAKE_EXEC_SLOTS 8
-#define FAKE_EXEC_DEFAULT_RUN_MS 5 /* when the body names no run time */
+#define FAKE_EXEC_DEFAULT_RUN_MS 5 /* when the body gives no run time */
 
 struct fake_exec;
 
-/* How the executor misbehaves; may be changed between calls. */
+/* Faults of the executor; may be changed between calls. */
 struct fake_exec_script {
-	bool fail_all;  /* every request runs and ends with status 500 */
-	bool leaving;   /* refuses everything new */
-	uint32_t lose;  /* next requests that run but are not answered */
-	uint32_t cut;   /* next answers that break off half way */
-	uint32_t cross; /* next answers that carry another's token */
+	bool fail_all;  /* requests run but are answered with status 500 */
+	bool leaving;   /* refuses new requests */
+	uint32_t lose;  /* number of next requests that run without an answer */
+	uint32_t cut;   /* number of next answers that end halfway */
+	uint32_t cross; /* number of next answers with a wrong token */
 	ogl_time late;  /* extra delay of each answer after the run */
 };
 
-/* What becomes of one request; `body` is freed by fake_exec_answer_clear. */
+/* The result of one request; `body` is freed by fake_exec_answer_clear. */
 struct fake_exec_answer {
-	bool accepted;      /* it runs; otherwise refused, certainly not run */
-	bool lost;          /* no answer is sent */
-	uint32_t status;    /* HTTP */
-	uint64_t token;     /* that the answer carries */
-	ogl_time finish_at; /* end of the run, when its slot falls free */
+	bool accepted;   /* it runs; if false, it was refused and never runs */
+	bool lost;       /* no answer is sent */
+	uint32_t status; /* HTTP */
+	uint64_t token;  /* of the answer */
+	ogl_time finish_at; /* end of the run, when its slot becomes free */
 	ogl_time answer_at; /* when the answer is sent */
 	char *body;
-	size_t n;          /* bytes of the whole body */
-	size_t sent_bytes; /* bytes really sent; less than n when cut short */
+	size_t n;          /* bytes of the complete body */
+	size_t sent_bytes; /* less than n if the answer is cut */
 };
 
-/* One run, for a history checker. */
+/* One run of a request, for a hook. */
 struct fake_exec_event {
 	const char *exec;
 	struct ogl_str body;
@@ -58,23 +59,23 @@
 
 void fake_exec_hook(struct fake_exec *e,
     void (*hook)(void *ctx, const struct fake_exec_event *ev), void *ctx);
-/* Has hook called at each accepted request. */
+/* Sets the function that is called for each accepted request. */
 
 void fake_exec_run(struct fake_exec *e, struct ogl_str body, const char *team,
     const char *kind, uint64_t token, ogl_time now, struct fake_exec_answer *a);
-/* Takes or refuses one request and fills in what becomes of it. */
+/* Accepts or refuses one request and fills in its result. */
 
 void fake_exec_answer_clear(struct fake_exec_answer *a);
 
 uint32_t fake_exec_busy_slots(struct fake_exec *e, ogl_time now);
-/* Slots taken. */
+/* Number of slots in use. */
 
 uint64_t fake_exec_run_count(const struct fake_exec *e, struct ogl_str body);
-/* How often this body ran here. */
+/* How often this executor ran the body. */
 
 void fake_exec_each_run_count(const struct fake_exec *e,
     void (*fn)(void *ctx, struct ogl_str body, uint64_t runs), void *ctx);
-/* Calls fn for each distinct body, in no certain order. */
+/* Calls fn for each distinct body, in no particular order. */
 
 #ifdef __cplusplus
 }
--- a/test/test_fake_exec.cc
+++ b/test/test_fake_exec.cc
@@ -1,4 +1,4 @@
-// The executor fake: slots, echo, counts and scripted faults.
+// Tests of the fake executor: slots, echo, run counts and scripted faults.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -30,7 +30,7 @@
 	struct fake_exec_answer a = {};
 };
 
-TEST_F(FakeExec, EchoesAndFreesItsSlotAtTheEnd)
+TEST_F(FakeExec, EchoesBodyAndFreesSlotWhenRunEnds)
 {
 	Run("x run_ms=20", 100);
 	EXPECT_TRUE(a.accepted);
@@ -48,8 +48,8 @@
 	EXPECT_TRUE(a.accepted);
 }
 
-// An executor can run a request and its answer still be lost, cut, late,
-// mixed up with another's, or an error.  Each of them ran, and counts.
+// The answer to a request may be lost, cut, late, an error or have a wrong
+// token although the request ran.  Each such run must be counted.
 TEST_F(FakeExec, FaultyAnswersStillCountAsRuns)
 {
 	struct fake_exec_script *s = fake_exec_script(e);
