--- a/test/fake_feed.c
+++ b/test/fake_feed.c
@@ -1,6 +1,6 @@
 /*
- * What workers and executors do, as events of a history.  The fakes know
- * nothing of histories, and histories nothing of the fakes.
+ * Converts events of fake workers and executors to events of a history, so that
+ * neither the fakes nor the history depend on each other.
  */
 
 #include "fake_feed.h"
--- a/test/fake_feed.h
+++ b/test/fake_feed.h
@@ -1,4 +1,4 @@
-/* Feeds a history with what the fakes do. */
+/* Adds the events of fake workers and executors to a history. */
 
 #ifndef FAKE_FEED_H
 #define FAKE_FEED_H
@@ -12,16 +12,16 @@
 #endif
 
 void fake_record_worker(void *h, const struct fake_worker_event *ev);
-/* A hook for fake_worker_hook, with the history as its ctx. */
+/* A hook for fake_worker_hook; h is a struct ogl_history. */
 
 void fake_feed_capacity(struct ogl_history *h, const char *worker,
     uint64_t boot, const struct ogl_res *capacity, ogl_time now);
-/* Adds HISTORY_WORKER. */
+/* Adds a HISTORY_WORKER event. */
 
 void fake_record_exec(struct ogl_history *h, const char *exec,
     struct ogl_str body, const char *team, const char *kind, ogl_time now,
     const struct fake_exec_answer *a);
-/* Adds HISTORY_RUN for what fake_exec_run accepted. */
+/* Adds a HISTORY_RUN event if fake_exec_run accepted the request. */
 
 #ifdef __cplusplus
 }
