--- a/test/fake_http.c
+++ b/test/fake_http.c
@@ -1,15 +1,15 @@
 /*
- * HTTP servers of the stand-ins.
+ * HTTP servers of the stand-in programs.
  *
  * Each port is one libmicrohttpd daemon without threads, whose epoll
- * descriptor is watched by the common loop.  A call goes through the phases
+ * descriptor is watched by the shared loop.  A call goes through the phases
  *
  *     READING -> (WAITING ->) (DELAYED ->) READY
  *
- * and its connection is suspended while it waits or is delayed.  A connection
- * resumed is not seen on that descriptor, so each resumption also starts a
- * timer of no length.  MHD_run is called from watchers alone, never from a
- * handler, and so is never entered twice.
+ * and its connection is suspended while it is WAITING or DELAYED.  Resuming a
+ * connection does not signal that descriptor, so each resume also starts a
+ * timer of zero length.  MHD_run is called only from watchers, never from a
+ * handler, and thus never recursively.
  */
 
 #include <arpa/inet.h>
@@ -20,8 +20,8 @@
 
 #include "fake_http.h"
 
-#define MAX_BODY ((guint)16 << 20)
-#define RUNS_AT_ONCE 16 /* MHD_run calls before other ports get a turn */
+#define MAX_BODY_BYTES ((guint)16 << 20)
+#define MAX_CONSECUTIVE_RUNS 16 /* MHD_run calls before serving other ports */
 
 enum phase {
 	READING,
@@ -45,12 +45,12 @@
 	fake_http_handler fn;
 	void *ctx;
 	ev_io io;
-	ev_timer kick;       /* the daemon has more to do at once */
+	ev_timer run_timer;  /* runs the daemon at the next iteration */
 	GHashTable *pending; /* of struct exchange, WAITING or DELAYED */
 };
 
 static void
-ask_handler(struct exchange *x)
+call_handler(struct exchange *x)
 {
 	struct fake_http *h = x->http;
 	struct fake_http_call *c = &x->call;
@@ -72,13 +72,13 @@
 	ev_timer_start(x->http->loop, &x->timer);
 }
 
-/* Has MHD_run called once the loop goes round. */
+/* Schedules MHD_run for the next iteration of the loop. */
 static void
-kick(struct fake_http *h)
+schedule_run(struct fake_http *h)
 {
-	ev_timer_stop(h->loop, &h->kick);
-	ev_timer_set(&h->kick, 0, 0);
-	ev_timer_start(h->loop, &h->kick);
+	ev_timer_stop(h->loop, &h->run_timer);
+	ev_timer_set(&h->run_timer, 0, 0);
+	ev_timer_start(h->loop, &h->run_timer);
 }
 
 static void
@@ -88,10 +88,10 @@
 	g_hash_table_remove(x->http->pending, x);
 	x->phase = READY;
 	MHD_resume_connection(x->conn);
-	kick(x->http);
+	schedule_run(x->http);
 }
 
-/* A suspended call got a new phase from the handler. */
+/* Acts on the new phase that the handler gave to a suspended call. */
 static void
 advance(struct exchange *x)
 {
@@ -113,7 +113,7 @@
 		return;
 	}
 	x->call.wait_over = true;
-	ask_handler(x);
+	call_handler(x);
 	if (x->phase == WAITING) {
 		x->call.drop = true;
 		x->phase = READY;
@@ -158,10 +158,10 @@
 	*slot = NULL;
 }
 
-/* Feeds an answer that is to break off: only `sent` bytes of those that its
- * length promises. */
+/* Content reader of a truncated answer: supplies sent_bytes, fewer than
+ * the declared length, and then fails. */
 static ssize_t
-read_cut(void *ctx, uint64_t at, char *buf, size_t max)
+read_truncated(void *ctx, uint64_t at, char *buf, size_t max)
 {
 	const struct fake_http_call *c = ctx;
 	size_t left = c->sent_bytes > at ? c->sent_bytes - (size_t)at : 0;
@@ -184,7 +184,7 @@
 		return MHD_NO;
 	if (c->sent_bytes < c->n)
 		r = MHD_create_response_from_callback(
-		    c->n, 1024, read_cut, c, NULL);
+		    c->n, 1024, read_truncated, c, NULL);
 	else
 		r = MHD_create_response_from_buffer(
 		    c->n, c->answer, MHD_RESPMEM_PERSISTENT);
@@ -209,7 +209,7 @@
 		return MHD_YES;
 	}
 	if (*n > 0) {
-		if (x->body->len + *n > MAX_BODY)
+		if (x->body->len + *n > MAX_BODY_BYTES)
 			return MHD_NO;
 		g_byte_array_append(x->body, (const guint8 *)data, (guint)*n);
 		*n = 0;
@@ -219,7 +219,7 @@
 		x->call.path = url;
 		x->call.body.p = (const char *)x->body->data;
 		x->call.body.n = x->body->len;
-		ask_handler(x);
+		call_handler(x);
 		if (x->phase != READY) {
 			g_hash_table_add(x->http->pending, x);
 			MHD_suspend_connection(conn);
@@ -231,7 +231,7 @@
 }
 
 static void
-run(struct fake_http *h)
+run_daemon(struct fake_http *h)
 {
 	MHD_UNSIGNED_LONG_LONG left = 0;
 	int i = 0;
@@ -240,9 +240,9 @@
 		MHD_run(h->daemon);
 		if (MHD_get_timeout(h->daemon, &left) != MHD_YES)
 			return;
-	} while (left == 0 && ++i < RUNS_AT_ONCE);
+	} while (left == 0 && ++i < MAX_CONSECUTIVE_RUNS);
 	if (left == 0)
-		kick(h);
+		schedule_run(h);
 }
 
 static void
@@ -250,15 +250,15 @@
 {
 	(void)loop;
 	(void)events;
-	run(io->data);
+	run_daemon(io->data);
 }
 
 static void
-on_kick(struct ev_loop *loop, ev_timer *t, int events)
+on_run_timer(struct ev_loop *loop, ev_timer *t, int events)
 {
 	(void)loop;
 	(void)events;
-	run(t->data);
+	run_daemon(t->data);
 }
 
 struct fake_http *
@@ -288,8 +288,8 @@
 	ev_io_init(&h->io, on_io, info->epoll_fd, EV_READ);
 	h->io.data = h;
 	ev_io_start(loop, &h->io);
-	ev_timer_init(&h->kick, on_kick, 0, 0);
-	h->kick.data = h;
+	ev_timer_init(&h->run_timer, on_run_timer, 0, 0);
+	h->run_timer.data = h;
 	return h;
 }
 
@@ -310,7 +310,7 @@
 	g_list_free(all);
 	MHD_run(h->daemon);
 	ev_io_stop(h->loop, &h->io);
-	ev_timer_stop(h->loop, &h->kick);
+	ev_timer_stop(h->loop, &h->run_timer);
 	MHD_stop_daemon(h->daemon);
 	g_hash_table_destroy(h->pending);
 	g_free(h);
@@ -341,7 +341,7 @@
 
 		if (x->phase != WAITING)
 			continue;
-		ask_handler(x);
+		call_handler(x);
 		advance(x);
 	}
 	g_list_free(all);
@@ -438,7 +438,7 @@
 }
 
 static bool
-ctl_fits(const struct fake_ctl *t, const json_t *v)
+ctl_valid(const struct fake_ctl *t, const json_t *v)
 {
 	json_int_t i = json_integer_value(v);
 
@@ -455,7 +455,7 @@
 }
 
 static void
-ctl_take(const struct fake_ctl *t, const json_t *v)
+ctl_apply(const struct fake_ctl *t, const json_t *v)
 {
 	switch (t->type) {
 	case FAKE_CTL_FLAG:
@@ -492,14 +492,14 @@
 	{
 		const struct fake_ctl *t = ctl_find(table, n, name);
 
-		if (t == NULL || !ctl_fits(t, v)) {
+		if (t == NULL || !ctl_valid(t, v)) {
 			char *why = g_strdup_printf("%s: wrong order\n", name);
 
 			json_decref(o);
 			return fake_http_text(c, 422, why);
 		}
 	}
-	json_object_foreach(o, name, v) ctl_take(ctl_find(table, n, name), v);
+	json_object_foreach(o, name, v) ctl_apply(ctl_find(table, n, name), v);
 	json_decref(o);
 	return fake_http_text(c, 200, g_strdup("done\n"));
 }
