--- a/test/fake_worker.c
+++ b/test/fake_worker.c
@@ -1,19 +1,18 @@
 /*
- * A worker without I/O.
+ * A fake worker without I/O.
  *
- * A task known to the worker is live (running or throttled) or ended; ended
- * ones are kept until the owner acknowledges them.  All live tasks share one
- * lease, kept on the worker's clock.  A sync may prolong the lease but never
- * shortens it: a new owner that asks before it has seen the worker's clock
- * sends no lease, and must not thereby stop what runs.
+ * A task on the worker is live (running or throttled) or ended.  Ended tasks
+ * are kept until the owner acknowledges them.  All live tasks share one lease,
+ * measured on the worker's clock.  A sync may extend the lease but never
+ * shortens it: a new owner that syncs before it has seen the worker's clock
+ * sends no lease, and this must not stop running tasks.
  *
- * Reports are differences.  An answer may be lost, so that a later sync does
- * not prove that the report before it was received.  What does prove it is
- * lease_from_ms, which echoes clock_ms of a report the owner has read: a task
- * is reported until the owner echoes a clock at or after the first report
- * that held its present state.  Two reports may fall in one millisecond; then
- * only the first of them counts as a proof, for the owner's echo does not
- * tell them apart.
+ * Reports are incremental.  An answer may be lost, so a later sync does not
+ * prove that the previous report was received.  lease_from_ms proves it, as it
+ * echoes clock_ms of a report that the owner has read: a task is reported
+ * until the owner echoes a clock at or after the first report that contained
+ * its current state.  If two reports have the same clock_ms, only the first
+ * counts as this first report, because the echo cannot tell them apart.
  */
 
 #include <string.h>
@@ -33,11 +32,11 @@
 	Ogl__TaskState state;
 	bool will_fail;
 	bool usage_known;
-	ogl_time since;   /* it last began to make progress */
-	ogl_time done;    /* progress made before `since` */
-	ogl_time length;  /* progress at which it ends; OGL_NEVER */
-	bool unproven;    /* the owner may not know its present state */
-	uint64_t told_ms; /* first report's clock with that state; 0 none */
+	ogl_time state_since;      /* last change of state */
+	ogl_time earlier_run_time; /* run time until state_since */
+	ogl_time run_time;         /* total run time; OGL_NEVER: no limit */
+	bool unconfirmed;         /* the owner may not know the current state */
+	uint64_t first_report_ms; /* clock_ms of its first report; 0: none */
 };
 
 struct fake_worker {
@@ -47,14 +46,14 @@
 	char *rack;
 	uint64_t boot;
 	int64_t clock_offset_ms;
-	uint64_t epoch; /* highest (epoch, seq) seen */
+	uint64_t epoch; /* epoch and seq are the highest pair seen */
 	uint64_t seq;
-	uint64_t lease_until_ms; /* own clock */
-	uint64_t last_report_ms; /* own clock */
-	uint64_t no_room;
-	GPtrArray *tasks; /* of struct task, in order of start */
-	GArray *events;
-	GStringChunk *names; /* of the strings in events */
+	uint64_t lease_until_ms; /* on the worker's clock */
+	uint64_t last_report_ms; /* on the worker's clock */
+	uint64_t no_room;        /* starts refused for lack of room */
+	GPtrArray *tasks;        /* of struct task, in order of start */
+	GArray *events;          /* of struct fake_worker_event */
+	GStringChunk *strings;   /* holds the strings of events */
 	void (*hook)(void *ctx, const struct fake_worker_event *ev);
 	void *hook_ctx;
 };
@@ -77,21 +76,22 @@
 	       t->state == OGL__TASK_STATE__throttled;
 }
 
-/* When a running task ends by itself. */
+/* When a task ends by itself; OGL_NEVER if it does not. */
 static ogl_time
 task_due(const struct task *t)
 {
-	if (t->state != OGL__TASK_STATE__running || t->length == OGL_NEVER)
+	if (t->state != OGL__TASK_STATE__running || t->run_time == OGL_NEVER)
 		return OGL_NEVER;
-	return t->since + (t->length - t->done);
+	return t->state_since + (t->run_time - t->earlier_run_time);
 }
 
+/* The time that the task has run so far. */
 static ogl_time
 task_progress(const struct task *t, ogl_time now)
 {
 	if (t->state != OGL__TASK_STATE__running)
-		return t->done;
-	return t->done + (now - t->since);
+		return t->earlier_run_time;
+	return t->earlier_run_time + (now - t->state_since);
 }
 
 static uint64_t
@@ -100,7 +100,7 @@
 	return (uint64_t)(now / OGL_MS + w->clock_offset_ms);
 }
 
-/* The lease's end in true time. */
+/* The end of the lease in true time. */
 static ogl_time
 lease_end(const struct fake_worker *w)
 {
@@ -108,7 +108,7 @@
 }
 
 static void
-record(struct fake_worker *w, enum fake_worker_event_type type,
+add_event(struct fake_worker *w, enum fake_worker_event_type type,
     const struct task *t, ogl_time at)
 {
 	struct fake_worker_event ev = {.type = type,
@@ -119,8 +119,8 @@
 	    .state = t->state,
 	    .res = t->res,
 	    .worker = w->name,
-	    .task = g_string_chunk_insert_const(w->names, t->name),
-	    .team = g_string_chunk_insert_const(w->names, t->team)};
+	    .task = g_string_chunk_insert_const(w->strings, t->name),
+	    .team = g_string_chunk_insert_const(w->strings, t->team)};
 
 	g_array_append_val(w->events, ev);
 	if (w->hook != NULL)
@@ -130,11 +130,11 @@
 static void
 set_state(struct task *t, Ogl__TaskState state, const char *reason, ogl_time at)
 {
-	t->done = task_progress(t, at);
-	t->since = at;
+	t->earlier_run_time = task_progress(t, at);
+	t->state_since = at;
 	t->state = state;
-	t->unproven = true;
-	t->told_ms = 0;
+	t->unconfirmed = true;
+	t->first_report_ms = 0;
 	g_free(t->reason);
 	t->reason = g_strdup(reason);
 }
@@ -152,7 +152,7 @@
 	w->script.capacity = c->capacity;
 	w->tasks = g_ptr_array_new_with_free_func(task_free);
 	w->events = g_array_new(FALSE, FALSE, sizeof(struct fake_worker_event));
-	w->names = g_string_chunk_new(256);
+	w->strings = g_string_chunk_new(256);
 	return w;
 }
 
@@ -163,7 +163,7 @@
 		return;
 	g_ptr_array_free(w->tasks, TRUE);
 	g_array_free(w->events, TRUE);
-	g_string_chunk_free(w->names);
+	g_string_chunk_free(w->strings);
 	g_free(w->name);
 	g_free(w->zone);
 	g_free(w->rack);
@@ -219,7 +219,7 @@
 	return w->no_room;
 }
 
-/* The live task that ends by itself first; NULL when none does. */
+/* The task that ends by itself first; NULL if none does. */
 static struct task *
 first_due(const struct fake_worker *w)
 {
@@ -237,13 +237,13 @@
 }
 
 static void
-finish(struct fake_worker *w, struct task *t, ogl_time at)
+finish_task(struct fake_worker *w, struct task *t, ogl_time at)
 {
 	if (t->will_fail)
 		set_state(t, OGL__TASK_STATE__failed, "task failed", at);
 	else
 		set_state(t, OGL__TASK_STATE__succeeded, "", at);
-	record(w, FAKE_WORKER_END, t, at);
+	add_event(w, FAKE_WORKER_END, t, at);
 }
 
 static void
@@ -255,7 +255,7 @@
 		if (!task_live(t))
 			continue;
 		set_state(t, OGL__TASK_STATE__lapsed, "lease ran out", at);
-		record(w, FAKE_WORKER_LAPSE, t, at);
+		add_event(w, FAKE_WORKER_LAPSE, t, at);
 	}
 }
 
@@ -266,7 +266,7 @@
 	struct task *t;
 
 	while ((t = first_due(w)) != NULL && task_due(t) <= MIN(now, lease))
-		finish(w, t, task_due(t));
+		finish_task(w, t, task_due(t));
 	if (lease <= now)
 		lapse_all(w, lease);
 }
@@ -290,7 +290,7 @@
 		struct task *t = g_ptr_array_index(w->tasks, i);
 
 		if (task_live(t))
-			record(w, FAKE_WORKER_CRASH, t, now);
+			add_event(w, FAKE_WORKER_CRASH, t, now);
 	}
 	g_ptr_array_set_size(w->tasks, 0);
 	w->boot++;
@@ -315,7 +315,7 @@
 }
 
 static void
-take_ack(struct fake_worker *w, const Ogl__TaskAck *a)
+apply_ack(struct fake_worker *w, const Ogl__TaskAck *a)
 {
 	struct task *t = find_task(w, a->task, a->attempt);
 
@@ -324,7 +324,7 @@
 }
 
 static void
-take_stop(struct fake_worker *w, const Ogl__TaskStop *s, ogl_time now)
+apply_stop(struct fake_worker *w, const Ogl__TaskStop *s, ogl_time now)
 {
 	struct task *t = find_task(w, s->task, s->attempt);
 
@@ -346,11 +346,11 @@
 		set_state(t, OGL__TASK_STATE__stopped, "", now);
 		break;
 	}
-	record(w, FAKE_WORKER_END, t, now);
+	add_event(w, FAKE_WORKER_END, t, now);
 }
 
 static ogl_time
-run_length(const struct fake_worker *w, const Ogl__TaskStart *s)
+task_run_time(const struct fake_worker *w, const Ogl__TaskStart *s)
 {
 	uint64_t run_ms = FAKE_WORKER_DEFAULT_RUN_MS;
 
@@ -366,7 +366,7 @@
 }
 
 static struct ogl_res
-res_of(const Ogl__Res *r)
+res_from_message(const Ogl__Res *r)
 {
 	struct ogl_res z = {0, 0, 0};
 
@@ -378,8 +378,8 @@
 	return z;
 }
 
-/* Summed in 64 bits: a declared size near the top of its type must not wrap
- * round and pass for a small one. */
+/* Adds in 64 bits, so that a very large requirement does not overflow to a
+ * small one. */
 static bool
 has_room(const struct fake_worker *w, const struct ogl_res *need)
 {
@@ -392,9 +392,9 @@
 	       (uint64_t)held.accel + need->accel <= cap->accel;
 }
 
-/* Why a start is refused; NULL when it is not. */
+/* Why a start is refused; NULL if it is accepted. */
 static const char *
-why_not(const struct fake_worker *w, const Ogl__TaskStart *s,
+refusal_reason(const struct fake_worker *w, const Ogl__TaskStart *s,
     const struct ogl_res *need, ogl_time now)
 {
 	uint64_t clock = clock_ms(w, now);
@@ -417,15 +417,15 @@
 }
 
 static void
-take_start(struct fake_worker *w, const Ogl__TaskStart *s, ogl_time now)
+apply_start(struct fake_worker *w, const Ogl__TaskStart *s, ogl_time now)
 {
-	struct ogl_res need = res_of(s->res);
+	struct ogl_res need = res_from_message(s->res);
 	const char *why;
 	struct task *t;
 
 	if (find_task(w, s->task, s->attempt) != NULL)
 		return;
-	why = why_not(w, s, &need, now);
+	why = refusal_reason(w, s, &need, now);
 	w->no_room += why == NO_ROOM;
 	t = g_new0(struct task, 1);
 	t->name = g_strdup(s->task);
@@ -433,45 +433,45 @@
 	t->attempt = s->attempt;
 	t->kind = s->kind;
 	t->res = need;
-	t->length = run_length(w, s);
+	t->run_time = task_run_time(w, s);
 	t->will_fail =
 	    w->script.fail_all || fake_text_has(ogl_str(s->payload), "fail");
-	t->since = now;
+	t->state_since = now;
 	t->state =
 	    why != NULL ? OGL__TASK_STATE__refused : OGL__TASK_STATE__running;
 	t->reason = g_strdup(why != NULL ? why : "");
-	t->unproven = true;
+	t->unconfirmed = true;
 	g_ptr_array_add(w->tasks, t);
 	if (why == NULL)
-		record(w, FAKE_WORKER_START, t, now);
+		add_event(w, FAKE_WORKER_START, t, now);
 }
 
-/* Learns from the sync which states the owner has read. */
+/* Marks the states that the owner has read according to its echo. */
 static void
-take_proof(struct fake_worker *w, uint64_t echo_ms)
+confirm_states(struct fake_worker *w, uint64_t echo_ms)
 {
 	for (guint i = 0; i < w->tasks->len; i++) {
 		struct task *t = g_ptr_array_index(w->tasks, i);
 
-		if (t->told_ms != 0 && t->told_ms <= echo_ms)
-			t->unproven = false;
+		if (t->first_report_ms != 0 && t->first_report_ms <= echo_ms)
+			t->unconfirmed = false;
 	}
 }
 
-/* An owner of a new epoch may know nothing of what is here. */
+/* The owner of a new epoch may not know the worker's tasks. */
 static void
-forget_proofs(struct fake_worker *w)
+unconfirm_all(struct fake_worker *w)
 {
 	for (guint i = 0; i < w->tasks->len; i++) {
 		struct task *t = g_ptr_array_index(w->tasks, i);
 
-		t->unproven = true;
-		t->told_ms = 0;
+		t->unconfirmed = true;
+		t->first_report_ms = 0;
 	}
 }
 
 static Ogl__Res *
-res_message(struct ogl_res r)
+res_to_message(struct ogl_res r)
 {
 	Ogl__Res *m = g_new(Ogl__Res, 1);
 
@@ -482,7 +482,8 @@
 	return m;
 }
 
-/* Tasks use from a half to all of what they declare, by their name. */
+/* Tasks use 50 to 100 percent of their declared processors and memory,
+ * depending on a hash of their name. */
 static struct ogl_res
 usage(const struct task *t)
 {
@@ -498,18 +499,18 @@
 }
 
 static void
-learn_usage(struct task *t, ogl_time now)
+update_usage_known(struct task *t, ogl_time now)
 {
 	if (t->usage_known || !task_live(t) ||
 	    task_progress(t, now) < FAKE_WORKER_USAGE_LAG_MS * OGL_MS)
 		return;
 	t->usage_known = true;
-	t->unproven = true;
-	t->told_ms = 0;
+	t->unconfirmed = true;
+	t->first_report_ms = 0;
 }
 
 static Ogl__TaskReport *
-task_message(const struct task *t, ogl_time now)
+task_report_new(const struct task *t, ogl_time now)
 {
 	Ogl__TaskReport *m = g_new(Ogl__TaskReport, 1);
 
@@ -517,12 +518,12 @@
 	m->task = g_strdup(t->name);
 	m->attempt = t->attempt;
 	m->state = t->state;
-	m->used = res_message(usage(t));
+	m->used = res_to_message(usage(t));
 	m->ran_ms = (uint64_t)(task_progress(t, now) / OGL_MS);
 	m->reason = g_strdup(t->reason);
 	m->team = g_strdup(t->team);
 	m->kind = t->kind;
-	m->res = res_message(t->res);
+	m->res = res_to_message(t->res);
 	return m;
 }
 
@@ -537,12 +538,12 @@
 	for (guint i = 0; i < w->tasks->len; i++) {
 		struct task *t = g_ptr_array_index(w->tasks, i);
 
-		learn_usage(t, now);
-		if (!full && !t->unproven)
+		update_usage_known(t, now);
+		if (!full && !t->unconfirmed)
 			continue;
-		r->tasks[r->n_tasks++] = task_message(t, now);
-		if (t->told_ms == 0 && later)
-			t->told_ms = r->clock_ms;
+		r->tasks[r->n_tasks++] = task_report_new(t, now);
+		if (t->first_report_ms == 0 && later)
+			t->first_report_ms = r->clock_ms;
 	}
 	w->last_report_ms = MAX(w->last_report_ms, r->clock_ms);
 }
@@ -558,7 +559,7 @@
 	r->clock_ms = clock_ms(w, now);
 	r->epoch = w->epoch;
 	r->seq = seq;
-	r->capacity = res_message(w->script.capacity);
+	r->capacity = res_to_message(w->script.capacity);
 	r->rack = g_strdup(w->rack);
 	r->zone = g_strdup(w->zone);
 	r->leaving = w->script.leaving;
@@ -569,8 +570,8 @@
 fake_worker_sync(struct fake_worker *w, const Ogl__WorkerSync *s, ogl_time now,
     Ogl__WorkerReport **report)
 {
-	bool known = s->boot == w->boot; /* the owner means this very boot */
-	bool full = s->full || !known;
+	bool same_boot = s->boot == w->boot;
+	bool full = s->full || !same_boot;
 	uint64_t from_ms;
 
 	*report = NULL;
@@ -583,24 +584,24 @@
 		return true;
 	}
 	if (s->epoch > w->epoch) {
-		forget_proofs(w);
+		unconfirm_all(w);
 		full = true;
 	}
 	w->epoch = s->epoch;
 	w->seq = s->seq;
-	/* An echo of a clock not yet reached is no echo. */
+	/* A valid echo cannot be later than the current clock. */
 	from_ms = MIN(s->lease_from_ms, clock_ms(w, now));
-	if (known) {
+	if (same_boot) {
 		w->lease_until_ms =
 		    MAX(w->lease_until_ms, from_ms + s->lease_ms);
-		take_proof(w, s->lease_from_ms);
+		confirm_states(w, s->lease_from_ms);
 	}
 	for (size_t i = 0; i < s->n_ack; i++)
-		take_ack(w, s->ack[i]);
+		apply_ack(w, s->ack[i]);
 	for (size_t i = 0; i < s->n_stop; i++)
-		take_stop(w, s->stop[i], now);
-	for (size_t i = 0; known && i < s->n_start; i++)
-		take_start(w, s->start[i], now);
+		apply_stop(w, s->stop[i], now);
+	for (size_t i = 0; same_boot && i < s->n_start; i++)
+		apply_start(w, s->start[i], now);
 	*report = report_new(w, s->seq, now);
 	report_tasks(w, *report, full, now);
 	return true;
--- a/test/fake_worker.h
+++ b/test/fake_worker.h
@@ -1,6 +1,6 @@
 /*
- * A worker without I/O: it runs tasks under a lease as schema/ogl.proto
- * describes, on a clock of its own, and keeps a history of what it ran.
+ * A fake worker without I/O: it runs tasks under a lease as described in
+ * schema/ogl.proto, has its own clock, and records the events of its tasks.
  */
 
 #ifndef FAKE_WORKER_H
@@ -12,9 +12,9 @@
 extern "C" {
 #endif
 
-#define FAKE_WORKER_USAGE_LAG_MS 5000   /* before usage is first reported */
-#define FAKE_WORKER_DEFAULT_RUN_MS 1000 /* of a task that names no run time */
-#define FAKE_WORKER_FAIL_RUN_MS 10      /* until a broken worker fails a task */
+#define FAKE_WORKER_USAGE_LAG_MS 5000   /* run time before usage is reported */
+#define FAKE_WORKER_DEFAULT_RUN_MS 1000 /* of a task without a run time */
+#define FAKE_WORKER_FAIL_RUN_MS 10      /* run time of a task under fail_all */
 
 struct fake_worker;
 
@@ -24,22 +24,22 @@
 	const char *rack;
 	struct ogl_res capacity;
 	uint64_t boot;
-	int64_t clock_offset_ms; /* its clock less the true time */
+	int64_t clock_offset_ms; /* its clock minus the true time */
 };
 
-/* How the worker behaves; may be changed between calls. */
+/* Capacity and faults of the worker; may be changed between calls. */
 struct fake_worker_script {
-	bool fail_all; /* fails every task soon after its start */
-	bool down;     /* hears nothing; its tasks go on till they lapse */
-	bool leaving;  /* says so in its reports */
-	struct ogl_res capacity; /* may shrink below what is held */
+	bool fail_all; /* every new task fails soon after its start */
+	bool down;     /* unreachable; tasks run on until the lease expires */
+	bool leaving;  /* set in its reports */
+	struct ogl_res capacity; /* may be less than what tasks hold */
 };
 
 enum fake_worker_event_type {
 	FAKE_WORKER_START,
-	FAKE_WORKER_END,   /* by itself or by command */
-	FAKE_WORKER_LAPSE, /* its lease ran out */
-	FAKE_WORKER_CRASH  /* it was running when the worker restarted */
+	FAKE_WORKER_END,   /* it finished or was stopped by a command */
+	FAKE_WORKER_LAPSE, /* the worker's lease expired */
+	FAKE_WORKER_CRASH  /* the worker restarted while it ran */
 };
 
 struct fake_worker_event {
@@ -62,41 +62,43 @@
 
 void fake_worker_hook(struct fake_worker *w,
     void (*hook)(void *ctx, const struct fake_worker_event *ev), void *ctx);
-/* Has hook called at each event, in the order of their times. */
+/* Sets the function that is called for each event, in order of time. */
 
 const struct fake_worker_event *fake_worker_events(
     const struct fake_worker *w, size_t *n);
-/* Every event so far; valid until the next call on w. */
+/* All events so far; valid until the next call on w. */
 
 void fake_worker_tick(struct fake_worker *w, ogl_time now);
 /*
- * Ends what is due: tasks whose run time is over, and every task once the
- * lease has run out.  Events bear the time when they fell due, as if the
- * worker kept its lease to the microsecond; a paused worker's tasks are
- * paused with it.
+ * Ends the tasks whose run time is over, and all tasks if the lease has
+ * expired.  Events carry the time at which they were due, not `now`, as if
+ * the worker checked its lease every microsecond.  This holds for a paused
+ * worker too, because its tasks are paused with it.
  */
 
 ogl_time fake_worker_next_due(const struct fake_worker *w);
-/* When tick has something to do next; OGL_NEVER when nothing runs. */
+/* The time at which fake_worker_tick is next needed; OGL_NEVER if no task
+ * runs. */
 
 bool fake_worker_sync(struct fake_worker *w, const Ogl__WorkerSync *s,
     ogl_time now, Ogl__WorkerReport **report);
-/* Answers one sync, after a tick.  False, with nothing done, when the worker
- * is down.  Free the report with ogl__worker_report__free_unpacked. */
+/* Calls fake_worker_tick and answers one sync.  Does nothing and returns false
+ * if the worker is down.  Free the report with
+ * ogl__worker_report__free_unpacked. */
 
 void fake_worker_restart(struct fake_worker *w, ogl_time now);
-/* A crash and a new boot: tasks, lease and the highest (epoch, seq) seen are
- * lost, and the worker is up again. */
+/* Crashes and reboots the worker: tasks, lease and the highest (epoch, seq)
+ * seen are lost, and the worker is no longer down. */
 
 void fake_worker_held(const struct fake_worker *w, struct ogl_res *held);
-/* What running and throttled tasks hold. */
+/* The sum of the resources of running and throttled tasks. */
 
 size_t fake_worker_running(const struct fake_worker *w);
-/* Tasks running or throttled. */
+/* Number of running and throttled tasks. */
 
 uint64_t fake_worker_no_room(const struct fake_worker *w);
-/* Starts refused since they would have overfilled the worker: each is a
- * mistake of the owner's. */
+/* Number of starts refused because they would have exceeded the capacity.
+ * Each of them is an error of the owner. */
 
 #ifdef __cplusplus
 }
