--- a/test/test_fake_worker.cc
+++ b/test/test_fake_worker.cc
@@ -1,4 +1,5 @@
-// The worker fake: fencing, leases, room, idempotent starts, differences.
+// Tests of the fake worker: fencing, leases, capacity, idempotent starts and
+// incremental reports.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -19,7 +20,7 @@
 	std::string payload;
 };
 
-// Builds syncs as an owner would and keeps what the last report said.
+// Sends syncs as an owner does and keeps the contents of the last report.
 class FakeWorker : public ::testing::Test
 {
       protected:
@@ -58,7 +59,7 @@
 			st[i].payload =
 			    const_cast<char *>(starts[i].payload.c_str());
 			st[i].attempt = starts[i].attempt;
-			st[i].latest_start_ms = latest;
+			st[i].latest_start_ms = latest_start_ms;
 			st[i].res = &res[i];
 			sp.push_back(&st[i]);
 		}
@@ -78,7 +79,7 @@
 		s.epoch = epoch;
 		s.seq = ++seq;
 		s.boot = boot;
-		s.lease_from_ms = echo;
+		s.lease_from_ms = echo_ms;
 		s.lease_ms = 10000;
 		s.full = full;
 		s.n_start = sp.size();
@@ -89,60 +90,60 @@
 		s.stop = op.data();
 		if (!fake_worker_sync(w, &s, now, &r))
 			return false;
-		seen.clear();
+		states.clear();
 		for (size_t i = 0; i < r->n_tasks; i++) {
 			std::string id = r->tasks[i]->task;
 			id += "/" + std::to_string(r->tasks[i]->attempt);
-			seen[id] = r->tasks[i]->state;
+			states[id] = r->tasks[i]->state;
 			used_cpu = r->tasks[i]->used->cpu_milli;
 			reason = r->tasks[i]->reason;
 		}
 		refused = r->refused;
-		clock = r->clock_ms;
+		worker_clock_ms = r->clock_ms;
 		boot = r->boot;
 		was_full = r->full;
 		ogl__worker_report__free_unpacked(r, NULL);
 		return true;
 	}
 
-	// A first contact that tells the owner the worker's clock.
-	void Meet()
+	// First sync, from which the owner learns the worker's clock.
+	void LearnClock()
 	{
 		Sync(T0);
-		echo = clock;
+		echo_ms = worker_clock_ms;
 	}
 
 	struct fake_worker *w;
-	uint64_t epoch = 3, seq = 0, echo = 0, latest = UINT64_MAX;
-	std::map<std::string, Ogl__TaskState> seen;
+	uint64_t epoch = 3, seq = 0, echo_ms = 0, latest_start_ms = UINT64_MAX;
+	std::map<std::string, Ogl__TaskState> states;
 	std::string reason;
 	uint32_t used_cpu = 0;
 	bool refused = false, was_full = false;
-	uint64_t clock = 0, boot = 0;
+	uint64_t worker_clock_ms = 0, boot = 0;
 };
 
-TEST_F(FakeWorker, RunsATaskAndKeepsItsEndUntilAcknowledged)
+TEST_F(FakeWorker, KeepsEndedTaskUntilAcknowledged)
 {
-	Meet();
-	EXPECT_EQ((uint64_t)(T0 / OGL_MS) + 500, clock);
+	LearnClock();
+	EXPECT_EQ((uint64_t)(T0 / OGL_MS) + 500, worker_clock_ms);
 	Sync(T0 + 1, {{"j.0", 1, 1000, "run_ms=40"}, {"j.1", 1, 500, "fail"}});
-	EXPECT_EQ(OGL__TASK_STATE__running, seen.at("j.0/1"));
+	EXPECT_EQ(OGL__TASK_STATE__running, states.at("j.0/1"));
 	EXPECT_EQ(T0 + 1 + 40 * OGL_MS, fake_worker_next_due(w));
 	for (int i = 0; i < 3; i++)
 		Sync(T0 + (2 + i) * OGL_SEC);
-	EXPECT_EQ(OGL__TASK_STATE__succeeded, seen.at("j.0/1"));
-	EXPECT_EQ(OGL__TASK_STATE__failed, seen.at("j.1/1"));
+	EXPECT_EQ(OGL__TASK_STATE__succeeded, states.at("j.0/1"));
+	EXPECT_EQ(OGL__TASK_STATE__failed, states.at("j.1/1"));
 	Sync(T0 + 5 * OGL_SEC, {}, true, {"j.0"});
-	EXPECT_EQ(0u, seen.count("j.0/1"));
-	EXPECT_EQ(1u, seen.count("j.1/1"));
+	EXPECT_EQ(0u, states.count("j.0/1"));
+	EXPECT_EQ(1u, states.count("j.1/1"));
 }
 
-// An owner that lost its shard while paused wakes and sends what it had in
-// hand, or the network delivers a sync twice.  Done anyway, such a start
-// would run a task that the new owner has placed elsewhere.
-TEST_F(FakeWorker, RefusesAStaleSyncAndDoesNothing)
+// An owner that lost its shard while it was paused sends an old sync when it
+// resumes, or the network delivers a sync twice.  If the worker accepted it,
+// it would start a task that the new owner has placed elsewhere.
+TEST_F(FakeWorker, RefusesStaleSyncWithoutEffect)
 {
-	Meet();
+	LearnClock();
 	epoch = 4;
 	seq = 0;
 	Sync(T0 + 1);
@@ -160,15 +161,15 @@
 	EXPECT_EQ(1u, fake_worker_running(w));
 }
 
-// A worker paused past its lease comes back when its tasks may already run
-// elsewhere.  They end before the sync that wakes it is looked at, even
-// though that sync prolongs the lease.
-TEST_F(FakeWorker, APausedWorkerLapsesItsTasksBeforeAnythingElse)
+// When a worker resumes after its lease has expired, its tasks may already run
+// elsewhere.  They must end before the worker handles its next sync, even
+// though that sync extends the lease.
+TEST_F(FakeWorker, ResumedWorkerLapsesTasksBeforeNextSync)
 {
-	Meet();
+	LearnClock();
 	Sync(T0 + 1, {{"j.0", 1, 1000, "run_ms=60000"}});
 	Sync(T0 + 11 * OGL_SEC);
-	EXPECT_EQ(OGL__TASK_STATE__lapsed, seen.at("j.0/1"));
+	EXPECT_EQ(OGL__TASK_STATE__lapsed, states.at("j.0/1"));
 	size_t n;
 	const struct fake_worker_event *ev = fake_worker_events(w, &n);
 	ASSERT_EQ(2u, n);
@@ -177,118 +178,118 @@
 	EXPECT_STREQ("j.0", ev[1].task);
 }
 
-// A start that was long under way, one for which the owner had no lease yet,
-// and one too many for the worker: the report must say that none of them
-// ever ran, so that they may start elsewhere.
-TEST_F(FakeWorker, RefusesStartsThatMustNotRun)
+// Starts that arrive too late, without a lease, or that exceed the worker's
+// capacity must be reported as refused, which means that they never ran, so
+// that the owner may start these tasks elsewhere.
+TEST_F(FakeWorker, RefusesLateStartsAndStartsWithoutLeaseOrRoom)
 {
-	Sync(T0); /* tells the boot; the clock is not echoed, so no lease */
+	Sync(T0); /* learns the boot; without an echo of the clock no lease */
 	Sync(T0, {{"early.0", 1, 100, ""}});
 	EXPECT_EQ("no lease", reason);
-	echo = clock;
-	latest = clock;
+	echo_ms = worker_clock_ms;
+	latest_start_ms = worker_clock_ms;
 	Sync(T0 + OGL_MS, {{"late.0", 1, 100, ""}}, false, {"early.0"});
-	EXPECT_EQ(OGL__TASK_STATE__refused, seen.at("late.0/1"));
+	EXPECT_EQ(OGL__TASK_STATE__refused, states.at("late.0/1"));
 	EXPECT_EQ("past its latest start", reason);
-	latest = UINT64_MAX;
+	latest_start_ms = UINT64_MAX;
 	Sync(T0 + 2, {{"a.0", 1, 3000, "run_ms=9000"}}, false, {"late.0"});
 	Sync(T0 + 3, {{"b.0", 1, 1001, ""}, {"c.0", 1, UINT32_MAX, ""}});
-	EXPECT_EQ(OGL__TASK_STATE__refused, seen.at("b.0/1"));
-	EXPECT_EQ(OGL__TASK_STATE__refused, seen.at("c.0/1"));
+	EXPECT_EQ(OGL__TASK_STATE__refused, states.at("b.0/1"));
+	EXPECT_EQ(OGL__TASK_STATE__refused, states.at("c.0/1"));
 	EXPECT_EQ("no room", reason);
 	EXPECT_EQ(1u, fake_worker_running(w));
 }
 
-TEST_F(FakeWorker, AStartTakesEffectOnceAndAttemptsDoNotOverlap)
+TEST_F(FakeWorker, RepeatedStartHasNoEffectAndAttemptsDoNotOverlap)
 {
-	Meet();
+	LearnClock();
 	Sync(T0 + 1, {{"j.0", 1, 1000, "run_ms=9000"}});
 	Sync(T0 + 2, {{"j.0", 1, 1000, "run_ms=9000"}});
 	EXPECT_EQ(1u, fake_worker_running(w));
 	Sync(T0 + 3, {{"j.0", 2, 1000, ""}});
-	EXPECT_EQ(OGL__TASK_STATE__refused, seen.at("j.0/2"));
+	EXPECT_EQ(OGL__TASK_STATE__refused, states.at("j.0/2"));
 	EXPECT_EQ(1u, fake_worker_running(w));
 }
 
-// An answer can be lost after the worker has done what the sync asked.  The
-// owner then goes on without it, so the worker has to tell a state again
-// until the echoed clock shows that it was read.
-TEST_F(FakeWorker, ReportsAStateUntilTheOwnerHasReadIt)
+// The answer may be lost after the worker has executed a sync.  The owner then
+// continues without it, so the worker must report a state again until the
+// echoed clock shows that the owner has read it.
+TEST_F(FakeWorker, ReportsStateUntilOwnerHasReadIt)
 {
-	Meet();
+	LearnClock();
 	Sync(T0 + 10 * OGL_MS, {{"j.0", 1, 1000, "run_ms=9000"}});
 	Sync(T0 + 20 * OGL_MS);
-	EXPECT_EQ(1u, seen.count("j.0/1"));
+	EXPECT_EQ(1u, states.count("j.0/1"));
 	EXPECT_FALSE(was_full);
-	echo = clock;
+	echo_ms = worker_clock_ms;
 	Sync(T0 + 30 * OGL_MS);
-	EXPECT_EQ(0u, seen.count("j.0/1"));
+	EXPECT_EQ(0u, states.count("j.0/1"));
 	Sync(T0 + 40 * OGL_MS, {}, true);
-	EXPECT_EQ(1u, seen.count("j.0/1"));
+	EXPECT_EQ(1u, states.count("j.0/1"));
 	epoch++;
 	Sync(T0 + 50 * OGL_MS);
 	EXPECT_TRUE(was_full);
-	EXPECT_EQ(1u, seen.count("j.0/1"));
+	EXPECT_EQ(1u, states.count("j.0/1"));
 }
 
 TEST_F(FakeWorker, ObeysStopCheckpointThrottleAndResume)
 {
-	Meet();
+	LearnClock();
 	Sync(T0, {{"a.0", 1, 100, "run_ms=1000"}, {"b.0", 1, 100, ""},
 		     {"c.0", 1, 100, ""}});
 	Sync(T0 + 500 * OGL_MS, {}, false, {},
 	    {{"a.0", OGL__STOP_MODE__throttle}, {"b.0", OGL__STOP_MODE__stop},
 		{"c.0", OGL__STOP_MODE__checkpoint}});
-	EXPECT_EQ(OGL__TASK_STATE__throttled, seen.at("a.0/1"));
-	EXPECT_EQ(OGL__TASK_STATE__stopped, seen.at("b.0/1"));
-	EXPECT_EQ(OGL__TASK_STATE__checkpointed, seen.at("c.0/1"));
+	EXPECT_EQ(OGL__TASK_STATE__throttled, states.at("a.0/1"));
+	EXPECT_EQ(OGL__TASK_STATE__stopped, states.at("b.0/1"));
+	EXPECT_EQ(OGL__TASK_STATE__checkpointed, states.at("c.0/1"));
 	Sync(
 	    T0 + 3 * OGL_SEC, {}, false, {}, {{"a.0", OGL__STOP_MODE__resume}});
 	EXPECT_EQ(T0 + 3500 * OGL_MS, fake_worker_next_due(w));
 }
 
-TEST_F(FakeWorker, ReportsUsageWithALag)
+TEST_F(FakeWorker, ReportsUsageAfterDelay)
 {
-	Meet();
+	LearnClock();
 	Sync(T0, {{"a.0", 1, 1000, "run_ms=9000"}});
 	EXPECT_EQ(0u, used_cpu);
-	echo = clock;
+	echo_ms = worker_clock_ms;
 	Sync(T0 + 6 * OGL_SEC);
-	EXPECT_EQ(1u, seen.count("a.0/1"));
+	EXPECT_EQ(1u, states.count("a.0/1"));
 	EXPECT_GE(used_cpu, 500u);
 	EXPECT_LE(used_cpu, 1000u);
 }
 
-// A paused owner still means the worker's former boot.  The worker has
-// forgotten the epochs it saw, so the epoch alone would let the start
-// through; a user would find one task running in two places.
-TEST_F(FakeWorker, AStartMeantForAnEarlierBootIsPassedOver)
+// A paused owner may send a sync for the worker's previous boot.  The rebooted
+// worker no longer knows the epochs that it has seen, so a check of the epoch
+// alone would accept the start, and one task would run in two places.
+TEST_F(FakeWorker, IgnoresStartForEarlierBoot)
 {
-	Meet();
+	LearnClock();
 	fake_worker_restart(w, T0 + 1);
 	Sync(T0 + 2, {{"a.0", 1, 1000, "run_ms=9000"}});
 	EXPECT_TRUE(was_full);
-	EXPECT_TRUE(seen.empty());
+	EXPECT_TRUE(states.empty());
 	EXPECT_EQ(0u, fake_worker_running(w));
 }
 
-// A worker that dies and boots again has lost its tasks and also the epochs
-// it has seen; only the boot number in its report gives it away.
-TEST_F(FakeWorker, ARestartLosesEverythingAndShowsANewBoot)
+// A worker that crashes and reboots loses its tasks and the epochs that it has
+// seen.  The owner can detect this only by the boot number in the report.
+TEST_F(FakeWorker, RestartLosesStateAndReportsNewBoot)
 {
-	Meet();
+	LearnClock();
 	Sync(T0 + 1, {{"a.0", 1, 1000, "run_ms=9000"}});
 	fake_worker_script(w)->down = true;
 	EXPECT_FALSE(Sync(T0 + 2));
 	fake_worker_restart(w, T0 + 3);
 	Sync(T0 + 4, {}, true);
 	EXPECT_EQ(8u, boot);
-	EXPECT_TRUE(seen.empty());
+	EXPECT_TRUE(states.empty());
 	EXPECT_TRUE(was_full);
 	fake_worker_script(w)->fail_all = true;
 	Sync(T0 + 5, {{"b.0", 1, 1000, "run_ms=9000"}});
 	Sync(T0 + OGL_SEC);
-	EXPECT_EQ(OGL__TASK_STATE__failed, seen.at("b.0/1"));
+	EXPECT_EQ(OGL__TASK_STATE__failed, states.at("b.0/1"));
 }
 
 } // namespace
