--- a/test/standin_executor.c
+++ b/test/standin_executor.c
@@ -1,12 +1,12 @@
 /*
- * Stand-in for executors: one process serves as many as asked for, each on a
- * port of its own.  POST /run runs a request, GET /counts tells how often
- * each body ran, POST /ctl sets faults by the names in ctl().  POST
- * /v1/requests is a node's call, answered as the simplest of nodes would, so
- * that the load driver can be tried alone.  --history writes what runs for
+ * Stand-in for executors.  One process serves any number of them, each on its
+ * own port.  POST /run runs a request, GET /counts returns how often each body
+ * ran, and POST /ctl sets the faults named in ctl().  POST /v1/requests is a
+ * call of the nodes' API, answered as by a minimal node, so that the load
+ * driver can be tested alone.  --history writes the runs for
  * orioleglade-check.
  *
- * At SIGTERM it refuses everything new, finishes what runs, and exits.
+ * On SIGTERM it refuses new requests, finishes the running ones and exits.
  */
 
 #include <argp.h>
@@ -19,7 +19,7 @@
 #include "fake_feed.h"
 #include "fake_http.h"
 
-#define DRAIN_S 10.0 /* longest wait for running requests at the end */
+#define DRAIN_TIMEOUT_S 10.0 /* longest wait for running requests on shutdown */
 
 struct options {
 	uint32_t count;
@@ -31,7 +31,7 @@
 
 struct server {
 	struct fake_exec *exec;
-	struct ogl_history *history; /* NULL: none is kept */
+	struct ogl_history *history; /* NULL: not written */
 	struct fake_http *http;
 	char *name;
 };
@@ -72,7 +72,7 @@
 }
 
 static enum fake_http_next
-run(struct server *s, struct fake_http_call *c, ogl_time now)
+serve_run(struct server *s, struct fake_http_call *c, ogl_time now)
 {
 	const char *token = fake_http_header(c, "Ogl-Token");
 	struct fake_exec_answer a;
@@ -98,11 +98,11 @@
 	return FAKE_HTTP_ANSWER;
 }
 
-/* A node without memory: neither retries nor knows ids. */
+/* Acts as a node without state: it does not retry and ignores request ids. */
 static enum fake_http_next
-request(struct server *s, struct fake_http_call *c, ogl_time now)
+serve_node_request(struct server *s, struct fake_http_call *c, ogl_time now)
 {
-	run(s, c, now);
+	serve_run(s, c, now);
 	if (c->status == 200)
 		fake_http_set(c, "Ogl-Verdict", "ran");
 	else if (c->status == 500)
@@ -150,9 +150,9 @@
 handle(void *ctx, struct fake_http_call *c, ogl_time now)
 {
 	if (strcmp(c->path, "/run") == 0)
-		return run(ctx, c, now);
+		return serve_run(ctx, c, now);
 	if (strcmp(c->path, "/v1/requests") == 0)
-		return request(ctx, c, now);
+		return serve_node_request(ctx, c, now);
 	if (strcmp(c->path, "/counts") == 0)
 		return counts(ctx, c);
 	if (strcmp(c->path, "/ctl") == 0)
@@ -195,7 +195,7 @@
 }
 
 static void
-give_up(struct ev_loop *loop, ev_timer *t, int events)
+on_drain_timeout(struct ev_loop *loop, ev_timer *t, int events)
 {
 	(void)t;
 	(void)events;
@@ -215,7 +215,7 @@
 	}
 	ev_timer_init(&check, check_drained, 0, 0.01);
 	check.data = servers;
-	ev_timer_init(&end, give_up, DRAIN_S, 0);
+	ev_timer_init(&end, on_drain_timeout, DRAIN_TIMEOUT_S, 0);
 	ev_timer_start(loop, &check);
 	ev_timer_start(loop, &end);
 	ev_run(loop, 0);
