--- a/test/standin_platform.c
+++ b/test/standin_platform.c
@@ -1,9 +1,9 @@
 /*
- * Stand-in for the platform's service: log streams and the list of hosts.
- * A new list, given by POST /ctl, is shown after a lag, as the platform's own
- * list trails what happens.  /ctl takes the faults named in ctl() and
- * "hosts", the whole new list.  GET /counts tells how many appends there were.
- * --history writes for orioleglade-check which targets each list shows.
+ * Stand-in for the platform's services: log streams and the list of hosts.
+ * POST /ctl takes the faults named in ctl() and "hosts", a complete new list.
+ * A new list is shown after a lag, because the platform's list also lags
+ * behind real changes.  GET /counts returns the number of appends.  --history
+ * writes the targets of each list for orioleglade-check.
  */
 
 #include <argp.h>
@@ -15,9 +15,9 @@
 #include "fake_http.h"
 #include "fake_log.h"
 
-#define READ_MAX 4096 /* most records an answer holds */
-#define DEFAULT_LAG_MS 2000
-#define STREAMS "/v1/streams/"
+#define MAX_READ_RECORDS 4096 /* records in one answer */
+#define DEFAULT_HOSTS_LAG_MS 2000
+#define STREAMS_PATH "/v1/streams/"
 
 struct options {
 	uint16_t port;
@@ -27,8 +27,8 @@
 	const char *history;
 };
 
-/* A list that is shown from some time on. */
-struct list {
+/* A host list and the time from which it is shown. */
+struct host_list {
 	ogl_time from;
 	json_t *hosts;
 };
@@ -36,12 +36,12 @@
 struct platform {
 	struct fake_log *log;
 	struct fake_http *http;
-	struct ogl_history *history; /* NULL: none is kept */
-	GQueue lists; /* of struct list, the one shown now first */
-	ogl_time lag;
+	struct ogl_history *history; /* NULL: not written */
+	GQueue lists; /* of struct host_list; the first is shown now */
+	ogl_time hosts_lag;
 	bool hosts_down;
-	uint64_t appends; /* that took effect, over all streams */
-	uint64_t limited; /* refused for their rate */
+	uint64_t appends;      /* records appended, over all streams */
+	uint64_t rate_limited; /* appends refused by the rate limit */
 };
 
 static const struct argp_option argp_options[] = {
@@ -80,14 +80,14 @@
 static void
 list_free(void *p)
 {
-	struct list *l = p;
+	struct host_list *l = p;
 
 	json_decref(l->hosts);
 	g_free(l);
 }
 
 static void
-tell_list(struct ogl_history *h, const json_t *hosts, ogl_time from)
+record_list(struct ogl_history *h, const json_t *hosts, ogl_time from)
 {
 	json_t *host;
 	size_t i;
@@ -104,25 +104,25 @@
 	}
 }
 
-/* Queues a list to be shown; takes over the reference. */
+/* Queues a list to be shown from a time on; takes ownership of the list. */
 static void
 list_add(struct platform *p, json_t *hosts, ogl_time from)
 {
-	struct list *l = g_new(struct list, 1);
+	struct host_list *l = g_new(struct host_list, 1);
 
 	l->from = from;
 	l->hosts = hosts;
 	g_queue_push_tail(&p->lists, l);
 	if (p->history != NULL)
-		tell_list(p->history, hosts, from);
+		record_list(p->history, hosts, from);
 }
 
-/* The list shown now. */
+/* The list shown now; a borrowed reference. */
 static json_t *
 list_now(struct platform *p, ogl_time now)
 {
-	struct list *next;
-	struct list *l;
+	struct host_list *next;
+	struct host_list *l;
 
 	while ((next = g_queue_peek_nth(&p->lists, 1)) != NULL &&
 	       next->from <= now)
@@ -132,7 +132,7 @@
 }
 
 static enum fake_http_next
-hosts(struct platform *p, struct fake_http_call *c, ogl_time now)
+serve_hosts(struct platform *p, struct fake_http_call *c, ogl_time now)
 {
 	c->delay = fake_log_script(p->log)->slow;
 	if (p->hosts_down)
@@ -142,7 +142,7 @@
 }
 
 static enum fake_http_next
-append(struct platform *p, const char *stream, struct fake_http_call *c,
+serve_append(struct platform *p, const char *stream, struct fake_http_call *c,
     ogl_time now)
 {
 	struct fake_log_script *k = fake_log_script(p->log);
@@ -154,14 +154,14 @@
 	if (r == FAKE_LOG_OK || r == FAKE_LOG_LOST)
 		fake_http_wake(p->http);
 	p->appends += r == FAKE_LOG_OK || r == FAKE_LOG_LOST;
-	p->limited += r == FAKE_LOG_LIMITED;
+	p->rate_limited += r == FAKE_LOG_LIMITED;
 	switch (r) {
 	case FAKE_LOG_LIMITED:
 		return fake_http_text(c, 429, g_strdup("too many appends\n"));
 	case FAKE_LOG_DOWN:
 		return fake_http_text(c, 503, g_strdup("outage\n"));
 	case FAKE_LOG_LOST:
-		/* An outage hides the effect behind an error instead. */
+		/* During an outage the caller gets an error instead. */
 		c->drop = !k->outage;
 		return fake_http_text(c, 503, g_strdup("outage\n"));
 	default:
@@ -188,12 +188,12 @@
 }
 
 static enum fake_http_next
-records(struct platform *p, const char *stream, struct fake_http_call *c,
+serve_records(struct platform *p, const char *stream, struct fake_http_call *c,
     ogl_time now)
 {
-	struct ogl_log_entry entries[READ_MAX];
+	struct ogl_log_entry entries[MAX_READ_RECORDS];
 	uint64_t from = fake_http_query_number(c, "from", 0);
-	uint64_t max = fake_http_query_number(c, "max", READ_MAX);
+	uint64_t max = fake_http_query_number(c, "max", MAX_READ_RECORDS);
 	uint64_t wait_ms = fake_http_query_number(c, "wait_ms", 0);
 	uint64_t first;
 	uint64_t next;
@@ -201,7 +201,7 @@
 
 	c->delay = fake_log_script(p->log)->slow;
 	if (fake_log_read(p->log, stream, from, now, &first, &next, entries,
-		MIN(max, READ_MAX), &n) != FAKE_LOG_OK)
+		MIN(max, MAX_READ_RECORDS), &n) != FAKE_LOG_OK)
 		return fake_http_text(c, 503, g_strdup("outage\n"));
 	if (n == 0 && wait_ms > 0 && !c->wait_over) {
 		if (c->max_wait == 0)
@@ -216,7 +216,7 @@
 static enum fake_http_next
 stream_call(struct platform *p, struct fake_http_call *c, ogl_time now)
 {
-	const char *name = c->path + strlen(STREAMS);
+	const char *name = c->path + strlen(STREAMS_PATH);
 	const char *slash = strrchr(name, '/');
 	enum fake_http_next next;
 	char *stream;
@@ -225,16 +225,16 @@
 		return fake_http_text(c, 404, g_strdup("no such path\n"));
 	stream = g_strndup(name, (gsize)(slash - name));
 	if (strcmp(slash, "/append") == 0 && strcmp(c->method, "POST") == 0)
-		next = append(p, stream, c, now);
+		next = serve_append(p, stream, c, now);
 	else if (strcmp(slash, "/records") == 0)
-		next = records(p, stream, c, now);
+		next = serve_records(p, stream, c, now);
 	else
 		next = fake_http_text(c, 404, g_strdup("no such path\n"));
 	g_free(stream);
 	return next;
 }
 
-/* Takes "hosts" out of the orders; the rest goes through the table. */
+/* Handles "hosts" here and passes the other commands to fake_ctl_answer. */
 static enum fake_http_next
 ctl(struct platform *p, struct fake_http_call *c, ogl_time now)
 {
@@ -247,7 +247,7 @@
 	    {"rate", FAKE_CTL_REAL, &k->rate},
 	    {"keep_count", FAKE_CTL_COUNT64, &k->keep_count},
 	    {"keep_age_ms", FAKE_CTL_MS, &k->keep_age},
-	    {"lag_ms", FAKE_CTL_MS, &p->lag},
+	    {"lag_ms", FAKE_CTL_MS, &p->hosts_lag},
 	};
 	json_t *o = json_loadb(c->body.p, c->body.n, 0, NULL);
 	json_t *list = json_incref(json_object_get(o, "hosts"));
@@ -264,7 +264,7 @@
 	c->body = ogl_str(rest);
 	next = fake_ctl_answer(c, table, G_N_ELEMENTS(table));
 	if (list != NULL && c->status == 200)
-		list_add(p, json_incref(list), now + p->lag);
+		list_add(p, json_incref(list), now + p->hosts_lag);
 	fake_http_wake(p->http);
 	free(rest);
 	json_decref(list);
@@ -277,16 +277,16 @@
 {
 	return fake_http_json(c, 200,
 	    json_pack("{s:I, s:I}", "appends", (json_int_t)p->appends,
-		"limited", (json_int_t)p->limited));
+		"limited", (json_int_t)p->rate_limited));
 }
 
 static enum fake_http_next
 handle(void *ctx, struct fake_http_call *c, ogl_time now)
 {
-	if (g_str_has_prefix(c->path, STREAMS))
+	if (g_str_has_prefix(c->path, STREAMS_PATH))
 		return stream_call(ctx, c, now);
 	if (strcmp(c->path, "/v1/hosts") == 0)
-		return hosts(ctx, c, now);
+		return serve_hosts(ctx, c, now);
 	if (strcmp(c->path, "/ctl") == 0)
 		return ctl(ctx, c, now);
 	if (strcmp(c->path, "/counts") == 0)
@@ -294,8 +294,8 @@
 	return fake_http_text(c, 404, g_strdup("no such path\n"));
 }
 
-/* The "hosts" list of a file; an empty list without a file; NULL with a
- * message when it is not one. */
+/* Reads the "hosts" list of a file; the list is empty if file is NULL.  Prints
+ * a message and returns NULL if the file has no such list. */
 static json_t *
 hosts_load(const char *file)
 {
@@ -318,7 +318,7 @@
 int
 main(int argc, char **argv)
 {
-	struct options o = {0, "platform", NULL, DEFAULT_LAG_MS, NULL};
+	struct options o = {0, "platform", NULL, DEFAULT_HOSTS_LAG_MS, NULL};
 	const struct argp argp = {argp_options, parse_option, NULL,
 	    "Stand-in for the platform: log and host list.", NULL, NULL, NULL};
 	struct ev_loop *loop = ev_default_loop(0);
@@ -337,7 +337,7 @@
 			goto out;
 	}
 	list_add(&p, list, 0);
-	p.lag = (ogl_time)o.lag_ms * OGL_MS;
+	p.hosts_lag = (ogl_time)o.lag_ms * OGL_MS;
 	p.http = fake_http_start(loop, o.port, handle, &p);
 	if (p.http == NULL) {
 		fprintf(stderr, "platform: port %u can't be had\n", o.port);
