--- a/test/standin_worker.c
+++ b/test/standin_worker.c
@@ -1,8 +1,8 @@
 /*
- * Stand-in for workers: one process serves as many as asked for, each on a
- * port of its own.  POST /v1/sync is the worker protocol, GET /counts gives
- * the events of what ran, POST /ctl sets faults by the names in ctl().
- * --history writes them for orioleglade-check.
+ * Stand-in for workers.  One process serves any number of them, each on its
+ * own port.  POST /v1/sync is the worker protocol, GET /counts returns the
+ * events of the tasks, and POST /ctl sets the faults named in ctl().
+ * --history writes the events for orioleglade-check.
  */
 
 #include <argp.h>
@@ -14,7 +14,7 @@
 #include "fake_feed.h"
 #include "fake_http.h"
 
-#define RACK_SIZE 6
+#define WORKERS_PER_RACK 6 /* workers of one zone in a rack */
 
 struct options {
 	uint32_t count;
@@ -29,14 +29,14 @@
 
 struct server {
 	struct fake_worker *worker;
-	struct ogl_history *history; /* NULL: none is kept */
+	struct ogl_history *history; /* NULL: not written */
 	uint64_t boot;
-	struct ogl_res capacity; /* last told of */
+	struct ogl_res recorded_capacity; /* last one recorded in the history */
 	struct fake_http *http;
 	char *name;
-	uint32_t lose; /* next syncs done but not answered */
-	ogl_time slow; /* delay of each answer */
-	bool restart;  /* order of /ctl */
+	uint32_t lose_answers;  /* number of next syncs without an answer */
+	ogl_time answer_delay;  /* delay of each answer */
+	bool restart_requested; /* by /ctl */
 };
 
 static const struct argp_option argp_options[] = {
@@ -106,21 +106,21 @@
 		allowed != NULL ? allowed : "malformed"));
 }
 
-/* Tells of a new boot or another capacity. */
+/* Records the capacity if it has changed or the worker has rebooted. */
 static void
-tell_capacity(struct server *s, bool booted, ogl_time now)
+record_capacity(struct server *s, bool booted, ogl_time now)
 {
 	const struct ogl_res *c = &fake_worker_script(s->worker)->capacity;
 
 	if (s->history == NULL ||
-	    (!booted && memcmp(c, &s->capacity, sizeof(*c)) == 0))
+	    (!booted && memcmp(c, &s->recorded_capacity, sizeof(*c)) == 0))
 		return;
-	s->capacity = *c;
+	s->recorded_capacity = *c;
 	fake_feed_capacity(s->history, s->name, s->boot, c, now);
 }
 
 static void
-tell_lease(struct server *s, const Ogl__WorkerSync *sync, ogl_time now)
+record_lease(struct server *s, const Ogl__WorkerSync *sync, ogl_time now)
 {
 	struct history_event ev = {.type = HISTORY_LEASE, .at = now};
 
@@ -148,18 +148,18 @@
 		next = refuse_sync(c, f);
 		goto out;
 	}
-	c->delay = s->slow;
+	c->delay = s->answer_delay;
 	next = FAKE_HTTP_ANSWER;
 	if (!fake_worker_sync(s->worker, (const Ogl__WorkerSync *)m, now, &r)) {
 		c->drop = true;
 		goto out;
 	}
 	if (!r->refused)
-		tell_lease(s, (const Ogl__WorkerSync *)m, now);
+		record_lease(s, (const Ogl__WorkerSync *)m, now);
 	fake_http_set(c, "Content-Type", "application/json");
 	fake_http_text(c, 200, ogl_json_print(&r->base, NULL));
-	if (s->lose > 0) {
-		s->lose--;
+	if (s->lose_answers > 0) {
+		s->lose_answers--;
 		c->drop = true;
 	}
 out:
@@ -212,19 +212,19 @@
 	    {"cpu_milli", FAKE_CTL_COUNT, &k->capacity.cpu_milli},
 	    {"mem_mb", FAKE_CTL_COUNT, &k->capacity.mem_mb},
 	    {"accel", FAKE_CTL_COUNT, &k->capacity.accel},
-	    {"lose", FAKE_CTL_COUNT, &s->lose},
-	    {"slow_ms", FAKE_CTL_MS, &s->slow},
-	    {"restart", FAKE_CTL_FLAG, &s->restart},
+	    {"lose", FAKE_CTL_COUNT, &s->lose_answers},
+	    {"slow_ms", FAKE_CTL_MS, &s->answer_delay},
+	    {"restart", FAKE_CTL_FLAG, &s->restart_requested},
 	};
 	enum fake_http_next next =
 	    fake_ctl_answer(c, table, G_N_ELEMENTS(table));
 
-	if (s->restart) {
+	if (s->restart_requested) {
 		fake_worker_restart(s->worker, now);
-		s->boot++; /* as the worker's own */
+		s->boot++; /* fake_worker_restart does the same */
 	}
-	tell_capacity(s, s->restart, now);
-	s->restart = false;
+	record_capacity(s, s->restart_requested, now);
+	s->restart_requested = false;
 	return next;
 }
 
@@ -249,7 +249,7 @@
 	const char *zone = zones[0] != NULL ? zones[i % nzones] : "";
 	char *rack = o->rack != NULL ? g_strdup(o->rack)
 				     : g_strdup_printf("%s-r%u", zone,
-					   i / nzones / RACK_SIZE + 1);
+					   i / nzones / WORKERS_PER_RACK + 1);
 	uint16_t port = o->port == 0 ? 0 : (uint16_t)(o->port + i);
 	struct fake_worker_config c = {.zone = zone,
 	    .rack = rack,
@@ -264,7 +264,7 @@
 	s->worker = fake_worker_init(&c);
 	if (s->history != NULL)
 		fake_worker_hook(s->worker, fake_record_worker, s->history);
-	tell_capacity(s, true, (ogl_time)c.boot);
+	record_capacity(s, true, (ogl_time)c.boot);
 	s->http = fake_http_start(loop, port, handle, s);
 	if (s->http != NULL)
 		printf("port %u %s %s %s\n", fake_http_port(s->http), s->name,
