--- a/test/fake_cluster_tell.c
+++ b/test/fake_cluster_tell.c
@@ -1,7 +1,7 @@
 /*
- * From a cluster's calls to events of a history.  Only calls that hand in
- * work are events by themselves; of the others what they tell of a job or of
- * the settings is.
+ * Converts the calls of a fake cluster to events of a history.  Only calls that
+ * submit work are recorded as calls; from the answers of other calls, the
+ * state of a job or the result of a settings edit is recorded.
  */
 
 #include <jansson.h>
@@ -10,7 +10,7 @@
 #include "fake_cluster_tell.h"
 
 static bool
-hands_in(const struct fake_call *k)
+submits_work(const struct fake_call *k)
 {
 	return strcmp(k->method, "POST") == 0 &&
 	       (strcmp(k->path, "/v1/requests") == 0 ||
@@ -18,7 +18,7 @@
 }
 
 static bool
-is_submit(const struct fake_call *k)
+submits_job(const struct fake_call *k)
 {
 	return strcmp(k->method, "POST") == 0 &&
 	       strcmp(k->path, "/v1/jobs") == 0;
@@ -31,23 +31,23 @@
 	struct history_event ev = {.type = HISTORY_CALL, .at = k->asked};
 	char name[16];
 
-	if (!hands_in(k))
+	if (!submits_work(k))
 		return;
 	g_snprintf(name, sizeof name, "%u", number);
 	ev.u.call.call = name;
 	ev.u.call.node = node;
 	ev.u.call.team = k->team;
 	ev.u.call.request_id = k->id;
-	ev.u.call.kind = is_submit(k) ? NULL : "check";
+	ev.u.call.kind = submits_job(k) ? NULL : "check";
 	ev.u.call.body = k->body;
 	ev.u.call.timeout_ms = timeout_ms;
 	ev.u.call.idempotent = k->idempotent;
-	ev.u.call.job = is_submit(k);
+	ev.u.call.job = submits_job(k);
 	ogl_history_add(h, &ev);
 }
 
 static void
-tell_job(struct ogl_history *h, const char *call, const struct fake_call *k)
+record_job(struct ogl_history *h, const char *call, const struct fake_call *k)
 {
 	struct history_event ev = {.type = HISTORY_JOB, .at = k->answered};
 	char *job = fake_cluster_field(k->answer, "job");
@@ -68,9 +68,10 @@
 	g_free(state);
 }
 
-/* A limit set by the first change of an edit; false when it sets none. */
+/* Reads the team limit that the first change of an edit sets; false if it sets
+ * none. */
 static bool
-limit_of(const json_t *edit, char team[128], uint64_t *limit)
+parse_team_limit(const json_t *edit, char team[128], uint64_t *limit)
 {
 	const json_t *change =
 	    json_array_get(json_object_get(edit, "changes"), 0);
@@ -89,7 +90,7 @@
 }
 
 static void
-tell_edit(struct ogl_history *h, const struct fake_call *k)
+record_edit(struct ogl_history *h, const struct fake_call *k)
 {
 	struct history_event ev = {.type = HISTORY_EDIT, .at = k->answered};
 	json_t *edit = json_loads(k->body, 0, NULL);
@@ -101,7 +102,7 @@
 	ev.u.edit.asked = k->asked;
 	ev.u.edit.version =
 	    version != NULL ? g_ascii_strtoull(version, NULL, 10) : 0;
-	if (limit_of(edit, team, &ev.u.edit.limit))
+	if (parse_team_limit(edit, team, &ev.u.edit.limit))
 		ev.u.edit.what = HISTORY_EDIT_LIMIT;
 	ev.u.edit.team = team;
 	if (ev.u.edit.accepted || k->cut || k->verdict == OGL_MAY_HAVE_RUN)
@@ -118,14 +119,15 @@
 	char name[16];
 
 	g_snprintf(name, sizeof name, "%u", number);
-	if (hands_in(k)) {
+	if (submits_work(k)) {
 		ev.u.answer.call = name;
 		ev.u.answer.status = k->cut ? 0 : k->status;
 		ev.u.answer.verdict = k->verdict;
 		if (k->cut && k->arrived)
 			ev.u.answer.verdict = HISTORY_BROKEN;
-		/* The view of an accepted job says whether the job ran. */
-		if (is_submit(k) && !k->cut && k->status / 100 == 2)
+		/* The event of an accepted job, added below, says whether it
+		 * ran. */
+		if (submits_job(k) && !k->cut && k->status / 100 == 2)
 			ev.u.answer.verdict = HISTORY_RAN;
 		ev.u.answer.retry_after_ms = k->retry_after_ms;
 		ev.u.answer.body = k->answer;
@@ -133,10 +135,10 @@
 	}
 	if (strcmp(k->path, "/v1/settings") == 0 &&
 	    strcmp(k->method, "POST") == 0)
-		tell_edit(h, k);
+		record_edit(h, k);
 	if (!k->cut && k->status / 100 == 2 &&
-	    (is_submit(k) || g_str_has_prefix(k->path, "/v1/jobs/")))
-		tell_job(h, is_submit(k) ? name : "", k);
+	    (submits_job(k) || g_str_has_prefix(k->path, "/v1/jobs/")))
+		record_job(h, submits_job(k) ? name : "", k);
 }
 
 void
--- a/test/fake_cluster_tell.h
+++ b/test/fake_cluster_tell.h
@@ -1,4 +1,4 @@
-/* What a fake cluster writes into the history of its run. */
+/* Adds the events of a fake cluster to the history of its run. */
 
 #ifndef FAKE_CLUSTER_TELL_H
 #define FAKE_CLUSTER_TELL_H
@@ -10,7 +10,8 @@
     const struct fake_call *k, uint64_t timeout_ms);
 void fake_record_answer(
     struct ogl_history *h, uint32_t number, const struct fake_call *k);
-/* The answer, and what it tells of a job or an edit. */
+/* Adds the answer, and the state of a job or the result of an edit that it
+ * contains. */
 void fake_record_node(struct ogl_history *h, const char *node,
     enum history_node state, ogl_time now);
 void fake_record_lease(struct ogl_history *h, const char *worker,
