--- a/test/fake_cluster.c
+++ b/test/fake_cluster.c
@@ -1,16 +1,16 @@
 /*
- * A whole cell in one test loop.
+ * A simulated cluster in one thread.
  *
- * One binary heap holds all that is to come, ordered by (time, sequence): a
- * wake of a node, an event on its way to a node, an action on its way to the
- * log, a worker, an executor or the host list, and the test's own doings.
- * Taking the least one moves the virtual time there.  An action is carried
- * out when it arrives, and its answer becomes an event after another delay;
- * so either half may be lost.  An answer that would come after the action's
- * timeout becomes OGL_IO_LOST at the timeout, as the daemon does it.
+ * A binary heap holds all pending items, ordered by (time, sequence number):
+ * wakes of nodes, events in transit to a node, actions in transit to the log,
+ * a worker, an executor or the host list, and callbacks of the test.  Removing
+ * the first item advances the virtual time to it.  An action takes effect when
+ * it arrives, and its answer becomes an event after another delay, so either
+ * of the two messages may be lost.  An answer that would arrive after the
+ * action's timeout becomes OGL_IO_LOST at the timeout, as in the daemon.
  *
- * A paused node keeps its place in the heap: what falls due for it is put
- * back to the pause's end, in the same order.
+ * Items that are due for a paused node are pushed again with the end of the
+ * pause as their time, in the same order.
  */
 
 #include <jansson.h>
@@ -24,27 +24,27 @@
 #include "node_impl.h"
 
 enum {
-	EPOCH_S = 1000000, /* where virtual time begins */
-	READ_MOST = 256,   /* log entries in one answer */
-	NET_US = 500,      /* least delay of any message */
-	NET_SPREAD_US = 1500,
-	LOG_US = 4000, /* least time the log takes */
-	LOG_SPREAD_US = 8000,
-	SPIN_US = 5000 /* a node that wants to be woken at once */
+	START_TIME_S = 1000000,  /* start of the virtual time */
+	MAX_READ_RECORDS = 256,  /* log records in one answer */
+	NET_MIN_DELAY_US = 500,  /* minimum delay of a message */
+	NET_JITTER_US = 1500,    /* random addition */
+	LOG_MIN_DELAY_US = 4000, /* minimum delay of the log's answers */
+	LOG_JITTER_US = 8000,    /* random addition */
+	MIN_WAKE_DELAY_US = 5000 /* delay of a wake that is due now */
 };
 
 enum item_type {
 	ITEM_WAKE,
 	ITEM_EVENT,
 	ITEM_ACTION,
-	ITEM_DO
+	ITEM_CALLBACK
 };
 
-/* An event with all it points at. */
+/* An event and the data it points to. */
 struct delivery {
 	struct ogl_event ev;
-	GBytes *data;       /* peer message or executor's answer */
-	GPtrArray *records; /* GBytes, of a log read */
+	GBytes *data;       /* peer message or answer of an executor */
+	GPtrArray *records; /* GBytes; the result of a log read */
 	struct ogl_log_entry *entries;
 	Ogl__HostList *hosts;
 	Ogl__WorkerReport *report;
@@ -53,12 +53,13 @@
 	uint64_t budget_ms;
 };
 
+/* An entry of the heap. */
 struct item {
 	ogl_time at;
 	uint64_t seq;
 	enum item_type type;
 	uint32_t node;
-	uint64_t boot; /* 0: of any process at that address */
+	uint64_t boot; /* of the process; 0: any process at that address */
 	ogl_time sent;
 	struct delivery *d;
 	struct ogl_action *act;
@@ -66,15 +67,16 @@
 	void *ctx;
 };
 
-struct slot {
-	struct ogl_node *node; /* NULL: none runs */
+/* A node's address and the process that runs there. */
+struct node_slot {
+	struct ogl_node *node; /* NULL: no process runs */
 	char *name;
 	char *addr;
 	char *zone;
 	uint64_t boot;
-	ogl_time wake;
-	ogl_time paused;  /* until then */
-	bool pause_armed; /* at the next action of pause_type */
+	ogl_time wake_at;      /* when the next ITEM_WAKE is due */
+	ogl_time paused_until; /* end of the pause */
+	bool pause_armed;      /* pauses at the next action of pause_type */
 	enum ogl_action_type pause_type;
 	ogl_time pause_length;
 	bool cut_node[FAKE_CLUSTER_MAX_EACH];
@@ -82,85 +84,86 @@
 	bool cut_exec[FAKE_CLUSTER_MAX_EACH];
 	bool cut_log;
 	bool cut_hosts;
-	uint64_t version; /* of the settings, as last told */
+	uint64_t settings_version; /* last one in the history */
 };
 
 /* A worker or executor on the host list. */
-struct listed {
+struct host_listing {
 	bool leaving;
-	ogl_time since; /* when that changed */
-	bool told;      /* as leaving */
+	ogl_time changed_at; /* last change of `leaving` */
+	bool last_shown;     /* `leaving` as last shown by the list */
 };
 
-/* What is known of one task over all workers. */
-struct seen {
+/* What happened to one task, over all workers. */
+struct task_stats {
 	uint32_t starts;
 	uint32_t running;
-	uint32_t again; /* starts after the first, but from a checkpoint */
+	uint32_t reruns; /* starts after the first, except from a checkpoint */
 	bool succeeded;
-	bool saved; /* checkpointed, so that another start goes on from it */
+	bool checkpointed; /* the next start resumes the task */
 	char *worker;
 };
 
-/* What is known of one team. */
-struct tally {
+/* Running tasks of one team, including the teams below it. */
+struct team_stats {
 	uint32_t running;
-	uint32_t most;
-	uint32_t limit;
+	uint32_t peak;  /* highest `running` since fake_cluster_team_most */
+	uint32_t limit; /* set by fake_cluster_limit */
 };
 
 struct fake_cluster {
 	struct fake_cluster_config cfg;
 	struct fake_net net;
 	struct fake_unguarded unguarded;
-	uint64_t unguarded_seq;
+	uint64_t unguarded_seq; /* of syncs under unguarded.epochs */
 	struct ogl_random rnd;
 	ogl_time now;
 	uint64_t seq;
 	GPtrArray *heap; /* struct item */
-	struct slot slots[FAKE_CLUSTER_MAX_EACH];
+	struct node_slot slots[FAKE_CLUSTER_MAX_EACH];
 	char *seeds[FAKE_CLUSTER_MAX_EACH];
 	char operator_key[80];
 	char operator_hash[65];
 	struct fake_log *log;
 	struct fake_worker *workers[FAKE_CLUSTER_MAX_EACH];
-	uint64_t worker_boots[FAKE_CLUSTER_MAX_EACH]; /* restarts */
-	struct listed worker_listed[FAKE_CLUSTER_MAX_EACH];
+	uint64_t worker_restarts[FAKE_CLUSTER_MAX_EACH];
+	struct host_listing worker_listed[FAKE_CLUSTER_MAX_EACH];
 	struct fake_exec *execs[FAKE_CLUSTER_MAX_EACH];
-	struct listed exec_listed[FAKE_CLUSTER_MAX_EACH];
+	struct host_listing exec_listed[FAKE_CLUSTER_MAX_EACH];
 	GPtrArray *calls;   /* struct fake_call */
-	GHashTable *tasks;  /* name -> struct seen */
-	GHashTable *teams;  /* path -> struct tally */
-	GHashTable *bodies; /* body -> runs */
+	GHashTable *tasks;  /* name -> struct task_stats */
+	GHashTable *teams;  /* path -> struct team_stats */
+	GHashTable *bodies; /* body -> number of runs */
 	GString *trace;
 	GString *faults;
 	struct ogl_history *history;
 };
 
-/* ---- small ------------------------------------------------------------ */
+/* ---- helpers ---------------------------------------------------------- */
 
+/* A random number below n; 0 if n is 0. */
 static uint64_t
-below(struct fake_cluster *c, uint64_t n)
+random_below(struct fake_cluster *c, uint64_t n)
 {
 	return n == 0 ? 0 : ogl_random_next(&c->rnd) % n;
 }
 
 static bool
-chance(struct fake_cluster *c, uint32_t thousandths)
+random_chance(struct fake_cluster *c, uint32_t per_mille)
 {
-	return thousandths > 0 && below(c, 1000) < thousandths;
+	return per_mille > 0 && random_below(c, 1000) < per_mille;
 }
 
 static ogl_time
 net_delay(struct fake_cluster *c)
 {
-	return NET_US + (ogl_time)below(c, NET_SPREAD_US);
+	return NET_MIN_DELAY_US + (ogl_time)random_below(c, NET_JITTER_US);
 }
 
 static void G_GNUC_PRINTF(2, 3)
     note(struct fake_cluster *c, const char *fmt, ...)
 {
-	ogl_time t = c->now - EPOCH_S * OGL_SEC;
+	ogl_time t = c->now - START_TIME_S * OGL_SEC;
 	va_list ap;
 
 	g_string_append_printf(c->trace,
@@ -216,7 +219,7 @@
 /* ---- the heap --------------------------------------------------------- */
 
 static bool
-before(const struct item *a, const struct item *b)
+item_before(const struct item *a, const struct item *b)
 {
 	return a->at != b->at ? a->at < b->at : a->seq < b->seq;
 }
@@ -238,7 +241,7 @@
 
 	it->seq = ++c->seq;
 	g_ptr_array_add(h, it);
-	while (i > 0 && before(h->pdata[i], h->pdata[(i - 1) / 2])) {
+	while (i > 0 && item_before(h->pdata[i], h->pdata[(i - 1) / 2])) {
 		heap_swap(h, i, (i - 1) / 2);
 		i = (i - 1) / 2;
 	}
@@ -258,9 +261,9 @@
 
 		if (k >= h->len)
 			break;
-		if (k + 1 < h->len && before(h->pdata[k + 1], h->pdata[k]))
+		if (k + 1 < h->len && item_before(h->pdata[k + 1], h->pdata[k]))
 			k++;
-		if (!before(h->pdata[k], h->pdata[i]))
+		if (!item_before(h->pdata[k], h->pdata[i]))
 			break;
 		heap_swap(h, i, k);
 		i = k;
@@ -301,43 +304,43 @@
 	heap_push(c, i);
 }
 
-/* ---- what is seen ----------------------------------------------------- */
+/* ---- events of workers and executors ---------------------------------- */
 
-static struct seen *
-task_seen(const struct fake_cluster *c, const char *name)
+static struct task_stats *
+task_stats_get(const struct fake_cluster *c, const char *name)
 {
-	struct seen *s = g_hash_table_lookup(c->tasks, name);
+	struct task_stats *s = g_hash_table_lookup(c->tasks, name);
 
 	if (s == NULL) {
-		s = g_new0(struct seen, 1);
+		s = g_new0(struct task_stats, 1);
 		g_hash_table_insert(c->tasks, g_strdup(name), s);
 	}
 	return s;
 }
 
 static void
-seen_free(void *v)
+task_stats_free(void *v)
 {
-	struct seen *s = v;
+	struct task_stats *s = v;
 
 	g_free(s->worker);
 	g_free(s);
 }
 
-static struct tally *
-team_tally(const struct fake_cluster *c, const char *team)
+static struct team_stats *
+team_stats_get(const struct fake_cluster *c, const char *team)
 {
-	struct tally *t = g_hash_table_lookup(c->teams, team);
+	struct team_stats *t = g_hash_table_lookup(c->teams, team);
 
 	if (t == NULL) {
-		t = g_new0(struct tally, 1);
+		t = g_new0(struct team_stats, 1);
 		t->limit = UINT32_MAX;
 		g_hash_table_insert(c->teams, g_strdup(team), t);
 	}
 	return t;
 }
 
-/* Counts a start or an end for the team and every team above it. */
+/* Adds `by` to the running tasks of the team and of all teams above it. */
 static void
 count_team(struct fake_cluster *c, const char *team, int by)
 {
@@ -345,10 +348,10 @@
 	char *slash;
 
 	for (;;) {
-		struct tally *t = team_tally(c, path);
+		struct team_stats *t = team_stats_get(c, path);
 
 		t->running = (uint32_t)((int)t->running + by);
-		t->most = MAX(t->most, t->running);
+		t->peak = MAX(t->peak, t->running);
 		if (by > 0 && t->running > t->limit)
 			fake_cluster_fault(c,
 			    "team %s runs %u, its limit is %u", path,
@@ -361,7 +364,7 @@
 	g_free(path);
 }
 
-static const char *const worker_words[] = {
+static const char *const worker_event_names[] = {
     [FAKE_WORKER_START] = "start",
     [FAKE_WORKER_END] = "end",
     [FAKE_WORKER_LAPSE] = "lapse",
@@ -369,18 +372,18 @@
 };
 
 static void
-on_worker(void *ctx, const struct fake_worker_event *ev)
+on_worker_event(void *ctx, const struct fake_worker_event *ev)
 {
 	struct fake_cluster *c = ctx;
-	struct seen *s = task_seen(c, ev->task);
+	struct task_stats *s = task_stats_get(c, ev->task);
 
 	fake_record_worker(c->history, ev);
-	note(c, "%s %s %s attempt %u %s", ev->worker, worker_words[ev->type],
-	    ev->task, ev->attempt,
+	note(c, "%s %s %s attempt %u %s", ev->worker,
+	    worker_event_names[ev->type], ev->task, ev->attempt,
 	    ogl__task_state__descriptor.values[ev->state].name);
 	if (ev->type != FAKE_WORKER_START) {
 		s->running--;
-		s->saved = ev->state == OGL__TASK_STATE__checkpointed;
+		s->checkpointed = ev->state == OGL__TASK_STATE__checkpointed;
 		s->succeeded |= ev->state == OGL__TASK_STATE__succeeded;
 		count_team(c, ev->team, -1);
 		return;
@@ -388,7 +391,7 @@
 	if (s->running > 0)
 		fake_cluster_fault(c, "task %s runs on %s and on %s", ev->task,
 		    s->worker, ev->worker);
-	s->again += s->starts > 0 && !s->saved;
+	s->reruns += s->starts > 0 && !s->checkpointed;
 	s->running++;
 	s->starts++;
 	g_free(s->worker);
@@ -397,7 +400,7 @@
 }
 
 static void
-on_exec(void *ctx, const struct fake_exec_event *ev)
+on_exec_run(void *ctx, const struct fake_exec_event *ev)
 {
 	struct fake_cluster *c = ctx;
 	char *body = ogl_str_dup(ev->body);
@@ -407,10 +410,11 @@
 	g_hash_table_replace(c->bodies, body, GSIZE_TO_POINTER(runs + 1));
 }
 
-/* ---- life ------------------------------------------------------------- */
+/* ---- creation and destruction ----------------------------------------- */
 
-/* Keys have to differ, not to be secret; there is no context to keep a
- * state in, and each run has a thread of its own. */
+/* Keys must be distinct but need not be secret.  The entropy callback has no
+ * context argument for this state; it is per thread because each run has its
+ * own thread. */
 static _Thread_local uint64_t entropy_state;
 
 static void
@@ -448,10 +452,10 @@
 		    .rack = rack,
 		    .capacity = c->cfg.capacity,
 		    .boot = 1,
-		    .clock_offset_ms = (int64_t)below(c, 2000) - 1000};
+		    .clock_offset_ms = (int64_t)random_below(c, 2000) - 1000};
 
 		c->workers[i] = fake_worker_init(&w);
-		fake_worker_hook(c->workers[i], on_worker, c);
+		fake_worker_hook(c->workers[i], on_worker_event, c);
 		fake_feed_capacity(
 		    c->history, name, 1, &c->cfg.capacity, c->now);
 		g_free(name);
@@ -467,7 +471,7 @@
 		char *name = g_strdup_printf("e%u", i);
 
 		c->execs[i] = fake_exec_init(name, FAKE_EXEC_SLOTS);
-		fake_exec_hook(c->execs[i], on_exec, c);
+		fake_exec_hook(c->execs[i], on_exec_run, c);
 		g_free(name);
 	}
 }
@@ -491,13 +495,13 @@
 	struct fake_cluster *c = g_new0(struct fake_cluster, 1);
 
 	c->cfg = *cfg;
-	c->now = EPOCH_S * OGL_SEC;
+	c->now = START_TIME_S * OGL_SEC;
 	ogl_random_init(&c->rnd, cfg->seed);
 	entropy_state = cfg->seed << 20;
 	c->heap = g_ptr_array_new();
 	c->calls = g_ptr_array_new_with_free_func(call_free);
-	c->tasks =
-	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, seen_free);
+	c->tasks = g_hash_table_new_full(
+	    g_str_hash, g_str_equal, g_free, task_stats_free);
 	c->teams =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	c->bodies =
@@ -550,9 +554,9 @@
 	g_free(c);
 }
 
-/* ---- answers of the world --------------------------------------------- */
+/* ---- answers of log, workers, executors and host list ------------------ */
 
-/* Which event answers which action. */
+/* The type of the event that answers an action. */
 static enum ogl_event_type
 answer_type(enum ogl_action_type t)
 {
@@ -571,9 +575,10 @@
 	}
 }
 
-/* The action's answer, at its time or as lost at the timeout. */
+/* Queues the answer to an action: at its time, or OGL_IO_LOST at the timeout if
+ * that is earlier. */
 static void
-answer(struct fake_cluster *c, const struct item *i, struct delivery *d,
+deliver_answer(struct fake_cluster *c, const struct item *i, struct delivery *d,
     ogl_time at)
 {
 	ogl_time timeout = i->sent + i->act->timeout_ms * OGL_MS;
@@ -588,26 +593,27 @@
 }
 
 static void
-answer_lost(struct fake_cluster *c, const struct item *i)
+deliver_lost(struct fake_cluster *c, const struct item *i)
 {
-	answer(c, i,
+	deliver_answer(c, i,
 	    delivery_new(answer_type(i->act->type), i->act->token, OGL_IO_LOST),
 	    OGL_NEVER);
 }
 
 static uint32_t
-index_of(const char *addr)
+addr_index(const char *addr)
 {
 	const char *colon = strchr(addr, ':');
 
 	return colon == NULL ? 0 : (uint32_t)strtoul(colon + 1, NULL, 10);
 }
 
-/* Whether the way of the action's node to what it speaks to is cut. */
+/* Whether the connection from the node to the action's destination is cut. */
 static bool
-way_cut(const struct fake_cluster *c, uint32_t node, const struct ogl_action *a)
+path_cut(
+    const struct fake_cluster *c, uint32_t node, const struct ogl_action *a)
 {
-	const struct slot *s = &c->slots[node];
+	const struct node_slot *s = &c->slots[node];
 
 	switch (a->type) {
 	case OGL_ACT_LOG_APPEND:
@@ -616,11 +622,11 @@
 	case OGL_ACT_HOSTS:
 		return s->cut_hosts;
 	case OGL_ACT_WORKER:
-		return s->cut_worker[index_of(a->addr)];
+		return s->cut_worker[addr_index(a->addr)];
 	case OGL_ACT_EXEC:
-		return s->cut_exec[index_of(a->addr)];
+		return s->cut_exec[addr_index(a->addr)];
 	case OGL_ACT_PEER:
-		return s->cut_node[index_of(a->addr)];
+		return s->cut_node[addr_index(a->addr)];
 	default:
 		return false;
 	}
@@ -629,12 +635,12 @@
 static ogl_time
 log_delay(struct fake_cluster *c)
 {
-	return LOG_US + (ogl_time)below(c, LOG_SPREAD_US) +
+	return LOG_MIN_DELAY_US + (ogl_time)random_below(c, LOG_JITTER_US) +
 	       fake_log_script(c->log)->slow;
 }
 
 static void
-do_append(struct fake_cluster *c, const struct item *i)
+perform_append(struct fake_cluster *c, const struct item *i)
 {
 	struct ogl_str data;
 	uint64_t offset = 0;
@@ -643,7 +649,7 @@
 
 	data.p = g_bytes_get_data(i->act->data, &data.n);
 	r = fake_log_append(c->log, i->act->name, data, c->now, &offset);
-	if (r == FAKE_LOG_OK && chance(c, c->net.append_lost))
+	if (r == FAKE_LOG_OK && random_chance(c, c->net.append_lost))
 		r = FAKE_LOG_LOST;
 	note(c, "log %s append by %s: %s %" G_GUINT64_FORMAT, i->act->name,
 	    c->slots[i->node].name,
@@ -652,28 +658,28 @@
 				 : "refused",
 	    offset);
 	if (r == FAKE_LOG_LOST) {
-		answer_lost(c, i);
+		deliver_lost(c, i);
 		return;
 	}
 	d = delivery_new(OGL_EV_LOG_APPENDED, i->act->token,
 	    r == FAKE_LOG_OK ? OGL_IO_OK : OGL_IO_REFUSED);
 	d->ev.u.appended.offset = offset;
-	answer(c, i, d, c->now + log_delay(c));
+	deliver_answer(c, i, d, c->now + log_delay(c));
 }
 
 static void
-do_read(struct fake_cluster *c, const struct item *i)
+perform_read(struct fake_cluster *c, const struct item *i)
 {
-	struct ogl_log_entry got[READ_MOST];
+	struct ogl_log_entry got[MAX_READ_RECORDS];
 	struct delivery *d =
 	    delivery_new(OGL_EV_LOG_READ, i->act->token, OGL_IO_OK);
 	size_t n = 0;
 
 	if (fake_log_read(c->log, i->act->name, i->act->from, c->now,
-		&d->ev.u.read.first, &d->ev.u.read.next, got, READ_MOST,
+		&d->ev.u.read.first, &d->ev.u.read.next, got, MAX_READ_RECORDS,
 		&n) != FAKE_LOG_OK) {
 		d->ev.io = OGL_IO_REFUSED;
-		answer(c, i, d, c->now + log_delay(c));
+		deliver_answer(c, i, d, c->now + log_delay(c));
 		return;
 	}
 	d->records =
@@ -689,21 +695,21 @@
 	}
 	d->ev.u.read.entries = d->entries;
 	d->ev.u.read.n = n;
-	answer(c, i, d, c->now + log_delay(c));
+	deliver_answer(c, i, d, c->now + log_delay(c));
 }
 
-/* Whether the lagging list shows the host as leaving. */
+/* Whether the host list, which lags by hosts_lag, shows the host as leaving. */
 static bool
-shown_leaving(const struct fake_cluster *c, const struct listed *l)
+shown_leaving(const struct fake_cluster *c, const struct host_listing *l)
 {
-	bool recent = c->now - l->since < c->net.hosts_lag;
+	bool recent = c->now - l->changed_at < c->net.hosts_lag;
 
-	return recent ? !l->leaving && l->since > 0 : l->leaving;
+	return recent ? !l->leaving && l->changed_at > 0 : l->leaving;
 }
 
 static Ogl__Host *
 list_host(struct fake_cluster *c, Ogl__HostRole role, uint32_t index,
-    struct listed *l)
+    struct host_listing *l)
 {
 	Ogl__Host *h = malloc(sizeof *h);
 	const char *word = role == OGL__HOST_ROLE__worker ? "w" : "e";
@@ -720,14 +726,14 @@
 	h->rack = strdup(text);
 	h->role = role;
 	h->leaving = shown_leaving(c, l);
-	if (l->told != (h->leaving != 0))
+	if (l->last_shown != (h->leaving != 0))
 		fake_record_listed(c->history, h->name, h->leaving, c->now);
-	l->told = h->leaving != 0;
+	l->last_shown = h->leaving != 0;
 	return h;
 }
 
 static void
-do_hosts(struct fake_cluster *c, const struct item *i)
+perform_hosts(struct fake_cluster *c, const struct item *i)
 {
 	Ogl__HostList *l = malloc(sizeof *l);
 	struct delivery *d =
@@ -743,7 +749,7 @@
 		    c, OGL__HOST_ROLE__executor, k, &c->exec_listed[k]);
 	d->hosts = l;
 	d->ev.u.hosts = l;
-	answer(c, i, d, c->now + net_delay(c));
+	deliver_answer(c, i, d, c->now + net_delay(c));
 }
 
 static void
@@ -753,9 +759,10 @@
 		fake_worker_tick(c->workers[i], c->now);
 }
 
-/* Takes from a sync what the guards switched off would look at. */
+/* Changes the fields of a sync that the disabled guards check, so that these
+ * guards accept it. */
 static void
-unguard(struct fake_cluster *c, Ogl__WorkerSync *m)
+disable_guards(struct fake_cluster *c, Ogl__WorkerSync *m)
 {
 	if (c->unguarded.epochs) {
 		m->epoch = UINT64_MAX;
@@ -768,60 +775,62 @@
 }
 
 static void
-do_worker(struct fake_cluster *c, const struct item *i)
+perform_worker(struct fake_cluster *c, const struct item *i)
 {
-	struct fake_worker *w = c->workers[index_of(i->act->addr)];
+	struct fake_worker *w = c->workers[addr_index(i->act->addr)];
 	struct delivery *d =
 	    delivery_new(OGL_EV_WORKER, i->act->token, OGL_IO_OK);
-	uint64_t full = fake_worker_no_room(w);
+	uint64_t no_room = fake_worker_no_room(w);
 	uint64_t epoch = i->act->sync->epoch;
 	uint64_t seq = i->act->sync->seq;
 
-	/* What ends elsewhere first has to be seen to end first. */
+	/* Tasks that end earlier on other workers must be recorded first. */
 	tick_workers(c);
-	unguard(c, i->act->sync);
-	if (chance(c, c->net.sync_lost) ||
+	disable_guards(c, i->act->sync);
+	if (random_chance(c, c->net.sync_lost) ||
 	    !fake_worker_sync(w, i->act->sync, c->now, &d->report)) {
 		delivery_free(d);
-		answer_lost(c, i);
+		deliver_lost(c, i);
 		return;
 	}
 	fake_record_lease(c->history, i->act->name, i->act->sync, c->now);
-	if (fake_worker_no_room(w) != full)
+	if (fake_worker_no_room(w) != no_room)
 		fake_cluster_fault(c,
 		    "worker %s was given more than it holds by %s",
 		    i->act->name, c->slots[i->node].name);
-	if (chance(c, c->net.report_lost)) {
+	if (random_chance(c, c->net.report_lost)) {
 		delivery_free(d);
-		answer_lost(c, i);
+		deliver_lost(c, i);
 		return;
 	}
 	d->report->epoch = c->unguarded.epochs ? epoch : d->report->epoch;
 	d->report->seq = c->unguarded.epochs ? seq : d->report->seq;
 	d->ev.u.worker = d->report;
-	answer(c, i, d, c->now + net_delay(c));
+	deliver_answer(c, i, d, c->now + net_delay(c));
 }
 
 static void
-do_exec(struct fake_cluster *c, const struct item *i)
+perform_exec(struct fake_cluster *c, const struct item *i)
 {
-	struct fake_exec *e = c->execs[index_of(i->act->addr)];
+	struct fake_exec *e = c->execs[addr_index(i->act->addr)];
 	struct fake_exec_answer a;
 	struct delivery *d;
 	struct ogl_str body;
 	char name[16];
 
-	g_snprintf(name, sizeof name, "e%u", index_of(i->act->addr));
+	g_snprintf(name, sizeof name, "e%u", addr_index(i->act->addr));
 	body.p = g_bytes_get_data(i->act->data, &body.n);
 	fake_exec_run(e, body, i->act->name, i->act->work_kind, i->act->token,
 	    c->now, &a);
-	a.lost = a.lost || (a.accepted && chance(c, c->net.request_lost));
+	a.lost =
+	    a.lost || (a.accepted && random_chance(c, c->net.request_lost));
 	if (a.accepted)
 		fake_record_exec(c->history, name, body, i->act->name,
 		    i->act->work_kind, c->now, &a);
-	/* The adapter takes no answer that is cut or another request's. */
+	/* The daemon's adapter rejects answers that are cut or have the token
+	 * of another request. */
 	if (a.lost || a.sent_bytes < a.n || a.token != i->act->token) {
-		answer_lost(c, i);
+		deliver_lost(c, i);
 	} else {
 		d = delivery_new(OGL_EV_EXEC, i->act->token,
 		    a.accepted ? OGL_IO_OK : OGL_IO_REFUSED);
@@ -830,16 +839,16 @@
 		d->ev.u.exec.not_run = !a.accepted;
 		d->ev.u.exec.body.p =
 		    g_bytes_get_data(d->data, &d->ev.u.exec.body.n);
-		answer(c, i, d, a.answer_at + net_delay(c));
+		deliver_answer(c, i, d, a.answer_at + net_delay(c));
 	}
 	fake_exec_answer_clear(&a);
 }
 
 static void
-do_peer(struct fake_cluster *c, const struct item *i)
+perform_peer(struct fake_cluster *c, const struct item *i)
 {
 	struct delivery *d = delivery_new(OGL_EV_PEER, 0, OGL_IO_OK);
-	uint32_t to = index_of(i->act->addr);
+	uint32_t to = addr_index(i->act->addr);
 
 	d->data = g_bytes_ref(i->act->data);
 	d->ev.u.peer.data.p = g_bytes_get_data(d->data, &d->ev.u.peer.data.n);
@@ -847,35 +856,35 @@
 }
 
 static void
-do_action(struct fake_cluster *c, const struct item *i)
+perform_action(struct fake_cluster *c, const struct item *i)
 {
-	bool cut = way_cut(c, i->node, i->act);
+	bool cut = path_cut(c, i->node, i->act);
 
 	if (i->act->type == OGL_ACT_PEER) {
 		if (!cut)
-			do_peer(c, i);
+			perform_peer(c, i);
 		return;
 	}
 	if (cut) {
-		answer_lost(c, i);
+		deliver_lost(c, i);
 		return;
 	}
 	switch (i->act->type) {
 	case OGL_ACT_LOG_APPEND:
-		do_append(c, i);
+		perform_append(c, i);
 		break;
 	case OGL_ACT_LOG_READ:
-		do_read(c, i);
+		perform_read(c, i);
 		break;
 	case OGL_ACT_HOSTS:
-		do_hosts(c, i);
+		perform_hosts(c, i);
 		break;
 	case OGL_ACT_WORKER:
-		do_worker(c, i);
+		perform_worker(c, i);
 		break;
 	case OGL_ACT_EXEC:
 	default:
-		do_exec(c, i);
+		perform_exec(c, i);
 		break;
 	}
 }
@@ -931,13 +940,14 @@
 	i->sent = at;
 	i->act = a;
 	if (a->type == OGL_ACT_PEER) {
-		if (chance(c, c->net.peer_lost)) {
+		if (random_chance(c, c->net.peer_lost)) {
 			item_free(i);
 			return;
 		}
-		if (chance(c, c->net.peer_late))
-			i->at += (ogl_time)below(c, (uint64_t)c->net.late);
-		if (chance(c, c->net.peer_doubled)) {
+		if (random_chance(c, c->net.peer_late))
+			i->at +=
+			    (ogl_time)random_below(c, (uint64_t)c->net.late);
+		if (random_chance(c, c->net.peer_doubled)) {
 			struct item *j =
 			    item_new(ITEM_ACTION, node, i->at + net_delay(c));
 			struct ogl_actions q;
@@ -956,17 +966,17 @@
 }
 
 static void
-process_gone(struct fake_cluster *c, uint32_t node, bool exited)
+process_ended(struct fake_cluster *c, uint32_t node, bool exited)
 {
-	struct slot *s = &c->slots[node];
+	struct node_slot *s = &c->slots[node];
 
 	fake_record_node(c->history, s->name,
 	    exited ? HISTORY_NODE_EXITED : HISTORY_NODE_DOWN, c->now);
 	ogl_node_end(s->node);
 	s->node = NULL;
-	s->paused = 0;
+	s->paused_until = 0;
 	s->pause_armed = false;
-	s->wake = OGL_NEVER;
+	s->wake_at = OGL_NEVER;
 	for (guint i = 0; i < c->calls->len; i++) {
 		struct fake_call *k = g_ptr_array_index(c->calls, i);
 
@@ -981,31 +991,31 @@
 	}
 }
 
-/* Unless the pause has been made longer meanwhile. */
+/* Records the end of a pause, unless the pause was extended meanwhile. */
 static void
-tell_resumed(struct fake_cluster *c, void *ctx)
+record_resumed(struct fake_cluster *c, void *ctx)
 {
-	const struct slot *s = ctx;
+	const struct node_slot *s = ctx;
 
-	if (s->node != NULL && s->paused == c->now)
+	if (s->node != NULL && s->paused_until == c->now)
 		fake_record_node(
 		    c->history, s->name, HISTORY_NODE_RESUMED, c->now);
 }
 
 static void
-tell_pause(struct fake_cluster *c, uint32_t node)
+record_pause(struct fake_cluster *c, uint32_t node)
 {
-	struct slot *s = &c->slots[node];
+	struct node_slot *s = &c->slots[node];
 
 	fake_record_node(c->history, s->name, HISTORY_NODE_PAUSED, c->now);
-	fake_cluster_at(c, s->paused, tell_resumed, s);
+	fake_cluster_at(c, s->paused_until, record_resumed, s);
 }
 
-/* Sends what a step gave; true when the process has exited. */
+/* Carries out the actions of a step; returns whether the process exited. */
 static bool
-take_actions(struct fake_cluster *c, uint32_t node, struct ogl_actions *out)
+perform_actions(struct fake_cluster *c, uint32_t node, struct ogl_actions *out)
 {
-	struct slot *s = &c->slots[node];
+	struct node_slot *s = &c->slots[node];
 	ogl_time at = c->now;
 	bool exited = false;
 	struct ogl_action *a;
@@ -1014,10 +1024,10 @@
 		if (s->pause_armed && a->type == s->pause_type &&
 		    (a->type != OGL_ACT_WORKER || a->sync->n_start > 0)) {
 			s->pause_armed = false;
-			s->paused = c->now + s->pause_length;
-			at = s->paused;
+			s->paused_until = c->now + s->pause_length;
+			at = s->paused_until;
 			note(c, "%s paused before it sends", s->name);
-			tell_pause(c, node);
+			record_pause(c, node);
 		}
 		switch (a->type) {
 		case OGL_ACT_REPLY:
@@ -1043,45 +1053,46 @@
 }
 
 static void
-plan_wake(struct fake_cluster *c, uint32_t node)
+schedule_wake(struct fake_cluster *c, uint32_t node)
 {
-	struct slot *s = &c->slots[node];
+	struct node_slot *s = &c->slots[node];
 	ogl_time at = ogl_node_next_wake(s->node);
 	struct item *i;
 
 	if (at <= c->now)
-		at = c->now + SPIN_US;
-	if (at >= s->wake && s->wake > c->now)
+		at = c->now + MIN_WAKE_DELAY_US;
+	if (at >= s->wake_at && s->wake_at > c->now)
 		return;
-	s->wake = at;
+	s->wake_at = at;
 	i = item_new(ITEM_WAKE, node, at);
 	i->boot = s->boot;
 	heap_push(c, i);
 }
 
 static void
-step(struct fake_cluster *c, uint32_t node, const struct ogl_event *ev)
+step_node(struct fake_cluster *c, uint32_t node, const struct ogl_event *ev)
 {
-	struct slot *s = &c->slots[node];
+	struct node_slot *s = &c->slots[node];
 	struct ogl_actions out;
 
 	ogl_actions_init(&out);
 	ogl_node_step(s->node, ev, c->now, &out);
-	if (take_actions(c, node, &out)) {
+	if (perform_actions(c, node, &out)) {
 		note(c, "%s exits", s->name);
-		process_gone(c, node, true);
+		process_ended(c, node, true);
 		return;
 	}
-	if (ogl_settings_version(s->node->settings) != s->version) {
-		s->version = ogl_settings_version(s->node->settings);
+	if (ogl_settings_version(s->node->settings) != s->settings_version) {
+		s->settings_version = ogl_settings_version(s->node->settings);
 		note(c, "%s goes by settings %" G_GUINT64_FORMAT, s->name,
-		    s->version);
-		fake_record_version(c->history, s->name, s->version, c->now);
+		    s->settings_version);
+		fake_record_version(
+		    c->history, s->name, s->settings_version, c->now);
 	}
-	plan_wake(c, node);
+	schedule_wake(c, node);
 }
 
-/* A call reaches its node. */
+/* Fills in the event of a call that arrives at its node. */
 static void
 fill_call(struct fake_cluster *c, struct delivery *d)
 {
@@ -1099,9 +1110,9 @@
 }
 
 static void
-to_node(struct fake_cluster *c, struct item *i)
+deliver_to_node(struct fake_cluster *c, struct item *i)
 {
-	struct slot *s = &c->slots[i->node];
+	struct node_slot *s = &c->slots[i->node];
 	struct ogl_event timer = {.type = OGL_EV_TIMER};
 
 	if (s->node == NULL || (i->boot != 0 && i->boot != s->boot)) {
@@ -1111,48 +1122,48 @@
 		return;
 	}
 	if (i->type == ITEM_WAKE) {
-		if (i->at == s->wake)
-			step(c, i->node, &timer);
+		if (i->at == s->wake_at)
+			step_node(c, i->node, &timer);
 		return;
 	}
 	if (i->d->ev.type == OGL_EV_CALL)
 		fill_call(c, i->d);
-	step(c, i->node, &i->d->ev);
+	step_node(c, i->node, &i->d->ev);
 }
 
 static bool
-put_back(struct fake_cluster *c, struct item *i)
+defer_if_paused(struct fake_cluster *c, struct item *i)
 {
-	struct slot *s = &c->slots[i->node];
+	struct node_slot *s = &c->slots[i->node];
 
 	if (i->type != ITEM_WAKE && i->type != ITEM_EVENT)
 		return false;
-	if (s->node == NULL || s->paused <= c->now)
+	if (s->node == NULL || s->paused_until <= c->now)
 		return false;
-	if (i->type == ITEM_WAKE && i->boot == s->boot && i->at == s->wake)
-		s->wake = s->paused;
-	i->at = s->paused;
+	if (i->type == ITEM_WAKE && i->boot == s->boot && i->at == s->wake_at)
+		s->wake_at = s->paused_until;
+	i->at = s->paused_until;
 	heap_push(c, i);
 	return true;
 }
 
 static void
-run_one(struct fake_cluster *c)
+run_next_item(struct fake_cluster *c)
 {
 	struct item *i = heap_pop(c);
 
 	c->now = MAX(c->now, i->at);
-	if (put_back(c, i))
+	if (defer_if_paused(c, i))
 		return;
 	switch (i->type) {
 	case ITEM_ACTION:
-		do_action(c, i);
+		perform_action(c, i);
 		break;
-	case ITEM_DO:
+	case ITEM_CALLBACK:
 		i->fn(c, i->ctx);
 		break;
 	default:
-		to_node(c, i);
+		deliver_to_node(c, i);
 		break;
 	}
 	item_free(i);
@@ -1165,16 +1176,16 @@
 
 	while (
 	    c->heap->len > 0 && ((struct item *)c->heap->pdata[0])->at <= end)
-		run_one(c);
+		run_next_item(c);
 	c->now = end;
 	tick_workers(c);
 }
 
 bool
 fake_cluster_run_until(struct fake_cluster *c,
-    bool (*fn)(struct fake_cluster *c, void *ctx), void *ctx, ogl_time most)
+    bool (*fn)(struct fake_cluster *c, void *ctx), void *ctx, ogl_time limit)
 {
-	ogl_time end = c->now + most;
+	ogl_time end = c->now + limit;
 
 	while (!fn(c, ctx)) {
 		if (c->now >= end)
@@ -1188,7 +1199,7 @@
 fake_cluster_at(struct fake_cluster *c, ogl_time at,
     void (*fn)(struct fake_cluster *c, void *ctx), void *ctx)
 {
-	struct item *i = item_new(ITEM_DO, 0, at);
+	struct item *i = item_new(ITEM_CALLBACK, 0, at);
 
 	i->fn = fn;
 	i->ctx = ctx;
@@ -1221,13 +1232,13 @@
 	if (c->slots[node].node == NULL)
 		return;
 	note(c, "%s killed", c->slots[node].name);
-	process_gone(c, node, false);
+	process_ended(c, node, false);
 }
 
 void
 fake_cluster_start(struct fake_cluster *c, uint32_t node, const char *name)
 {
-	struct slot *s = &c->slots[node];
+	struct node_slot *s = &c->slots[node];
 	struct ogl_node_config n;
 	const char *const *seeds = (const char *const *)c->seeds;
 
@@ -1252,13 +1263,13 @@
 	if (c->cfg.tune != NULL)
 		c->cfg.tune(&n);
 	s->boot = n.boot;
-	s->paused = 0;
-	s->wake = OGL_NEVER;
+	s->paused_until = 0;
+	s->wake_at = OGL_NEVER;
 	s->node = ogl_node_init(&n, ogl_random_next(&c->rnd), c->now, NULL);
-	s->version = 0;
+	s->settings_version = 0;
 	note(c, "%s starts", s->name);
 	fake_record_node(c->history, s->name, HISTORY_NODE_UP, c->now);
-	plan_wake(c, node);
+	schedule_wake(c, node);
 }
 
 void
@@ -1276,20 +1287,20 @@
 void
 fake_cluster_pause(struct fake_cluster *c, uint32_t node, ogl_time length)
 {
-	struct slot *s = &c->slots[node];
+	struct node_slot *s = &c->slots[node];
 
 	if (s->node == NULL)
 		return;
 	note(c, "%s paused", s->name);
-	s->paused = MAX(s->paused, c->now + length);
-	tell_pause(c, node);
+	s->paused_until = MAX(s->paused_until, c->now + length);
+	record_pause(c, node);
 }
 
 void
 fake_cluster_pause_sending(struct fake_cluster *c, uint32_t node,
     enum ogl_action_type type, ogl_time length)
 {
-	struct slot *s = &c->slots[node];
+	struct node_slot *s = &c->slots[node];
 
 	s->pause_armed = true;
 	s->pause_type = type;
@@ -1319,7 +1330,7 @@
 	return value;
 }
 
-/* ---- world ------------------------------------------------------------ */
+/* ---- workers, executors, log, network ---------------------------------- */
 
 struct fake_net *
 fake_cluster_net(struct fake_cluster *c)
@@ -1346,7 +1357,7 @@
 
 	g_snprintf(name, sizeof name, "w%u", w);
 	fake_worker_restart(c->workers[w], c->now);
-	fake_feed_capacity(c->history, name, ++c->worker_boots[w] + 1,
+	fake_feed_capacity(c->history, name, ++c->worker_restarts[w] + 1,
 	    &c->cfg.capacity, c->now);
 }
 
@@ -1378,7 +1389,7 @@
 fake_cluster_cut(struct fake_cluster *c, uint32_t node, enum fake_endpoint side,
     uint32_t index, bool cut)
 {
-	struct slot *s = &c->slots[node];
+	struct node_slot *s = &c->slots[node];
 
 	note(c, "%s %s %u %u", s->name, cut ? "cut off from" : "healed with",
 	    (unsigned)side, index);
@@ -1415,7 +1426,7 @@
 	l->lose = 0;
 	l->slow = 0;
 	for (uint32_t i = 0; i < FAKE_CLUSTER_MAX_EACH; i++) {
-		struct slot *s = &c->slots[i];
+		struct node_slot *s = &c->slots[i];
 
 		memset(s->cut_node, 0, sizeof s->cut_node);
 		memset(s->cut_worker, 0, sizeof s->cut_worker);
@@ -1447,15 +1458,15 @@
 fake_cluster_leaving(struct fake_cluster *c, enum fake_endpoint side,
     uint32_t index, bool leaving)
 {
-	struct listed *l = side == FAKE_WORKER ? &c->worker_listed[index]
-					       : &c->exec_listed[index];
+	struct host_listing *l = side == FAKE_WORKER ? &c->worker_listed[index]
+						     : &c->exec_listed[index];
 
 	if (l->leaving == leaving)
 		return;
 	note(c, "%s%u %s", side == FAKE_WORKER ? "w" : "e", index,
 	    leaving ? "leaves" : "stays");
 	l->leaving = leaving;
-	l->since = c->now;
+	l->changed_at = c->now;
 }
 
 /* ---- callers ---------------------------------------------------------- */
@@ -1484,7 +1495,7 @@
 	d->call = number;
 	d->key = g_strdup(ask->key);
 	d->budget_ms = ask->budget_ms;
-	/* A connection: it ends with the process it was made to. */
+	/* A connection belongs to one process and ends with it. */
 	push_event(c, node, c->slots[node].boot, c->now + 3 * net_delay(c), d);
 	return number;
 }
@@ -1582,7 +1593,7 @@
 	return fake_cluster_field(k->answer, "key");
 }
 
-/* ---- what was seen ---------------------------------------------------- */
+/* ---- observations ----------------------------------------------------- */
 
 int32_t
 fake_cluster_owner(const struct fake_cluster *c, uint32_t shard)
@@ -1613,56 +1624,57 @@
 uint32_t
 fake_cluster_starts(const struct fake_cluster *c, const char *task)
 {
-	return task_seen(c, task)->starts;
+	return task_stats_get(c, task)->starts;
 }
 
 uint32_t
 fake_cluster_again(const struct fake_cluster *c, const char *task)
 {
-	return task_seen(c, task)->again;
+	return task_stats_get(c, task)->reruns;
 }
 
 bool
 fake_cluster_succeeded(const struct fake_cluster *c, const char *task)
 {
-	return task_seen(c, task)->succeeded;
+	return task_stats_get(c, task)->succeeded;
 }
 
 uint32_t
 fake_cluster_running(const struct fake_cluster *c, const char *task)
 {
-	return task_seen(c, task)->running;
+	return task_stats_get(c, task)->running;
 }
 
 uint32_t
 fake_cluster_team_running(const struct fake_cluster *c, const char *team)
 {
-	return team_tally(c, team)->running;
+	return team_stats_get(c, team)->running;
 }
 
 uint32_t
 fake_cluster_team_most(struct fake_cluster *c, const char *team)
 {
-	struct tally *t = team_tally(c, team);
-	uint32_t most = t->most;
+	struct team_stats *t = team_stats_get(c, team);
+	uint32_t peak = t->peak;
 
-	t->most = t->running;
-	return most;
+	t->peak = t->running;
+	return peak;
 }
 
 void
-fake_cluster_limit(struct fake_cluster *c, const char *team, uint32_t most)
+fake_cluster_limit(struct fake_cluster *c, const char *team, uint32_t limit)
 {
-	struct tally *t = team_tally(c, team);
+	struct team_stats *t = team_stats_get(c, team);
 
-	t->limit = most;
-	if (t->running > most)
+	t->limit = limit;
+	if (t->running > limit)
 		fake_cluster_fault(c, "team %s runs %u, its new limit is %u",
-		    team, t->running, most);
+		    team, t->running, limit);
 }
 
-/* A request's answer is held against the runs of its body, which no other
- * request shares unless it repeats this one under the same id. */
+/* Compares the answer to a request with the number of runs of its body.  No
+ * other request has the same body unless it repeats this one with the same
+ * request id. */
 static void
 check_request(struct fake_cluster *c, uint32_t number)
 {
--- a/test/fake_cluster.h
+++ b/test/fake_cluster.h
@@ -1,8 +1,8 @@
 /*
- * A whole cell in one test loop: several nodes (struct ogl_node) and the
- * fakes of log, workers and executors, stepped by one heap of events in
- * virtual time.  Nothing in it is random but by its seed, so one seed gives
- * one history, byte for byte.
+ * A simulated cluster in one thread: several nodes (struct ogl_node) with a
+ * fake log, fake workers and fake executors, driven by one heap of events in
+ * virtual time.  All random choices derive from the seed, so that the same
+ * seed gives the same history, byte for byte.
  */
 
 #ifndef FAKE_CLUSTER_H
@@ -19,7 +19,7 @@
 
 #include "random.h"
 
-#define FAKE_CLUSTER_MAX_EACH 16 /* nodes, workers, executors each */
+#define FAKE_CLUSTER_MAX_EACH 16 /* of nodes, workers and executors, each */
 
 struct fake_cluster;
 struct ogl_history;
@@ -32,11 +32,12 @@
 	uint32_t shards;
 	uint32_t zones;
 	struct ogl_res capacity; /* of each worker */
-	/* Changes the nodes' settings before they start; may be NULL. */
+	/* Adjusts a node's configuration before it starts; may be NULL. */
 	void (*tune)(struct ogl_node_config *c);
 };
 
-/* What a node may be cut off from; `index` names which of the kind. */
+/* Kinds of endpoint that a node may be cut off from; an index tells which
+ * one of the kind. */
 enum fake_endpoint {
 	FAKE_NODE,
 	FAKE_LOG,
@@ -45,52 +46,53 @@
 	FAKE_EXEC
 };
 
-/* How messages fare, in thousandths; may be changed between calls. */
+/* Faults of the network; may be changed between calls.  Probabilities are in
+ * thousandths. */
 struct fake_net {
-	uint32_t peer_lost;
+	uint32_t peer_lost; /* messages between nodes */
 	uint32_t peer_doubled;
-	uint32_t peer_late; /* delayed by up to `late`, hence reordered */
-	uint32_t sync_lost; /* before it reaches the worker */
-	uint32_t report_lost;
-	uint32_t append_lost;  /* answers of appends that took effect */
+	uint32_t peer_late;    /* delayed by up to `late`, thus reordered */
+	uint32_t sync_lost;    /* syncs that do not reach the worker */
+	uint32_t report_lost;  /* answers of workers */
+	uint32_t append_lost;  /* answers to appends that took effect */
 	uint32_t request_lost; /* answers of executors */
-	ogl_time late;
-	ogl_time hosts_lag; /* of the host list */
+	ogl_time late;         /* longest extra delay of a peer message */
+	ogl_time hosts_lag;    /* until the host list shows a change */
 };
 
-/* Guards of the cell switched off, to see a run fail without them. */
+/* Safety checks that are disabled, to test that a run fails without them. */
 struct fake_unguarded {
-	bool epochs; /* workers obey every owner */
-	bool starts; /* start commands are good for ever */
-	bool leases; /* workers' leases last a hundred times as long */
+	bool epochs; /* workers accept syncs of any epoch */
+	bool starts; /* start commands never expire */
+	bool leases; /* workers' leases last 100 times as long */
 };
 
-/* One caller's call and what became of it. */
+/* One call and its result. */
 struct fake_call {
 	uint32_t node;
 	char *method;
 	char *path;
 	char *id;   /* request id, may be empty */
 	char *body; /* as sent */
-	char *team; /* told by the caller of fake_cluster_call */
+	char *team; /* as given to fake_cluster_call */
 	bool idempotent;
 	ogl_time asked;
-	bool arrived; /* the node has taken it */
+	bool arrived; /* delivered to the node */
 	bool done;
-	bool cut; /* the node was gone before it answered */
+	bool cut; /* the node's process ended before it answered */
 	ogl_time answered;
 	uint32_t status;
 	enum ogl_verdict verdict;
 	uint64_t retry_after_ms;
-	char *answer; /* zero-ended */
+	char *answer; /* zero-terminated */
 };
 
-/* What a caller sends. */
+/* A call to send. */
 struct fake_ask {
 	const char *method;
 	const char *path;
 	const char *key;
-	const char *team; /* whose key it is, for the checks; may be NULL */
+	const char *team; /* owner of the key, for the checks; may be NULL */
 	const char *id;   /* may be NULL */
 	const char *body; /* may be NULL */
 	bool idempotent;
@@ -102,14 +104,15 @@
 
 ogl_time fake_cluster_now(const struct fake_cluster *c);
 void fake_cluster_run(struct fake_cluster *c, ogl_time length);
-/* Lets so much time pass. */
+/* Advances the virtual time by length. */
 bool fake_cluster_run_until(struct fake_cluster *c,
-    bool (*fn)(struct fake_cluster *c, void *ctx), void *ctx, ogl_time most);
-/* Lets time pass until fn holds, at most so long; whether it came to hold. */
+    bool (*fn)(struct fake_cluster *c, void *ctx), void *ctx, ogl_time limit);
+/* Advances the virtual time until fn returns true, but by at most limit.
+ * Returns whether fn did. */
 
 void fake_cluster_at(struct fake_cluster *c, ogl_time at,
     void (*fn)(struct fake_cluster *c, void *ctx), void *ctx);
-/* Has fn called at a time to come. */
+/* Calls fn once at the virtual time `at`. */
 
 /* ---- nodes ------------------------------------------------------------ */
 
@@ -118,23 +121,27 @@
 void fake_cluster_kill(struct fake_cluster *c, uint32_t node);
 void fake_cluster_start(
     struct fake_cluster *c, uint32_t node, const char *name);
-/* Starts a process where none is: the node of before under a higher boot, or
- * with a name a new node at the same address. */
+/* Starts a process if none runs there: with a NULL name the previous node
+ * under a higher boot number, otherwise a new node of that name at the same
+ * address. */
 void fake_cluster_stop(struct fake_cluster *c, uint32_t node);
-/* Asks it to shut down gracefully. */
+/* Asks the node to shut down gracefully. */
+
 void fake_cluster_pause(struct fake_cluster *c, uint32_t node, ogl_time length);
+/* Suspends the node's process for length. */
 void fake_cluster_pause_sending(struct fake_cluster *c, uint32_t node,
     enum ogl_action_type type, ogl_time length);
-/* Pauses it in the step that decides on the next such action, before it is
- * sent; then it and all after it leave when the pause ends. */
+/* Pauses the node in the step that produces the next action of this type.
+ * This action and all that follow it are sent when the pause ends. */
+
 int32_t fake_cluster_owner(const struct fake_cluster *c, uint32_t shard);
-/* The node that itself says to own the shard at the highest epoch, -1 when
- * none does. */
+/* Among the nodes that consider themselves owner of the shard, the one with
+ * the highest epoch; -1 if there is none. */
 char *fake_cluster_metric(
     struct fake_cluster *c, uint32_t node, const char *name);
-/* A counter's text, NULL when there is none; g_free. */
+/* The value of a metric as text, NULL if there is none; g_free. */
 
-/* ---- world ------------------------------------------------------------ */
+/* ---- workers, executors, log, network ---------------------------------- */
 
 struct fake_net *fake_cluster_net(struct fake_cluster *c);
 struct ogl_history *fake_cluster_history(struct fake_cluster *c);
@@ -147,66 +154,84 @@
 void fake_cluster_cut(struct fake_cluster *c, uint32_t node,
     enum fake_endpoint side, uint32_t index, bool cut);
 void fake_cluster_heal(struct fake_cluster *c);
-/* Ends every cut, outage, loss and fault; what is dead stays dead. */
+/* Ends every cut, outage, loss and fault.  Nodes that are down stay down. */
+
 void fake_cluster_leaving(struct fake_cluster *c, enum fake_endpoint side,
     uint32_t index, bool leaving);
-/* Marks a worker or executor as leaving on the host list, in its lag. */
+/* Marks a worker or executor as leaving on the host list, which shows it
+ * after hosts_lag. */
 
 /* ---- callers ---------------------------------------------------------- */
 
 uint32_t fake_cluster_call(
     struct fake_cluster *c, uint32_t node, const struct fake_ask *ask);
-/* Sends a call and gives its number. */
+/* Sends a call and returns its number. */
 const struct fake_call *fake_cluster_answer(
     const struct fake_cluster *c, uint32_t call);
+/* The call of this number, answered or not. */
 uint32_t fake_cluster_calls(const struct fake_cluster *c);
+/* Number of calls sent so far. */
 const struct fake_call *fake_cluster_ask(
     struct fake_cluster *c, uint32_t node, const struct fake_ask *ask);
-/* Sends a call and waits for its answer. */
+/* Sends a call and waits up to 30 s for its answer. */
 
 const char *fake_cluster_operator(const struct fake_cluster *c);
-/* The first operator's key. */
+/* The key of the first operator. */
+
 bool fake_cluster_set(
     struct fake_cluster *c, uint32_t node, const char *path, const char *value);
-/* Sets one path of the settings tree; whether it was accepted. */
+/* Sets one path of the settings tree; returns whether it was accepted. */
+
 char *fake_cluster_key(
     struct fake_cluster *c, uint32_t node, const char *team, char **id);
-/* Makes a key; g_free. */
+/* Creates a key for the team; g_free.  *id is set to the key's id, also to be
+ * freed, unless id is NULL. */
+
 char *fake_cluster_field(const char *json, const char *name);
-/* The text of a field of a JSON object, NULL when it has none; g_free. */
+/* The value of a field of a JSON object as text, NULL if it has no such
+ * field; g_free. */
 
-/* ---- what was seen ---------------------------------------------------- */
+/* ---- observations ----------------------------------------------------- */
 
 uint64_t fake_cluster_ran(const struct fake_cluster *c, const char *body);
-/* How often executors ran this body. */
+/* How often executors ran a request with this body. */
+
 uint32_t fake_cluster_starts(const struct fake_cluster *c, const char *task);
+/* How often the task was started, on all workers. */
+
 uint32_t fake_cluster_again(const struct fake_cluster *c, const char *task);
-/* Starts after the first, but from a checkpoint. */
+/* Starts after the first one, except those from a checkpoint. */
+
 bool fake_cluster_succeeded(const struct fake_cluster *c, const char *task);
 uint32_t fake_cluster_running(const struct fake_cluster *c, const char *task);
 uint32_t fake_cluster_team_running(
     const struct fake_cluster *c, const char *team);
 uint32_t fake_cluster_team_most(struct fake_cluster *c, const char *team);
-/* Most tasks of the team that ran at once since the last such question. */
+/* Most tasks of the team that ran at the same time since the last call of
+ * this function. */
 
 void fake_cluster_limit(
-    struct fake_cluster *c, const char *team, uint32_t most);
-/* From now on the checks hold the team to this limit. */
+    struct fake_cluster *c, const char *team, uint32_t limit);
+/* From now on, reports a fault when the team runs more than limit tasks. */
+
 void fake_cluster_check(struct fake_cluster *c);
-/* Holds every call against what ran; for the end of a run. */
+/* Compares the answer of every call with what ran; for the end of a run. */
 
 void fake_cluster_note(struct fake_cluster *c, const char *what);
-/* Puts a line into the history. */
+/* Adds a line to the trace. */
+
 void fake_cluster_fault(struct fake_cluster *c, const char *fmt, ...)
     G_GNUC_PRINTF(2, 3);
-/* A rule was broken. */
+/* Reports that a rule was broken. */
 
 const char *fake_cluster_faults(const struct fake_cluster *c);
-/* What broke a rule so far, a line each; empty when nothing did. */
+/* The broken rules so far, one a line; empty if there are none. */
+
 const char *fake_cluster_trace(const struct fake_cluster *c);
-/* The history so far, a line an event. */
+/* The trace so far, one event a line. */
+
 char *fake_cluster_tail(const struct fake_cluster *c, size_t lines);
-/* The end of the history; g_free. */
+/* The last lines of the trace; g_free. */
 
 #ifdef __cplusplus
 }
