--- a/test/fake_cluster.c
+++ b/test/fake_cluster.c
@@ -554,7 +554,7 @@
 	g_free(c);
 }
 
-/* ---- answers of log, workers, executors and host list ------------------ */
+/* ---- answers of log, workers, executors and host list ----------------- */
 
 /* The type of the event that answers an action. */
 static enum ogl_event_type
@@ -1330,7 +1330,7 @@
 	return value;
 }
 
-/* ---- workers, executors, log, network ---------------------------------- */
+/* ---- workers, executors, log, network --------------------------------- */
 
 struct fake_net *
 fake_cluster_net(struct fake_cluster *c)
--- a/test/fake_cluster.h
+++ b/test/fake_cluster.h
@@ -139,9 +139,10 @@
  * the highest epoch; -1 if there is none. */
 char *fake_cluster_metric(
     struct fake_cluster *c, uint32_t node, const char *name);
-/* The value of a metric as text, NULL if there is none; g_free. */
+/* The value, as text, of the first metric whose name ends with this; NULL if
+ * there is none; g_free. */
 
-/* ---- workers, executors, log, network ---------------------------------- */
+/* ---- workers, executors, log, network --------------------------------- */
 
 struct fake_net *fake_cluster_net(struct fake_cluster *c);
 struct ogl_history *fake_cluster_history(struct fake_cluster *c);
--- a/test/standin_caller.c
+++ b/test/standin_caller.c
@@ -27,7 +27,7 @@
 
 #define JOB_POLL_INTERVAL (100 * OGL_MS) /* between polls of a job */
 #define RETRY_DELAY (100 * OGL_MS)       /* if the answer gives no time */
-#define MAX_RETRY_DELAY (2 * OGL_SEC)    /* cap on an answer's time */
+#define MAX_RETRY_DELAY (2 * OGL_SEC)    /* also if an answer asks for more */
 #define MAX_ANSWER_BYTES ((guint)64 << 20)
 
 enum mode {
@@ -513,7 +513,7 @@
 	curl_multi_add_handle(d->multi, s->curl);
 }
 
-/* ---- handling of answers ------------------------------------------------ */
+/* ---- handling of answers ----------------------------------------------- */
 
 static void
 settle(struct driver *d, struct item *it, enum outcome outcome, ogl_time now)
