--- a/test/fake_feed.c
+++ b/test/fake_feed.c
@@ -1,12 +1,12 @@
 /*
- * What workers and executors do, as events of a history.  The fakes know
- * nothing of histories, and histories nothing of the fakes.
+ * Converts events of fake workers and executors to events of a history, so that
+ * neither the fakes nor the history depend on each other.
  */
 
 #include "fake_feed.h"
 
 void
-fake_feed_worker(void *h, const struct fake_worker_event *ev)
+fake_record_worker(void *h, const struct fake_worker_event *ev)
 {
 	static const enum history_type types[] = {
 	    [FAKE_WORKER_START] = HISTORY_START,
@@ -38,7 +38,7 @@
 }
 
 void
-fake_feed_exec(struct ogl_history *h, const char *exec, struct ogl_str body,
+fake_record_exec(struct ogl_history *h, const char *exec, struct ogl_str body,
     const char *team, const char *kind, ogl_time now,
     const struct fake_exec_answer *a)
 {
@@ -53,8 +53,8 @@
 	e.u.run.team = team;
 	e.u.run.kind = kind;
 	e.u.run.token = a->token;
-	e.u.run.until = a->finish;
-	e.u.run.whole = !a->lost && a->sent == a->n;
+	e.u.run.until = a->finish_at;
+	e.u.run.whole = !a->lost && a->sent_bytes == a->n;
 	ogl_history_add(h, &e);
 	g_free(text);
 }
