--- a/bench/lib_baseline.c
+++ b/bench/lib_baseline.c
@@ -1,10 +1,11 @@
 /*
- * Baselines: first come first served and shortest declared size first are one
- * heap each; plain weighted fair queueing is a heap of finish tags.
+ * Baseline policies: first come first served and shortest declared run time
+ * first are a heap each; weighted fair queueing is a heap of finish tags.
  *
- * Weighted fair queueing gives each piece a finish tag when it comes: the
- * team's last tag, or the clock when that is later, plus declared cost over
- * the team's weight; the least tag goes first and moves the clock.
+ * Weighted fair queueing gives each item a finish tag on arrival: the larger of
+ * the team's last tag and the virtual clock, plus the declared cost over the
+ * team's weight.  The item with the smallest tag goes first and advances the
+ * virtual clock to its tag.
  */
 
 #include <string.h>
@@ -16,68 +17,69 @@
 
 struct flow {
 	double weight;
-	double last; /* finish tag of the newest piece */
+	double last_tag; /* finish tag of the team's newest item */
 };
 
-struct order {
+struct baseline {
 	struct ogl_queue_heap heap;
 	GHashTable *flows; /* team path to struct flow */
-	double clock;
+	double clock;      /* virtual */
 };
 
 static void *
-order_init(uint64_t seed)
+baseline_init(uint64_t seed)
 {
-	struct order *o = g_new0(struct order, 1);
+	struct baseline *b = g_new0(struct baseline, 1);
 
 	(void)seed;
-	ogl_queue_heap_init(&o->heap, OGL_HEAP_POLICY);
-	o->flows =
+	ogl_queue_heap_init(&b->heap, OGL_HEAP_POLICY);
+	b->flows =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	return o;
+	return b;
 }
 
 static void
-order_end(void *p)
+baseline_end(void *p)
 {
-	struct order *o = p;
+	struct baseline *b = p;
 
-	ogl_queue_heap_end(&o->heap);
-	g_hash_table_destroy(o->flows);
-	g_free(o);
+	ogl_queue_heap_end(&b->heap);
+	g_hash_table_destroy(b->flows);
+	g_free(b);
 }
 
 static struct flow *
-flow_of(struct order *o, const char *team)
+flow_of(struct baseline *b, const char *team)
 {
-	struct flow *f = g_hash_table_lookup(o->flows, team);
+	struct flow *f = g_hash_table_lookup(b->flows, team);
 
 	if (f == NULL) {
 		f = g_new0(struct flow, 1);
 		f->weight = 1.0;
-		g_hash_table_insert(o->flows, g_strdup(team), f);
+		g_hash_table_insert(b->flows, g_strdup(team), f);
 	}
 	return f;
 }
 
-/* Flat: a team's weight is its share times its parent's. */
+/* The policy has no hierarchy: a team's weight is its share times the weight of
+ * its parent. */
 static void
-order_team(void *p, const char *team, double share)
+baseline_team(void *p, const char *team, double share)
 {
-	struct order *o = p;
+	struct baseline *b = p;
 	const char *slash = strrchr(team, '/');
 
-	flow_of(o, team)->weight = share;
+	flow_of(b, team)->weight = share;
 	if (slash != NULL) {
-		char *up = g_strndup(team, (gsize)(slash - team));
+		char *parent = g_strndup(team, (gsize)(slash - team));
 
-		flow_of(o, team)->weight *= flow_of(o, up)->weight;
-		g_free(up);
+		flow_of(b, team)->weight *= flow_of(b, parent)->weight;
+		g_free(parent);
 	}
 }
 
 static uint64_t
-declared(const struct ogl_work *w)
+declared_ms_or_default(const struct ogl_work *w)
 {
 	return w->declared_ms != 0 ? w->declared_ms : UNDECLARED_MS;
 }
@@ -85,65 +87,67 @@
 static void
 fcfs_push(void *p, struct ogl_queue_item *it, ogl_time now)
 {
-	struct order *o = p;
+	struct baseline *b = p;
 
 	(void)now;
-	ogl_queue_heap_add(&o->heap, it->w.since, it);
+	ogl_queue_heap_add(&b->heap, it->w.since, it);
 }
 
 static void
 sjf_push(void *p, struct ogl_queue_item *it, ogl_time now)
 {
-	struct order *o = p;
+	struct baseline *b = p;
 
 	(void)now;
-	ogl_queue_heap_add(&o->heap, (int64_t)declared(&it->w), it);
+	ogl_queue_heap_add(
+	    &b->heap, (int64_t)declared_ms_or_default(&it->w), it);
 }
 
 static void
 wfq_push(void *p, struct ogl_queue_item *it, ogl_time now)
 {
-	struct order *o = p;
-	struct flow *f = flow_of(o, it->w.team);
+	struct baseline *b = p;
+	struct flow *f = flow_of(b, it->w.team);
 
 	(void)now;
 	if (!it->ranked) {
-		double cost = (double)declared(&it->w) * it->rate / f->weight;
+		double cost = (double)declared_ms_or_default(&it->w) *
+			      it->rate / f->weight;
 
-		f->last = MAX(f->last, o->clock) + cost;
-		it->sort = (uint64_t)(f->last * TAG_SCALE);
+		f->last_tag = MAX(f->last_tag, b->clock) + cost;
+		it->sort = (uint64_t)(f->last_tag * TAG_SCALE);
 		it->ranked = true;
 	}
-	ogl_queue_heap_add(&o->heap, (int64_t)it->sort, it);
+	ogl_queue_heap_add(&b->heap, (int64_t)it->sort, it);
 }
 
 static struct ogl_queue_item *
-order_pop(void *p, ogl_time now)
+baseline_pop(void *p, ogl_time now)
 {
-	struct order *o = p;
-	struct ogl_queue_item *it = ogl_queue_heap_top(&o->heap);
+	struct baseline *b = p;
+	struct ogl_queue_item *it = ogl_queue_heap_top(&b->heap);
 
 	(void)now;
 	if (it == NULL)
 		return NULL;
-	o->clock = MAX(o->clock, (double)o->heap.a[0].key / TAG_SCALE);
-	ogl_queue_heap_del(&o->heap, it);
+	b->clock = MAX(b->clock, (double)b->heap.a[0].key / TAG_SCALE);
+	ogl_queue_heap_del(&b->heap, it);
 	return it;
 }
 
 static void
-order_unlink(void *p, struct ogl_queue_item *it)
+baseline_unlink(void *p, struct ogl_queue_item *it)
 {
-	struct order *o = p;
+	struct baseline *b = p;
 
-	ogl_queue_heap_del(&o->heap, it);
+	ogl_queue_heap_del(&b->heap, it);
 }
 
 #define BASELINE(push_fn, label)                                               \
 	{                                                                      \
-		.name = (label), .init = order_init, .end = order_end,         \
-		.team = order_team, .push = (push_fn), .pop = order_pop,       \
-		.unlink = order_unlink                                         \
+		.name = (label), .init = baseline_init, .end = baseline_end,   \
+		.team = baseline_team, .push = (push_fn), .pop = baseline_pop, \
+		.unlink = baseline_unlink                                      \
 	}
 
 const struct ogl_queue_policy baseline_fcfs = BASELINE(fcfs_push, "fcfs");
--- a/bench/lib_baseline.h
+++ b/bench/lib_baseline.h
@@ -1,5 +1,5 @@
 /*
- * Orders that the shipping one is measured against.
+ * Baseline policies that the queue's own policy is compared with.
  */
 
 #ifndef OGL_LIB_BASELINE_H
@@ -7,8 +7,11 @@
 
 #include "queue.h"
 
-extern const struct ogl_queue_policy baseline_fcfs; /* first come */
-extern const struct ogl_queue_policy baseline_sjf;  /* shortest declared */
-extern const struct ogl_queue_policy baseline_wfq;  /* plain weighted fair */
+/* First come first served. */
+extern const struct ogl_queue_policy baseline_fcfs;
+/* Shortest declared run time first. */
+extern const struct ogl_queue_policy baseline_sjf;
+/* Weighted fair queueing. */
+extern const struct ogl_queue_policy baseline_wfq;
 
 #endif
