--- a/bench/lib_replay.c
+++ b/bench/lib_replay.c
@@ -1,15 +1,15 @@
 /*
- * A small event-driven replay: work arrives as the trace says, the queue
- * orders it, servers hold it for its true run time.  Requests and tasks go to
- * the fullest server that has room.  It ends with the trace; what still waits
- * then counts with its wait so far.
+ * An event-driven simulation: work arrives as in the trace, the queue orders
+ * it, and servers run it for its true run time.  Work goes to the fullest
+ * server that it fits on.  The simulation ends with the trace; work that still
+ * waits then counts with its waiting time so far.
  *
- * Shares are judged in windows of ten seconds after the first in which the
- * cell was full.  Entitlement: the service given in the window is poured down
- * the tree of teams by weight; a team that had nothing waiting at some time
- * of the window is entitled to no more than it got.  So favour shows wherever
- * it falls: a team with less than its share and work waiting is in deficit,
- * a team with more than its share is in surplus unless all others had enough.
+ * Shares are measured in windows of ten seconds in which the cell was full,
+ * except the first window.  Entitlement: the processor time used in the window
+ * is divided down the tree of teams by weight, and a team without waiting work
+ * at some time of the window is entitled to at most what it used.  Both kinds
+ * of unfairness count: a team with waiting work and less than its share, and a
+ * team with more than its share while others lack theirs.
  */
 
 #include <math.h>
@@ -19,12 +19,12 @@
 #include "lib_replay.h"
 
 #define WINDOW (10 * OGL_SEC)
-#define FULL_PART 0.98 /* of capacity held over a window: it was full */
-#define TRY_MOST 32    /* pieces tried that do not fit */
+#define FULL_PART 0.98 /* a window is full if this part of capacity is used */
+#define PLACE_FAILURES_MAX 32 /* items tried that do not fit, per pass */
 #define FIRST_TEAM 1
 #define ALL_TEAMS (-1)
 #define OTHER_TEAMS (-2)
-#define CANCELLED (-1) /* as time of start */
+#define CANCELLED (-1) /* instead of a start time */
 
 struct running {
 	ogl_time end;
@@ -33,9 +33,9 @@
 };
 
 struct window {
-	double *received; /* each team, inner nodes too */
+	double *received; /* processor seconds, by team and inner node */
 	double *completed;
-	bool *emptied; /* it had nothing waiting at some time */
+	bool *backlog_emptied; /* at some time of the window, by team */
 	double total;
 };
 
@@ -43,23 +43,23 @@
 	const struct trace *t;
 	struct ogl_queue *q;
 	bool oracle;
-	struct ogl_res *room;
+	struct ogl_res *free_res;
 	double free_cpu;
-	uint32_t freed;      /* server that something ended on last */
-	struct running *run; /* binary heap by end */
-	size_t nrun;
-	ogl_time *started; /* by work; OGL_NEVER while it waits */
+	uint32_t freed_server; /* server on which work ended last */
+	struct running *run;   /* binary heap ordered by end */
+	size_t nrunning;
+	ogl_time *started; /* by item of work; OGL_NEVER while it waits */
 	size_t *waiting;   /* by team */
-	int *parent;       /* by team; -1 below the root */
+	int *parent;       /* by team; -1 for children of the root */
 	struct window *win;
 	size_t nwin;
 	char label[32];
 };
 
 static void
-run_add(struct replay *r, struct running x)
+running_push(struct replay *r, struct running x)
 {
-	size_t i = r->nrun++;
+	size_t i = r->nrunning++;
 
 	while (i > 0 && x.end < r->run[(i - 1) / 2].end) {
 		r->run[i] = r->run[(i - 1) / 2];
@@ -69,15 +69,15 @@
 }
 
 static struct running
-run_take(struct replay *r)
+running_pop(struct replay *r)
 {
 	struct running top = r->run[0];
-	struct running x = r->run[--r->nrun];
+	struct running x = r->run[--r->nrunning];
 	size_t i = 0;
 	size_t c;
 
-	while ((c = 2 * i + 1) < r->nrun) {
-		if (c + 1 < r->nrun && r->run[c + 1].end < r->run[c].end)
+	while ((c = 2 * i + 1) < r->nrunning) {
+		if (c + 1 < r->nrunning && r->run[c + 1].end < r->run[c].end)
 			c++;
 		if (x.end <= r->run[c].end)
 			break;
@@ -89,7 +89,7 @@
 }
 
 static void
-describe(struct replay *r, uint32_t i, struct ogl_work *w)
+make_work(struct replay *r, uint32_t i, struct ogl_work *w)
 {
 	const struct trace_work *x = &r->t->works[i];
 
@@ -106,29 +106,30 @@
 	w->since = x->at;
 }
 
-/* The fullest server with room; `freed` is tried first, being the only one
- * with room most times in a full cell. */
+/* Reserves the fullest server on which the work fits.  `freed_server` is tried
+ * first: in a full cell it usually is the only one. */
 static bool
-hold(struct replay *r, const struct ogl_res *need, uint32_t *server)
+reserve_server(struct replay *r, const struct ogl_res *need, uint32_t *server)
 {
 	uint32_t best = UINT32_MAX;
 
-	if (r->room[r->freed].cpu_milli == need->cpu_milli &&
-	    ogl_res_fits(need, &r->room[r->freed]))
-		best = r->freed;
-	for (uint32_t s = 0; best != r->freed && s < r->t->nservers; s++) {
-		if (need->cpu_milli > r->room[s].cpu_milli ||
-		    !ogl_res_fits(need, &r->room[s]))
+	if (r->free_res[r->freed_server].cpu_milli == need->cpu_milli &&
+	    ogl_res_fits(need, &r->free_res[r->freed_server]))
+		best = r->freed_server;
+	for (uint32_t s = 0; best != r->freed_server && s < r->t->nservers;
+	     s++) {
+		if (need->cpu_milli > r->free_res[s].cpu_milli ||
+		    !ogl_res_fits(need, &r->free_res[s]))
 			continue;
 		if (best == UINT32_MAX ||
-		    r->room[s].cpu_milli < r->room[best].cpu_milli)
+		    r->free_res[s].cpu_milli < r->free_res[best].cpu_milli)
 			best = s;
-		if (r->room[s].cpu_milli == need->cpu_milli)
+		if (r->free_res[s].cpu_milli == need->cpu_milli)
 			break;
 	}
 	if (best == UINT32_MAX)
 		return false;
-	ogl_res_sub(&r->room[best], need);
+	ogl_res_sub(&r->free_res[best], need);
 	r->free_cpu -= need->cpu_milli;
 	*server = best;
 	return true;
@@ -141,12 +142,12 @@
 }
 
 static void
-waits_change(struct replay *r, uint32_t team, int by, ogl_time now)
+change_waiting(struct replay *r, uint32_t team, int change, ogl_time now)
 {
 	for (int n = (int)team; n >= 0; n = r->parent[n]) {
-		r->waiting[n] += (size_t)by;
+		r->waiting[n] += (size_t)change;
 		if (r->waiting[n] == 0)
-			r->win[window_at(r, now)].emptied[n] = true;
+			r->win[window_at(r, now)].backlog_emptied[n] = true;
 	}
 }
 
@@ -154,12 +155,13 @@
 begin_window(struct replay *r, size_t w)
 {
 	for (size_t n = 0; n < r->t->nteams; n++)
-		r->win[w].emptied[n] |= r->waiting[n] == 0;
+		r->win[w].backlog_emptied[n] |= r->waiting[n] == 0;
 }
 
-/* Credits service received in [from, to) window by window. */
+/* Adds processor time used in [from, to) to the windows it falls in. */
 static void
-credit(struct replay *r, uint32_t i, ogl_time from, ogl_time to, bool done)
+credit_service(
+    struct replay *r, uint32_t i, ogl_time from, ogl_time to, bool done)
 {
 	const struct trace_work *x = &r->t->works[i];
 	double cpu = x->res.cpu_milli / 1000.0;
@@ -179,7 +181,7 @@
 		    cpu * (double)(to - from) / OGL_SEC;
 }
 
-/* Cancels a piece whose twin has started. */
+/* Cancels an item of work if it is in `group` and waits. */
 static void
 cancel(struct replay *r, uint32_t i, uint32_t group, ogl_time now)
 {
@@ -188,12 +190,13 @@
 	if (!ogl_queue_remove(r->q, i + 1))
 		return;
 	r->started[i] = CANCELLED;
-	waits_change(r, r->t->works[i].team, -1, now);
+	change_waiting(r, r->t->works[i].team, -1, now);
 }
 
-/* Pieces of a group came at the same time and stand together. */
+/* Cancels the other items of a group.  They have the same arrival time, so they
+ * are adjacent in the trace. */
 static void
-cancel_twins(struct replay *r, uint32_t i, ogl_time now)
+cancel_duplicates(struct replay *r, uint32_t i, ogl_time now)
 {
 	const struct trace_work *w = r->t->works;
 
@@ -209,30 +212,31 @@
 fill(struct replay *r, ogl_time now)
 {
 	struct ogl_work w;
-	uint32_t tried = 0;
+	uint32_t failures = 0;
 	uint32_t server;
 
-	while (r->free_cpu > 0 && tried < TRY_MOST &&
+	while (r->free_cpu > 0 && failures < PLACE_FAILURES_MAX &&
 	       ogl_queue_pop(r->q, now, &w)) {
 		uint32_t i = (uint32_t)w.id - 1;
 
-		if (!hold(r, &w.res, &server)) {
+		if (!reserve_server(r, &w.res, &server)) {
 			ogl_queue_back(r->q, w.id, now);
-			tried++;
+			failures++;
 			continue;
 		}
-		waits_change(r, r->t->works[i].team, -1, now);
+		change_waiting(r, r->t->works[i].team, -1, now);
 		r->started[i] = now;
 		ogl_queue_started(r->q, &w, now);
-		cancel_twins(r, i, now);
-		run_add(
+		cancel_duplicates(r, i, now);
+		running_push(
 		    r, (struct running){now + r->t->works[i].run, i, server});
 	}
 }
 
-/* A twin that came just before may run already; then this one is not sent. */
+/* Whether another item of the group is running already.  Then this one is
+ * cancelled before it is queued. */
 static bool
-twin_started(struct replay *r, uint32_t i)
+duplicate_started(struct replay *r, uint32_t i)
 {
 	const struct trace_work *w = r->t->works;
 
@@ -256,10 +260,10 @@
 {
 	struct ogl_work w;
 
-	describe(r, i, &w);
-	if (twin_started(r, i))
+	make_work(r, i, &w);
+	if (duplicate_started(r, i))
 		return;
-	waits_change(r, r->t->works[i].team, 1, now);
+	change_waiting(r, r->t->works[i].team, 1, now);
 	ogl_queue_push(r->q, &w, now);
 	fill(r, now);
 }
@@ -267,13 +271,13 @@
 static void
 finish(struct replay *r)
 {
-	struct running x = run_take(r);
+	struct running x = running_pop(r);
 	const struct trace_work *k = &r->t->works[x.work];
 
-	credit(r, x.work, r->started[x.work], x.end, true);
-	ogl_res_add(&r->room[x.server], &k->res);
+	credit_service(r, x.work, r->started[x.work], x.end, true);
+	ogl_res_add(&r->free_res[x.server], &k->res);
 	r->free_cpu += k->res.cpu_milli;
-	r->freed = x.server;
+	r->freed_server = x.server;
 	ogl_queue_ended(r->q, x.work + 1, true, x.end);
 	ogl_queue_again(r->q, x.end);
 	fill(r, x.end);
@@ -286,24 +290,24 @@
 	size_t w = 0;
 
 	for (;;) {
-		ogl_time come =
+		ogl_time arrival =
 		    next < r->t->nworks ? r->t->works[next].at : r->t->length;
-		ogl_time end = r->nrun != 0 ? r->run[0].end : OGL_NEVER;
-		ogl_time now = MIN(come, end);
+		ogl_time end = r->nrunning != 0 ? r->run[0].end : OGL_NEVER;
+		ogl_time now = MIN(arrival, end);
 
 		while (w < r->nwin && (ogl_time)w * WINDOW <= now)
 			begin_window(r, w++);
 		if (now >= r->t->length)
 			break;
-		if (end <= come)
+		if (end <= arrival)
 			finish(r);
 		else
 			arrive(r, next++, now);
 	}
-	for (size_t i = 0; i < r->nrun; i++) {
+	for (size_t i = 0; i < r->nrunning; i++) {
 		uint32_t work = r->run[i].work;
 
-		credit(r, work, r->started[work], r->t->length, false);
+		credit_service(r, work, r->started[work], r->t->length, false);
 	}
 }
 
@@ -316,7 +320,7 @@
 	return (x > y) - (x < y);
 }
 
-/* Of sorted values. */
+/* `v` has to be sorted. */
 static double
 quantile(const GArray *v, double q)
 {
@@ -325,9 +329,9 @@
 	return g_array_index(v, double, (guint)(q * (v->len - 1)));
 }
 
-/* `team` is one team, ALL_TEAMS, or all but the first. */
+/* `team` is an index, ALL_TEAMS, or OTHER_TEAMS (all but the first). */
 static bool
-of_team(uint32_t have, int team)
+team_matches(uint32_t have, int team)
 {
 	if (team == ALL_TEAMS)
 		return true;
@@ -352,7 +356,7 @@
 		if (w->group != 0 && r->started[i] == OGL_NEVER && i > 0 &&
 		    r->t->works[i - 1].group == w->group)
 			continue;
-		if (!of_team(w->team, team))
+		if (!team_matches(w->team, team))
 			continue;
 		x = (double)(MIN(r->started[i], r->t->length) - w->at) / OGL_MS;
 		g_array_append_val(v, x);
@@ -372,7 +376,8 @@
 }
 
 static void
-judge_waits(const struct replay *r, bool own, struct replay_result *res)
+compute_waits(
+    const struct replay *r, bool first_team, struct replay_result *res)
 {
 	GArray *s = waits_of(r, true, ALL_TEAMS);
 	GArray *l = waits_of(r, false, ALL_TEAMS);
@@ -384,71 +389,73 @@
 	res->max_s = MAX(quantile(s, 1), quantile(l, 1)) / 1000;
 	g_array_free(s, TRUE);
 	g_array_free(l, TRUE);
-	if (!own)
+	if (!first_team)
 		return;
-	res->tricky_short_p99_ms = quantile_of(r, true, FIRST_TEAM, 0.99);
-	res->tricky_long_p50_ms = quantile_of(r, false, FIRST_TEAM, 0.5);
+	res->first_short_p99_ms = quantile_of(r, true, FIRST_TEAM, 0.99);
+	res->first_long_p50_ms = quantile_of(r, false, FIRST_TEAM, 0.5);
 	res->others_short_p99_ms = quantile_of(r, true, OTHER_TEAMS, 0.99);
 }
 
-/* Pours `amount` over the children of `up` by weight, no child getting more
- * than it can use; then on down the tree. */
+/* Divides `amount` by weight among the children of `parent_team`, and so on
+ * down the tree.  A child whose backlog was empty at some time gets at most
+ * what it received. */
 static void
-entitle(const struct replay *r, const struct window *w, int up, double amount,
-    double *out)
+compute_entitlements(const struct replay *r, const struct window *w,
+    int parent_team, double amount, double *out)
 {
 	size_t n = r->t->nteams;
-	bool sated[64] = {false};
-	bool again = true;
+	bool satisfied[64] = {false};
+	bool changed = true;
 
-	while (again) {
+	while (changed) {
 		double left = amount;
 		double weight = 0;
 
-		again = false;
+		changed = false;
 		for (size_t i = 0; i < n; i++) {
-			if (r->parent[i] != up)
+			if (r->parent[i] != parent_team)
 				continue;
-			if (sated[i])
+			if (satisfied[i])
 				left -= out[i];
 			else
 				weight += r->t->teams[i].share;
 		}
 		for (size_t i = 0; i < n; i++) {
-			if (r->parent[i] != up || sated[i])
+			if (r->parent[i] != parent_team || satisfied[i])
 				continue;
 			out[i] = left * r->t->teams[i].share / weight;
-			if (w->emptied[i] && w->received[i] < out[i]) {
+			if (w->backlog_emptied[i] && w->received[i] < out[i]) {
 				out[i] = w->received[i];
-				sated[i] = true;
-				again = true;
+				satisfied[i] = true;
+				changed = true;
 			}
 		}
 	}
 	for (size_t i = 0; i < n; i++) {
-		if (r->parent[i] == up)
-			entitle(r, w, (int)i, out[i], out);
+		if (r->parent[i] == parent_team)
+			compute_entitlements(r, w, (int)i, out[i], out);
 	}
 }
 
 static void
-judge_window(const struct replay *r, const struct window *w, GArray *errors,
-    struct replay_result *res)
+compute_window_errors(const struct replay *r, const struct window *w,
+    GArray *errors, struct replay_result *res)
 {
-	double due[64] = {0};
+	double entitled[64] = {0};
 	double done = 0;
 
-	entitle(r, w, -1, w->total, due);
+	compute_entitlements(r, w, -1, w->total, entitled);
 	for (size_t i = 0; i < r->t->nteams; i++) {
 		if (r->parent[i] < 0)
 			done += w->completed[i];
 	}
 	for (size_t i = 0; i < r->t->nteams; i++) {
-		double e = 100 * fabs(w->received[i] / due[i] - 1);
+		double e = 100 * fabs(w->received[i] / entitled[i] - 1);
 		double c =
-		    100 * fabs(w->completed[i] * w->total / done / due[i] - 1);
+		    100 *
+		    fabs(w->completed[i] * w->total / done / entitled[i] - 1);
 
-		if (due[i] <= 0)
+		if (entitled[i] <= 0)
 			continue;
 		g_array_append_val(errors, e);
 		res->error_received_pct = MAX(res->error_received_pct, e);
@@ -457,24 +464,24 @@
 }
 
 static void
-judge(const struct replay *r, struct replay_result *res)
+compute_errors(const struct replay *r, struct replay_result *res)
 {
 	double cap = (double)r->t->nservers * r->t->server.cpu_milli / 1000;
 	GArray *errors = g_array_new(FALSE, FALSE, sizeof(double));
-	double held = 0;
+	double cpu_s_used = 0;
 
 	for (size_t w = 0; w < r->nwin; w++) {
 		const struct window *x = &r->win[w];
 
-		held += x->total;
+		cpu_s_used += x->total;
 		if (w == 0 || x->total < FULL_PART * cap * WINDOW / OGL_SEC)
 			continue;
 		res->windows++;
-		judge_window(r, x, errors, res);
+		compute_window_errors(r, x, errors, res);
 	}
 	qsort(errors->data, errors->len, sizeof(double), by_value);
-	res->error_typical_pct = quantile(errors, 0.5);
-	res->busy_pct = 100 * held / (cap * r->t->length / OGL_SEC);
+	res->error_median_pct = quantile(errors, 0.5);
+	res->busy_pct = 100 * cpu_s_used / (cap * r->t->length / OGL_SEC);
 	g_array_free(errors, TRUE);
 }
 
@@ -482,9 +489,9 @@
 replay_init(struct replay *r, const struct trace *t)
 {
 	r->t = t;
-	r->room = g_new(struct ogl_res, t->nservers);
+	r->free_res = g_new(struct ogl_res, t->nservers);
 	for (uint32_t s = 0; s < t->nservers; s++)
-		r->room[s] = t->server;
+		r->free_res[s] = t->server;
 	r->free_cpu = (double)t->nservers * t->server.cpu_milli;
 	r->run = g_new(struct running, (size_t)r->free_cpu / 1000 + 1);
 	r->started = g_new(ogl_time, t->nworks + 1);
@@ -497,7 +504,7 @@
 	for (size_t w = 0; w < r->nwin; w++) {
 		r->win[w].received = g_new0(double, t->nteams);
 		r->win[w].completed = g_new0(double, t->nteams);
-		r->win[w].emptied = g_new0(bool, t->nteams);
+		r->win[w].backlog_emptied = g_new0(bool, t->nteams);
 	}
 	for (size_t i = 0; i < t->nteams; i++) {
 		const char *slash = strchr(t->teams[i].path, '/');
@@ -520,10 +527,10 @@
 	for (size_t w = 0; w < r->nwin; w++) {
 		g_free(r->win[w].received);
 		g_free(r->win[w].completed);
-		g_free(r->win[w].emptied);
+		g_free(r->win[w].backlog_emptied);
 	}
 	g_free(r->win);
-	g_free(r->room);
+	g_free(r->free_res);
 	g_free(r->run);
 	g_free(r->started);
 	g_free(r->waiting);
@@ -541,7 +548,7 @@
 	r.q = ogl_queue_init(policy, 1);
 	replay_init(&r, t);
 	simulate(&r);
-	judge_waits(&r, policy == &ogl_queue_learned, res);
-	judge(&r, res);
+	compute_waits(&r, policy == &ogl_queue_learned, res);
+	compute_errors(&r, res);
 	replay_end(&r);
 }
--- a/bench/lib_trace.c
+++ b/bench/lib_trace.c
@@ -1,12 +1,12 @@
 /*
- * Traces made from the sizes of today: 50 executors of 8 slots and 50 workers
- * of 16 processors, 6 organisations of which three are large and have two
- * teams each.
+ * Traces with the sizes of two deployments: 50 executors of 8 slots, 50
+ * workers of 16 processors, and 6 organisations, of which three are large and
+ * have two teams each.
  *
- * Short work has log-normal run times; long work has bounded Pareto run
- * times and comes in bursts, as claim packs and reconciliations do.  Declared
- * run times are wrong by a log-normal factor whose deviation is a factor of
- * ten, and one in five is not declared at all.
+ * Short work has log-normal run times.  Long work has bounded Pareto run times
+ * and arrives in bursts, as claim packs and reconciliations do.  Declared run
+ * times differ from the true ones by a log-normal factor with a standard
+ * deviation of ln 10, and one in five run times is not declared.
  */
 
 #include <math.h>
@@ -14,29 +14,29 @@
 
 #include "lib_trace.h"
 
-#define FLOOD_TIMES 5.0
+#define FLOOD_FACTOR 5.0
 #define SPLIT_PARTS 10
-#define RENAMED 1000000u
-#define REPEATS 3
-#define UNDECLARED 0.2
+#define RENAMED_LABEL_BASE 1000000u
+#define REPEAT_COPIES 3
+#define UNDECLARED_PART 0.2
 #define DECLARED_SIGMA 2.302585 /* ln 10 */
-#define BURST_MEAN 8.0
+#define BURST_MEAN_ITEMS 8.0
 #define BURST_SPREAD (50 * OGL_MS)
 #define EXECUTORS 50
 #define EXECUTOR_SLOTS 8
 #define WORKERS 50
 #define WORKER_CPU 16
 #define MB_PER_CPU 4096
-#define LABELS_EACH 4
+#define LABELS_PER_MIX 4
 
-/* How one sort of work comes and how long it runs. */
-struct mix {
-	double of_load;  /* part of the offered work */
-	double median_s; /* short: log-normal */
+/* Parameters of short or of long work. */
+struct work_mix {
+	double load_part; /* part of the offered load */
+	double median_s;  /* of short work, log-normal; 0 for long work */
 	double sigma;
-	double least_s, most_s; /* long: bounded Pareto */
+	double min_s, max_s; /* of long work, bounded Pareto */
 	double alpha;
-	uint32_t cpu_most; /* 1 to this many processors, powers of two */
+	uint32_t cpu_max; /* processors are a power of two from 1 to this */
 };
 
 static const struct trace_team teams[] = {
@@ -55,7 +55,7 @@
 };
 #define FIRST_TEAM 1
 
-static const struct mix mixes[TRACE_CELLS][TRACE_PARTS][2] =
+static const struct work_mix mixes[TRACE_CELLS][TRACE_PARTS][2] =
     {
 	[TRACE_REPAIR] =
 	    {
@@ -73,7 +73,7 @@
 	    },
 };
 
-struct maker {
+struct generator {
 	GArray *works;
 	uint64_t state;
 	const struct trace_spec *spec;
@@ -81,7 +81,7 @@
 };
 
 static uint64_t
-next_u64(struct maker *m)
+next_u64(struct generator *m)
 {
 	uint64_t z = (m->state += 0x9e3779b97f4a7c15u);
 
@@ -91,13 +91,13 @@
 }
 
 static double
-uniform(struct maker *m)
+uniform(struct generator *m)
 {
 	return ((double)(next_u64(m) >> 11) + 0.5) / 9007199254740992.0;
 }
 
 static double
-normal(struct maker *m)
+normal(struct generator *m)
 {
 	double r = sqrt(-2 * log(uniform(m)));
 
@@ -105,18 +105,18 @@
 }
 
 static double
-pareto(struct maker *m, const struct mix *x)
+pareto(struct generator *m, const struct work_mix *x)
 {
-	double ratio = pow(x->least_s / x->most_s, x->alpha);
+	double ratio = pow(x->min_s / x->max_s, x->alpha);
 
-	return x->least_s * pow(1 - uniform(m) * (1 - ratio), -1 / x->alpha);
+	return x->min_s * pow(1 - uniform(m) * (1 - ratio), -1 / x->alpha);
 }
 
 static double
-mean_run(const struct mix *x)
+mean_run(const struct work_mix *x)
 {
-	double l = x->least_s;
-	double h = x->most_s;
+	double l = x->min_s;
+	double h = x->max_s;
 	double a = x->alpha;
 
 	if (x->median_s > 0)
@@ -126,12 +126,12 @@
 }
 
 static double
-mean_cpu(const struct mix *x)
+mean_cpu(const struct work_mix *x)
 {
 	double sum = 0;
 	uint32_t n = 0;
 
-	for (uint32_t c = 1; c <= x->cpu_most; c *= 2) {
+	for (uint32_t c = 1; c <= x->cpu_max; c *= 2) {
 		sum += c;
 		n++;
 	}
@@ -139,30 +139,32 @@
 }
 
 static uint32_t
-draw_cpu(struct maker *m, const struct mix *x)
+draw_cpu(struct generator *m, const struct work_mix *x)
 {
 	uint32_t n = 0;
 
-	for (uint32_t c = 1; c < x->cpu_most; c *= 2)
+	for (uint32_t c = 1; c < x->cpu_max; c *= 2)
 		n++;
 	return 1u << (uint32_t)(uniform(m) * (n + 1));
 }
 
 static uint64_t
-draw_declared(struct maker *m, ogl_time run)
+draw_declared(struct generator *m, ogl_time run)
 {
-	double said = (double)run * exp(DECLARED_SIGMA * normal(m)) / OGL_MS;
+	double declared_ms_drawn =
+	    (double)run * exp(DECLARED_SIGMA * normal(m)) / OGL_MS;
 
-	if (uniform(m) < UNDECLARED)
+	if (uniform(m) < UNDECLARED_PART)
 		return 0;
-	return (uint64_t)MAX(said, 1.0);
+	return (uint64_t)MAX(declared_ms_drawn, 1.0);
 }
 
 static void
-add_work(struct maker *m, const struct mix *x, uint32_t team, ogl_time at)
+add_work(
+    struct generator *m, const struct work_mix *x, uint32_t team, ogl_time at)
 {
 	struct trace_work w = {.at = at, .team = team};
-	bool tricks = team == FIRST_TEAM;
+	bool deviates = team == FIRST_TEAM;
 	double run_s = x->median_s > 0 ? x->median_s * exp(x->sigma * normal(m))
 				       : pareto(m, x);
 	uint32_t cpu = draw_cpu(m, x);
@@ -174,37 +176,37 @@
 						  : OGL__KIND__batch;
 	w.res.cpu_milli = cpu * 1000;
 	w.res.mem_mb = cpu * MB_PER_CPU / 2;
-	w.label = (uint32_t)(uniform(m) * LABELS_EACH);
-	w.label += w.is_short ? 0 : LABELS_EACH;
-	if (tricks && m->spec->conduct == TRACE_RENAME)
-		w.label = RENAMED + m->works->len;
-	if (tricks && m->spec->conduct == TRACE_SPLIT && !w.is_short)
+	w.label = (uint32_t)(uniform(m) * LABELS_PER_MIX);
+	w.label += w.is_short ? 0 : LABELS_PER_MIX;
+	if (deviates && m->spec->behaviour == TRACE_RENAME)
+		w.label = RENAMED_LABEL_BASE + m->works->len;
+	if (deviates && m->spec->behaviour == TRACE_SPLIT && !w.is_short)
 		parts = SPLIT_PARTS;
 	w.run = MAX(w.run / parts, OGL_MS);
 	w.declared_ms = draw_declared(m, w.run);
-	if (tricks && m->spec->conduct == TRACE_REPEAT) {
-		parts = REPEATS;
+	if (deviates && m->spec->behaviour == TRACE_REPEAT) {
+		parts = REPEAT_COPIES;
 		w.group = m->works->len + 1;
 	}
 	for (uint32_t i = 0; i < parts; i++) {
 		g_array_append_val(m->works, w);
-		if (w.group != 0) /* each copy under a label of its own */
-			w.label += 2 * LABELS_EACH;
+		if (w.group != 0) /* each copy has its own label */
+			w.label += 2 * LABELS_PER_MIX;
 	}
 }
 
 static void
-add_stream(struct maker *m, const struct mix *x, uint32_t team)
+add_arrivals(struct generator *m, const struct work_mix *x, uint32_t team)
 {
 	double capacity =
 	    (double)m->t->nservers * m->t->server.cpu_milli / 1000;
-	double demand = m->t->teams[team].demand * m->spec->load * x->of_load;
+	double demand = m->t->teams[team].demand * m->spec->load * x->load_part;
 	double rate = demand * capacity / (mean_run(x) * mean_cpu(x));
-	double burst = x->median_s > 0 ? 1 : BURST_MEAN;
+	double burst = x->median_s > 0 ? 1 : BURST_MEAN_ITEMS;
 	double at = 0;
 
-	if (team == FIRST_TEAM && m->spec->conduct == TRACE_FLOOD)
-		rate *= FLOOD_TIMES;
+	if (team == FIRST_TEAM && m->spec->behaviour == TRACE_FLOOD)
+		rate *= FLOOD_FACTOR;
 	for (;;) {
 		uint32_t n = 1;
 
@@ -214,9 +216,9 @@
 		while (burst > 1 && uniform(m) > 1 / burst)
 			n++;
 		for (uint32_t i = 0; i < n; i++) {
-			double late = uniform(m) * BURST_SPREAD;
+			double delay = uniform(m) * BURST_SPREAD;
 
-			add_work(m, x, team, (ogl_time)(at + late));
+			add_work(m, x, team, (ogl_time)(at + delay));
 		}
 	}
 }
@@ -234,7 +236,7 @@
 trace_make(const struct trace_spec *spec)
 {
 	struct trace *t = g_new0(struct trace, 1);
-	struct maker m = {.spec = spec, .t = t, .state = spec->seed};
+	struct generator m = {.spec = spec, .t = t, .state = spec->seed};
 	bool exec = spec->part == TRACE_EXECUTORS;
 	uint32_t cpu = exec ? EXECUTOR_SLOTS : WORKER_CPU;
 
@@ -248,8 +250,8 @@
 	for (uint32_t i = 0; i < t->nteams; i++) {
 		if (teams[i].demand <= 0)
 			continue;
-		add_stream(&m, &mixes[spec->cell][spec->part][0], i);
-		add_stream(&m, &mixes[spec->cell][spec->part][1], i);
+		add_arrivals(&m, &mixes[spec->cell][spec->part][0], i);
+		add_arrivals(&m, &mixes[spec->cell][spec->part][1], i);
 	}
 	t->nworks = m.works->len;
 	t->works = (struct trace_work *)g_array_free(m.works, FALSE);
--- a/bench/lib_trace.h
+++ b/bench/lib_trace.h
@@ -1,5 +1,5 @@
 /*
- * Traces of work for the two deployments of today, made from a seed.
+ * Random traces of work for two deployments, generated from a seed.
  */
 
 #ifndef OGL_LIB_TRACE_H
@@ -19,46 +19,46 @@
 	TRACE_PARTS
 };
 
-/* What the first team does; the others always behave. */
-enum trace_conduct {
-	TRACE_HONEST,
-	TRACE_FLOOD,  /* sends FLOOD_TIMES its work */
-	TRACE_SPLIT,  /* sends each long piece as ten short ones */
-	TRACE_RENAME, /* a new label on each piece */
-	TRACE_REPEAT, /* each piece thrice, two cancelled once one starts */
-	TRACE_CONDUCTS
+/* Behaviour of the first team.  All other teams behave normally. */
+enum trace_behaviour {
+	TRACE_NORMAL,
+	TRACE_FLOOD,  /* submits FLOOD_FACTOR times its work */
+	TRACE_SPLIT,  /* splits each item of long work into ten */
+	TRACE_RENAME, /* gives each item a new label */
+	TRACE_REPEAT, /* sends three copies, two cancelled when one starts */
+	TRACE_BEHAVIOURS
 };
 
 struct trace_work {
 	ogl_time at;
 	ogl_time run;         /* true run time */
-	uint64_t declared_ms; /* what the caller says; 0 nothing */
+	uint64_t declared_ms; /* run time declared by the caller; 0 for none */
 	uint32_t team;
 	uint32_t label;
 	Ogl__Kind kind;
 	struct ogl_res res;
 	bool is_short;
-	uint32_t group; /* pieces of which one is to run; 0 alone */
+	uint32_t group; /* of copies, one of which runs; 0 for none */
 };
 
 struct trace_team {
 	const char *path;
 	double share;
-	double demand; /* of the cell's offered load; 0 for an inner node */
+	double demand; /* part of the offered load; 0 for an inner node */
 };
 
 struct trace_spec {
 	enum trace_cell cell;
 	enum trace_part part;
-	enum trace_conduct conduct;
-	double load; /* offered work over capacity */
+	enum trace_behaviour behaviour;
+	double load; /* offered work as a multiple of capacity */
 	uint64_t seed;
 };
 
 struct trace {
-	struct trace_work *works; /* by time */
+	struct trace_work *works; /* ordered by arrival */
 	size_t nworks;
-	const struct trace_team *teams; /* parents first */
+	const struct trace_team *teams; /* parents precede children */
 	size_t nteams;
 	uint32_t nservers;
 	struct ogl_res server;
