--- a/bench/bench_route_views.c
+++ b/bench/bench_route_views.c
@@ -1,10 +1,11 @@
 /*
- * Routing by several nodes that each see only their own requests.
+ * Routing by several nodes, each of which knows only its own requests.
  *
- * Eight nodes send to fifty executors of eight slots, five of them three
- * times slower.  An executor with no slot free refuses, which its node learns
- * a round trip later and then tries elsewhere.  Compared are the router, a
- * draw by chance, and the fewest own requests in flight.
+ * Eight nodes send to fifty executors of eight slots.  Five executors are three
+ * times slower.  An executor without a free slot refuses a request; the node
+ * gets the refusal a round trip after it sent the request and tries another
+ * executor.  Three policies are compared: the router, a random executor, and
+ * the executor with the fewest requests of the node in flight.
  */
 
 #include <stdio.h>
@@ -14,46 +15,47 @@
 
 #define NODES 8
 #define EXECUTORS 50
-#define SLOW 5
-#define SLOW_TIMES 3
+#define SLOW_EXECUTORS 5
+#define SLOW_FACTOR 3
 #define SLOTS 8
-#define SERVICE_US 50000.0
-#define ONE_WAY OGL_MS
+#define SERVICE_MEAN_US 50000.0
+#define ONE_WAY_DELAY OGL_MS
 #define REQUESTS 250000
-#define WARM_UP 25000
-#define TRIES 8
-#define AGAIN (5 * OGL_MS) /* a queue with nothing in flight */
+#define WARM_UP_REQUESTS 25000
+#define ATTEMPTS_MAX 8
+#define QUEUE_RETRY_DELAY                                                      \
+	(5 * OGL_MS) /* of a queue that no executor has room for */
 
-enum what {
-	ARRIVES,
-	REACHES, /* an executor */
-	ENDS,    /* at the executor */
-	ANSWERS, /* reaches its node */
-	REFUSED, /* reaches its node */
-	LOOKS    /* a node looks at its queue again */
+enum type {
+	CALLER_SENDS,
+	EXECUTOR_RECEIVES, /* it has a free slot or refuses */
+	EXECUTOR_ENDS,     /* it answers */
+	NODE_GETS_ANSWER,
+	NODE_GETS_REFUSAL,
+	NODE_RETRIES_QUEUE /* after QUEUE_RETRY_DELAY */
 };
 
 enum policy {
 	ROUTER,
-	CHANCE,
-	FEWEST
+	RANDOM,
+	FEWEST_IN_FLIGHT
 };
 
 struct request {
-	ogl_time since;
-	uint32_t t;
-	uint8_t node, tries;
-	uint32_t tried[TRIES];
+	ogl_time arrived_at;
+	uint32_t executor;
+	uint8_t node, attempts;
+	uint32_t tried[ATTEMPTS_MAX];
 };
 
 struct node {
 	struct ogl_route *route;
-	uint32_t flights[EXECUTORS];
-	GArray *queue; /* uint32_t requests, from head on */
+	uint32_t in_flight[EXECUTORS];
+	GArray *queue; /* uint32_t, indexes of requests, starting at head */
 	guint head;
 };
 
-struct world {
+struct simulation {
 	enum policy policy;
 	struct mix m;
 	double mean_gap;
@@ -63,63 +65,65 @@
 	struct request *requests;
 	uint32_t arrived, done;
 	uint64_t refusals;
-	double *ms;
+	double *latency_ms;
 };
 
 static void
-event(struct world *w, ogl_time at, enum what what, uint32_t id)
+add_event(struct simulation *sim, ogl_time at, enum type type, uint32_t id)
 {
-	mix_heap_push(&w->events, at, (uint64_t)what << 32 | id);
+	mix_heap_push(&sim->events, at, (uint64_t)type << 32 | id);
 }
 
 static bool
-plain_pick(struct world *w, struct node *n, struct request *q)
+pick_without_router(struct simulation *sim, struct node *n, struct request *q)
 {
-	uint32_t i, t, best = UINT32_MAX;
-	uint32_t at = (uint32_t)(mix_uniform(&w->m) * EXECUTORS);
+	uint32_t i, executor, best = UINT32_MAX;
+	uint32_t at = (uint32_t)(mix_uniform(&sim->m) * EXECUTORS);
 
 	for (i = 0; i < EXECUTORS; i++) {
-		t = (at + i) % EXECUTORS;
-		if (n->flights[t] >= SLOTS)
+		executor = (at + i) % EXECUTORS;
+		if (n->in_flight[executor] >= SLOTS)
 			continue;
-		if (best == UINT32_MAX || n->flights[t] < n->flights[best])
-			best = t;
-		if (w->policy == CHANCE)
+		if (best == UINT32_MAX ||
+		    n->in_flight[executor] < n->in_flight[best])
+			best = executor;
+		if (sim->policy == RANDOM)
 			break;
 	}
 	if (best == UINT32_MAX)
 		return false;
-	n->flights[best]++;
-	q->t = best;
+	n->in_flight[best]++;
+	q->executor = best;
 	return true;
 }
 
 static bool
-dispatch(struct world *w, uint32_t id, ogl_time now)
+dispatch(struct simulation *sim, uint32_t id, ogl_time now)
 {
-	struct request *q = &w->requests[id];
-	struct node *n = &w->nodes[q->node];
+	struct request *q = &sim->requests[id];
+	struct node *n = &sim->nodes[q->node];
 
-	if (w->policy == ROUTER) {
+	if (sim->policy == ROUTER) {
 		if (!ogl_route_pick(
-			n->route, id, q->tried, q->tries, now, &q->t))
+			n->route, id, q->tried, q->attempts, now, &q->executor))
 			return false;
-	} else if (!plain_pick(w, n, q)) {
+	} else if (!pick_without_router(sim, n, q)) {
 		return false;
 	}
-	event(w, now + ONE_WAY, REACHES, id);
+	add_event(sim, now + ONE_WAY_DELAY, EXECUTOR_RECEIVES, id);
 	return true;
 }
 
 static void
-drain(struct world *w, struct node *n, ogl_time now)
+send_queued(struct simulation *sim, struct node *n, ogl_time now)
 {
 	uint32_t id;
 
 	while (n->head < n->queue->len) {
 		id = g_array_index(n->queue, uint32_t, n->head);
-		if (!dispatch(w, id, now)) {
-			event(w, now + AGAIN, LOOKS, (uint32_t)(n - w->nodes));
+		if (!dispatch(sim, id, now)) {
+			add_event(sim, now + QUEUE_RETRY_DELAY,
+			    NODE_RETRIES_QUEUE, (uint32_t)(n - sim->nodes));
 			return;
 		}
 		n->head++;
@@ -127,132 +131,141 @@
 }
 
 static void
-arrives(struct world *w, ogl_time now)
+add_request(struct simulation *sim, ogl_time now)
 {
-	struct request *q = &w->requests[w->arrived];
+	struct request *q = &sim->requests[sim->arrived];
 	struct node *n;
 
-	q->since = now;
-	q->node = (uint8_t)(mix_uniform(&w->m) * NODES);
-	n = &w->nodes[q->node];
-	g_array_append_val(n->queue, w->arrived);
+	q->arrived_at = now;
+	q->node = (uint8_t)(mix_uniform(&sim->m) * NODES);
+	n = &sim->nodes[q->node];
+	g_array_append_val(n->queue, sim->arrived);
 	if (n->queue->len - n->head == 1)
-		drain(w, n, now);
-	if (++w->arrived < REQUESTS)
-		event(w,
-		    now + (ogl_time)mix_exponential(&w->m, w->mean_gap) + 1,
-		    ARRIVES, 0);
+		send_queued(sim, n, now);
+	if (++sim->arrived < REQUESTS)
+		add_event(sim,
+		    now + (ogl_time)mix_exponential(&sim->m, sim->mean_gap) + 1,
+		    CALLER_SENDS, 0);
 }
 
 static void
-reaches(struct world *w, uint32_t id, ogl_time now)
+start_request(struct simulation *sim, uint32_t id, ogl_time now)
 {
-	struct request *q = &w->requests[id];
-	double mean = SERVICE_US * (q->t < SLOW ? SLOW_TIMES : 1);
+	struct request *q = &sim->requests[id];
+	double mean =
+	    SERVICE_MEAN_US * (q->executor < SLOW_EXECUTORS ? SLOW_FACTOR : 1);
 
-	if (w->busy[q->t] == SLOTS) {
-		w->refusals++;
-		event(w, now + ONE_WAY, REFUSED, id);
+	if (sim->busy[q->executor] == SLOTS) {
+		sim->refusals++;
+		add_event(sim, now + ONE_WAY_DELAY, NODE_GETS_REFUSAL, id);
 		return;
 	}
-	w->busy[q->t]++;
-	event(w, now + (ogl_time)mix_exponential(&w->m, mean) + 1, ENDS, id);
+	sim->busy[q->executor]++;
+	add_event(sim, now + (ogl_time)mix_exponential(&sim->m, mean) + 1,
+	    EXECUTOR_ENDS, id);
 }
 
 static void
-left(struct world *w, uint32_t id, enum ogl_io io, ogl_time now)
+request_done(struct simulation *sim, uint32_t id, enum ogl_io io, ogl_time now)
 {
-	struct request *q = &w->requests[id];
-	struct node *n = &w->nodes[q->node];
+	struct request *q = &sim->requests[id];
+	struct node *n = &sim->nodes[q->node];
 
-	if (w->policy == ROUTER)
-		ogl_route_done(
-		    n->route, q->t, id, io, io == OGL_IO_OK ? 200 : 503, now);
+	if (sim->policy == ROUTER)
+		ogl_route_done(n->route, q->executor, id, io,
+		    io == OGL_IO_OK ? 200 : 503, now);
 	else
-		n->flights[q->t]--;
+		n->in_flight[q->executor]--;
 	if (io == OGL_IO_OK) {
-		if (id >= WARM_UP)
-			w->ms[w->done++] = (double)(now - q->since) / OGL_MS;
+		if (id >= WARM_UP_REQUESTS)
+			sim->latency_ms[sim->done++] =
+			    (double)(now - q->arrived_at) / OGL_MS;
 	} else {
-		/* After many refusals all executors are worth a try again. */
-		if (q->tries == TRIES)
-			q->tries = 0;
-		q->tried[q->tries++] = q->t;
-		if (!dispatch(w, id, now))
+		/* After ATTEMPTS_MAX refusals any executor may be retried. */
+		if (q->attempts == ATTEMPTS_MAX)
+			q->attempts = 0;
+		q->tried[q->attempts++] = q->executor;
+		if (!dispatch(sim, id, now))
 			g_array_append_val(n->queue, id);
 	}
-	drain(w, n, now);
+	send_queued(sim, n, now);
 }
 
 static void
 run(enum policy policy, double load, const char *suffix)
 {
-	double slots = EXECUTORS - SLOW + (double)SLOW / SLOW_TIMES;
-	struct world w = {.policy = policy, .m = {4}};
+	double slots =
+	    EXECUTORS - SLOW_EXECUTORS + (double)SLOW_EXECUTORS / SLOW_FACTOR;
+	struct simulation sim = {.policy = policy, .m = {4}};
 	struct mix_event e;
-	uint32_t i, id, t;
+	uint32_t i, id, executor;
 	char name[32];
 
-	w.mean_gap = SERVICE_US / (slots * SLOTS * load);
-	w.requests = g_new0(struct request, REQUESTS);
-	w.ms = g_new(double, REQUESTS);
+	sim.mean_gap = SERVICE_MEAN_US / (slots * SLOTS * load);
+	sim.requests = g_new0(struct request, REQUESTS);
+	sim.latency_ms = g_new(double, REQUESTS);
 	for (i = 0; i < NODES; i++) {
-		w.nodes[i].queue = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-		w.nodes[i].route = ogl_route_init(i, "z0");
-		for (t = 0; t < EXECUTORS; t++) {
-			snprintf(name, sizeof(name), "e%u", t);
+		sim.nodes[i].queue =
+		    g_array_new(FALSE, FALSE, sizeof(uint32_t));
+		sim.nodes[i].route = ogl_route_init(i, "z0");
+		for (executor = 0; executor < EXECUTORS; executor++) {
+			snprintf(name, sizeof(name), "e%u", executor);
 			ogl_route_target(
-			    w.nodes[i].route, name, "z0", SLOTS, false, 1);
+			    sim.nodes[i].route, name, "z0", SLOTS, false, 1);
 		}
 	}
-	event(&w, 1, ARRIVES, 0);
-	while (w.done < REQUESTS - WARM_UP && mix_heap_pop(&w.events, &e)) {
-		id = (uint32_t)e.what;
-		switch ((enum what)(e.what >> 32)) {
-		case ARRIVES:
-			arrives(&w, e.at);
+	add_event(&sim, 1, CALLER_SENDS, 0);
+	while (sim.done < REQUESTS - WARM_UP_REQUESTS &&
+	       mix_heap_pop(&sim.events, &e)) {
+		id = (uint32_t)e.data;
+		switch ((enum type)(e.data >> 32)) {
+		case CALLER_SENDS:
+			add_request(&sim, e.at);
 			break;
-		case REACHES:
-			reaches(&w, id, e.at);
+		case EXECUTOR_RECEIVES:
+			start_request(&sim, id, e.at);
 			break;
-		case ENDS:
-			w.busy[w.requests[id].t]--;
-			event(&w, e.at + ONE_WAY, ANSWERS, id);
+		case EXECUTOR_ENDS:
+			sim.busy[sim.requests[id].executor]--;
+			add_event(
+			    &sim, e.at + ONE_WAY_DELAY, NODE_GETS_ANSWER, id);
 			break;
-		case ANSWERS:
-			left(&w, id, OGL_IO_OK, e.at);
+		case NODE_GETS_ANSWER:
+			request_done(&sim, id, OGL_IO_OK, e.at);
 			break;
-		case REFUSED:
-			left(&w, id, OGL_IO_REFUSED, e.at);
+		case NODE_GETS_REFUSAL:
+			request_done(&sim, id, OGL_IO_REFUSED, e.at);
 			break;
-		case LOOKS:
-			drain(&w, &w.nodes[id], e.at);
+		case NODE_RETRIES_QUEUE:
+			send_queued(&sim, &sim.nodes[id], e.at);
 			break;
 		}
 	}
-	qsort(w.ms, w.done, sizeof(*w.ms), mix_by_double);
-	printf("route_views_p50_ms%s %.1f ms\n", suffix, w.ms[w.done / 2]);
-	printf(
-	    "route_views_p99_ms%s %.1f ms\n", suffix, w.ms[w.done / 100 * 99]);
+	qsort(sim.latency_ms, sim.done, sizeof(*sim.latency_ms),
+	    mix_compare_double);
+	printf("route_views_p50_ms%s %.1f ms\n", suffix,
+	    sim.latency_ms[sim.done / 2]);
+	printf("route_views_p99_ms%s %.1f ms\n", suffix,
+	    sim.latency_ms[sim.done / 100 * 99]);
 	printf("route_views_refusals%s %.3f per_request\n", suffix,
-	    (double)w.refusals / REQUESTS);
+	    (double)sim.refusals / REQUESTS);
 	for (i = 0; i < NODES; i++) {
-		ogl_route_end(w.nodes[i].route);
-		g_array_free(w.nodes[i].queue, TRUE);
+		ogl_route_end(sim.nodes[i].route);
+		g_array_free(sim.nodes[i].queue, TRUE);
 	}
-	mix_heap_clear(&w.events);
-	g_free(w.ms);
-	g_free(w.requests);
+	mix_heap_clear(&sim.events);
+	g_free(sim.latency_ms);
+	g_free(sim.requests);
 }
 
 int
 main(void)
 {
 	run(ROUTER, 0.7, "_70");
-	run(CHANCE, 0.7, "_70_chance");
-	run(FEWEST, 0.7, "_70_fewest");
+	run(RANDOM, 0.7, "_70_chance");
+	run(FEWEST_IN_FLIGHT, 0.7, "_70_fewest");
 	run(ROUTER, 0.95, "_95");
-	run(CHANCE, 0.95, "_95_chance");
-	run(FEWEST, 0.95, "_95_fewest");
+	run(RANDOM, 0.95, "_95_chance");
+	run(FEWEST_IN_FLIGHT, 0.95, "_95_fewest");
 	return 0;
 }
