--- a/soak/soak.py
+++ b/soak/soak.py
@@ -1,13 +1,14 @@
-"""Fault soak: real nodes as processes, faults from outside, promises checked.
+"""Soak test with faults: runs real node processes and checks invariants.
 
     soak/soak.py BUILD --seed N [--seconds S] [--nodes N] [--workers N] [--keep DIR]
 
-Nodes reach the store and the workers through loopback proxies that delay,
-silence, reset and cut one way; nodes are killed, stopped, continued, asked to
-end and started again by their process ids; the store refuses, loses answers and
-does writes late; workers crash, start anew, fail all and answer late.  Callers
-keep their connections until the process is gone.  At the end everything heals
-and each accepted job must come to its end.  Exit status 0 when all held.
+Nodes reach the store and the workers through loopback proxies that delay, drop
+or reset traffic or drop it in one direction.  Node processes get SIGKILL,
+SIGSTOP, SIGCONT, SIGTERM and SIGHUP and are restarted.  The store refuses
+requests, loses answers and executes writes late.  Workers crash, restart, fail
+all tasks and answer late.  Callers reuse their connections while the node runs.
+At the end all faults are removed and each accepted job has to end.  The exit
+status is 0 if there was no breach.
 """
 
 import argparse
@@ -21,33 +22,35 @@
 
 import world as w
 
-KEY = "key-one"
-SETTLE_S = 60
-CALLS_S = 30
-ZONES = ["za", "zb"]  # that the workers are dealt out to
+API_KEY = "key-one"
+SETTLE_TIMEOUT_S = 60
+CALLS_TIMEOUT_S = 30
+ZONES = ["za", "zb"]  # of the workers, alternating
 
 
 class Proxy:
-    """Bytes between one address and another, by mode."""
+    """Forwards connections to an address, with faults according to mode."""
 
     def __init__(self, target):
-        self.target, self.mode, self.open = target, "pass", set()
+        self.target, self.mode, self.writers = target, "pass", set()
 
     async def start(self, host, port):
         await asyncio.start_server(self.serve, host, port)
 
-    def set(self, mode):
+    def set_mode(self, mode):
         self.mode = mode
         if mode == "reset":
-            for writer in list(self.open):
+            for writer in list(self.writers):
                 writer.transport.abort()
 
-    async def pump(self, reader, writer, back):
+    async def forward(self, reader, writer, from_target):
         try:
             while data := await reader.read(65536):
                 if self.mode == "delay":
                     await asyncio.sleep(0.15)
-                if self.mode == "silent" or (back and self.mode == "oneway"):
+                if self.mode == "silent" or (
+                    from_target and self.mode == "oneway"
+                ):
                     continue
                 writer.write(data)
                 await writer.drain()
@@ -59,28 +62,31 @@
         if self.mode == "reset":
             writer.transport.abort()
             return
-        self.open.add(writer)
+        self.writers.add(writer)
         try:
-            far, out = await asyncio.open_connection(*self.target)
-            self.open.add(out)
+            target_reader, target_writer = await asyncio.open_connection(
+                *self.target
+            )
+            self.writers.add(target_writer)
             await asyncio.gather(
-                self.pump(reader, out, False), self.pump(far, writer, True)
+                self.forward(reader, target_writer, False),
+                self.forward(target_reader, writer, True),
             )
-            self.open.discard(out)
+            self.writers.discard(target_writer)
         except OSError:
             writer.transport.abort()
         except asyncio.CancelledError:
             return
-        self.open.discard(writer)
+        self.writers.discard(writer)
 
 
-def server_of(handle):
+def make_server(handle):
     async def serve(reader, writer):
         try:
             while (m := await w.read_message(reader)) is not None:
                 (method, path, _), headers, body = m
                 out = await handle(method, path, headers, body)
-                if out is None:  # never answered: the connection is dead
+                if out is None:  # leave the request without an answer
                     await asyncio.sleep(20)
                     break
                 writer.write(out)
@@ -88,7 +94,7 @@
         except (OSError, asyncio.IncompleteReadError, ValueError):
             pass
         except asyncio.CancelledError:
-            return  # the soak is over
+            return  # the soak has ended
         writer.close()
 
     return serve
@@ -97,7 +103,7 @@
 class Node:
     def __init__(self, soak, index):
         self.soak, self.index = soak, index
-        self.ip = f"127.0.{1 + soak.net}.{10 + index}"
+        self.ip = f"127.0.{1 + soak.subnet}.{10 + index}"
         self.proc = None
         self.stopped = False
         self.store = Proxy(("127.0.0.1", soak.port))
@@ -155,33 +161,33 @@
         self.rand = random.Random(a.seed)
         self.zone_rand = random.Random(a.seed + 1)
         self.build, self.dir = a.build, a.keep or tempfile.mkdtemp()
-        self.net = a.seed % 200
+        self.subnet = a.seed % 200
         self.port = 21000 + (a.seed % 50) * 20
-        self.world = w.World(self.rand)
+        self.platform = w.Platform(self.rand)
         self.nodes = [Node(self, i) for i in range(a.nodes)]
         self.proxies = []
         self.nworkers, self.seconds = a.workers, a.seconds
-        self.last = 0
+        self.last_job = 0
         self.calls = set()
-        self.links = {}
+        self.connections = {}
 
     async def listen(self):
-        host, store = "127.0.0.1", self.world.store
-        await asyncio.start_server(server_of(store.handle), host, self.port)
+        host, store = "127.0.0.1", self.platform.store
+        await asyncio.start_server(make_server(store.handle), host, self.port)
         await asyncio.start_server(
-            server_of(self.world.advise), host, self.port + 5
+            make_server(self.platform.advise), host, self.port + 5
         )
         for i in range(self.nworkers):
-            ip = f"127.0.{1 + self.net}.{100 + i}"
+            ip = f"127.0.{1 + self.subnet}.{100 + i}"
             worker = w.Worker(
-                self.world, f"w{i}", f"{ip}:{self.port + 6}", ZONES[i % 2]
+                self.platform, f"w{i}", f"{ip}:{self.port + 6}", ZONES[i % 2]
             )
             await asyncio.start_server(
-                server_of(worker.handle), ip, self.port + 7
+                make_server(worker.handle), ip, self.port + 7
             )
             proxy = Proxy((ip, self.port + 7))
             await proxy.start(ip, self.port + 6)
-            self.world.workers.append(worker)
+            self.platform.workers.append(worker)
             self.proxies.append(proxy)
         for n in self.nodes:
             await n.store.start(n.ip, self.port + 4)
@@ -189,9 +195,9 @@
     # ---- callers ------------------------------------------------------
 
     async def call(self, node, method, path, body=b""):
-        """Status and body; 0 when no whole answer came in time."""
-        link = self.links.setdefault(node.index, [])
-        reader, writer = link.pop() if link else (None, None)
+        """Returns (status, body); status 0 if no whole answer came in time."""
+        connections = self.connections.setdefault(node.index, [])
+        reader, writer = connections.pop() if connections else (None, None)
         try:
             if writer is None:
                 reader, writer = await asyncio.wait_for(
@@ -200,7 +206,8 @@
             writer.write(
                 (
                     f"{method} {path} HTTP/1.1\r\nHost: q.example\r\n"
-                    f"Authorization: Bearer {KEY}\r\nX-Deadline-Ms: 3000\r\n"
+                    f"Authorization: Bearer {API_KEY}\r\n"
+                    "X-Deadline-Ms: 3000\r\n"
                     f"Content-Length: {len(body)}\r\n\r\n"
                 ).encode()
                 + body
@@ -208,7 +215,7 @@
             m = await asyncio.wait_for(w.read_message(reader), 3.5)
             if m is None:
                 return 0, None
-            link.append((reader, writer))
+            connections.append((reader, writer))
             return int(m[0][1]), m[2]
         except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError):
             if writer:
@@ -216,7 +223,7 @@
             return 0, None
 
     async def submit(self):
-        self.last += 1
+        self.last_job += 1
         steps = [
             {
                 "count": self.rand.randint(1, 4),
@@ -229,18 +236,18 @@
         ]
         if len(steps) == 2:
             steps[1]["after"] = [0]
-        job = w.Job(f"{self.last:016x}", steps)
-        self.world.jobs[job.id] = job
+        job = w.Job(f"{self.last_job:016x}", steps)
+        self.platform.jobs[job.id] = job
         body = json.dumps({"spec": "s", "steps": steps}).encode()
         for _ in range(4):
             node = self.rand.choice(self.nodes)
-            job.handed_in += 1
+            job.submissions += 1
             status, _ = await self.call(node, "POST", f"/q/{job.id}", body)
             if status == 200:
                 job.accepted = True
                 break
             if status in (400, 401, 404, 429, 503):
-                job.rejected += 1
+                job.rejections += 1
             await asyncio.sleep(0.3)
         if job.accepted and self.rand.random() < 0.1:
             node = self.rand.choice(self.nodes)
@@ -248,9 +255,9 @@
             if status == 200:
                 job.cancelled_at = w.now()
             elif status == 410:
-                self.world.breach("LOST", job.id)
+                self.platform.breach("LOST", job.id)
 
-    async def load(self, until):
+    async def submit_jobs(self, until):
         while w.now() < until:
             t = asyncio.ensure_future(self.submit())
             self.calls.add(t)
@@ -259,11 +266,11 @@
 
     # ---- faults -------------------------------------------------------
 
-    async def strike(self):
+    async def inject_fault(self):
         r = self.rand
         node, i = r.choice(self.nodes), r.randrange(self.nworkers)
-        worker, kind = self.world.workers[i], r.randrange(9)
-        self.world.troubled = w.now()
+        worker, kind = self.platform.workers[i], r.randrange(9)
+        self.platform.last_fault = w.now()
         if kind == 0:
             node.signal(signal.SIGKILL)
         elif kind == 1:
@@ -273,11 +280,13 @@
         elif kind == 3:
             node.signal(signal.SIGHUP)
         elif kind == 4:
-            node.store.set(r.choice(["silent", "reset", "oneway", "delay"]))
+            node.store.set_mode(
+                r.choice(["silent", "reset", "oneway", "delay"])
+            )
         elif kind == 5:
-            self.world.store.mode = r.choice(["busy", "losing", "late"])
+            self.platform.store.mode = r.choice(["busy", "losing", "late"])
         elif kind == 6:
-            self.proxies[i].set(
+            self.proxies[i].set_mode(
                 r.choice(["silent", "reset", "oneway", "delay"])
             )
         elif kind == 7:
@@ -286,107 +295,109 @@
             worker.mode = "crashed"
             worker.crash()
 
-    async def heal(self, everything):
+    async def remove_faults(self, everything):
         if everything or self.rand.random() < 0.4:
-            self.world.store.mode = "well"
+            self.platform.store.mode = "normal"
         for n in self.nodes:
             if everything or self.rand.random() < 0.4:
-                n.store.set("pass")
+                n.store.set_mode("pass")
                 n.signal(signal.SIGCONT)
                 await n.start()
-        for i, worker in enumerate(self.world.workers):
+        for i, worker in enumerate(self.platform.workers):
             if everything or self.rand.random() < 0.4:
-                self.proxies[i].set("pass")
+                self.proxies[i].set_mode("pass")
                 if worker.mode == "crashed":
-                    worker.life()
-                worker.mode = "well"
+                    worker.new_incarnation()
+                worker.mode = "normal"
 
-    async def move_zones(self):
-        """A random source of its own: older seeds play as they did."""
+    async def evacuate_zones(self):
+        """Has its own random generator, so other faults are as without it."""
         r = self.zone_rand
         if r.random() < 0.2:
-            await self.world.evacuate(r.choice(ZONES), r.random() < 0.6)
+            await self.platform.evacuate(r.choice(ZONES), r.random() < 0.6)
 
-    async def trouble(self, until):
+    async def inject_faults(self, until):
         while w.now() < until:
             await asyncio.sleep(self.rand.uniform(0.2, 1.2))
-            await self.move_zones()
+            await self.evacuate_zones()
             for _ in range(self.rand.randint(0, 2)):
-                await self.strike()
+                await self.inject_fault()
             if self.rand.random() < 0.5:
-                await self.heal(False)
+                await self.remove_faults(False)
 
-    # ---- the end ------------------------------------------------------
+    # ---- end of the soak ----------------------------------------------
 
-    async def open_jobs(self):
-        left = []
-        for job in self.world.jobs.values():
+    async def unfinished_jobs(self):
+        unfinished = []
+        for job in self.platform.jobs.values():
             if not job.accepted or job.state:
                 continue
             node = self.rand.choice(self.nodes)
             status, body = await self.call(node, "GET", f"/q/{job.id}")
             if status == 410:
-                self.world.breach("LOST", job.id)
+                self.platform.breach("LOST", job.id)
                 job.state = "lost"
             elif status == 200:
                 state = json.loads(body)["state"]
                 if state in ("completed", "failed", "cancelled"):
-                    self.judge(job, state)
+                    self.check_end_state(job, state)
             if not job.state:
-                left.append(job.id)
-        return left
+                unfinished.append(job.id)
+        return unfinished
 
-    def judge(self, job, state):
+    def check_end_state(self, job, state):
         job.state = state
         done = all(
-            job.task(s, i).ended
+            job.task(s, i).done
             for s, step in enumerate(job.steps)
             for i in range(step["count"])
         )
         if state == "completed" and not done:
-            self.world.breach("MIXED", job.id)
+            self.platform.breach("MIXED", job.id)
         if state == "cancelled" and job.cancelled_at is None:
-            pass  # a cancel without an answer may have been carried out
+            pass  # a cancel that got no answer may have been executed
 
     async def settle(self):
-        await self.heal(True)
-        if self.world.evacuated:
-            self.world.troubled = w.now()
-            await asyncio.sleep(w.EVACUATE_S + 0.5)
+        await self.remove_faults(True)
+        if self.platform.evacuated:
+            self.platform.last_fault = w.now()
+            await asyncio.sleep(w.EVACUATION_BOUND_S + 0.5)
         for zone in ZONES:
-            await self.world.evacuate(zone, False)
-        end, left = w.now() + SETTLE_S, ["?"]
-        while left and w.now() < end:
+            await self.platform.evacuate(zone, False)
+        end, unfinished = w.now() + SETTLE_TIMEOUT_S, ["?"]
+        while unfinished and w.now() < end:
             await asyncio.sleep(0.5)
-            await self.heal(True)
-            left = await self.open_jobs()
-        for ident in left:
-            self.world.breach("OPEN", ident)
+            await self.remove_faults(True)
+            unfinished = await self.unfinished_jobs()
+        for job_id in unfinished:
+            self.platform.breach("OPEN", job_id)
 
-    async def refuse_strangers(self):
-        """Nodes left by a soak of the same seed would answer for ours."""
+    async def check_ports_free(self):
+        """Nodes left by a soak with the same seed would take our calls."""
         for n in self.nodes:
             try:
                 _, writer = await asyncio.open_connection(n.ip, self.port + 1)
             except OSError:
                 continue
             writer.close()
-            sys.exit(f"{n.ip}:{self.port + 1} is taken: another soak?")
+            sys.exit(f"{n.ip}:{self.port + 1} is in use by another soak?")
 
     async def run(self):
-        await self.refuse_strangers()
+        await self.check_ports_free()
         await self.listen()
-        await self.world.configure([KEY])
-        asyncio.ensure_future(self.world.list_workers())
+        await self.platform.configure([API_KEY])
+        asyncio.ensure_future(self.platform.list_workers())
         for n in self.nodes:
             await n.start()
         await asyncio.sleep(1.5)
         until = w.now() + self.seconds
-        await asyncio.gather(self.load(until), self.trouble(until))
-        # A call ends by its own timeouts; one that does not is told, with
-        # where it stands, and the soak goes on.
+        await asyncio.gather(self.submit_jobs(until), self.inject_faults(until))
+        # Calls end by their own timeouts.  One that does not is printed with
+        # its line numbers and cancelled.
         if self.calls:
-            _, stuck = await asyncio.wait(set(self.calls), timeout=CALLS_S)
+            _, stuck = await asyncio.wait(
+                set(self.calls), timeout=CALLS_TIMEOUT_S
+            )
             for t in stuck:
                 print("stuck:", [f.f_lineno for f in t.get_stack()])
                 t.cancel()
@@ -407,7 +418,7 @@
     if a.keep:
         os.makedirs(a.keep, exist_ok=True)
     soak = Soak(a)
-    # Whoever ends the soak must not leave its nodes behind.
+    # Node processes must not outlive a soak that is terminated.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     try:
         asyncio.run(soak.run())
@@ -418,15 +429,19 @@
                     n.proc.kill()
                 except ProcessLookupError:
                     pass
-    jobs = soak.world.jobs.values()
-    for b in soak.world.breaches:
+    jobs = soak.platform.jobs.values()
+    for b in soak.platform.breaches:
         print(b)
     print(
         f"seed {a.seed}: {len(jobs)} jobs, "
         f"{sum(j.accepted for j in jobs)} accepted, "
-        f"{len(soak.world.breaches)} breaches, logs in {soak.dir}"
+        f"{len(soak.platform.breaches)} breaches, logs in {soak.dir}"
+    )
+    return (
+        1
+        if soak.platform.breaches or not any(j.accepted for j in jobs)
+        else 0
     )
-    return 1 if soak.world.breaches or not any(j.accepted for j in jobs) else 0
 
 
 if __name__ == "__main__":
--- a/soak/test_world.py
+++ b/soak/test_world.py
@@ -1,4 +1,4 @@
-"""Tests of the soak's stand-ins."""
+"""Tests of the soak's simulated platform."""
 
 import asyncio
 import random
@@ -9,11 +9,11 @@
 import world as w
 
 READERS, WRITERS, SEEDS = 8, 3, 6
-END_S = 8  # an ending takes milliseconds
+END_TIMEOUT_S = 8  # the cancellation takes milliseconds
 
 
 async def use_store(rand):
-    """Readers and writers of one topic, all cancelled while they wait."""
+    """Runs readers and writers of one topic; all are cancelled on return."""
     store = w.Store(rand)
     topic = store.topic("x")
 
@@ -35,16 +35,16 @@
     await asyncio.sleep(rand.uniform(0.02, 0.08))
 
 
-class Ending(unittest.TestCase):
-    def test_readers_can_be_cancelled(self):
-        """The soak is over and cancels whoever still reads the store.  Some
-        readers' times end in the same moment.  One that can't be cancelled
-        keeps the soak, and the whole check, from ever ending."""
+class StoreTest(unittest.TestCase):
+    def test_waiting_readers_can_be_cancelled(self):
+        """At its end the soak cancels all readers of the store, some of them
+        just as their wait times out.  A reader that loses the cancellation
+        keeps the soak, and so the whole check, running forever."""
         for seed in range(1, SEEDS + 1):
             with self.subTest(seed=seed):
                 subprocess.run(
                     [sys.executable, __file__, "use", str(seed)],
-                    timeout=END_S,
+                    timeout=END_TIMEOUT_S,
                     check=True,
                 )
 
--- a/soak/world.py
+++ b/soak/world.py
@@ -1,8 +1,8 @@
-"""The platform's stand-in for the soak: store, workers, advice, over HTTP.
+"""Simulated platform for the soak test: store, workers and advice over HTTP.
 
-Everything lives in one process and one loop; the nodes under test are real
-processes that speak to it over loopback.  What must hold is checked here, as
-workers see it, and collected in World.breaches.
+It runs in one process and one event loop.  The nodes under test are real
+processes that connect to it over loopback.  Invariants are checked here on what
+workers observe; violations are collected in Platform.breaches.
 """
 
 import asyncio
@@ -13,10 +13,10 @@
 
 WORKER_CPU = 16000
 LEASE_MAX_MS = 10000
-STOP_S = 0.2
-VALID_MS = 2500
-EVACUATE_S = 5  # from an evacuation's record to the last start in its zone
-CONTACT_S = 4  # so long after a fault the bound holds again
+TASK_STOP_S = 0.2
+TICKET_VALID_MS = 2500
+EVACUATION_BOUND_S = 5  # from an evacuation's record to the last start there
+FAULT_SETTLE_S = 4  # after a fault, until that bound holds again
 
 
 def now():
@@ -24,7 +24,7 @@
 
 
 async def read_message(reader):
-    """One HTTP message: first line, headers, body; None at the end."""
+    """Returns (first line, headers, body), or None at the end of the stream."""
     line = await reader.readline()
     if not line:
         return None
@@ -53,32 +53,31 @@
         self.records = []  # (key, value or None)
         self.epoch = 0
         self.seq = None
-        self.repeats = {}
-        self.readers = set()  # a future for each read that waits
+        self.results = {}
+        self.readers = set()  # futures of the reads that wait for a record
 
     async def put(self, pairs):
         first = len(self.records)
         self.records += pairs
-        for grown in self.readers:
-            if not grown.done():
-                grown.set_result(None)
+        for appended in self.readers:
+            if not appended.done():
+                appended.set_result(None)
         return first
 
     async def wait(self, start, seconds):
-        """Until there is a record at start, or the time is over.
+        """Waits until there is a record at start, or for the given time.
 
-        asyncio.wait, not wait_for: that loses a cancellation which comes in
-        the moment its time ends, and the soak waited for ever for such a
-        reader to end.
+        Uses asyncio.wait because wait_for loses a cancellation that coincides
+        with its timeout; such a reader never ends, and the soak hangs.
         """
         if len(self.records) > start:
             return
-        grown = asyncio.get_running_loop().create_future()
-        self.readers.add(grown)
+        appended = asyncio.get_running_loop().create_future()
+        self.readers.add(appended)
         try:
-            await asyncio.wait([grown], timeout=seconds)
+            await asyncio.wait([appended], timeout=seconds)
         finally:
-            self.readers.discard(grown)
+            self.readers.discard(appended)
 
     def newest(self):
         last = {}
@@ -93,7 +92,7 @@
     def __init__(self, rand):
         self.rand = rand
         self.topics = {}
-        self.mode = "well"  # or busy, losing, late
+        self.mode = "normal"  # or busy, losing, late
 
     def topic(self, name):
         return self.topics.setdefault(name, Stream())
@@ -114,19 +113,19 @@
         if "at" in q and int(q["at"]) != len(t.records):
             return 412, {"end_offset": len(t.records)}
         if fenced and epoch > t.epoch:
-            t.epoch, t.seq, t.repeats = epoch, None, {}
+            t.epoch, t.seq, t.results = epoch, None, {}
         if fenced and pairs:
-            if seq in t.repeats:
-                return 200, t.repeats[seq]
+            if seq in t.results:
+                return 200, t.results[seq]
             if t.seq is not None and seq != t.seq + 1:
                 return 409, {"reason": "seq", "seq": t.seq + 1}
             t.seq = seq
         first = await t.put(pairs)
         out = {"offset": first, "end_offset": len(t.records)}
         if fenced and pairs:
-            t.repeats[seq] = out
-            for old in sorted(t.repeats)[:-5]:
-                del t.repeats[old]
+            t.results[seq] = out
+            for old in sorted(t.results)[:-5]:
+                del t.results[old]
         return 200, out
 
     async def append(self, q, body):
@@ -183,15 +182,15 @@
 class Task:
     def __init__(self):
         self.running = 0
-        self.ended = False  # some run ended as done
-        self.noted = False  # and that was taken note of
-        self.failed = 0
+        self.done = False  # a run has ended as done
+        self.done_recorded = False  # and the owner has recorded that end
+        self.failed = 0  # failed runs whose ends the owner has recorded
 
 
 class Job:
-    def __init__(self, ident, steps):
-        self.id, self.steps = ident, steps
-        self.handed_in = self.rejected = 0
+    def __init__(self, job_id, steps):
+        self.id, self.steps = job_id, steps
+        self.submissions = self.rejections = 0
         self.accepted = False
         self.cancelled_at = None
         self.state = None
@@ -210,91 +209,91 @@
 
 
 class Worker:
-    def __init__(self, world, ident, addr, zone="z"):
-        self.world, self.id, self.addr = world, ident, addr
+    def __init__(self, platform, worker_id, addr, zone="z"):
+        self.platform, self.id, self.addr = platform, worker_id, addr
         self.zone = zone
-        self.mode = "well"  # failing, late, crashed
-        self.life()
+        self.mode = "normal"  # or failing, late, crashed
+        self.new_incarnation()
 
-    def life(self):
+    def new_incarnation(self):
         self.born = time.time_ns() // 1000000
-        self.start = now()
-        self.epoch = self.until = self.last = 0
-        self.runs, self.ended, self.highest = {}, [], {}
-        self.woken = asyncio.Event()
+        self.started_at = now()
+        self.epoch = self.lease_until = self.last_end = 0
+        self.runs, self.ended, self.highest_run = {}, [], {}
+        self.end_event = asyncio.Event()
 
     def clock(self):
-        return 1000 + int((now() - self.start) * 1000)
+        return 1000 + int((now() - self.started_at) * 1000)
 
-    def end(self, run, how):
+    def end_run(self, run, how):
         if self.runs.pop((run.name, run.number), None) is None:
             return
         run.timer.cancel()
-        ident, _, step, index = run.name.split(".")
-        t = self.world.jobs[ident].task(int(step), int(index))
+        job_id, _, step, index = run.name.split(".")
+        t = self.platform.jobs[job_id].task(int(step), int(index))
         t.running -= 1
-        t.ended = t.ended or how == "done"
-        self.last += 1
-        self.ended.append([self.last, run.name, run.number, how, ""])
-        self.highest[run.name] = max(
-            self.highest.get(run.name, 0), run.number
+        t.done = t.done or how == "done"
+        self.last_end += 1
+        self.ended.append([self.last_end, run.name, run.number, how, ""])
+        self.highest_run[run.name] = max(
+            self.highest_run.get(run.name, 0), run.number
         )
-        self.woken.set()
+        self.end_event.set()
 
     def crash(self):
         for run in list(self.runs.values()):
             run.timer.cancel()
-            ident, _, step, index = run.name.split(".")
-            self.world.jobs[ident].task(int(step), int(index)).running -= 1
-        self.life()
+            job_id, _, step, index = run.name.split(".")
+            self.platform.jobs[job_id].task(int(step), int(index)).running -= 1
+        self.new_incarnation()
 
-    def lapse(self):
-        if self.runs and self.clock() > self.until:
+    def expire_lease(self):
+        if self.runs and self.clock() > self.lease_until:
             for run in list(self.runs.values()):
-                self.end(run, "lapsed")
+                self.end_run(run, "lapsed")
 
-    def check(self, job, step, index, name):
-        t, breach = job.task(step, index), self.world.breach
+    def check_start(self, job, step, index, name):
+        t, breach = job.task(step, index), self.platform.breach
         used = sum(r.step["cpu"] for r in self.runs.values())
         if used + job.steps[step]["cpu"] > WORKER_CPU:
             breach("LIMIT", name)
         if t.running:
             breach("TWICE", name)
-        if t.noted:
+        if t.done_recorded:
             breach("AGAIN", name)
-        if t.failed >= self.world.attempts:
+        if t.failed >= self.platform.attempts_max:
             breach("BUDGET", name)
         for before in job.steps[step].get("after", []):
             if not all(
-                job.task(before, i).ended
+                job.task(before, i).done
                 for i in range(job.steps[before]["count"])
             ):
                 breach("ORDER", name)
         if job.cancelled_at and now() - job.cancelled_at > 3:
             breach("CANCELLED", name)
-        if job.handed_in == job.rejected:
+        if job.submissions == job.rejections:
             breach("REFUSED", name)
-        since = self.world.evacuated.get(self.zone)
-        calm = now() - self.world.troubled > CONTACT_S
-        if since and now() - since > EVACUATE_S and calm:
+        since = self.platform.evacuated.get(self.zone)
+        settled = now() - self.platform.last_fault > FAULT_SETTLE_S
+        if since and now() - since > EVACUATION_BOUND_S and settled:
             if self.mode != "late":
                 breach("EVAC", name)
 
-    def begin(self, b):
-        ident, _, step, index = b["task"].split(".")
-        job = self.world.jobs.get(ident)
+    def start_run(self, b):
+        job_id, _, step, index = b["task"].split(".")
+        job = self.platform.jobs.get(job_id)
         if job is None:
-            self.world.breach("UNASKED", b["task"])
+            self.platform.breach("UNASKED", b["task"])
             return
         step, index = int(step), int(index)
-        self.check(job, step, index, b["task"])
+        self.check_start(job, step, index, b["task"])
         run = Run(b["task"], b["run_id"], job.steps[step], b)
         job.task(step, index).running += 1
         self.runs[(run.name, run.number)] = run
         bad = self.mode == "failing" or job.steps[step].get("bad")
         run.timer = asyncio.get_running_loop().call_later(
             job.steps[step]["estimate_ms"] / 1000 / (2 if bad else 1),
-            self.end,
+            self.end_run,
             run,
             "failed" if bad else "done",
         )
@@ -305,26 +304,26 @@
         self.epoch = b["fencing_token"]
         return False
 
-    def renew(self, b):
+    def renew_lease(self, b):
         if "until_ms" in b:
             limit = self.clock() + LEASE_MAX_MS
-            self.until = max(self.until, min(b["until_ms"], limit))
+            self.lease_until = max(self.lease_until, min(b["until_ms"], limit))
 
     def run_start(self, b):
         if self.fenced(b):
             return 409, "fence"
         if (b["task"], b["run_id"]) in self.runs:
             return 200, None
-        if b["run_id"] <= self.highest.get(b["task"], 0):
+        if b["run_id"] <= self.highest_run.get(b["task"], 0):
             return 409, "old"
         if b["until_ms"] <= self.clock():
             return 409, "late"
-        ident, k, step, _ = b["task"].split(".")
-        key = (f"{ident}.{k}.{step}", self.id, self.born)
-        if self.world.tickets.get(key, 0) < now():
+        job_id, k, step, _ = b["task"].split(".")
+        key = (f"{job_id}.{k}.{step}", self.id, self.born)
+        if self.platform.tickets.get(key, 0) < now():
             return 409, "ticket"
-        self.renew(b)
-        self.begin(b)
+        self.renew_lease(b)
+        self.start_run(b)
         return 200, None
 
     def run_stop(self, b):
@@ -332,33 +331,33 @@
             return 409, "fence"
         run = self.runs.get((b["task"], b["run_id"]))
         if run is None:
-            self.highest[b["task"]] = max(
-                self.highest.get(b["task"], 0), b["run_id"]
+            self.highest_run[b["task"]] = max(
+                self.highest_run.get(b["task"], 0), b["run_id"]
             )
         else:
             asyncio.get_running_loop().call_later(
-                STOP_S, self.end, run, "stopped"
+                TASK_STOP_S, self.end_run, run, "stopped"
             )
         return 200, None
 
-    def note(self, seen):
+    def record_ends(self, seen):
         while self.ended and self.ended[0][0] <= seen:
             _, name, _, how, _ = self.ended.pop(0)
-            ident, _, step, index = name.split(".")
-            t = self.world.jobs[ident].task(int(step), int(index))
-            t.noted = t.noted or how == "done"
+            job_id, _, step, index = name.split(".")
+            t = self.platform.jobs[job_id].task(int(step), int(index))
+            t.done_recorded = t.done_recorded or how == "done"
             t.failed += how == "failed"
 
     async def hold(self, b):
         if self.fenced(b):
             return 409, "fence"
-        self.note(b["last_seen"])
-        self.renew(b)
+        self.record_ends(b["last_seen"])
+        self.renew_lease(b)
         if not self.ended and b.get("wait_ms"):
-            self.woken.clear()
-            woken = asyncio.ensure_future(self.woken.wait())
-            await asyncio.wait([woken], timeout=b["wait_ms"] / 1000)
-            woken.cancel()
+            self.end_event.clear()
+            wait = asyncio.ensure_future(self.end_event.wait())
+            await asyncio.wait([wait], timeout=b["wait_ms"] / 1000)
+            wait.cancel()
         return 200, None
 
     async def handle(self, method, path, headers, body):
@@ -366,19 +365,19 @@
             return None
         if headers.get("x-expected-instance") != self.id:
             return answer(421, {})
-        b, life = json.loads(body), self.born
+        b, born = json.loads(body), self.born
         if path.endswith("hold"):
             status, why = await self.hold(b)
         else:
             act = self.run_start if path.endswith("start") else self.run_stop
-            if self.mode == "late" and self.world.rand.random() < 0.3:
+            if self.mode == "late" and self.platform.rand.random() < 0.3:
                 asyncio.get_running_loop().call_later(
-                    self.world.rand.uniform(2, 8),
-                    lambda: self.born == life and act(b),
+                    self.platform.rand.uniform(2, 8),
+                    lambda: self.born == born and act(b),
                 )
                 return None
             status, why = act(b)
-        if self.born != life or self.mode == "crashed":
+        if self.born != born or self.mode == "crashed":
             return None
         out = {"clock_ms": self.clock(), "born": self.born}
         if why:
@@ -406,8 +405,8 @@
         ).encode()
 
 
-class World:
-    attempts = 3
+class Platform:
+    attempts_max = 3
 
     def __init__(self, rand):
         self.rand = rand
@@ -415,12 +414,12 @@
         self.jobs, self.workers, self.tickets = {}, [], {}
         self.breaches = []
         self.version = 0
-        self.evacuated = {}  # zone -> since when
-        self.troubled = now()  # last fault of a node, its links or the store
-        self.began = now()
+        self.evacuated = {}  # zone -> time of its evacuation
+        self.last_fault = now()  # of a node, its connections or the store
+        self.started_at = now()
 
     def breach(self, what, about):
-        self.breaches.append(f"{now() - self.began:.2f} s {what} {about}")
+        self.breaches.append(f"{now() - self.started_at:.2f} s {what} {about}")
 
     async def configure(self, keys):
         self.version += 1
@@ -433,13 +432,13 @@
                     "path_prefix": "/q/",
                     "service": "svc",
                     "priority": 0,
-                    "max_attempts": self.attempts,
+                    "max_attempts": self.attempts_max,
                     "slack_factor": 2,
                     "target_latency_ms": 500,
                     "advice": {
                         "decide_ms": 3,
                         "period_ms": 0.1,
-                        "valid_ms": VALID_MS,
+                        "valid_ms": TICKET_VALID_MS,
                     },
                 }
             ],
@@ -460,11 +459,11 @@
         )
 
     async def list_workers(self):
-        """Entries follow what the workers are; leases end by their clocks."""
+        """Publishes changed entries of workers and expires their leases."""
         last = {}
         while True:
             for w in self.workers:
-                w.lapse()
+                w.expire_lease()
                 e = w.entry()
                 if last.get(w.id) != e and self.store.mode != "busy":
                     last[w.id] = e
@@ -474,9 +473,9 @@
     async def advise(self, method, path, headers, body):
         b = json.loads(body)
         await asyncio.sleep(0.003)
-        good = []
+        allowed = []
         for w in self.workers:
             if w.id in b["workers"]:
                 self.tickets[(b["step"], w.id, w.born)] = now() + 2.4
-                good.append([w.id, "x"])
-        return answer(200, {"good": good, "valid_ms": VALID_MS})
+                allowed.append([w.id, "x"])
+        return answer(200, {"good": allowed, "valid_ms": TICKET_VALID_MS})
