--- a/bench/cell.py
+++ b/bench/cell.py
@@ -1,10 +1,10 @@
-# What the measurements over a running cell share.
+# Helpers shared by the benchmarks of a running cell.
 import http.client
 import re
 
 
 def ask(addr, method, path, key="", body=None, headers=None, timeout=30):
-    """One exchange: status and text; status 0 when the connection failed."""
+    """Sends a request.  Returns (status, text); status 0 if it failed."""
     c = http.client.HTTPConnection(addr, timeout=timeout)
     try:
         c.request(method, path, body,
@@ -18,7 +18,7 @@
 
 
 def counter(addr, name):
-    """A node's own counter; 0 while it does not answer."""
+    """Returns a counter of one node; 0 while the node does not answer."""
     text = ask(addr, "GET", "/metrics")[1]
     m = re.search(r"^orioleglade_%s (\d+)" % name, text, re.M)
     return int(m.group(1)) if m else 0
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -1,4 +1,4 @@
-# The part of failover.sh that drives the cell and watches it.
+# Measures failovers and changes in the cell that failover.sh starts.
 import concurrent.futures
 import json
 import os
@@ -25,17 +25,18 @@
 
 
 def until(done, what):
-    """Seconds until done() holds."""
-    began = time.monotonic()
+    """Waits until done() is true.  Returns the seconds waited."""
+    start = time.monotonic()
     while not done():
-        if time.monotonic() - began > DEADLINE_S:
+        if time.monotonic() - start > DEADLINE_S:
             fail("waited too long for " + what)
         time.sleep(POLL_S)
-    return time.monotonic() - began
+    return time.monotonic() - start
 
 
-def everywhere(done, what):
-    """Seconds until done(node) holds at each, asked side by side."""
+def until_on_all(done, what):
+    """Waits in parallel until done(addr) is true for each node.  Returns the
+    seconds until the last one."""
     with concurrent.futures.ThreadPoolExecutor(len(nodes)) as pool:
         return max(pool.map(lambda a: until(lambda: done(a), what), nodes))
 
@@ -47,7 +48,7 @@
 
 
 def cut(*who):
-    # Renamed into place: a relay must not read half a list.
+    # The rename is atomic, so a relay never reads a partial list.
     part = os.path.join(cell_dir, "cut.new")
     with open(part, "w") as f:
         f.write(" ".join(who))
@@ -70,7 +71,7 @@
                      "value": str(time.time_ns() % 1000 + 1)}]})
     if status != 200:
         fail("edit: %d %s" % (status, v))
-    return 1000 * everywhere(lambda a: version(a) >= v["version"], "an edit")
+    return 1000 * until_on_all(lambda a: version(a) >= v["version"], "an edit")
 
 
 def request(addr, key, timeout=10):
@@ -82,7 +83,7 @@
     status, v = call(nodes[0], "POST", "/v1/keys", {"team": "bench"})
     if status != 201:
         fail("key: %d %s" % (status, v))
-    everywhere(lambda a: request(a, v["key"]) == 200, "a new key")
+    until_on_all(lambda a: request(a, v["key"]) == 200, "a new key")
     return v
 
 
@@ -95,12 +96,13 @@
 def key_withdrawn():
     k = new_key()
     withdraw(k)
-    return 1000 * everywhere(
+    return 1000 * until_on_all(
         lambda a: request(a, k["key"]) in (401, 403), "a withdrawal")
 
 
 def key_withdrawn_cutoff():
-    """At a node cut off it is refused for want of fresh settings."""
+    """Time until a node that is cut off refuses a withdrawn key because its
+    settings are too old."""
     k = new_key()
     cut(names[2])
     withdraw(k)
@@ -111,17 +113,17 @@
     return 1000 * s
 
 
-# ---- the log is down --------------------------------------------------------
+# ---- outage of the log ------------------------------------------------------
 
 
 class Load:
-    """Short requests at a constant rate, whatever becomes of them."""
+    """Sends short requests at a constant rate, regardless of failures."""
 
     def __init__(self):
         self.sent = self.ran = 0
-        self.bad = {}
+        self.failures = {}
         self.lock = threading.Lock()
-        self.on = True
+        self.running = True
         self.pool = concurrent.futures.ThreadPoolExecutor(64)
         self.thread = threading.Thread(target=self.run)
         self.thread.start()
@@ -132,19 +134,19 @@
             self.sent += 1
             self.ran += status == 200
             if status != 200:
-                self.bad[status] = self.bad.get(status, 0) + 1
+                self.failures[status] = self.failures.get(status, 0) + 1
 
     def run(self):
         i = 0
         due = time.monotonic()
-        while self.on:
+        while self.running:
             self.pool.submit(self.one, i)
             i += 1
             due += 1 / REQUESTS_PER_S
             time.sleep(max(0, due - time.monotonic()))
 
     def stop(self):
-        self.on = False
+        self.running = False
         self.thread.join()
         self.pool.shutdown()
 
@@ -158,7 +160,7 @@
 
 
 def starts_between(a, b):
-    """Starts that workers saw between two times, a second."""
+    """Rate of task starts at the workers between two times, per second."""
     n = 0
     with open(os.path.join(cell_dir, "workers.out")) as f:
         ports = [line.split()[1] for line in f if line.startswith("port ")]
@@ -171,23 +173,24 @@
 
 def platform_ctl(**order):
     if ask(platform, "POST", "/ctl", "", json.dumps(order))[0] != 200:
-        fail("the platform took no order")
+        fail("the platform refused the command")
 
 
-def span(load, seconds):
-    """Requests asked for and run, and the time, over so many seconds."""
-    began = time.time()
+def count_requests(load, seconds):
+    """Counts for so many seconds.  Returns the requests sent, the requests run
+    and the interval of time."""
+    start = time.time()
     sent, ran = load.sent, load.ran
     time.sleep(seconds)
-    return load.sent - sent, load.ran - ran, (began, time.time())
+    return load.sent - sent, load.ran - ran, (start, time.time())
 
 
 def outage():
-    # Work for the whole time at full use of the workers, over all shards.
-    # Run times differ, else tasks start in waves and a wave more or less at
-    # the edge of a span passes for a loss of several per cent.  They are of
-    # one power of two, within which the queue goes by age: were the short
-    # ones first, starts a second would fall by themselves.
+    # Enough work in all shards to keep the workers fully used throughout.
+    # Run times differ: with equal ones tasks start in waves, and one wave more
+    # or less at the edge of an interval looks like a loss of several percent.
+    # All are within one power of two, where the queue orders by age: if it
+    # started short tasks first, the rate of starts would fall over time.
     for i in range(48):
         status, text = submit(nodes[i % len(nodes)],
                               int(24 * 16 * (outage_s + 35) / 48 * 2),
@@ -196,24 +199,24 @@
         if status != 202:
             fail("submission: %d %s" % (status, text))
     load = Load()
-    time.sleep(16)  # shards go back to a restarted node after ten seconds
-    sent0, ran0, span0 = span(load, 8)
+    time.sleep(16)  # a restarted node gets its shards back after 10 s
+    sent0, ran0, interval0 = count_requests(load, 8)
     platform_ctl(outage=True)
-    load.bad.clear()
-    sent1, ran1, span1 = span(load, outage_s)
+    load.failures.clear()
+    sent1, ran1, interval1 = count_requests(load, outage_s)
     refused = submit(nodes[0], 1, 1, "refused")[0]
     platform_ctl(outage=False)
-    back = time.monotonic()
+    outage_end = time.monotonic()
     i = 0
     while submit(nodes[i % len(nodes)], 1, 1, "back-%d" % i)[0] != 202:
         i += 1
-        if time.monotonic() - back > DEADLINE_S:
+        if time.monotonic() - outage_end > DEADLINE_S:
             fail("no submission is taken after the outage")
         time.sleep(0.02)
-    recover = time.monotonic() - back
+    recover = time.monotonic() - outage_end
     load.stop()
     requests = 100 * (ran1 / sent1) / (ran0 / sent0)
-    starts0, starts1 = starts_between(*span0), starts_between(*span1)
+    starts0, starts1 = starts_between(*interval0), starts_between(*interval1)
     starts = 100 * starts1 / starts0
     print("outage_s %g s" % outage_s)
     print("outage_requests_served_pct %.2f %%" % requests)
@@ -224,12 +227,12 @@
     print("recover_s %.2f s" % recover)
     if refused == 202:
         fail("a job was accepted without the log")
-    if load.bad:
-        print("failover: requests not served, by status: %s" % load.bad,
+    if load.failures:
+        print("failover: requests not served, by status: %s" % load.failures,
               file=sys.stderr)
 
 
-# ---- an owner is killed -----------------------------------------------------
+# ---- takeover after an owner is killed --------------------------------------
 
 
 def shards():
@@ -237,11 +240,12 @@
     return v if status == 200 else None
 
 
-def placed(addr, i, wave):
-    """Submits one job until it is taken and has started; gives its shard."""
+def submit_until_started(addr, i, run):
+    """Submits a job repeatedly until it is accepted and has started.  Returns
+    its shard and the time of the start."""
     end = time.monotonic() + DEADLINE_S
     while time.monotonic() < end:
-        status, text = submit(addr, 1, 50, "kill-%d-%d" % (wave, i))
+        status, text = submit(addr, 1, 50, "kill-%d-%d" % (run, i))
         if status == 202:
             v = json.loads(text)
             if v["state"] in ("active", "done"):
@@ -251,37 +255,40 @@
 
 
 def owners():
-    """Shard -> name of its owner, as each node tells for itself."""
-    of = {}
+    """Returns a map from shard to name of its owner, as the owners report."""
+    owner_of = {}
     for addr, name in zip(nodes, names):
         status, v = call(addr, "GET", "/v1/status")
         if status == 200:
-            of.update({s: name for s in v["shards_owned"]})
-    return of
+            owner_of.update({s: name for s in v["shards_owned"]})
+    return owner_of
 
 
-def takeover(wave):
-    """Kills the node with the most shards; jobs are sent, with many ids so
-    that each shard gets some, until all have started."""
+def takeover(run):
+    """Kills the node with the most shards and submits jobs until all have
+    started.  Their IDs are so many that each shard gets some of the jobs.
+    Returns the seconds from the kill to the last start in a shard of the
+    killed node."""
     until(lambda: len(owners()) == 4, "an owner for each shard")
-    of = owners()
-    victim = max(names, key=lambda n: sum(o == n for o in of.values()))
-    lost = {s for s, o in of.items() if o == victim}
+    owner_of = owners()
+    victim = max(names, key=lambda n: sum(o == n for o in owner_of.values()))
+    lost = {s for s, o in owner_of.items() if o == victim}
     at = names.index(victim)
-    left = [a for a in nodes if a != nodes[at]]
+    survivors = [a for a in nodes if a != nodes[at]]
     with open(os.path.join(cell_dir, victim + ".pid")) as f:
         pid = int(f.read())
     os.kill(pid, signal.SIGKILL)
     killed = time.monotonic()
     with concurrent.futures.ThreadPoolExecutor(32) as pool:
-        got = list(pool.map(lambda i: placed(left[i % 2], i, wave),
-                            range(32)))
-    if None in [s for s, _ in got]:
+        started = list(pool.map(
+            lambda i: submit_until_started(survivors[i % 2], i, run),
+            range(32)))
+    if None in [s for s, _ in started]:
         fail("a job never started after the kill")
-    if not lost <= {s for s, _ in got}:
+    if not lost <= {s for s, _ in started}:
         fail("no job went to a shard of the killed node")
-    took = max(t for s, t in got if s in lost) - killed
-    # The same name starts anew.
+    seconds = max(t for s, t in started if s in lost) - killed
+    # Restart the node under the same name.
     with open(os.path.join(cell_dir, victim + ".err"), "a") as err:
         p = subprocess.Popen(
             [os.path.join(bin_dir, "orioleglade"), "--settings",
@@ -290,18 +297,18 @@
     with open(os.path.join(cell_dir, victim + ".pid"), "w") as f:
         f.write("%d\n" % p.pid)
     until(lambda: ask(nodes[at], "GET", "/readyz")[0] == 200, "a restart")
-    return took
+    return seconds
 
 
-def many(name, unit, form, fn):
-    took = [fn(i) for i in range(runs)]
-    print("%s %s %s" % (name, form % statistics.median(took), unit))
-    print("%s_most %s %s" % (name, form % max(took), unit), flush=True)
+def print_runs(name, unit, fmt, fn):
+    values = [fn(i) for i in range(runs)]
+    print("%s %s %s" % (name, fmt % statistics.median(values), unit))
+    print("%s_most %s %s" % (name, fmt % max(values), unit), flush=True)
 
 
-many("config_in_force_ms", "ms", "%.0f", lambda i: config_in_force())
-many("key_withdrawn_ms", "ms", "%.0f", lambda i: key_withdrawn())
-many("key_withdrawn_cutoff_ms", "ms", "%.0f",
-     lambda i: key_withdrawn_cutoff())
-many("takeover_s", "s", "%.2f", takeover)
+print_runs("config_in_force_ms", "ms", "%.0f", lambda i: config_in_force())
+print_runs("key_withdrawn_ms", "ms", "%.0f", lambda i: key_withdrawn())
+print_runs("key_withdrawn_cutoff_ms", "ms", "%.0f",
+           lambda i: key_withdrawn_cutoff())
+print_runs("takeover_s", "s", "%.2f", takeover)
 outage()
--- a/bench/failover.sh
+++ b/bench/failover.sh
@@ -1,11 +1,12 @@
 #!/bin/sh
-# What failures and changes cost, in a cell of three nodes: settings edits and
-# withdrawn keys until they hold everywhere and at a node cut off, work served
-# while the log is down, and a killed owner until its shards place again.
+# Measures in a cell of three nodes: the time until an edit of the settings or
+# the withdrawal of a key is in force on all nodes and on a node that is cut
+# off, the work served during an outage of the log, and the time from the kill
+# of an owner until its shards place tasks again.
 # usage: bench/failover.sh BUILD
 #
-# OGL_OUTAGE_S is the length of the outage; OGL_BENCH_RUNS how often edits,
-# withdrawals and kills are repeated (the median counts).
+# OGL_OUTAGE_S is the length of the outage in seconds.  OGL_BENCH_RUNS is the
+# number of edits, withdrawals and kills; their median is printed.
 set -eu
 . "$(dirname "$0")/../tools/cell.sh"
 
--- a/bench/path.sh
+++ b/bench/path.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Short requests through one node against the same straight to an executor,
-# in one run: latency with one request at a time, rate with many.
+# Compares short requests through one node with the same requests sent directly
+# to an executor: latency with one request at a time, and the rate with many.
 # usage: bench/path.sh BUILD
 set -eu
 B=$1
@@ -14,14 +14,14 @@
 }
 trap quit EXIT INT TERM
 
-# run NAME COMMAND...: in the background.
+# run NAME COMMAND...: starts the command in the background.
 run() {
 	n=$1
 	shift
 	"$@" >"$T/$n.out" 2>"$T/$n.err" &
 	pids="$pids $!"
 }
-# ports NAME COUNT: the ports a stand-in printed, once it has.
+# ports NAME COUNT: waits until a stand-in has printed its ports, prints them.
 ports() {
 	i=0
 	while [ "$(grep -c '^port ' "$T/$1.out")" -lt "$2" ]; do
@@ -74,7 +74,7 @@
 tk=$($ctl key create bench | sed -n 1p)
 sleep 0.5
 
-# load NAME ARGS...: one caller run; prints p50, p99 and rate.
+# load ARGS...: runs a caller once; prints p50, p99 and rate.
 load() {
 	"$B/ogl-standin-caller" --key "$tk" --team bench --run-ms 1 \
 	    --idempotent "$@" |
--- a/bench/seeds.sh
+++ b/bench/seeds.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# How many seeded runs of a whole cell a second, in the test's own threads.
+# Seeded runs of a simulated cell per second, in the threads of the test.
 # usage: bench/seeds.sh BUILD
 set -eu
 N=${OGL_SEEDS:-200}
--- a/bench/starts.py
+++ b/bench/starts.py
@@ -1,4 +1,4 @@
-# The part of starts.sh that submits jobs and watches the counters.
+# Submits the jobs of starts.sh and samples the counters.
 
 import concurrent.futures
 import json
@@ -12,16 +12,16 @@
 platform, key, jobs, tasks = sys.argv[1], sys.argv[2], *map(int, sys.argv[3:5])
 rest = sys.argv[5:]
 nodes, pids = rest[:len(rest) // 2], rest[len(rest) // 2:]
-TICK = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 DEADLINE_S = 120
 
 
-def cpu(pid):
+def cpu_s(pid):
     f = open("/proc/%s/stat" % pid).read().rsplit(")", 1)[1].split()
-    return (int(f[11]) + int(f[12])) / TICK
+    return (int(f[11]) + int(f[12])) / CLOCK_TICKS_PER_S
 
 
-def rss(pid):
+def rss_mb(pid):
     text = open("/proc/%s/status" % pid).read()
     return int(re.search(r"VmRSS:\s+(\d+)", text).group(1)) / 1024
 
@@ -33,7 +33,7 @@
     counts = json.loads(ask(platform, "GET", "/counts")[1])
     return {"at": time.monotonic(), "starts": starts,
             "appends": counts["appends"], "limited": counts["limited"],
-            "cpu": [cpu(p) for p in pids], "rss": [rss(p) for p in pids]}
+            "cpu": [cpu_s(p) for p in pids], "rss": [rss_mb(p) for p in pids]}
 
 
 def submit(i):
@@ -54,16 +54,16 @@
 submitting = concurrent.futures.ThreadPoolExecutor(8)
 sent = submitting.map(submit, range(jobs))
 total = jobs * tasks
-seen = [before]
+samples = [before]
 end = time.monotonic() + DEADLINE_S
-while seen[-1]["starts"] - before["starts"] < total:
+while samples[-1]["starts"] - before["starts"] < total:
     time.sleep(0.1)
-    seen.append(sample())
+    samples.append(sample())
     if time.monotonic() > end:
         sys.exit("starts: %d of %d started" % (
-            seen[-1]["starts"] - before["starts"], total))
+            samples[-1]["starts"] - before["starts"], total))
 list(sent)
-middle = [s for s in seen
+middle = [s for s in samples
           if 0.1 * total <= s["starts"] - before["starts"] <= 0.9 * total]
 a, b = middle[0], middle[-1]
 s = b["at"] - a["at"]
--- a/bench/starts.sh
+++ b/bench/starts.sh
@@ -1,21 +1,21 @@
 #!/bin/sh
-# Batch jobs of many short tasks through 8 nodes: task starts a second, log
-# appends a second over all streams, and what a node costs meanwhile.
+# Batch jobs of many short tasks on 8 nodes: task starts per second, appends to
+# the log per second over all streams, and processor time and memory of a node.
 # usage: bench/starts.sh BUILD
 #
-# OGL_STARTS_JOBS and OGL_STARTS_TASKS set the load; workers are so large
-# that they never limit.  A start counts once the task has run and its end
-# has come back to its owner: the nodes' own count of starts runs ahead, for
-# it counts placements, and starts of queued messages would be told as done.
-# Only the middle of the run counts, from a tenth to nine tenths.
+# OGL_STARTS_JOBS and OGL_STARTS_TASKS set the load.  The workers are large
+# enough never to limit it.  A start is counted when the owner knows the end of
+# the task: the nodes' own counter of starts counts placements, including those
+# whose message to the worker is still queued.  Only the middle of the run is
+# measured, from 10% to 90% of the starts.
 set -eu
 . "$(dirname "$0")/../tools/cell.sh"
 JOBS=${OGL_STARTS_JOBS:-256}
 TASKS=${OGL_STARTS_TASKS:-1000}
 NODES=8
 SHARDS=${OGL_STARTS_SHARDS:-8}
-SERVERS=4 # processes, each of a quarter of the workers
-WORKERS=16
+SERVERS=4  # worker processes
+WORKERS=16 # per process
 
 cell_begin "$1"
 i=0
