--- a/examples/schedule.c
+++ b/examples/schedule.c
@@ -1,10 +1,10 @@
 /*
- * Queue and placement alone, in a program of one's own.
+ * Uses only the queue and the placer in a program.
  *
- * Two teams hand in more tasks than two workers hold.  The queue says whose
- * task goes next, the placer where it fits; time is this program's own.  At
- * the end every task has run, and while both teams had work waiting, the one
- * with twice the share ran twice as much.
+ * Two teams submit more tasks than two workers can run at once.  The queue
+ * selects the next task and the placer selects a worker for it.  Time is
+ * simulated.  At the end all tasks have run, and as long as both teams had
+ * tasks waiting, the team with twice the share ran twice as many.
  */
 
 #include <stdio.h>
@@ -12,20 +12,20 @@
 
 #include "orioleglade.h"
 
-#define TASKS 200 /* of each team */
-#define STEP (50 * OGL_MS)
+#define TASKS_PER_TEAM 200
+#define TIME_STEP (50 * OGL_MS)
 #define STEPS_MAX 10000
 #define TEAMS 2
 
 static const char *const teams[TEAMS] = {"north", "south"};
 static const double shares[TEAMS] = {2, 1};
 
-/* A task that runs. */
+/* A running task. */
 struct task {
 	uint64_t id;
 	uint32_t worker;
 	struct ogl_ask ask;
-	ogl_time ends;
+	ogl_time ends_at;
 };
 
 struct cell {
@@ -54,7 +54,7 @@
 {
 	for (int t = 0; t < TEAMS; t++) {
 		ogl_queue_team(queue, teams[t], shares[t]);
-		for (uint64_t i = 0; i < TASKS; i++) {
+		for (uint64_t i = 0; i < TASKS_PER_TEAM; i++) {
 			struct ogl_work w = {0};
 
 			w.id = i * TEAMS + (uint64_t)t;
@@ -70,14 +70,14 @@
 	}
 }
 
-/* What nobody but this program knows: 300 to 1,000 ms. */
+/* True run time, unknown to the queue: 300 to 1,000 ms. */
 static ogl_time
 run_time(uint64_t id)
 {
 	return (ogl_time)(300 + id * 97 % 700) * OGL_MS;
 }
 
-/* Starts whatever fits. */
+/* Starts waiting tasks as long as they fit. */
 static void
 start_tasks(struct cell *c, ogl_time now)
 {
@@ -90,13 +90,14 @@
 			ogl_queue_back(c->queue, w.id, now);
 			return;
 		}
-		t.ends = now + run_time(w.id);
+		t.ends_at = now + run_time(w.id);
 		ogl_queue_started(c->queue, &w, now);
 		g_array_append_val(c->running, t);
 	}
 }
 
-/* Ends what is over; the room may be popped for again. */
+/* Ends tasks whose run time is over and makes the queue offer again the tasks
+ * that did not fit. */
 static void
 end_tasks(struct cell *c, ogl_time now)
 {
@@ -104,7 +105,7 @@
 		const struct task *t =
 		    &g_array_index(c->running, struct task, i);
 
-		if (t->ends > now)
+		if (t->ends_at > now)
 			continue;
 		ogl_place_free(c->place, t->worker, &t->ask);
 		ogl_place_result(c->place, t->worker, t->ask.job, true, now);
@@ -122,28 +123,31 @@
 	    .queue = ogl_queue_init(&ogl_queue_learned, 2),
 	    .running = g_array_new(FALSE, FALSE, sizeof(struct task))};
 	ogl_time now = 1000 * OGL_SEC;
-	unsigned half = 0; /* the other's, when north was half done */
+	unsigned south_at_half = 0; /* south's count at half of north's */
 	bool all;
 
 	add_workers(c.place);
 	add_tasks(c.queue, now);
 	for (int i = 0; i < STEPS_MAX; i++) {
 		start_tasks(&c, now);
-		now += STEP;
+		now += TIME_STEP;
 		end_tasks(&c, now);
-		if (half == 0 && c.done[0] >= TASKS / 2) {
-			half = c.done[1];
-			printf("north %u, south %u\n", c.done[0], half);
+		if (south_at_half == 0 && c.done[0] >= TASKS_PER_TEAM / 2) {
+			south_at_half = c.done[1];
+			printf(
+			    "north %u, south %u\n", c.done[0], south_at_half);
 		}
-		if (c.done[0] + c.done[1] == TEAMS * TASKS)
+		if (c.done[0] + c.done[1] == TEAMS * TASKS_PER_TEAM)
 			break;
 	}
-	all = c.done[0] == TASKS && c.done[1] == TASKS;
+	all = c.done[0] == TASKS_PER_TEAM && c.done[1] == TASKS_PER_TEAM;
 	printf("north %u, south %u\n", c.done[0], c.done[1]);
 	ogl_queue_end(c.queue);
 	ogl_place_end(c.place);
 	g_array_free(c.running, TRUE);
-	/* South should have done a quarter of its own by then. */
-	return all && half > TASKS / 6 && half < TASKS / 3 ? EXIT_SUCCESS
-							   : EXIT_FAILURE;
+	/* With half the share, south should have a quarter done by then. */
+	return all && south_at_half > TASKS_PER_TEAM / 6 &&
+		       south_at_half < TASKS_PER_TEAM / 3
+		   ? EXIT_SUCCESS
+		   : EXIT_FAILURE;
 }
