--- a/tools/cell.sh
+++ b/tools/cell.sh
@@ -1,5 +1,6 @@
-# Shell functions (POSIX) to start a cell of stand-ins and nodes on loopback.
-# Source it, then call cell_begin; everything it starts ends with the shell.
+# POSIX shell functions that start a cell of stand-ins and nodes on loopback.
+# Source this file and call cell_begin first.  All processes that the functions
+# start are killed when the shell exits.
 #
 #     cell_begin BUILD
 #     cell_run workers1 "$cell_bin/ogl-standin-worker" --count 12 --name wa
@@ -8,25 +9,26 @@
 #     cell_nodes 3 4 '"exec_slots": 64'
 #     cell_team demo
 #
-# Stand-ins whose names begin with `executors` or `workers` go into the host
-# list.  Afterwards cell_http holds the nodes' addresses, cell_platform_addr
-# the platform's, cell_op_key and cell_key the keys, and $cell_dir/NAME.pid,
-# .out and .err what belongs to each process.  With cell_relay set before
-# cell_nodes each node reaches the platform, and is reached by its peers,
-# through a relay; names of nodes written to $cell_dir/cut are cut off.
-# OGL_CELL_KEEP=1 in the environment keeps $cell_dir, with all output.
+# Stand-ins whose names begin with `executors` or `workers` are added to the
+# list of hosts.  Afterwards cell_http has the nodes' addresses,
+# cell_platform_addr the platform's address, cell_op_key the operator's key and
+# cell_key the team's key.  $cell_dir/NAME.pid, .out and .err have the process
+# ID, the output and the errors of each process.  If cell_relay is set before
+# cell_nodes, each node connects to the platform and receives connections of its
+# peers through a relay; then nodes whose names are in $cell_dir/cut are cut
+# off.  OGL_CELL_KEEP=1 in the environment keeps $cell_dir with all output.
 
 CELL_READY_S=30
 cell_relay=
 
-cell_say() { printf 'cell: %s\n' "$*" >&2; }
+cell_log() { printf 'cell: %s\n' "$*" >&2; }
 
 cell_fail() {
-	cell_say "$*"
+	cell_log "$*"
 	exit 1
 }
 
-cell_quit() {
+cell_stop() {
 	for f in "$cell_dir"/*.pid; do
 		[ -f "$f" ] || continue
 		kill -KILL "$(cat "$f")" 2>/dev/null || :
@@ -39,11 +41,11 @@
 	cell_tools=$(cd "$(dirname "$0")/../tools" && pwd)
 	cell_bin=$1
 	cell_dir=$(mktemp -d)
-	trap cell_quit EXIT
+	trap cell_stop EXIT
 	trap 'exit 1' INT TERM
 }
 
-# cell_run NAME COMMAND...: in the background.
+# cell_run NAME COMMAND...: starts the command in the background.
 cell_run() {
 	cell_name=$1
 	shift
@@ -53,8 +55,8 @@
 
 cell_pid() { cat "$cell_dir/$1.pid"; }
 
-# cell_within SECONDS COMMAND...: repeats the command until it succeeds.
-cell_within() {
+# cell_retry SECONDS COMMAND...: repeats the command until it succeeds.
+cell_retry() {
 	cell_tries=$(($1 * 10))
 	shift
 	until "$@"; do
@@ -69,12 +71,13 @@
 	    [ "$(grep -c '^port ' "$cell_dir/$1.out")" -ge "$2" ]
 }
 
-# cell_wait_ports NAME COUNT: until a stand-in has printed its ports.
+# cell_wait_ports NAME COUNT: waits until a stand-in has printed its ports.
 cell_wait_ports() {
-	cell_within 10 cell_has_ports "$1" "$2" || cell_fail "$1 did not start"
+	cell_retry 10 cell_has_ports "$1" "$2" || cell_fail "$1 did not start"
 }
 
-# cell_addresses NAME: addresses of a stand-in's servers, with commas between.
+# cell_addresses NAME: prints the addresses of a stand-in's servers, separated
+# by commas.
 cell_addresses() {
 	awk '/^port /{printf "%s127.0.0.1:%s", s, $2; s = ","}' \
 	    "$cell_dir/$1.out"
@@ -92,7 +95,8 @@
 PY
 }
 
-# cell_get ADDR PATH [KEY]: the body of a GET; fails unless it is answered 200.
+# cell_get ADDR PATH [KEY]: prints the body of a GET; fails unless the status
+# is 200.
 cell_get() {
 	python3 - "$@" <<'PY'
 import sys
@@ -110,7 +114,8 @@
 
 cell_answers() { cell_get "$@" >/dev/null; }
 
-# cell_platform ARGS...: with the stand-ins started so far on its host list.
+# cell_platform ARGS...: starts the platform.  Its list of hosts has the
+# stand-ins started so far.
 cell_platform() {
 	{
 		cat "$cell_dir"/executors*.out 2>/dev/null |
@@ -147,14 +152,14 @@
 JSON
 }
 
-# cell_node NAME: starts, or starts again, a node whose settings are written.
+# cell_node NAME: starts or restarts a node whose settings are written.
 cell_node() {
 	cell_run "$1" "$cell_bin/orioleglade" --settings "$cell_dir/$1.json"
 }
 
-# Four addresses a node: callers', listening for peers, and those of its
-# relays before itself and before the platform.
-cell_one_node() { # NAME HTTP LISTEN RELAY RELAY_PLATFORM
+# Takes four addresses per node: for callers, for peers, of the relay between
+# peers and the node, and of the relay between the node and the platform.
+cell_start_node() { # NAME HTTP LISTEN RELAY RELAY_PLATFORM
 	if [ -n "$cell_relay" ]; then
 		cell_run "relay_$1" python3 "$cell_tools/relay.py" \
 		    "$cell_dir/cut" "$1" "$4=$3" "$5=$cell_platform_addr"
@@ -167,43 +172,45 @@
 	cell_http="$cell_http $2"
 }
 
-# cell_nodes COUNT SHARDS [TIMINGS]: nodes n1, n2, ..., all ready.
+# cell_nodes COUNT SHARDS [TIMINGS]: starts nodes n1, n2, ... and waits until
+# all are ready.
 cell_nodes() {
-	cell_op=$("$cell_bin/oriolectl" key hash)
-	cell_op_key=$(echo "$cell_op" | sed -n 1p)
-	cell_op_hash=$(echo "$cell_op" | sed -n 2p)
-	cell_n=$1 cell_shards=$2 cell_timings=${3:-}
+	cell_op_pair=$("$cell_bin/oriolectl" key hash)
+	cell_op_key=$(echo "$cell_op_pair" | sed -n 1p)
+	cell_op_hash=$(echo "$cell_op_pair" | sed -n 2p)
+	cell_count=$1 cell_shards=$2 cell_timings=${3:-}
 	: >"$cell_dir/cut"
 	# shellcheck disable=SC2046
-	set -- $(cell_free_addrs $((4 * cell_n)))
-	cell_http='' cell_i=0
+	set -- $(cell_free_addrs $((4 * cell_count)))
+	cell_http='' cell_index=0
 	if [ -n "$cell_relay" ]; then
 		cell_seeds="\"$3\"${7:+, \"$7\"}"
 	else
 		cell_seeds="\"$2\"${6:+, \"$6\"}"
 	fi
-	while [ $cell_i -lt "$cell_n" ]; do
-		cell_i=$((cell_i + 1))
-		cell_one_node "n$cell_i" "$1" "$2" "$3" "$4"
+	while [ $cell_index -lt "$cell_count" ]; do
+		cell_index=$((cell_index + 1))
+		cell_start_node "n$cell_index" "$1" "$2" "$3" "$4"
 		shift 4
 	done
-	for cell_a in $cell_http; do
-		cell_within $CELL_READY_S cell_answers "$cell_a" /readyz ||
-		    cell_fail "$cell_a is not ready"
+	for cell_addr in $cell_http; do
+		cell_retry $CELL_READY_S cell_answers "$cell_addr" /readyz ||
+		    cell_fail "$cell_addr is not ready"
 	done
 }
 
-# cell_team NAME: a team and a key, once every node takes it.
+# cell_team NAME: creates a team and a key and waits until all nodes accept the
+# key.
 cell_team() {
-	cell_a="--node ${cell_http##* } --key $cell_op_key"
+	cell_ctl_args="--node ${cell_http##* } --key $cell_op_key"
 	# shellcheck disable=SC2086
-	"$cell_bin/oriolectl" $cell_a team add "$1" >/dev/null ||
+	"$cell_bin/oriolectl" $cell_ctl_args team add "$1" >/dev/null ||
 	    cell_fail "no team $1"
 	# shellcheck disable=SC2086
-	cell_key=$("$cell_bin/oriolectl" $cell_a key create "$1" | sed -n 1p)
-	for cell_a in $cell_http; do
-		cell_within $CELL_READY_S \
-		    cell_answers "$cell_a" /v1/jobs "$cell_key" ||
-		    cell_fail "$cell_a does not take the key"
+	cell_key=$("$cell_bin/oriolectl" $cell_ctl_args key create "$1" | sed -n 1p)
+	for cell_addr in $cell_http; do
+		cell_retry $CELL_READY_S \
+		    cell_answers "$cell_addr" /v1/jobs "$cell_key" ||
+		    cell_fail "$cell_addr does not accept the key"
 	done
 }
--- a/tools/check-install.sh
+++ b/tools/check-install.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Installs a build folder under a new prefix and compiles the examples there
-# by what pkg-config says alone, as an embedding program would.
+# Installs a build folder under a temporary prefix and compiles the examples
+# against it with the flags of pkg-config only, as an embedding program does.
 set -e
 b=$1
 prefix=$(mktemp -d)
@@ -8,7 +8,7 @@
 cmake --install "$b" --prefix "$prefix" >"$prefix/install.log" ||
     { cat "$prefix/install.log"; exit 1; }
 export PKG_CONFIG_PATH="$prefix/lib/pkgconfig"
-# A sanitized library needs the sanitizers linked in.
+# Programs that use a sanitized library have to be linked with the sanitizers.
 san=
 grep -q '^OGL_SANITIZE:BOOL=ON' "$b/CMakeCache.txt" &&
     san=-fsanitize=address,undefined
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Runs every test program of a build folder and closes with one line of
-# totals: `N passed, N failed`.  A second argument picks programs by name.
+# Runs all test programs of a build folder and prints a last line with the
+# totals: `N passed, N failed`.  A second argument selects programs by name.
 b=$1
 pick=${2:-}
 pass=0
@@ -42,7 +42,7 @@
 		fail=$((fail + 1))
 	fi
 fi
-# Real nodes as processes, faults from outside: a short seeded run.
+# A short soak: real node processes under injected faults, with a fixed seed.
 if [ -z "$pick" ]; then
 	if out=$(python3 soak/soak.py "$b" --seed 3 --seconds 6 2>&1); then
 		pass=$((pass + 1))
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Shows the whole system on one machine: builds it, starts the stand-ins and
-# three nodes on loopback, sends requests and jobs through all three, kills
-# one node half way, and compares what callers were told with what ran.
-# Exit 0 only when nothing was lost or doubled.
+# Demonstrates the system on one machine: builds it, starts the stand-ins and
+# three nodes on loopback, sends requests and jobs to all three, kills one node
+# half way, and compares the answers to callers with what has run.  The exit
+# status is 0 only if nothing was lost or run twice.
 #
 #     tools/demo.sh [build folder]
 set -euo pipefail
@@ -10,21 +10,21 @@
 B=${1:-build}
 REQUESTS=300
 JOBS=30
-IN_FLIGHT=8 # requests; as many may truly end as may_have_run at the kill
+IN_FLIGHT=8 # requests; so many may end as may_have_run at the kill
 NODES=3
 ZONES=(z1 z2 z3)
-DEADLINE_S=150 # of all requests and jobs
-READY_S=60     # until every node takes the key
+DEADLINE_S=150 # for all requests and jobs
+READY_S=60     # until all nodes accept the key
 
-say() { printf 'demo: %s\n' "$*"; }
+log() { printf 'demo: %s\n' "$*"; }
 fail() {
-	say "$*" >&2
+	log "$*" >&2
 	exit 1
 }
 
 # ---- build ------------------------------------------------------------------
 
-# The packages are those that CI installs; .ci/run is the one list of them.
+# Installs the packages that CI installs; they are listed only in .ci/run.
 install_packages() {
 	local p
 	if pkg-config --exists glib-2.0 jansson libsodium libprotobuf-c \
@@ -35,7 +35,7 @@
 	fi
 	p=$(sed -n '/^apt-get install/,/[^\\]$/p' .ci/run | tr -d '\\\n' |
 	    sed 's/apt-get install//; s/ -[a-z]*//g; s/ *>.*//')
-	say "installing packages"
+	log "installing packages"
 	export DEBIAN_FRONTEND=noninteractive
 	apt-get update -qq
 	# shellcheck disable=SC2086
@@ -45,9 +45,10 @@
 # ---- processes --------------------------------------------------------------
 
 tmp=$(mktemp -d)
-declare -A pid=() # name -> process id of what still runs
+declare -A pid=() # process IDs of running processes, by name
 
-# start NAME COMMAND...: in the background, output to files named after it.
+# start NAME COMMAND...: starts the command in the background with its output in
+# $tmp/NAME.out and .err.
 start() {
 	local name=$1
 	shift
@@ -55,7 +56,7 @@
 	pid[$name]=$!
 }
 
-# stop NAME: SIGTERM, then the exit status of the process.
+# stop NAME: sends SIGTERM and returns the exit status of the process.
 stop() {
 	local p=${pid[$1]} rc=0
 	unset "pid[$1]"
@@ -71,7 +72,7 @@
 	done
 	wait 2>/dev/null || true
 	if [ $rc -ne 0 ]; then
-		say "failed; output is in $tmp"
+		log "failed; output is in $tmp"
 	else
 		rm -rf "$tmp"
 	fi
@@ -79,8 +80,8 @@
 trap clean_up EXIT
 trap 'exit 1' INT TERM
 
-# within SECONDS COMMAND...: repeats the command until it succeeds.
-within() {
+# retry_for SECONDS COMMAND...: repeats the command until it succeeds.
+retry_for() {
 	local end=$((SECONDS + $1))
 	shift
 	until "$@"; do
@@ -89,7 +90,7 @@
 	done
 }
 
-# get PORT PATH [KEY]: the whole answer to a GET.
+# get PORT PATH [KEY]: prints the whole response to a GET.
 get() {
 	local fd
 	exec {fd}<>"/dev/tcp/127.0.0.1/$1" || return 1
@@ -99,13 +100,14 @@
 	exec {fd}<&-
 }
 
-# Whether a GET is answered 200.
+# answers PORT PATH [KEY]: whether the status of a GET is 200.
 answers() { [[ $(get "$@" 2>/dev/null | head -1) == *' 200 '* ]]; }
 
-# lists COUNT NAME: whether a stand-in has printed that many ports.
-lists() { [ "$(grep -c '^port ' "$tmp/$2.out")" -eq "$1" ]; }
+# has_ports COUNT NAME: whether a stand-in has printed that many ports.
+has_ports() { [ "$(grep -c '^port ' "$tmp/$2.out")" -eq "$1" ]; }
 
-# Addresses of a stand-in's servers, with commas between.
+# addresses NAME: prints the addresses of a stand-in's servers, separated by
+# commas.
 addresses() {
 	awk '/^port /{printf "%s127.0.0.1:%s", s, $2; s = ","}' "$tmp/$1.out"
 }
@@ -122,7 +124,7 @@
 EOF
 }
 
-# ---- what the processes are told --------------------------------------------
+# ---- configuration of the processes -----------------------------------------
 
 write_hosts() {
 	{
@@ -144,7 +146,7 @@
 	END { print "]}" }' >"$tmp/hosts.json"
 }
 
-# write_settings I HASH
+# write_settings INDEX HASH: writes the settings of one node.
 write_settings() {
 	cat >"$tmp/n$(($1 + 1)).json" <<EOF
 {
@@ -168,37 +170,37 @@
 
 # ---- the run ----------------------------------------------------------------
 
-# Requests run so far, over all executors.
-runs() {
+# Prints the number of requests that all executors have run so far.
+count_runs() {
 	local p n=0
 	for p in $(awk '/^port /{print $2}' "$tmp/executors.out"); do
 		n=$((n + $(get "$p" /counts | grep -o '"runs"' | wc -l)))
 	done
 	echo $n
 }
-half_done() { [ "$(runs)" -ge $((REQUESTS / 2)) ]; }
+half_done() { [ "$(count_runs)" -ge $((REQUESTS / 2)) ]; }
 
 install_packages
 make B="$B" >/dev/null || fail "the build failed"
 [ -x "$B/orioleglade" ] && [ -x "$B/oriolectl" ] ||
     fail "$B holds no orioleglade or oriolectl"
 
-say "starting 4 executors, 12 workers and the platform"
+log "starting 4 executors, 12 workers and the platform"
 start executors "$B/ogl-standin-executor" --count 4 \
     --history "$tmp/executors.jsonl"
 start workers "$B/ogl-standin-worker" --count 12 --zone z1,z2,z3 \
     --history "$tmp/workers.jsonl"
-within 10 lists 4 executors || fail "the executors did not start"
-within 10 lists 12 workers || fail "the workers did not start"
+retry_for 10 has_ports 4 executors || fail "the executors did not start"
+retry_for 10 has_ports 12 workers || fail "the workers did not start"
 read -ra ports < <(free_ports $((2 * NODES)))
 http=("${ports[@]:0:NODES}")
 peer=("${ports[@]:NODES:NODES}")
 write_hosts
 start platform "$B/ogl-standin-platform" --hosts "$tmp/hosts.json" \
     --history "$tmp/platform.jsonl"
-within 10 lists 1 platform || fail "the platform did not start"
+retry_for 10 has_ports 1 platform || fail "the platform did not start"
 
-say "starting $NODES nodes"
+log "starting $NODES nodes"
 {
 	read -r operator_key
 	read -r operator_hash
@@ -210,18 +212,18 @@
 	nodes+=${nodes:+,}127.0.0.1:${http[i]}
 done
 for p in "${http[@]}"; do
-	within $READY_S answers "$p" /readyz || fail "port $p is not ready"
+	retry_for $READY_S answers "$p" /readyz || fail "port $p is not ready"
 done
 
 ctl=("$B/oriolectl" --node "127.0.0.1:${http[0]}" --key "$operator_key")
 "${ctl[@]}" team add demo || fail "no team"
 key=$("${ctl[@]}" key create demo | head -1)
 for p in "${http[@]}"; do
-	within $READY_S answers "$p" /v1/jobs "$key" ||
-	    fail "port $p does not take the key"
+	retry_for $READY_S answers "$p" /v1/jobs "$key" ||
+	    fail "port $p does not accept the key"
 done
 
-say "sending $REQUESTS requests and $JOBS jobs through $nodes"
+log "sending $REQUESTS requests and $JOBS jobs through $nodes"
 start requests "$B/ogl-standin-caller" --nodes "$nodes" --key "$key" \
     --count $REQUESTS --concurrency $IN_FLIGHT --ids --run-ms 40 --seed 11 \
     --executors "$(addresses executors)" --team demo \
@@ -232,30 +234,30 @@
     --run-ms 2000 --seed 12 --workers "$(addresses workers)" --want-ran $JOBS \
     --deadline-s $DEADLINE_S --team demo --history "$tmp/jobs.jsonl"
 
-within $DEADLINE_S half_done || fail "half of the requests never ran"
-say "killing n2"
+retry_for $DEADLINE_S half_done || fail "half of the requests never ran"
+log "killing n2"
 kill -KILL "${pid[n2]}"
 wait "${pid[n2]}" 2>/dev/null || true
 unset "pid[n2]"
 
-good=true
+ok=true
 for name in requests jobs; do
 	rc=0
 	wait "${pid[$name]}" || rc=$?
 	unset "pid[$name]"
-	[ $rc -eq 0 ] || good=false
+	[ $rc -eq 0 ] || ok=false
 	sed 's/\(.*\) \([0-9.]* *[us/]*s*\)$/\1\t\2/' "$tmp/$name.out" |
 	    awk -F '\t' -v n=$name '{printf "  %-9s %-20s %s\n", n, $1, $2}'
 	cat "$tmp/$name.err" >&2
 done
 
-say "stopping"
+log "stopping"
 for name in n1 n3 executors workers platform; do
 	stop $name || {
-		say "$name did not stop cleanly"
-		good=false
+		log "$name did not stop cleanly"
+		ok=false
 	}
 done
-"$B/orioleglade-check" "$tmp"/*.jsonl || good=false
-$good || fail "something was lost, doubled, refused or stopped badly"
-say "nothing lost, nothing doubled"
+"$B/orioleglade-check" "$tmp"/*.jsonl || ok=false
+$ok || fail "work was lost, refused or run twice, or a process failed"
+log "nothing was lost or run twice"
--- a/tools/fuzz.sh
+++ b/tools/fuzz.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Many rounds of mutated input under the sanitizers; OGL_FUZZ is their number,
-# OGL_FUZZ_SEED the first seed.  The last seed printed is the one that failed.
+# Runs the fuzz test under the sanitizers.  OGL_FUZZ is the number of rounds and
+# OGL_FUZZ_SEED the first seed.  After a failure the last seed printed is the
+# failing one.
 set -e
 cmake -S . -B build-asan -G Ninja -DOGL_SANITIZE=ON -DCMAKE_BUILD_TYPE=Debug \
     >/dev/null
--- a/tools/gen_settings.py
+++ b/tools/gen_settings.py
@@ -1,8 +1,9 @@
 #!/usr/bin/env python3
-"""Writes the table of settings: gen_settings.py SCHEMA OUT.c
+"""Generates the table of settings: gen_settings.py SCHEMA OUT.c
 
-The header goes beside OUT.c.  A field that the tree could not tell from a
-team's name is refused here, before it reaches a running cell.
+The header is written next to OUT.c.  A field of a team whose name could also be
+the name of a child team is rejected, because the settings tree could not
+distinguish them.
 """
 import json
 import os
--- a/tools/relay.py
+++ b/tools/relay.py
@@ -1,13 +1,13 @@
 #!/usr/bin/env python3
-"""TCP relay of one node, by which a test cuts it off on loopback.
+"""TCP relay of one node, with which a test cuts the node off on loopback.
 
 usage: relay.py CUTFILE NAME PEER_LISTEN=TARGET PLATFORM_LISTEN=TARGET
 
-The first pair carries what peers send to node NAME; each such connection
-goes one way and its first message names its sender, which is how the relay
-knows between whom it runs.  The second pair carries NAME's own calls to the
-platform.  While CUTFILE holds the name of either end, connections between
-them are closed and none is opened.
+The first pair forwards connections of peers to node NAME.  Each such connection
+carries messages in one direction, and its first message has the sender's name,
+from which the relay learns both ends.  The second pair forwards NAME's requests
+to the platform.  While CUTFILE has the name of either end, connections between
+the two are closed and no new ones are accepted.
 """
 import re
 import selectors
@@ -24,22 +24,22 @@
 
 
 class Pair:
-    """One connection and the one that it is carried on over."""
+    """An accepted connection and the connection to the target."""
 
-    def __init__(self, near, target, ends):
+    def __init__(self, accepted, target, ends):
         self.ends = set(ends)
-        self.known = len(ends) > 1
-        self.near = near
-        self.far = socket.create_connection(target)
-        for s in (self.near, self.far):
+        self.ends_known = len(ends) > 1
+        self.accepted = accepted
+        self.target_conn = socket.create_connection(target)
+        for s in (self.accepted, self.target_conn):
             s.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    def carry(self, source):
+    def read_from(self, source):
         data = source.recv(CHUNK)
-        if not self.known:
-            # A four byte length, then field 1, the sender's name.
+        if not self.ends_known:
+            # A length of four bytes, then field 1, the sender's name.
             m = re.match(rb"....\x0a.(n\d+)", data, re.S)
-            self.known = True
+            self.ends_known = True
             if m:
                 self.ends.add(m.group(1).decode())
         if not data:
@@ -59,26 +59,26 @@
 
     def close(p):
         pairs.discard(p)
-        for s in (p.near, p.far):
+        for s in (p.accepted, p.target_conn):
             if s.fileno() >= 0:
                 sel.unregister(s)
                 s.close()
 
     def accept(listener, target, ends):
-        near = listener.accept()[0]
+        accepted = listener.accept()[0]
         try:
-            p = Pair(near, target, ends)
+            p = Pair(accepted, target, ends)
         except OSError:
-            near.close()
+            accepted.close()
             return
         pairs.add(p)
-        sel.register(p.near, selectors.EVENT_READ, p)
-        sel.register(p.far, selectors.EVENT_READ, p)
+        sel.register(p.accepted, selectors.EVENT_READ, p)
+        sel.register(p.target_conn, selectors.EVENT_READ, p)
 
-    def carry(p, source, cut):
-        sink = p.far if source is p.near else p.near
+    def forward(p, source, cut):
+        sink = p.target_conn if source is p.accepted else p.accepted
         try:
-            data = p.carry(source)
+            data = p.read_from(source)
             if data is None or p.ends & cut:
                 close(p)
             else:
@@ -96,7 +96,7 @@
             if isinstance(key.data, tuple):
                 accept(key.fileobj, *key.data)
             elif key.data in pairs:
-                carry(key.data, key.fileobj, cut)
+                forward(key.data, key.fileobj, cut)
 
 
 if __name__ == "__main__":
--- a/tools/tidy.sh
+++ b/tools/tidy.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# clang-tidy and cppcheck over our own C sources.
+# Runs clang-tidy and cppcheck on the C sources.
 set -e
-# One file a run: given several, clang-tidy 14 carries the state of its va_list
+# clang-tidy gets one file per run: version 14 keeps the state of its va_list
 # check from one file to the next.
 b=$1
 files=$(git ls-files --cached --others --exclude-standard 'src/*.c' 'cell/*.c' 'platform/*.c' 'daemon/*.c' 'ctl/*.c' 'check/*.c')
