--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# Front of CMake.  Targets: all check check-asan bench demo lint format gen
-# install.
+# Shortcuts for CMake and the scripts in tools.  Targets: all check check-asan
+# check-long bench demo lint format gen install.
 B ?= build
 JOBS ?= 8
 SRCS = $(shell git ls-files --cached --others --exclude-standard '*.c' '*.h' '*.cc' | grep -v '^gen/')
