--- a/gen/cell.pb-c.h
+++ b/gen/cell.pb-c.h
@@ -64,11 +64,11 @@
 typedef enum _Ogl__CellOutcome {
   OGL__CELL_OUTCOME__cell_ok = 0,
   /*
-   * refused: not accepted, never runs
+   * refused: the job is not accepted and never runs
    */
   OGL__CELL_OUTCOME__cell_busy = 1,
   /*
-   * refused: the team is over its rate
+   * refused: the team exceeds its rate limit
    */
   OGL__CELL_OUTCOME__cell_over = 2,
   /*
@@ -76,30 +76,30 @@
    */
   OGL__CELL_OUTCOME__cell_absent = 3,
   /*
-   * may have been accepted
+   * unknown: the job may have been accepted
    */
   OGL__CELL_OUTCOME__cell_unsure = 4,
   /*
-   * ask whoever owns the cell now
+   * retry with the shard's current owner
    */
   OGL__CELL_OUTCOME__cell_not_owner = 5,
   /*
-   * not known and not refused: send the job
+   * the job is unknown and would be accepted: send it
    */
   OGL__CELL_OUTCOME__cell_send_job = 6
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(OGL__CELL_OUTCOME)
 } Ogl__CellOutcome;
 typedef enum _Ogl__CellPartKind {
   /*
-   * what a shard holds and wants
+   * what a shard holds and needs
    */
   OGL__CELL_PART_KIND__cell_part_report = 0,
   /*
-   * asks for a report; wanted: others lack something
+   * asks for a report; wanted > 0: others need more
    */
   OGL__CELL_PART_KIND__cell_part_query = 1,
   /*
-   * what the shard may hold now
+   * what the shard may hold from now on
    */
   OGL__CELL_PART_KIND__cell_part_grant = 2
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(OGL__CELL_PART_KIND)
@@ -109,7 +109,7 @@
   OGL__CELL_ORDER_KIND__cell_order_stop = 1,
   OGL__CELL_ORDER_KIND__cell_order_hold = 2,
   /*
-   * read the workers' list on
+   * read further in the list of workers
    */
   OGL__CELL_ORDER_KIND__cell_order_list = 3
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(OGL__CELL_ORDER_KIND)
@@ -117,16 +117,19 @@
 typedef enum _Ogl__CellOrderOutcome {
   OGL__CELL_ORDER_OUTCOME__cell_order_done = 0,
   /*
-   * by the worker
+   * the worker refused it
    */
   OGL__CELL_ORDER_OUTCOME__cell_order_refused = 1,
   /*
-   * it may have been carried out, now or later
+   * it may have been executed, or may be later
    */
   OGL__CELL_ORDER_OUTCOME__cell_order_lost = 2,
+  /*
+   * never executed
+   */
   OGL__CELL_ORDER_OUTCOME__cell_order_not_sent = 3,
   /*
-   * not sent: the relay does not have it
+   * not sent: the relay does not have the spec
    */
   OGL__CELL_ORDER_OUTCOME__cell_order_lacks_spec = 4
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(OGL__CELL_ORDER_OUTCOME)
@@ -135,50 +138,59 @@
 /* --- messages --- */
 
 /*
- * One step of a job: `count` alike tasks.
+ * One step of a job: `count` identical tasks.
  */
 struct  Ogl__CellStep
 {
   ProtobufCMessage base;
   uint32_t count;
   /*
-   * thousandths of a processor, each task
+   * per task, in thousandths of a processor
    */
   uint32_t cpu_milli;
+  /*
+   * per task
+   */
   uint32_t mem_mb;
+  /*
+   * accelerators per task
+   */
   uint32_t accel;
   /*
-   * rough run time of a task
+   * estimated run time of a task
    */
   uint32_t estimate_ms;
   /*
-   * steps that must have ended before
+   * indexes of the steps that must end first
    */
   size_t n_after;
   uint32_t *after;
+  /*
+   * tasks save checkpoints
+   */
   protobuf_c_boolean checkpoints;
   /*
-   * tasks work only all together
+   * its tasks have to run at the same time
    */
   protobuf_c_boolean gang;
   /*
-   * slower when spread over several racks
+   * runs slower when spread over several racks
    */
   protobuf_c_boolean tight;
   /*
-   * the worker must bear it
+   * that a worker must have to run the tasks
    */
   char *label;
   /*
-   * slower on any other rack
+   * runs slower on any other rack
    */
   char *data_rack;
   /*
-   * most tasks on one worker, 0 any number
+   * maximum tasks per worker, 0 for no limit
    */
   uint32_t worker_max;
   /*
-   * copies may run in parallel
+   * copies of a task may run in parallel
    */
   protobuf_c_boolean duplicates;
   /*
@@ -187,15 +199,15 @@
   protobuf_c_boolean lasting;
   char *image;
   /*
-   * tail latency a lasting task has to keep
+   * tail latency bound of a lasting task
    */
   uint32_t target_ms;
   /*
-   * takes only capacity that others leave unused
+   * uses only capacity that no other job uses
    */
   protobuf_c_boolean fills;
   /*
-   * tasks that may be away through our doing
+   * maximum tasks that the scheduler may keep
    */
   uint32_t may_miss;
 };
@@ -205,21 +217,24 @@
 
 
 /*
- * How its queue treated jobs when one was submitted: what holds once the
- * operator has removed the queue.
+ * The settings of a job's queue when the job was submitted.  They apply after
+ * the operator has removed the queue.
  */
 struct  Ogl__CellTerms
 {
   ProtobufCMessage base;
   /*
-   * 0 goes first
+   * priority; 0 is the highest
    */
   uint32_t rank;
+  /*
+   * per task
+   */
   uint32_t attempts_max;
   uint32_t objective_ms;
   double slack;
   /*
-   * the advice service has to be asked
+   * the advice service must be asked before a start
    */
   protobuf_c_boolean policy;
   double decide_ms;
@@ -232,7 +247,7 @@
 
 
 /*
- * What was submitted; never changes.
+ * A job as submitted; immutable.
  */
 struct  Ogl__CellJob
 {
@@ -245,16 +260,19 @@
   size_t n_steps;
   Ogl__CellStep **steps;
   /*
-   * wall clock, milliseconds since 1970
+   * wall clock, milliseconds since 1970-01-01 UTC
    */
   uint64_t accepted_ms;
   /*
-   * of occurrence 0, wall clock; 0 at once
+   * of occurrence 0, wall clock; 0 for at once
    */
   uint64_t first_due_ms;
+  /*
+   * between occurrences
+   */
   uint64_t interval_ms;
   /*
-   * 0: the steps run once
+   * number of occurrences; 0: the steps run once
    */
   uint32_t repeats;
   Ogl__CellTerms *terms;
@@ -265,7 +283,7 @@
 
 
 /*
- * What the owner remembers of one task.
+ * State of one task that the owner records.
  */
 struct  Ogl__CellMark
 {
@@ -273,10 +291,13 @@
   uint32_t occurrence;
   uint32_t step;
   uint32_t index;
+  /*
+   * run numbers
+   */
   size_t n_failed_runs;
   uint64_t *failed_runs;
   /*
-   * highest run number used
+   * highest run number assigned
    */
   uint64_t run;
   char *checkpoint;
@@ -287,7 +308,7 @@
 
 
 /*
- * How far a job is; written anew whenever that changes.
+ * Progress of a job; the whole record is replaced at each change.
  */
 struct  Ogl__CellProgress
 {
@@ -298,21 +319,21 @@
    */
   uint64_t ended_ms;
   /*
-   * some task has started
+   * at least one task has started
    */
   protobuf_c_boolean begun;
   /*
-   * occurrences all of whose tasks are done
+   * occurrences with all tasks done
    */
   size_t n_finished;
   uint32_t *finished;
   /*
-   * tasks begun and not done
+   * tasks started and not done
    */
   size_t n_marks;
   Ogl__CellMark **marks;
   /*
-   * tasks that are done
+   * tasks done
    */
   size_t n_done;
   Ogl__CellDone **done;
@@ -323,7 +344,7 @@
 
 
 /*
- * Tasks of one step that are done.
+ * Tasks of one step and occurrence that are done.
  */
 struct  Ogl__CellDone
 {
@@ -339,8 +360,8 @@
 
 
 /*
- * A worker that may run something: a new owner calls it even if the platform
- * does not list it at the moment.
+ * A worker that may be running tasks.  A new owner contacts it even when the
+ * platform does not list it.
  */
 struct  Ogl__CellKnown
 {
@@ -349,8 +370,8 @@
   char *addr;
   char *service;
   /*
-   * It does not answer, or drains, and is given nothing more: no task but these
-   * may run there.  Where false, any task may.
+   * The worker does not answer or is draining, so the owner starts nothing more
+   * on it: only `tasks` may be running there.  If false, any task may be.
    */
   protobuf_c_boolean closed;
   size_t n_tasks;
@@ -365,7 +386,7 @@
 {
   ProtobufCMessage base;
   /*
-   * of the job
+   * job ID
    */
   char *id;
   uint32_t occurrence;
@@ -389,31 +410,31 @@
 
 
 /*
- * A claim (stream of the shard's claims), or a heartbeat or resignation
- * (ownership stream of the whole cell).
+ * Ownership record: a claim (on the shard's stream of claims), or a heartbeat
+ * or resignation (on the ownership stream of the cell).
  */
 struct  Ogl__CellLead
 {
   ProtobufCMessage base;
   char *node;
   /*
-   * where peers reach it
+   * address for peers
    */
   char *addr;
   /*
-   * differs at each start of the process
+   * changes with each start of the process
    */
   uint64_t boot;
   /*
-   * this record's offset + 1 is the new epoch
+   * a claim: the new epoch is this record's offset + 1
    */
   protobuf_c_boolean claim;
   /*
-   * the owner resigns
+   * a resignation: the shard has no owner
    */
   protobuf_c_boolean vacant;
   /*
-   * of a heartbeat or resignation
+   * of the owner; heartbeats and resignations only
    */
   uint64_t epoch;
   uint32_t shard;
@@ -424,7 +445,7 @@
 
 
 /*
- * First record of the ownership stream: how many shards the cell has, for good.
+ * First record of the ownership stream.  The number of shards never changes.
  */
 struct  Ogl__CellPlan
 {
@@ -440,36 +461,39 @@
 {
   ProtobufCMessage base;
   /*
-   * returned in the pong
+   * echoed in the pong
    */
   uint64_t stamp;
   /*
-   * the sender reaches the store
+   * the sender can reach the store
    */
   protobuf_c_boolean store_ok;
+  /*
+   * the sender is shutting down
+   */
   protobuf_c_boolean leaving;
   /*
-   * thousandths of a processor that the sender has
+   * the sender's processors, in thousandths
    */
   uint32_t strength;
   /*
-   * the owner may ask advice through the sender
+   * the owner may ask for advice through the sender
    */
   protobuf_c_boolean lane;
   /*
-   * shards that the sender owns
+   * number of shards that the sender owns
    */
   uint32_t owned;
   /*
-   * version of the configuration it goes by
+   * configuration version that the sender uses
    */
   uint64_t config;
   /*
-   * it can't read the settings itself
+   * the sender can't read the settings from the store
    */
   protobuf_c_boolean cut_off;
   /*
-   * since its process was started
+   * since the sender's process started
    */
   uint32_t uptime_ms;
 };
@@ -483,33 +507,36 @@
   ProtobufCMessage base;
   uint64_t stamp;
   /*
-   * epoch that the sender owns the cell in, 0 none
+   * epoch in which the sender owns the shard, 0 for none
    */
   uint64_t owns;
   /*
-   * and the store takes what it writes
+   * and the store accepts the sender's writes
    */
   protobuf_c_boolean able;
   /*
-   * version of the configuration the sender goes by, 0 none
+   * configuration version that the sender uses, 0 for none
    */
   uint64_t config;
   /*
-   * since it was certainly the newest
+   * since that version was last known to be current
    */
   uint32_t config_age_ms;
   /*
-   * it, for one cut off that has an older one
+   * that version, if the receiver is cut off and
    */
   ProtobufCBinaryData config_record;
   /*
-   * the sender refuses some new jobs: it wants to be
+   * has an older one
+   */
+  /*
+   * the sender refuses some new jobs: ask with a
    */
   protobuf_c_boolean asks_first;
   /*
-   * asked before it is sent one
-   * For one cut off that knows less: evacuated zones, as of all records of the
-   * settings stream below an offset; 0 not told.
+   * submit without `job` before sending one
+   * For a receiver that is cut off and knows fewer records: the evacuated zones
+   * as of all records of the settings stream below this offset.  0 if not set.
    */
   uint64_t zones_known_to;
   size_t n_evacuated_zones;
@@ -521,7 +548,7 @@
 
 
 /*
- * A caller's request, passed on to the owner.
+ * A caller's request, forwarded to the shard's owner.
  */
 struct  Ogl__CellCall
 {
@@ -532,19 +559,19 @@
   char *team;
   char *queue;
   /*
-   * time the caller still waits
+   * remaining time until the caller's deadline
    */
   uint32_t budget_ms;
   /*
-   * of a submit; without: asks whether to send it
+   * of a submit; absent: asks whether to send it
    */
   Ogl__CellJob *job;
   /*
-   * of the owner it is meant for
+   * of the owner that the call is addressed to
    */
   uint64_t epoch;
   /*
-   * the owner has asked for the job
+   * the owner has answered cell_send_job
    */
   protobuf_c_boolean admitted;
 };
@@ -562,7 +589,7 @@
   Ogl__CellJobState state;
   uint32_t pending;
   /*
-   * that the answer was given in
+   * of the owner that answered
    */
   uint64_t epoch;
 };
@@ -572,7 +599,7 @@
 
 
 /*
- * The owner has a node ask which workers may run a step.
+ * The owner asks a node to ask the advice service which workers may run a step.
  */
 struct  Ogl__CellAsk
 {
@@ -606,7 +633,7 @@
   protobuf_c_boolean ok;
   uint32_t valid_ms;
   /*
-   * since the answer was given, at most
+   * upper bound of the time since the advice was given
    */
   uint32_t age_ms;
   size_t n_tickets;
@@ -618,7 +645,7 @@
 
 
 /*
- * How much of a team's limit a shard may use; in millionths of it.
+ * A shard's part of a team's limit.  Amounts are in millionths of the limit.
  */
 struct  Ogl__CellPart
 {
@@ -628,20 +655,20 @@
   uint32_t from_shard;
   uint64_t from_epoch;
   /*
-   * of the report; a grant repeats that of the report
+   * of the report; a grant echoes it
    */
   uint64_t number;
   /*
-   * the reporter does not know what its predecessor held
+   * the reporter does not know what the previous owner held
    */
   protobuf_c_boolean fresh;
   /*
-   * what the shard may use
+   * what the shard may use now
    */
   uint32_t held;
   uint32_t wanted;
   /*
-   * what may be in use, and be more than it holds
+   * upper bound of what is in use; may exceed held
    */
   uint32_t used;
 };
@@ -651,7 +678,7 @@
 
 
 /*
- * A call to a worker that the owner has another node make.
+ * A call to a worker that another node (the relay) makes for the owner.
  */
 struct  Ogl__CellOrder
 {
@@ -669,11 +696,11 @@
   uint64_t epoch;
   uint32_t timeout_ms;
   /*
-   * end of the lease, on the worker's clock, 0 as it is
+   * end of the lease, worker's clock; 0: no change
    */
   uint64_t until_ms;
   /*
-   * of the task that is started or stopped
+   * of the task to start or stop
    */
   char *job;
   uint32_t occurrence;
@@ -682,24 +709,24 @@
   uint64_t run;
   char *checkpoint;
   /*
-   * empty: none
+   * of the advice service; empty for none
    */
   char *ticket;
   /*
-   * spec is set; else the relay has the job's spec
+   * spec is set; otherwise the relay has the job's spec
    */
   protobuf_c_boolean with_spec;
   char *spec;
   /*
-   * of a hold
+   * of a hold: number of the last end that is recorded
    */
   uint64_t last_seen;
   /*
-   * of a hold
+   * of a hold: how long the worker may delay its answer
    */
   uint32_t wait_ms;
   /*
-   * of a list: offset to read from
+   * of a list: offset of the first entry to read
    */
   uint64_t from;
 };
@@ -709,14 +736,20 @@
 
 
 /*
- * An entry of the workers' list.
+ * An entry of the list of workers.
  */
 struct  Ogl__CellEntry
 {
   ProtobufCMessage base;
   uint64_t offset;
   char *worker;
+  /*
+   * the worker was removed from the list
+   */
   protobuf_c_boolean dropped;
+  /*
+   * the entry could be parsed
+   */
   protobuf_c_boolean readable;
   char *service;
   char *addr;
@@ -725,6 +758,9 @@
   size_t n_labels;
   char **labels;
   protobuf_c_boolean draining;
+  /*
+   * start of the worker's process
+   */
   uint64_t born_ms;
   uint32_t cpu_milli;
   uint32_t mem_mb;
@@ -749,7 +785,7 @@
 
 
 /*
- * A row of either list that a worker returns.
+ * A row of the lists of running and of ended runs that a worker returns.
  */
 struct  Ogl__CellRunRow
 {
@@ -763,11 +799,11 @@
   uint32_t percent;
   int64_t gauge;
   /*
-   * of an end
+   * of an ended run: number of its end
    */
   uint64_t number;
   /*
-   * of an end: enum cell_end
+   * of an ended run: enum cell_end
    */
   uint32_t how;
 };
@@ -796,24 +832,36 @@
    * enum cell_refusal
    */
   uint32_t refusal;
+  /*
+   * the connection was refused
+   */
   protobuf_c_boolean no_listener;
+  /*
+   * of the worker
+   */
   uint64_t clock_ms;
+  /*
+   * start of the worker's process
+   */
   uint64_t born_ms;
   size_t n_running;
   Ogl__CellRunRow **running;
   size_t n_ended;
   Ogl__CellRunRow **ended;
   /*
-   * of a list: entries that have changed since the answer before, and the last
-   * one read
+   * Of a list: the entries that have changed since the previous answer, and the
+   * last entry read.
    */
   size_t n_entries;
   Ogl__CellEntry **entries;
   /*
-   * oldest offset that the store has
+   * oldest offset in the store
    */
   uint64_t first;
   uint64_t end;
+  /*
+   * the records asked for are gone; first is set
+   */
   protobuf_c_boolean trimmed;
 };
 #define OGL__CELL_ORDER_ANSWER__INIT \
@@ -822,18 +870,18 @@
 
 
 /*
- * The owner of a shard is about to end and asks a node to take it over: to read
- * its jobs beforehand, and then to claim it.
+ * The owner of a shard is shutting down and asks a node to take the shard over:
+ * the node reads the shard's jobs first and claims the shard afterwards.
  */
 struct  Ogl__CellHandover
 {
   ProtobufCMessage base;
   /*
-   * that the sender owns the shard in
+   * of the sender's ownership
    */
   uint64_t epoch;
   /*
-   * what the store last took to answer the sender
+   * latency of the sender's last request to the store
    */
   uint32_t store_ms;
 };
@@ -865,15 +913,15 @@
    */
   char *from;
   /*
-   * highest epoch of the shard that the sender knows
+   * highest epoch of the shard known to the sender
    */
   uint64_t epoch;
   /*
-   * that the message is about
+   * subject of the message
    */
   uint32_t shard;
   /*
-   * address of that epoch's owner, empty if not known
+   * address of that epoch's owner, empty if unknown
    */
   char *owner;
   Ogl__CellMsg__BodyCase body_case;
--- a/gen/ogl.pb-c.h
+++ b/gen/ogl.pb-c.h
@@ -75,7 +75,8 @@
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(OGL__MEMBER_FACT__STATE)
 } Ogl__MemberFact__State;
 /*
- * Policy family of a workload.  `request` is a short request to an executor.
+ * Kind of a workload, which selects its scheduling policy.  `request` is a
+ * short request to an executor.
  */
 typedef enum _Ogl__Kind {
   OGL__KIND__batch = 0,
@@ -85,11 +86,11 @@
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(OGL__KIND)
 } Ogl__Kind;
 /*
- * Whether a request may have run.
+ * Whether a request has run.
  */
 typedef enum _Ogl__Verdict {
   /*
-   * certainly not, and never will
+   * it has not run and never will
    */
   OGL__VERDICT__not_run = 0,
   OGL__VERDICT__ran = 1,
@@ -105,15 +106,15 @@
 typedef enum _Ogl__StopMode {
   OGL__STOP_MODE__stop = 0,
   /*
-   * save state, then stop
+   * save a checkpoint, then stop
    */
   OGL__STOP_MODE__checkpoint = 1,
   /*
-   * keep, but yield processors
+   * keep running at reduced processor use
    */
   OGL__STOP_MODE__throttle = 2,
   /*
-   * end of throttling
+   * end throttling
    */
   OGL__STOP_MODE__resume = 3
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(OGL__STOP_MODE)
@@ -124,15 +125,15 @@
   OGL__TASK_STATE__succeeded = 2,
   OGL__TASK_STATE__failed = 3,
   /*
-   * by command
+   * by the owner
    */
   OGL__TASK_STATE__stopped = 4,
   /*
-   * stopped with its state saved
+   * stopped after saving a checkpoint
    */
   OGL__TASK_STATE__checkpointed = 5,
   /*
-   * stopped by the worker: its lease ran out
+   * stopped by the worker because its lease expired
    */
   OGL__TASK_STATE__lapsed = 6,
   /*
@@ -144,15 +145,15 @@
 typedef enum _Ogl__JobState {
   OGL__JOB_STATE__queued = 0,
   /*
-   * some task is placed
+   * at least one task is placed
    */
   OGL__JOB_STATE__active = 1,
   /*
-   * every task succeeded
+   * all tasks succeeded
    */
   OGL__JOB_STATE__done = 2,
   /*
-   * ended otherwise; see reason
+   * ended in another way; see reason
    */
   OGL__JOB_STATE__broken = 3,
   OGL__JOB_STATE__cancelled = 4
@@ -162,7 +163,7 @@
 /* --- messages --- */
 
 /*
- * An amount of what a worker holds or a task needs.
+ * Resources that a worker has or a task needs.
  */
 struct  Ogl__Res
 {
@@ -223,12 +224,12 @@
   Ogl__Kind kind;
   Ogl__Res *res;
   /*
-   * declared run time, 0 when not declared
+   * declared run time, 0 if not declared
    */
   uint64_t run_ms;
   char *payload;
   /*
-   * worker's clock; refused after it
+   * worker's clock; it refuses a later start
    */
   uint64_t latest_start_ms;
 };
@@ -261,9 +262,10 @@
 
 
 /*
- * Owner to worker.  (epoch, seq) must exceed what the worker has seen.  The
- * lease on all tasks of the worker runs until lease_from_ms + lease_ms on
- * the worker's own clock; lease_from_ms echoes an earlier clock_ms.
+ * Owner to worker.  The worker refuses a sync unless its (epoch, seq) is higher
+ * than all that it has seen.  The lease of all tasks on the worker ends at
+ * lease_from_ms + lease_ms by the worker's clock; lease_from_ms echoes the
+ * clock_ms of an earlier report.
  */
 struct  Ogl__WorkerSync
 {
@@ -279,17 +281,17 @@
   size_t n_stop;
   Ogl__TaskStop **stop;
   /*
-   * ended tasks the worker may forget
+   * ended tasks that the worker may forget
    */
   size_t n_ack;
   Ogl__TaskAck **ack;
   /*
-   * report every task, not only differences
+   * report all tasks, not only changes
    */
   protobuf_c_boolean full;
   /*
-   * The worker's boot that the owner knows, 0 for none.  A worker of another
-   * boot starts nothing and renews nothing, and reports every task.
+   * Boot of the worker as known to the owner, 0 for none.  A worker with
+   * another boot starts no task, renews no lease and reports all its tasks.
    */
   uint64_t boot;
 };
@@ -305,7 +307,7 @@
   uint32_t attempt;
   Ogl__TaskState state;
   /*
-   * lags behind
+   * measured use; lags behind
    */
   Ogl__Res *used;
   uint64_t ran_ms;
@@ -324,20 +326,23 @@
   ProtobufCMessage base;
   char *worker;
   /*
-   * changes when the worker restarts
+   * changes with each restart of the worker
    */
   uint64_t boot;
+  /*
+   * the worker's clock
+   */
   uint64_t clock_ms;
   /*
-   * highest seen
+   * highest epoch seen
    */
   uint64_t epoch;
   /*
-   * of the sync answered
+   * of the sync that this answers
    */
   uint64_t seq;
   /*
-   * the sync was stale; nothing in it was done
+   * the sync was stale and had no effect
    */
   protobuf_c_boolean refused;
   Ogl__Res *capacity;
@@ -345,11 +350,11 @@
   char *zone;
   protobuf_c_boolean leaving;
   /*
-   * tasks holds every task on the worker, ended ones not acknowledged yet
-   * included.  Otherwise only what changed since the report whose clock_ms
-   * the owner has echoed: an end told once is not told again at each sync, or
-   * reports would grow for as long as a log outage keeps the owner from
-   * acknowledging.
+   * If true, tasks has all tasks on the worker, including ended ones that are
+   * not acknowledged yet.  Otherwise tasks has only changes since the report
+   * whose clock_ms the owner has echoed.  An ended task is not repeated in each
+   * report: the owner can't acknowledge it during an outage of the log, and
+   * reports would grow for as long as the outage lasts.
    */
   protobuf_c_boolean full;
   size_t n_tasks;
@@ -373,14 +378,17 @@
    */
   Ogl__Res *res;
   /*
-   * declared, 0 unknown
+   * declared run time, 0 if unknown
    */
   uint64_t run_ms;
   char *payload;
   /*
-   * may be started again after a lost worker
+   * may be started again if its worker is lost
    */
   protobuf_c_boolean restartable;
+  /*
+   * makes repeated submissions idempotent
+   */
   char *request_id;
 };
 #define OGL__SUBMIT__INIT \
@@ -435,7 +443,7 @@
 
 
 /*
- * One value set or removed at a path of the settings tree.
+ * A value to set or remove at a path of the settings tree.
  */
 struct  Ogl__Change
 {
@@ -445,7 +453,7 @@
    */
   char *path;
   /*
-   * JSON text; empty removes (then the parent's holds)
+   * JSON; empty removes it and the parent's applies
    */
   char *value;
 };
@@ -455,7 +463,7 @@
 
 
 /*
- * An operator's edit, made from version `base_version`.
+ * An operator's edit of the settings, based on version `base_version`.
  */
 struct  Ogl__Edit
 {
@@ -470,6 +478,9 @@
     , 0, (char *)protobuf_c_empty_string, 0,NULL }
 
 
+/*
+ * A change that was rejected.
+ */
 struct  Ogl__Fault
 {
   ProtobufCMessage base;
@@ -497,19 +508,20 @@
 
 
 /*
- * First valid claim in log order owns the shard; its offset is the epoch.
+ * The first valid claim in the order of the log owns the shard.  Its offset is
+ * the epoch.
  */
 struct  Ogl__Claim
 {
   ProtobufCMessage base;
   /*
-   * epoch the claimant knew; 0 for none
+   * highest epoch that the claimant knew; 0 for none
    */
   uint64_t prev_epoch;
   size_t n_successors;
   char **successors;
   /*
-   * by a node not named successor, after the long wait
+   * by a node that is not a successor, after a longer wait
    */
   protobuf_c_boolean late;
 };
@@ -546,7 +558,7 @@
 
 
 /*
- * A task that must not run twice is about to be sent to a worker.
+ * Written before a task that must not run twice is sent to a worker.
  */
 struct  Ogl__TaskIntent
 {
@@ -561,19 +573,19 @@
 
 
 /*
- * The job of a caller's own request id lives, if anywhere, in `shard`.
+ * The job submitted with this request ID, if it exists, is in `shard`.
  */
 struct  Ogl__JobReferred
 {
   ProtobufCMessage base;
   /*
-   * team|request id
+   * team|request ID
    */
   char *request;
   uint32_t shard;
   uint64_t at_ms;
   /*
-   * written by `shard`: it will never take this id's job
+   * written by `shard`: it will never accept the job
    */
   protobuf_c_boolean refused;
 };
@@ -587,11 +599,11 @@
   ProtobufCMessage base;
   char *job;
   /*
-   * not_run only when no task can have started
+   * not_run only if no task can have started
    */
   Ogl__Verdict verdict;
   /*
-   * given when the owner ended it, not the caller
+   * set if the owner cancelled the job, not the caller
    */
   char *reason;
 };
@@ -601,13 +613,13 @@
 
 
 /*
- * A non-idempotent request with an id is about to be sent.
+ * Written before a non-idempotent request with an ID is sent to an executor.
  */
 struct  Ogl__IdIntent
 {
   ProtobufCMessage base;
   /*
-   * team/request id
+   * team/request ID
    */
   char *id;
   uint64_t at_ms;
@@ -631,8 +643,8 @@
 
 
 /*
- * The owner gave up on a worker: no lease of its own is left there and it
- * will start nothing there before it records the worker as back.
+ * The owner treats the worker as lost: all leases that it granted there have
+ * expired, and it starts nothing there before it writes WorkerOn.
  */
 struct  Ogl__WorkerOff
 {
@@ -645,7 +657,7 @@
 
 
 /*
- * The owner may start tasks on the worker from here on.
+ * The owner may start tasks on the worker from this record on.
  */
 struct  Ogl__WorkerOn
 {
@@ -659,15 +671,15 @@
 
 
 /*
- * The part of a team's upper limit, in millionths, that a shard may use.
- * Parts of all shards never exceed a million.
+ * The part of a team's upper limit, in millionths, that each shard may use.
+ * The sum over all shards never exceeds 1,000,000.
  */
 struct  Ogl__Allot
 {
   ProtobufCMessage base;
   char *team;
   /*
-   * by shard
+   * indexed by shard
    */
   size_t n_ppm;
   uint32_t *ppm;
@@ -687,7 +699,7 @@
   char *reason;
   uint32_t tries;
   /*
-   * its start was recorded, its end not yet
+   * its start is recorded and its end is not
    */
   protobuf_c_boolean intended;
 };
@@ -726,8 +738,8 @@
 
 
 /*
- * One part of a shard's whole state; parts share `snap`, the first part's
- * record sequence.
+ * One part of a snapshot of a shard's state.  All parts have the same `snap`,
+ * the record sequence number of the first part.
  */
 struct  Ogl__ShardSnap
 {
@@ -746,7 +758,7 @@
   size_t n_successors;
   char **successors;
   /*
-   * claims so far; makes attempt numbers unique
+   * number of claims so far; makes attempt numbers unique
    */
   uint32_t claims;
   char *owner;
@@ -780,7 +792,7 @@
   char *node;
   uint64_t boot;
   /*
-   * it lives after all, as another node saw
+   * ends the eviction: another node has seen the node alive
    */
   protobuf_c_boolean lifted;
 };
@@ -790,7 +802,7 @@
 
 
 /*
- * Whole settings tree as of version `version`.
+ * Snapshot of the settings tree at version `version`.
  */
 struct  Ogl__SettingsSnap
 {
@@ -803,7 +815,7 @@
   size_t n_evicted;
   Ogl__Evict **evicted;
   /*
-   * offset + 1 of the last edit or eviction in it
+   * offset + 1 of the last edit or eviction included
    */
   uint64_t change;
 };
@@ -841,7 +853,7 @@
    */
   uint64_t epoch;
   /*
-   * per writer and boot, rising
+   * increases for each writer and boot
    */
   uint64_t seq;
   char *writer;
@@ -873,7 +885,7 @@
 
 
 /*
- * One append.
+ * The records of one append.
  */
 struct  Ogl__Batch
 {
@@ -887,7 +899,7 @@
 
 
 /*
- * What one node says of itself; the highest (boot, beat) wins.
+ * A node's state as published by itself; the highest (boot, beat) is current.
  */
 struct  Ogl__MemberFact
 {
@@ -899,16 +911,16 @@
   uint64_t beat;
   Ogl__MemberFact__State state;
   /*
-   * raised by its subject to refute suspicion
+   * raised by the node itself to refute a suspicion
    */
   uint32_t incarnation;
   uint64_t settings_version;
   /*
-   * since it knew to be current
+   * since that version was known to be current
    */
   uint32_t settings_age_ms;
   /*
-   * since the log last answered it
+   * since the node's last answer from the log
    */
   uint32_t log_age_ms;
   size_t n_shards;
@@ -930,7 +942,7 @@
   uint64_t free_cpu_milli;
   uint64_t queued;
   /*
-   * its owner asks the best placed node to claim it
+   * its owner asks the most suitable node to claim it
    */
   protobuf_c_boolean offered;
 };
@@ -956,7 +968,7 @@
   ProtobufCMessage base;
   uint64_t seq;
   /*
-   * on an indirect probe: whom to ask
+   * of an indirect probe: the node to probe
    */
   char *target;
   protobuf_c_boolean ack;
@@ -967,7 +979,7 @@
 
 
 /*
- * A caller's request passed to the node that owns its shard.
+ * A caller's request forwarded to the node that owns its shard.
  */
 struct  Ogl__Forward
 {
@@ -981,17 +993,17 @@
   char *work_kind;
   ProtobufCBinaryData body;
   /*
-   * time left
+   * remaining time until the caller's deadline
    */
   uint64_t budget_ms;
   /*
-   * Submissions under a caller's own id, see src/shardcall.c; shards are
-   * counted from 1 here, 0 means none.
+   * For submissions with a request ID, see src/shardcall.c.  Shards are
+   * numbered from 1 in these two fields; 0 means none.
    */
   uint32_t suggest;
   uint32_t refused_by;
   /*
-   * by the home of the id to this shard
+   * forwarded to this shard by the home shard of the ID
    */
   protobuf_c_boolean referred;
 };
@@ -1016,7 +1028,8 @@
 
 
 /*
- * While the log is down an owner asks its successors not to claim.
+ * During an outage of the log an owner asks its successors not to claim its
+ * shard for hold_ms.
  */
 struct  Ogl__Promise
 {
@@ -1025,6 +1038,9 @@
   uint64_t epoch;
   uint64_t seq;
   uint32_t hold_ms;
+  /*
+   * a successor's answer: it has promised
+   */
   protobuf_c_boolean given;
 };
 #define OGL__PROMISE__INIT \
@@ -1033,7 +1049,8 @@
 
 
 /*
- * A shard's owner tells the team's bank how it stands.
+ * A shard's owner reports its use of a team's limit to the team's bank, the
+ * owner of the shard that distributes the limit.
  */
 struct  Ogl__AllotAsk
 {
@@ -1048,23 +1065,23 @@
   uint64_t epoch;
   char *team;
   /*
-   * what it goes by now
+   * the part that the shard uses now
    */
   uint32_t held_ppm;
   /*
-   * least it needs for what runs
+   * minimum that running tasks need
    */
   uint32_t used_ppm;
   /*
-   * what it could use
+   * the part that the shard could use
    */
   uint32_t want_ppm;
   /*
-   * of the reclaim answered, 0 for a plain question
+   * of the reclaim answered, 0 for an unsolicited report
    */
   uint64_t seq;
   /*
-   * held_ppm is what the bank last said
+   * held_ppm is from the bank's last answer
    */
   protobuf_c_boolean known;
 };
@@ -1074,21 +1091,21 @@
 
 
 /*
- * The bank's answer, also sent unasked to make a holder shrink.
+ * The bank's answer.  Also sent unsolicited to reclaim a part of the limit.
  */
 struct  Ogl__AllotGive
 {
   ProtobufCMessage base;
   uint32_t shard;
   /*
-   * asker's
+   * of the receiving shard's owner
    */
   uint64_t epoch;
   char *team;
   uint32_t ppm;
   uint64_t seq;
   /*
-   * shrink to ppm or what is used, and say so
+   * reduce to ppm or to what is used, and confirm
    */
   protobuf_c_boolean reclaim;
   uint64_t bank_epoch;
@@ -1103,7 +1120,7 @@
 
 
 /*
- * Asks for what is newer than `version`; the answer carries a snapshot.
+ * Requests settings newer than `version`; the answer carries a snapshot.
  */
 struct  Ogl__SettingsNews
 {
@@ -1134,7 +1151,7 @@
   char *from;
   uint64_t boot;
   /*
-   * carried by any message
+   * gossip, attached to any message
    */
   size_t n_facts;
   Ogl__MemberFact **facts;
