--- a/soak/soak.py
+++ b/soak/soak.py
@@ -8,7 +8,7 @@
 requests, loses answers and executes writes late.  Workers crash, restart, fail
 all tasks and answer late.  Callers reuse their connections while the node runs.
 At the end all faults are removed and each accepted job has to end.  The exit
-status is 0 if there was no breach.
+status is 0 if there was no violation.
 """
 
 import argparse
@@ -255,7 +255,7 @@
             if status == 200:
                 job.cancelled_at = w.now()
             elif status == 410:
-                self.platform.breach("LOST", job.id)
+                self.platform.report_violation("LOST", job.id)
 
     async def submit_jobs(self, until):
         while w.now() < until:
@@ -335,7 +335,7 @@
             node = self.rand.choice(self.nodes)
             status, body = await self.call(node, "GET", f"/q/{job.id}")
             if status == 410:
-                self.platform.breach("LOST", job.id)
+                self.platform.report_violation("LOST", job.id)
                 job.state = "lost"
             elif status == 200:
                 state = json.loads(body)["state"]
@@ -353,7 +353,7 @@
             for i in range(step["count"])
         )
         if state == "completed" and not done:
-            self.platform.breach("MIXED", job.id)
+            self.platform.report_violation("MIXED", job.id)
         if state == "cancelled" and job.cancelled_at is None:
             pass  # a cancel that got no answer may have been executed
 
@@ -370,7 +370,7 @@
             await self.remove_faults(True)
             unfinished = await self.unfinished_jobs()
         for job_id in unfinished:
-            self.platform.breach("OPEN", job_id)
+            self.platform.report_violation("OPEN", job_id)
 
     async def check_ports_free(self):
         """Nodes left by a soak with the same seed would take our calls."""
@@ -430,16 +430,16 @@
                 except ProcessLookupError:
                     pass
     jobs = soak.platform.jobs.values()
-    for b in soak.platform.breaches:
+    for b in soak.platform.violations:
         print(b)
     print(
         f"seed {a.seed}: {len(jobs)} jobs, "
         f"{sum(j.accepted for j in jobs)} accepted, "
-        f"{len(soak.platform.breaches)} breaches, logs in {soak.dir}"
+        f"{len(soak.platform.violations)} breaches, logs in {soak.dir}"
     )
     return (
         1
-        if soak.platform.breaches or not any(j.accepted for j in jobs)
+        if soak.platform.violations or not any(j.accepted for j in jobs)
         else 0
     )
 
--- a/soak/world.py
+++ b/soak/world.py
@@ -2,7 +2,7 @@
 
 It runs in one process and one event loop.  The nodes under test are real
 processes that connect to it over loopback.  Invariants are checked here on what
-workers observe; violations are collected in Platform.breaches.
+workers observe; violations are collected in Platform.violations.
 """
 
 import asyncio
@@ -253,37 +253,37 @@
                 self.end_run(run, "lapsed")
 
     def check_start(self, job, step, index, name):
-        t, breach = job.task(step, index), self.platform.breach
+        t, report = job.task(step, index), self.platform.report_violation
         used = sum(r.step["cpu"] for r in self.runs.values())
         if used + job.steps[step]["cpu"] > WORKER_CPU:
-            breach("LIMIT", name)
+            report("LIMIT", name)
         if t.running:
-            breach("TWICE", name)
+            report("TWICE", name)
         if t.done_recorded:
-            breach("AGAIN", name)
+            report("AGAIN", name)
         if t.failed >= self.platform.attempts_max:
-            breach("BUDGET", name)
+            report("BUDGET", name)
         for before in job.steps[step].get("after", []):
             if not all(
                 job.task(before, i).done
                 for i in range(job.steps[before]["count"])
             ):
-                breach("ORDER", name)
+                report("ORDER", name)
         if job.cancelled_at and now() - job.cancelled_at > 3:
-            breach("CANCELLED", name)
+            report("CANCELLED", name)
         if job.submissions == job.rejections:
-            breach("REFUSED", name)
+            report("REFUSED", name)
         since = self.platform.evacuated.get(self.zone)
         settled = now() - self.platform.last_fault > FAULT_SETTLE_S
         if since and now() - since > EVACUATION_BOUND_S and settled:
             if self.mode != "late":
-                breach("EVAC", name)
+                report("EVAC", name)
 
     def start_run(self, b):
         job_id, _, step, index = b["task"].split(".")
         job = self.platform.jobs.get(job_id)
         if job is None:
-            self.platform.breach("UNASKED", b["task"])
+            self.platform.report_violation("UNASKED", b["task"])
             return
         step, index = int(step), int(index)
         self.check_start(job, step, index, b["task"])
@@ -412,14 +412,16 @@
         self.rand = rand
         self.store = Store(rand)
         self.jobs, self.workers, self.tickets = {}, [], {}
-        self.breaches = []
+        self.violations = []
         self.version = 0
         self.evacuated = {}  # zone -> time of its evacuation
         self.last_fault = now()  # of a node, its connections or the store
         self.started_at = now()
 
-    def breach(self, what, about):
-        self.breaches.append(f"{now() - self.started_at:.2f} s {what} {about}")
+    def report_violation(self, what, about):
+        self.violations.append(
+            f"{now() - self.started_at:.2f} s {what} {about}"
+        )
 
     async def configure(self, keys):
         self.version += 1
