--- a/bench/bench_control.c
+++ b/bench/bench_control.c
@@ -294,7 +294,7 @@
 	sim->measure_memory = measure_memory;
 	sim->now = 1000 * OGL_SEC;
 	sim->log = fake_log_init();
-	fake_log_script(sim->log)->rate = 1e9;
+	fake_log_script(sim->log)->appends_per_s = 1e9;
 	fake_log_script(sim->log)->keep_age = 300 * OGL_SEC;
 	sim->deliveries = g_queue_new();
 	init_hosts(sim);
--- a/test/fake_cluster.c
+++ b/test/fake_cluster.c
@@ -107,15 +107,15 @@
 /* Running tasks of one team, including the teams below it. */
 struct team_stats {
 	uint32_t running;
-	uint32_t peak;  /* highest `running` since fake_cluster_team_most */
-	uint32_t limit; /* set by fake_cluster_limit */
+	uint32_t peak;  /* highest `running` since fake_cluster_team_peak */
+	uint32_t limit; /* set by fake_cluster_expect_limit */
 };
 
 struct fake_cluster {
 	struct fake_cluster_config cfg;
 	struct fake_net net;
-	struct fake_unguarded unguarded;
-	uint64_t unguarded_seq; /* of syncs under unguarded.epochs */
+	struct fake_disabled_guards disabled_guards;
+	uint64_t unchecked_seq; /* of syncs while epoch_check is disabled */
 	struct ogl_random rnd;
 	ogl_time now;
 	uint64_t seq;
@@ -176,7 +176,7 @@
 }
 
 void
-fake_cluster_fault(struct fake_cluster *c, const char *fmt, ...)
+fake_cluster_report_violation(struct fake_cluster *c, const char *fmt, ...)
 {
 	char *line;
 	va_list ap;
@@ -353,7 +353,7 @@
 		t->running = (uint32_t)((int)t->running + by);
 		t->peak = MAX(t->peak, t->running);
 		if (by > 0 && t->running > t->limit)
-			fake_cluster_fault(c,
+			fake_cluster_report_violation(c,
 			    "team %s runs %u, its limit is %u", path,
 			    t->running, t->limit);
 		slash = strrchr(path, '/');
@@ -389,8 +389,8 @@
 		return;
 	}
 	if (s->running > 0)
-		fake_cluster_fault(c, "task %s runs on %s and on %s", ev->task,
-		    s->worker, ev->worker);
+		fake_cluster_report_violation(c, "task %s runs on %s and on %s",
+		    ev->task, s->worker, ev->worker);
 	s->reruns += s->starts > 0 && !s->checkpointed;
 	s->running++;
 	s->starts++;
@@ -456,7 +456,7 @@
 
 		c->workers[i] = fake_worker_init(&w);
 		fake_worker_hook(c->workers[i], on_worker_event, c);
-		fake_feed_capacity(
+		fake_record_capacity(
 		    c->history, name, 1, &c->cfg.capacity, c->now);
 		g_free(name);
 		g_free(zone);
@@ -636,7 +636,7 @@
 log_delay(struct fake_cluster *c)
 {
 	return LOG_MIN_DELAY_US + (ogl_time)random_below(c, LOG_JITTER_US) +
-	       fake_log_script(c->log)->slow;
+	       fake_log_script(c->log)->answer_delay;
 }
 
 static void
@@ -649,7 +649,7 @@
 
 	data.p = g_bytes_get_data(i->act->data, &data.n);
 	r = fake_log_append(c->log, i->act->name, data, c->now, &offset);
-	if (r == FAKE_LOG_OK && random_chance(c, c->net.append_lost))
+	if (r == FAKE_LOG_OK && random_chance(c, c->net.append_lost_per_mille))
 		r = FAKE_LOG_LOST;
 	note(c, "log %s append by %s: %s %" G_GUINT64_FORMAT, i->act->name,
 	    c->slots[i->node].name,
@@ -764,13 +764,14 @@
 static void
 disable_guards(struct fake_cluster *c, Ogl__WorkerSync *m)
 {
-	if (c->unguarded.epochs) {
+	if (c->disabled_guards.epoch_check) {
 		m->epoch = UINT64_MAX;
-		m->seq = ++c->unguarded_seq;
+		m->seq = ++c->unchecked_seq;
 	}
-	if (c->unguarded.leases)
+	if (c->disabled_guards.lease_expiry)
 		m->lease_ms *= 100;
-	for (size_t i = 0; c->unguarded.starts && i < m->n_start; i++)
+	for (size_t i = 0; c->disabled_guards.start_expiry && i < m->n_start;
+	     i++)
 		m->start[i]->latest_start_ms = UINT64_MAX;
 }
 
@@ -787,7 +788,7 @@
 	/* Tasks that end earlier on other workers must be recorded first. */
 	tick_workers(c);
 	disable_guards(c, i->act->sync);
-	if (random_chance(c, c->net.sync_lost) ||
+	if (random_chance(c, c->net.sync_lost_per_mille) ||
 	    !fake_worker_sync(w, i->act->sync, c->now, &d->report)) {
 		delivery_free(d);
 		deliver_lost(c, i);
@@ -795,16 +796,17 @@
 	}
 	fake_record_lease(c->history, i->act->name, i->act->sync, c->now);
 	if (fake_worker_no_room(w) != no_room)
-		fake_cluster_fault(c,
+		fake_cluster_report_violation(c,
 		    "worker %s was given more than it holds by %s",
 		    i->act->name, c->slots[i->node].name);
-	if (random_chance(c, c->net.report_lost)) {
+	if (random_chance(c, c->net.report_lost_per_mille)) {
 		delivery_free(d);
 		deliver_lost(c, i);
 		return;
 	}
-	d->report->epoch = c->unguarded.epochs ? epoch : d->report->epoch;
-	d->report->seq = c->unguarded.epochs ? seq : d->report->seq;
+	d->report->epoch =
+	    c->disabled_guards.epoch_check ? epoch : d->report->epoch;
+	d->report->seq = c->disabled_guards.epoch_check ? seq : d->report->seq;
 	d->ev.u.worker = d->report;
 	deliver_answer(c, i, d, c->now + net_delay(c));
 }
@@ -822,8 +824,8 @@
 	body.p = g_bytes_get_data(i->act->data, &body.n);
 	fake_exec_run(e, body, i->act->name, i->act->work_kind, i->act->token,
 	    c->now, &a);
-	a.lost =
-	    a.lost || (a.accepted && random_chance(c, c->net.request_lost));
+	a.lost = a.lost || (a.accepted &&
+			       random_chance(c, c->net.request_lost_per_mille));
 	if (a.accepted)
 		fake_record_exec(c->history, name, body, i->act->name,
 		    i->act->work_kind, c->now, &a);
@@ -892,7 +894,7 @@
 /* ---- stepping a node -------------------------------------------------- */
 
 static void
-finish_call(struct fake_cluster *c, uint32_t number, bool cut,
+finish_call(struct fake_cluster *c, uint32_t number, bool disconnected,
     const struct ogl_action *a)
 {
 	struct fake_call *k;
@@ -900,19 +902,20 @@
 	const char *p;
 
 	if (number >= c->calls->len) {
-		fake_cluster_fault(
+		fake_cluster_report_violation(
 		    c, "an answer to a call nobody made: %u", number);
 		return;
 	}
 	k = g_ptr_array_index(c->calls, number);
 	if (k->done) {
-		fake_cluster_fault(c, "call %u was answered twice", number);
+		fake_cluster_report_violation(
+		    c, "call %u was answered twice", number);
 		return;
 	}
 	k->done = true;
-	k->cut = cut;
-	k->answered = c->now;
-	if (cut) {
+	k->disconnected = disconnected;
+	k->answered_at = c->now;
+	if (disconnected) {
 		note(c, "call %u cut", number);
 		k->verdict = k->arrived ? OGL_MAY_HAVE_RUN : OGL_NOT_RUN;
 		k->answer = g_strdup("");
@@ -926,7 +929,7 @@
 	k->answer = n > 0 ? g_strndup(p, n) : g_strdup("");
 	note(c, "call %u answered %u %s after %" G_GINT64_FORMAT " ms: %s",
 	    number, k->status, ogl_verdict_name(k->verdict),
-	    (k->answered - k->asked) / OGL_MS, k->answer);
+	    (k->answered_at - k->asked_at) / OGL_MS, k->answer);
 	fake_record_answer(c->history, number, k);
 }
 
@@ -940,14 +943,14 @@
 	i->sent = at;
 	i->act = a;
 	if (a->type == OGL_ACT_PEER) {
-		if (random_chance(c, c->net.peer_lost)) {
+		if (random_chance(c, c->net.peer_lost_per_mille)) {
 			item_free(i);
 			return;
 		}
-		if (random_chance(c, c->net.peer_late))
-			i->at +=
-			    (ogl_time)random_below(c, (uint64_t)c->net.late);
-		if (random_chance(c, c->net.peer_doubled)) {
+		if (random_chance(c, c->net.peer_late_per_mille))
+			i->at += (ogl_time)random_below(
+			    c, (uint64_t)c->net.peer_delay_max);
+		if (random_chance(c, c->net.peer_doubled_per_mille)) {
 			struct item *j =
 			    item_new(ITEM_ACTION, node, i->at + net_delay(c));
 			struct ogl_actions q;
@@ -985,7 +988,7 @@
 		if (exited && k->arrived)
 			fake_record_cut(c->history, s->name, i, c->now);
 		if (exited && k->arrived)
-			fake_cluster_fault(
+			fake_cluster_report_violation(
 			    c, "shutdown of %s cut call %u", s->name, i);
 		finish_call(c, i, true, NULL);
 	}
@@ -1008,7 +1011,7 @@
 	struct node_slot *s = &c->slots[node];
 
 	fake_record_node(c->history, s->name, HISTORY_NODE_PAUSED, c->now);
-	fake_cluster_at(c, s->paused_until, record_resumed, s);
+	fake_cluster_schedule_at(c, s->paused_until, record_resumed, s);
 }
 
 /* Carries out the actions of a step; returns whether the process exited. */
@@ -1117,7 +1120,7 @@
 
 	if (s->node == NULL || (i->boot != 0 && i->boot != s->boot)) {
 		if (i->type == ITEM_EVENT && i->d->ev.type == OGL_EV_CALL &&
-		    !fake_cluster_answer(c, i->d->call)->done)
+		    !fake_cluster_get_call(c, i->d->call)->done)
 			finish_call(c, i->d->call, true, NULL);
 		return;
 	}
@@ -1196,7 +1199,7 @@
 }
 
 void
-fake_cluster_at(struct fake_cluster *c, ogl_time at,
+fake_cluster_schedule_at(struct fake_cluster *c, ogl_time at,
     void (*fn)(struct fake_cluster *c, void *ctx), void *ctx)
 {
 	struct item *i = item_new(ITEM_CALLBACK, 0, at);
@@ -1297,7 +1300,7 @@
 }
 
 void
-fake_cluster_pause_sending(struct fake_cluster *c, uint32_t node,
+fake_cluster_pause_at_action(struct fake_cluster *c, uint32_t node,
     enum ogl_action_type type, ogl_time length)
 {
 	struct node_slot *s = &c->slots[node];
@@ -1338,10 +1341,10 @@
 	return &c->net;
 }
 
-struct fake_unguarded *
-fake_cluster_unguarded(struct fake_cluster *c)
+struct fake_disabled_guards *
+fake_cluster_disabled_guards(struct fake_cluster *c)
 {
-	return &c->unguarded;
+	return &c->disabled_guards;
 }
 
 struct ogl_history *
@@ -1357,7 +1360,7 @@
 
 	g_snprintf(name, sizeof name, "w%u", w);
 	fake_worker_restart(c->workers[w], c->now);
-	fake_feed_capacity(c->history, name, ++c->worker_restarts[w] + 1,
+	fake_record_capacity(c->history, name, ++c->worker_restarts[w] + 1,
 	    &c->cfg.capacity, c->now);
 }
 
@@ -1423,8 +1426,8 @@
 	memset(&c->net, 0, sizeof c->net);
 	c->net.hosts_lag = 2 * OGL_SEC;
 	l->outage = false;
-	l->lose = 0;
-	l->slow = 0;
+	l->lose_answers = 0;
+	l->answer_delay = 0;
 	for (uint32_t i = 0; i < FAKE_CLUSTER_MAX_EACH; i++) {
 		struct node_slot *s = &c->slots[i];
 
@@ -1439,23 +1442,23 @@
 		struct fake_worker_script *w =
 		    fake_worker_script(c->workers[i]);
 
-		w->down = false;
+		w->unreachable = false;
 		w->fail_all = false;
 		w->leaving = false;
 		if (c->worker_listed[i].leaving)
-			fake_cluster_leaving(c, FAKE_WORKER, i, false);
+			fake_cluster_set_leaving(c, FAKE_WORKER, i, false);
 	}
 	for (uint32_t i = 0; i < c->cfg.execs; i++) {
 		struct fake_exec_script *e = fake_exec_script(c->execs[i]);
 
 		memset(e, 0, sizeof *e);
 		if (c->exec_listed[i].leaving)
-			fake_cluster_leaving(c, FAKE_EXEC, i, false);
+			fake_cluster_set_leaving(c, FAKE_EXEC, i, false);
 	}
 }
 
 void
-fake_cluster_leaving(struct fake_cluster *c, enum fake_endpoint side,
+fake_cluster_set_leaving(struct fake_cluster *c, enum fake_endpoint side,
     uint32_t index, bool leaving)
 {
 	struct host_listing *l = side == FAKE_WORKER ? &c->worker_listed[index]
@@ -1473,7 +1476,7 @@
 
 uint32_t
 fake_cluster_call(
-    struct fake_cluster *c, uint32_t node, const struct fake_ask *ask)
+    struct fake_cluster *c, uint32_t node, const struct fake_call_spec *ask)
 {
 	struct fake_call *k = g_new0(struct fake_call, 1);
 	uint32_t number = c->calls->len;
@@ -1486,7 +1489,7 @@
 	k->id = g_strdup(ask->id != NULL ? ask->id : "");
 	k->body = g_strdup(ask->body != NULL ? ask->body : "");
 	k->idempotent = ask->idempotent;
-	k->asked = c->now;
+	k->asked_at = c->now;
 	g_ptr_array_add(c->calls, k);
 	note(c, "call %u at %s: %s %s id \"%s\" %s", number,
 	    c->slots[node].name, k->method, k->path, k->id, k->body);
@@ -1501,13 +1504,13 @@
 }
 
 const struct fake_call *
-fake_cluster_answer(const struct fake_cluster *c, uint32_t call)
+fake_cluster_get_call(const struct fake_cluster *c, uint32_t call)
 {
 	return g_ptr_array_index(c->calls, call);
 }
 
 uint32_t
-fake_cluster_calls(const struct fake_cluster *c)
+fake_cluster_call_count(const struct fake_cluster *c)
 {
 	return c->calls->len;
 }
@@ -1515,21 +1518,21 @@
 static bool
 call_done(struct fake_cluster *c, void *ctx)
 {
-	return fake_cluster_answer(c, *(uint32_t *)ctx)->done;
+	return fake_cluster_get_call(c, *(uint32_t *)ctx)->done;
 }
 
 const struct fake_call *
-fake_cluster_ask(
-    struct fake_cluster *c, uint32_t node, const struct fake_ask *ask)
+fake_cluster_call_wait(
+    struct fake_cluster *c, uint32_t node, const struct fake_call_spec *ask)
 {
 	uint32_t k = fake_cluster_call(c, node, ask);
 
 	fake_cluster_run_until(c, call_done, &k, 30 * OGL_SEC);
-	return fake_cluster_answer(c, k);
+	return fake_cluster_get_call(c, k);
 }
 
 const char *
-fake_cluster_operator(const struct fake_cluster *c)
+fake_cluster_operator_key(const struct fake_cluster *c)
 {
 	return c->operator_key;
 }
@@ -1550,26 +1553,26 @@
 }
 
 bool
-fake_cluster_set(
+fake_cluster_edit_setting(
     struct fake_cluster *c, uint32_t node, const char *path, const char *value)
 {
-	struct fake_ask see = {
+	struct fake_call_spec see = {
 	    .method = "GET", .path = "/v1/settings", .key = c->operator_key};
-	struct fake_ask set = {
+	struct fake_call_spec set = {
 	    .method = "POST", .path = "/v1/settings", .key = c->operator_key};
 	char *version, *body;
 	json_t *edit;
 	bool ok;
 
 	version = fake_cluster_field(
-	    fake_cluster_ask(c, node, &see)->answer, "version");
+	    fake_cluster_call_wait(c, node, &see)->answer, "version");
 	edit = json_pack("{s:I,s:s,s:[{s:s,s:s}]}", "base_version",
 	    version != NULL ? (json_int_t)g_ascii_strtoll(version, NULL, 10)
 			    : (json_int_t)0,
 	    "who", "", "changes", "path", path, "value", value);
 	body = json_dumps(edit, JSON_COMPACT);
 	set.body = body;
-	ok = fake_cluster_ask(c, node, &set)->status == 200;
+	ok = fake_cluster_call_wait(c, node, &set)->status == 200;
 	json_decref(edit);
 	free(body);
 	g_free(version);
@@ -1577,15 +1580,15 @@
 }
 
 char *
-fake_cluster_key(
+fake_cluster_create_key(
     struct fake_cluster *c, uint32_t node, const char *team, char **id)
 {
 	char *body = g_strdup_printf("{\"team\":\"%s\"}", team);
-	struct fake_ask ask = {.method = "POST",
+	struct fake_call_spec ask = {.method = "POST",
 	    .path = "/v1/keys",
 	    .key = c->operator_key,
 	    .body = body};
-	const struct fake_call *k = fake_cluster_ask(c, node, &ask);
+	const struct fake_call *k = fake_cluster_call_wait(c, node, &ask);
 
 	if (id != NULL)
 		*id = fake_cluster_field(k->answer, "id");
@@ -1616,19 +1619,19 @@
 }
 
 uint64_t
-fake_cluster_ran(const struct fake_cluster *c, const char *body)
+fake_cluster_run_count(const struct fake_cluster *c, const char *body)
 {
 	return GPOINTER_TO_SIZE(g_hash_table_lookup(c->bodies, body));
 }
 
 uint32_t
-fake_cluster_starts(const struct fake_cluster *c, const char *task)
+fake_cluster_start_count(const struct fake_cluster *c, const char *task)
 {
 	return task_stats_get(c, task)->starts;
 }
 
 uint32_t
-fake_cluster_again(const struct fake_cluster *c, const char *task)
+fake_cluster_reruns(const struct fake_cluster *c, const char *task)
 {
 	return task_stats_get(c, task)->reruns;
 }
@@ -1652,7 +1655,7 @@
 }
 
 uint32_t
-fake_cluster_team_most(struct fake_cluster *c, const char *team)
+fake_cluster_team_peak(struct fake_cluster *c, const char *team)
 {
 	struct team_stats *t = team_stats_get(c, team);
 	uint32_t peak = t->peak;
@@ -1662,14 +1665,16 @@
 }
 
 void
-fake_cluster_limit(struct fake_cluster *c, const char *team, uint32_t limit)
+fake_cluster_expect_limit(
+    struct fake_cluster *c, const char *team, uint32_t limit)
 {
 	struct team_stats *t = team_stats_get(c, team);
 
 	t->limit = limit;
 	if (t->running > limit)
-		fake_cluster_fault(c, "team %s runs %u, its new limit is %u",
-		    team, t->running, limit);
+		fake_cluster_report_violation(c,
+		    "team %s runs %u, its new limit is %u", team, t->running,
+		    limit);
 }
 
 /* Compares the answer to a request with the number of runs of its body.  No
@@ -1678,36 +1683,37 @@
 static void
 check_request(struct fake_cluster *c, uint32_t number)
 {
-	const struct fake_call *k = fake_cluster_answer(c, number);
-	uint64_t runs = fake_cluster_ran(c, k->body);
+	const struct fake_call *k = fake_cluster_get_call(c, number);
+	uint64_t runs = fake_cluster_run_count(c, k->body);
 	char *whole;
 
 	if (!k->idempotent && runs > 1)
-		fake_cluster_fault(c, "call %u: \"%s\" ran %u times", number,
-		    k->body, (unsigned)runs);
+		fake_cluster_report_violation(c, "call %u: \"%s\" ran %u times",
+		    number, k->body, (unsigned)runs);
 	if (k->verdict == OGL_NOT_RUN && runs > 0 && k->id[0] == '\0')
-		fake_cluster_fault(
+		fake_cluster_report_violation(
 		    c, "call %u: not_run, but \"%s\" ran", number, k->body);
-	if (k->cut || k->verdict != OGL_RAN)
+	if (k->disconnected || k->verdict != OGL_RAN)
 		return;
 	whole = g_strdup_printf("%s|check|%s", k->team, k->body);
 	if (runs == 0)
-		fake_cluster_fault(
+		fake_cluster_report_violation(
 		    c, "call %u: ran, but \"%s\" never did", number, k->body);
 	else if (strcmp(whole, k->answer) != 0)
-		fake_cluster_fault(c, "call %u: answer \"%s\" is not its own",
-		    number, k->answer);
+		fake_cluster_report_violation(c,
+		    "call %u: answer \"%s\" is not its own", number, k->answer);
 	g_free(whole);
 }
 
 void
-fake_cluster_check(struct fake_cluster *c)
+fake_cluster_check_answers(struct fake_cluster *c)
 {
 	for (uint32_t i = 0; i < c->calls->len; i++) {
-		const struct fake_call *k = fake_cluster_answer(c, i);
+		const struct fake_call *k = fake_cluster_get_call(c, i);
 
 		if (!k->done)
-			fake_cluster_fault(c, "call %u was never answered", i);
+			fake_cluster_report_violation(
+			    c, "call %u was never answered", i);
 		else if (strcmp(k->path, "/v1/requests") == 0)
 			check_request(c, i);
 	}
@@ -1720,7 +1726,7 @@
 }
 
 const char *
-fake_cluster_faults(const struct fake_cluster *c)
+fake_cluster_violations(const struct fake_cluster *c)
 {
 	return c->faults->str;
 }
@@ -1732,7 +1738,7 @@
 }
 
 char *
-fake_cluster_tail(const struct fake_cluster *c, size_t lines)
+fake_cluster_trace_tail(const struct fake_cluster *c, size_t lines)
 {
 	const char *p = c->trace->str + c->trace->len;
 
--- a/test/fake_cluster.h
+++ b/test/fake_cluster.h
@@ -46,25 +46,30 @@
 	FAKE_EXEC
 };
 
-/* Faults of the network; may be changed between calls.  Probabilities are in
- * thousandths. */
+/* Faults of the network; may be changed between calls. */
 struct fake_net {
-	uint32_t peer_lost; /* messages between nodes */
-	uint32_t peer_doubled;
-	uint32_t peer_late;    /* delayed by up to `late`, thus reordered */
-	uint32_t sync_lost;    /* syncs that do not reach the worker */
-	uint32_t report_lost;  /* answers of workers */
-	uint32_t append_lost;  /* answers to appends that took effect */
-	uint32_t request_lost; /* answers of executors */
-	ogl_time late;         /* longest extra delay of a peer message */
-	ogl_time hosts_lag;    /* until the host list shows a change */
+	/* Messages between nodes; late ones are delayed by up to
+	 * peer_delay_max and thus reordered. */
+	uint32_t peer_lost_per_mille;
+	uint32_t peer_doubled_per_mille;
+	uint32_t peer_late_per_mille;
+	/* Syncs that do not reach the worker. */
+	uint32_t sync_lost_per_mille;
+	/* Answers of workers. */
+	uint32_t report_lost_per_mille;
+	/* Answers to appends that took effect. */
+	uint32_t append_lost_per_mille;
+	/* Answers of executors. */
+	uint32_t request_lost_per_mille;
+	ogl_time peer_delay_max; /* longest extra delay of a peer message */
+	ogl_time hosts_lag;      /* until the host list shows a change */
 };
 
 /* Safety checks that are disabled, to test that a run fails without them. */
-struct fake_unguarded {
-	bool epochs; /* workers accept syncs of any epoch */
-	bool starts; /* start commands never expire */
-	bool leases; /* workers' leases last 100 times as long */
+struct fake_disabled_guards {
+	bool epoch_check;  /* workers accept syncs of any epoch */
+	bool start_expiry; /* start commands never expire */
+	bool lease_expiry; /* workers' leases last 100 times as long */
 };
 
 /* One call and its result. */
@@ -76,11 +81,11 @@
 	char *body; /* as sent */
 	char *team; /* as given to fake_cluster_call */
 	bool idempotent;
-	ogl_time asked;
+	ogl_time asked_at;
 	bool arrived; /* delivered to the node */
 	bool done;
-	bool cut; /* the node's process ended before it answered */
-	ogl_time answered;
+	bool disconnected; /* the node's process ended before it answered */
+	ogl_time answered_at;
 	uint32_t status;
 	enum ogl_verdict verdict;
 	uint64_t retry_after_ms;
@@ -88,7 +93,7 @@
 };
 
 /* A call to send. */
-struct fake_ask {
+struct fake_call_spec {
 	const char *method;
 	const char *path;
 	const char *key;
@@ -110,7 +115,7 @@
 /* Advances the virtual time until fn returns true, but by at most limit.
  * Returns whether fn did. */
 
-void fake_cluster_at(struct fake_cluster *c, ogl_time at,
+void fake_cluster_schedule_at(struct fake_cluster *c, ogl_time at,
     void (*fn)(struct fake_cluster *c, void *ctx), void *ctx);
 /* Calls fn once at the virtual time `at`. */
 
@@ -129,7 +134,7 @@
 
 void fake_cluster_pause(struct fake_cluster *c, uint32_t node, ogl_time length);
 /* Suspends the node's process for length. */
-void fake_cluster_pause_sending(struct fake_cluster *c, uint32_t node,
+void fake_cluster_pause_at_action(struct fake_cluster *c, uint32_t node,
     enum ogl_action_type type, ogl_time length);
 /* Pauses the node in the step that produces the next action of this type.
  * This action and all that follow it are sent when the pause ends. */
@@ -147,7 +152,8 @@
 struct fake_net *fake_cluster_net(struct fake_cluster *c);
 struct ogl_history *fake_cluster_history(struct fake_cluster *c);
 void fake_cluster_restart_worker(struct fake_cluster *c, uint32_t w);
-struct fake_unguarded *fake_cluster_unguarded(struct fake_cluster *c);
+struct fake_disabled_guards *fake_cluster_disabled_guards(
+    struct fake_cluster *c);
 struct fake_log *fake_cluster_log(struct fake_cluster *c);
 struct fake_worker *fake_cluster_worker(struct fake_cluster *c, uint32_t w);
 struct fake_exec *fake_cluster_exec(struct fake_cluster *c, uint32_t e);
@@ -157,7 +163,7 @@
 void fake_cluster_heal(struct fake_cluster *c);
 /* Ends every cut, outage, loss and fault.  Nodes that are down stay down. */
 
-void fake_cluster_leaving(struct fake_cluster *c, enum fake_endpoint side,
+void fake_cluster_set_leaving(struct fake_cluster *c, enum fake_endpoint side,
     uint32_t index, bool leaving);
 /* Marks a worker or executor as leaving on the host list, which shows it
  * after hosts_lag. */
@@ -165,25 +171,25 @@
 /* ---- callers ---------------------------------------------------------- */
 
 uint32_t fake_cluster_call(
-    struct fake_cluster *c, uint32_t node, const struct fake_ask *ask);
+    struct fake_cluster *c, uint32_t node, const struct fake_call_spec *ask);
 /* Sends a call and returns its number. */
-const struct fake_call *fake_cluster_answer(
+const struct fake_call *fake_cluster_get_call(
     const struct fake_cluster *c, uint32_t call);
 /* The call of this number, answered or not. */
-uint32_t fake_cluster_calls(const struct fake_cluster *c);
+uint32_t fake_cluster_call_count(const struct fake_cluster *c);
 /* Number of calls sent so far. */
-const struct fake_call *fake_cluster_ask(
-    struct fake_cluster *c, uint32_t node, const struct fake_ask *ask);
+const struct fake_call *fake_cluster_call_wait(
+    struct fake_cluster *c, uint32_t node, const struct fake_call_spec *ask);
 /* Sends a call and waits up to 30 s for its answer. */
 
-const char *fake_cluster_operator(const struct fake_cluster *c);
+const char *fake_cluster_operator_key(const struct fake_cluster *c);
 /* The key of the first operator. */
 
-bool fake_cluster_set(
+bool fake_cluster_edit_setting(
     struct fake_cluster *c, uint32_t node, const char *path, const char *value);
 /* Sets one path of the settings tree; returns whether it was accepted. */
 
-char *fake_cluster_key(
+char *fake_cluster_create_key(
     struct fake_cluster *c, uint32_t node, const char *team, char **id);
 /* Creates a key for the team; g_free.  *id is set to the key's id, also to be
  * freed, unless id is NULL. */
@@ -194,44 +200,45 @@
 
 /* ---- observations ----------------------------------------------------- */
 
-uint64_t fake_cluster_ran(const struct fake_cluster *c, const char *body);
+uint64_t fake_cluster_run_count(const struct fake_cluster *c, const char *body);
 /* How often executors ran a request with this body. */
 
-uint32_t fake_cluster_starts(const struct fake_cluster *c, const char *task);
+uint32_t fake_cluster_start_count(
+    const struct fake_cluster *c, const char *task);
 /* How often the task was started, on all workers. */
 
-uint32_t fake_cluster_again(const struct fake_cluster *c, const char *task);
+uint32_t fake_cluster_reruns(const struct fake_cluster *c, const char *task);
 /* Starts after the first one, except those from a checkpoint. */
 
 bool fake_cluster_succeeded(const struct fake_cluster *c, const char *task);
 uint32_t fake_cluster_running(const struct fake_cluster *c, const char *task);
 uint32_t fake_cluster_team_running(
     const struct fake_cluster *c, const char *team);
-uint32_t fake_cluster_team_most(struct fake_cluster *c, const char *team);
+uint32_t fake_cluster_team_peak(struct fake_cluster *c, const char *team);
 /* Most tasks of the team that ran at the same time since the last call of
  * this function. */
 
-void fake_cluster_limit(
+void fake_cluster_expect_limit(
     struct fake_cluster *c, const char *team, uint32_t limit);
-/* From now on, reports a fault when the team runs more than limit tasks. */
+/* From now on, reports a violation when the team runs more than limit tasks. */
 
-void fake_cluster_check(struct fake_cluster *c);
+void fake_cluster_check_answers(struct fake_cluster *c);
 /* Compares the answer of every call with what ran; for the end of a run. */
 
 void fake_cluster_note(struct fake_cluster *c, const char *what);
 /* Adds a line to the trace. */
 
-void fake_cluster_fault(struct fake_cluster *c, const char *fmt, ...)
+void fake_cluster_report_violation(struct fake_cluster *c, const char *fmt, ...)
     G_GNUC_PRINTF(2, 3);
 /* Reports that a rule was broken. */
 
-const char *fake_cluster_faults(const struct fake_cluster *c);
+const char *fake_cluster_violations(const struct fake_cluster *c);
 /* The broken rules so far, one a line; empty if there are none. */
 
 const char *fake_cluster_trace(const struct fake_cluster *c);
 /* The trace so far, one event a line. */
 
-char *fake_cluster_tail(const struct fake_cluster *c, size_t lines);
+char *fake_cluster_trace_tail(const struct fake_cluster *c, size_t lines);
 /* The last lines of the trace; g_free. */
 
 #ifdef __cplusplus
--- a/test/fake_cluster_tell.c
+++ b/test/fake_cluster_tell.c
@@ -28,7 +28,7 @@
 fake_record_call(struct ogl_history *h, uint32_t number, const char *node,
     const struct fake_call *k, uint64_t timeout_ms)
 {
-	struct history_event ev = {.type = HISTORY_CALL, .at = k->asked};
+	struct history_event ev = {.type = HISTORY_CALL, .at = k->asked_at};
 	char name[16];
 
 	if (!submits_work(k))
@@ -49,7 +49,7 @@
 static void
 record_job(struct ogl_history *h, const char *call, const struct fake_call *k)
 {
-	struct history_event ev = {.type = HISTORY_JOB, .at = k->answered};
+	struct history_event ev = {.type = HISTORY_JOB, .at = k->answered_at};
 	char *job = fake_cluster_field(k->answer, "job");
 	char *state = fake_cluster_field(k->answer, "state");
 	const ProtobufCEnumValue *v =
@@ -92,20 +92,21 @@
 static void
 record_edit(struct ogl_history *h, const struct fake_call *k)
 {
-	struct history_event ev = {.type = HISTORY_EDIT, .at = k->answered};
+	struct history_event ev = {.type = HISTORY_EDIT, .at = k->answered_at};
 	json_t *edit = json_loads(k->body, 0, NULL);
 	char *version = fake_cluster_field(k->answer, "version");
 	char team[128] = "";
 
 	ev.u.edit.what = HISTORY_EDIT_OTHER;
-	ev.u.edit.accepted = !k->cut && k->status < 300;
-	ev.u.edit.asked = k->asked;
+	ev.u.edit.accepted = !k->disconnected && k->status < 300;
+	ev.u.edit.asked = k->asked_at;
 	ev.u.edit.version =
 	    version != NULL ? g_ascii_strtoull(version, NULL, 10) : 0;
 	if (parse_team_limit(edit, team, &ev.u.edit.limit))
 		ev.u.edit.what = HISTORY_EDIT_LIMIT;
 	ev.u.edit.team = team;
-	if (ev.u.edit.accepted || k->cut || k->verdict == OGL_MAY_HAVE_RUN)
+	if (ev.u.edit.accepted || k->disconnected ||
+	    k->verdict == OGL_MAY_HAVE_RUN)
 		ogl_history_add(h, &ev);
 	json_decref(edit);
 	g_free(version);
@@ -115,19 +116,20 @@
 fake_record_answer(
     struct ogl_history *h, uint32_t number, const struct fake_call *k)
 {
-	struct history_event ev = {.type = HISTORY_ANSWER, .at = k->answered};
+	struct history_event ev = {
+	    .type = HISTORY_ANSWER, .at = k->answered_at};
 	char name[16];
 
 	g_snprintf(name, sizeof name, "%u", number);
 	if (submits_work(k)) {
 		ev.u.answer.call = name;
-		ev.u.answer.status = k->cut ? 0 : k->status;
+		ev.u.answer.status = k->disconnected ? 0 : k->status;
 		ev.u.answer.verdict = k->verdict;
-		if (k->cut && k->arrived)
+		if (k->disconnected && k->arrived)
 			ev.u.answer.verdict = HISTORY_BROKEN;
 		/* The event of an accepted job, added below, says whether it
 		 * ran. */
-		if (submits_job(k) && !k->cut && k->status / 100 == 2)
+		if (submits_job(k) && !k->disconnected && k->status / 100 == 2)
 			ev.u.answer.verdict = HISTORY_RAN;
 		ev.u.answer.retry_after_ms = k->retry_after_ms;
 		ev.u.answer.body = k->answer;
@@ -136,7 +138,7 @@
 	if (strcmp(k->path, "/v1/settings") == 0 &&
 	    strcmp(k->method, "POST") == 0)
 		record_edit(h, k);
-	if (!k->cut && k->status / 100 == 2 &&
+	if (!k->disconnected && k->status / 100 == 2 &&
 	    (submits_job(k) || g_str_has_prefix(k->path, "/v1/jobs/")))
 		record_job(h, submits_job(k) ? name : "", k);
 }
--- a/test/fake_exec.c
+++ b/test/fake_exec.c
@@ -134,14 +134,14 @@
 	a->accepted = true;
 	a->status = c->fail_all ? 500 : 200;
 	a->finish_at = now + (ogl_time)run_ms * OGL_MS;
-	a->answer_at = a->finish_at + c->late;
+	a->answer_at = a->finish_at + c->answer_delay;
 	g_array_append_val(e->running, a->finish_at);
 	count_run(e, body);
 	echo(a, body, team, kind);
-	a->lost = consume_one(&c->lose);
-	if (!a->lost && consume_one(&c->cut))
+	a->lost = consume_one(&c->lose_answers);
+	if (!a->lost && consume_one(&c->truncate_answers))
 		a->sent_bytes = a->n / 2;
-	if (!a->lost && consume_one(&c->cross))
+	if (!a->lost && consume_one(&c->wrong_tokens))
 		a->token = token + 1;
 	if (e->hook != NULL) {
 		struct fake_exec_event ev = {
--- a/test/fake_exec.h
+++ b/test/fake_exec.h
@@ -21,12 +21,12 @@
 
 /* Faults of the executor; may be changed between calls. */
 struct fake_exec_script {
-	bool fail_all;  /* requests run but are answered with status 500 */
-	bool leaving;   /* refuses new requests */
-	uint32_t lose;  /* number of next requests that run without an answer */
-	uint32_t cut;   /* number of next answers that end halfway */
-	uint32_t cross; /* number of next answers with a wrong token */
-	ogl_time late;  /* extra delay of each answer after the run */
+	bool fail_all; /* requests run but are answered with status 500 */
+	bool leaving;  /* refuses new requests */
+	uint32_t lose_answers;     /* number of next answers that are lost */
+	uint32_t truncate_answers; /* number of next answers that end halfway */
+	uint32_t wrong_tokens; /* number of next answers with a wrong token */
+	ogl_time answer_delay; /* extra delay of each answer after the run */
 };
 
 /* The result of one request; `body` is freed by fake_exec_answer_clear. */
@@ -39,7 +39,7 @@
 	ogl_time answer_at; /* when the answer is sent */
 	char *body;
 	size_t n;          /* bytes of the complete body */
-	size_t sent_bytes; /* less than n if the answer is cut */
+	size_t sent_bytes; /* less than n if truncated */
 };
 
 /* One run of a request, for a hook. */
--- a/test/fake_faults.c
+++ b/test/fake_faults.c
@@ -85,7 +85,7 @@
 }
 
 static uint32_t
-send_call(struct fake_faults *f, struct fake_ask *a)
+send_call(struct fake_faults *f, struct fake_call_spec *a)
 {
 	uint32_t node = live_node(f);
 
@@ -98,8 +98,8 @@
 static void
 resend_call(struct fake_faults *f, uint32_t call)
 {
-	const struct fake_call *k = fake_cluster_answer(f->c, call);
-	struct fake_ask a = {.method = k->method,
+	const struct fake_call *k = fake_cluster_get_call(f->c, call);
+	struct fake_call_spec a = {.method = k->method,
 	    .path = k->path,
 	    .team = k->team,
 	    .id = k->id,
@@ -120,7 +120,7 @@
 	char *body = g_strdup_printf("r%u run_ms=%u", ++f->call_count,
 	    (unsigned)random_below(f, 60) + 1);
 	char *id = g_strdup_printf("id%u", f->call_count);
-	struct fake_ask a = {.method = "POST",
+	struct fake_call_spec a = {.method = "POST",
 	    .path = "/v1/requests",
 	    .key = f->keys[t],
 	    .team = teams[t],
@@ -150,7 +150,7 @@
 	    random_below(f, 3) == 0 ? run_ms * 10 : run_ms;
 	char *id = g_strdup_printf("job%u", ++f->call_count);
 	char *body;
-	struct fake_ask a = {.method = "POST",
+	struct fake_call_spec a = {.method = "POST",
 	    .path = "/v1/jobs",
 	    .key = f->keys[t],
 	    .team = teams[t],
@@ -191,11 +191,11 @@
 static const char *
 job_id(struct fake_faults *f, struct load_job *j)
 {
-	const struct fake_call *first = fake_cluster_answer(f->c, j->call);
-	uint32_t n = fake_cluster_calls(f->c);
+	const struct fake_call *first = fake_cluster_get_call(f->c, j->call);
+	uint32_t n = fake_cluster_call_count(f->c);
 
 	for (uint32_t i = j->call; j->id == NULL && i < n; i++) {
-		const struct fake_call *k = fake_cluster_answer(f->c, i);
+		const struct fake_call *k = fake_cluster_get_call(f->c, i);
 
 		if (k->done && k->status == 202 && same_submit(k, first))
 			j->id = fake_cluster_field(k->answer, "job");
@@ -208,7 +208,7 @@
 {
 	struct load_job *j;
 	const struct fake_call *k;
-	struct fake_ask a = {.method = method};
+	struct fake_call_spec a = {.method = method};
 	char *path;
 
 	if (f->jobs->len == 0)
@@ -216,7 +216,7 @@
 	j = g_ptr_array_index(f->jobs, random_below(f, f->jobs->len));
 	if (job_id(f, j) == NULL)
 		return;
-	k = fake_cluster_answer(f->c, j->call);
+	k = fake_cluster_get_call(f->c, j->call);
 	path = g_strdup_printf("/v1/jobs/%s", j->id);
 	a.path = path;
 	a.team = k->team;
@@ -232,8 +232,8 @@
 static char *
 newest_version(struct fake_faults *f)
 {
-	for (uint32_t i = fake_cluster_calls(f->c); i > 0; i--) {
-		const struct fake_call *k = fake_cluster_answer(f->c, i - 1);
+	for (uint32_t i = fake_cluster_call_count(f->c); i > 0; i--) {
+		const struct fake_call *k = fake_cluster_get_call(f->c, i - 1);
 
 		if (k->done && k->status == 200 &&
 		    strcmp(k->path, "/v1/settings") == 0 &&
@@ -252,9 +252,9 @@
 	    "{\"base_version\":%s,\"who\":\"\",\"changes\":[{\"path\":"
 	    "\"teams/%s/share\",\"value\":\"%u\"}]}",
 	    base, teams[random_below(f, 3)], 1 + (unsigned)random_below(f, 9));
-	struct fake_ask a = {.method = "POST",
+	struct fake_call_spec a = {.method = "POST",
 	    .path = "/v1/settings",
-	    .key = fake_cluster_operator(f->c),
+	    .key = fake_cluster_operator_key(f->c),
 	    .body = body};
 
 	send_call(f, &a);
@@ -293,7 +293,7 @@
 	if (now >= f->until)
 		return;
 	send_random_call(f);
-	fake_cluster_at(c,
+	fake_cluster_schedule_at(c,
 	    now + (CALL_GAP_MIN_MS +
 		      (ogl_time)random_below(f, CALL_GAP_RANGE_MS)) *
 		      OGL_MS,
@@ -321,13 +321,13 @@
 begin_peer_loss(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_cluster_net(fault->f->c)->peer_lost = 300;
+	fake_cluster_net(fault->f->c)->peer_lost_per_mille = 300;
 }
 
 static void
 end_peer_loss(struct fault_instance *fault)
 {
-	fake_cluster_net(fault->f->c)->peer_lost = 0;
+	fake_cluster_net(fault->f->c)->peer_lost_per_mille = 0;
 }
 
 static void
@@ -336,9 +336,9 @@
 	struct fake_net *n = fake_cluster_net(fault->f->c);
 
 	(void)length;
-	n->peer_doubled = 200;
-	n->peer_late = 400;
-	n->late = 800 * OGL_MS;
+	n->peer_doubled_per_mille = 200;
+	n->peer_late_per_mille = 400;
+	n->peer_delay_max = 800 * OGL_MS;
 }
 
 static void
@@ -346,8 +346,8 @@
 {
 	struct fake_net *n = fake_cluster_net(fault->f->c);
 
-	n->peer_doubled = 0;
-	n->peer_late = 0;
+	n->peer_doubled_per_mille = 0;
+	n->peer_late_per_mille = 0;
 }
 
 static void
@@ -450,27 +450,27 @@
 log_slow(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_log_script(fake_cluster_log(fault->f->c))->slow =
+	fake_log_script(fake_cluster_log(fault->f->c))->answer_delay =
 	    (200 + (ogl_time)random_below(fault->f, 1500)) * OGL_MS;
 }
 
 static void
 log_normal(struct fault_instance *fault)
 {
-	fake_log_script(fake_cluster_log(fault->f->c))->slow = 0;
+	fake_log_script(fake_cluster_log(fault->f->c))->answer_delay = 0;
 }
 
 static void
 begin_append_loss(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_cluster_net(fault->f->c)->append_lost = 400;
+	fake_cluster_net(fault->f->c)->append_lost_per_mille = 400;
 }
 
 static void
 end_append_loss(struct fault_instance *fault)
 {
-	fake_cluster_net(fault->f->c)->append_lost = 0;
+	fake_cluster_net(fault->f->c)->append_lost_per_mille = 0;
 }
 
 static void
@@ -527,7 +527,7 @@
 	static const enum ogl_action_type types[] = {
 	    OGL_ACT_WORKER, OGL_ACT_LOG_APPEND, OGL_ACT_EXEC, OGL_ACT_PEER};
 
-	fake_cluster_pause_sending(
+	fake_cluster_pause_at_action(
 	    fault->f->c, fault->node, types[fault->choice % 4], length);
 }
 
@@ -548,13 +548,13 @@
 worker_down(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_worker_script(worker_of_fault(fault))->down = true;
+	fake_worker_script(worker_of_fault(fault))->unreachable = true;
 }
 
 static void
 worker_up(struct fault_instance *fault)
 {
-	fake_worker_script(worker_of_fault(fault))->down = false;
+	fake_worker_script(worker_of_fault(fault))->unreachable = false;
 }
 
 static void
@@ -587,7 +587,7 @@
 	if (fault->choice % fault->f->cfg.workers == 0)
 		return;
 	fake_worker_script(worker_of_fault(fault))->leaving = true;
-	fake_cluster_leaving(fault->f->c, FAKE_WORKER,
+	fake_cluster_set_leaving(fault->f->c, FAKE_WORKER,
 	    fault->choice % fault->f->cfg.workers, true);
 }
 
@@ -595,15 +595,15 @@
 begin_sync_loss(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_cluster_net(fault->f->c)->sync_lost = 200;
-	fake_cluster_net(fault->f->c)->report_lost = 300;
+	fake_cluster_net(fault->f->c)->sync_lost_per_mille = 200;
+	fake_cluster_net(fault->f->c)->report_lost_per_mille = 300;
 }
 
 static void
 end_sync_loss(struct fault_instance *fault)
 {
-	fake_cluster_net(fault->f->c)->sync_lost = 0;
-	fake_cluster_net(fault->f->c)->report_lost = 0;
+	fake_cluster_net(fault->f->c)->sync_lost_per_mille = 0;
+	fake_cluster_net(fault->f->c)->report_lost_per_mille = 0;
 }
 
 static struct fake_exec_script *
@@ -620,10 +620,10 @@
 
 	(void)length;
 	s->fail_all = fault->node % 2 == 0;
-	s->lose = 5;
-	s->cut = 5;
-	s->cross = 5;
-	s->late = (ogl_time)random_below(fault->f, 3000) * OGL_MS;
+	s->lose_answers = 5;
+	s->truncate_answers = 5;
+	s->wrong_tokens = 5;
+	s->answer_delay = (ogl_time)random_below(fault->f, 3000) * OGL_MS;
 }
 
 static void
@@ -643,7 +643,7 @@
 	if (fault->choice % fault->f->cfg.execs == 0)
 		return;
 	exec_of_fault(fault)->leaving = true;
-	fake_cluster_leaving(
+	fake_cluster_set_leaving(
 	    fault->f->c, FAKE_EXEC, fault->choice % fault->f->cfg.execs, true);
 }
 
@@ -651,13 +651,13 @@
 begin_answer_loss(struct fault_instance *fault, ogl_time length)
 {
 	(void)length;
-	fake_cluster_net(fault->f->c)->request_lost = 300;
+	fake_cluster_net(fault->f->c)->request_lost_per_mille = 300;
 }
 
 static void
 end_answer_loss(struct fault_instance *fault)
 {
-	fake_cluster_net(fault->f->c)->request_lost = 0;
+	fake_cluster_net(fault->f->c)->request_lost_per_mille = 0;
 }
 
 static void
@@ -752,7 +752,7 @@
 	fake_cluster_note(f->c, fault->type->name);
 	record_fault(fault, true);
 	fault->type->begin(fault, length);
-	fake_cluster_at(
+	fake_cluster_schedule_at(
 	    f->c, fake_cluster_now(f->c) + length, end_fault, fault);
 }
 
@@ -767,7 +767,7 @@
 	begin_fault(f);
 	if (random_below(f, 3) == 0)
 		begin_fault(f);
-	fake_cluster_at(c,
+	fake_cluster_schedule_at(c,
 	    now + (FAULT_GAP_MIN_MS +
 		      (ogl_time)random_below(f, FAULT_GAP_RANGE_MS)) *
 		      OGL_MS,
@@ -785,15 +785,15 @@
 	for (uint32_t i = 0; i < 3; i++) {
 		char *path = g_strdup_printf("teams/%s", teams[i]);
 
-		fake_cluster_set(f->c, 0, path, "{}");
+		fake_cluster_edit_setting(f->c, 0, path, "{}");
 		g_free(path);
 	}
 	g_snprintf(limit, sizeof limit, "%d", TEAM_A_LIMIT_TASKS);
-	fake_cluster_set(f->c, 0, "teams/a/limit_tasks", limit);
+	fake_cluster_edit_setting(f->c, 0, "teams/a/limit_tasks", limit);
 	for (uint32_t i = 0; i < 3; i++)
-		f->keys[i] = fake_cluster_key(f->c, 0, teams[i], NULL);
+		f->keys[i] = fake_cluster_create_key(f->c, 0, teams[i], NULL);
 	fake_cluster_run(f->c, OGL_SEC);
-	fake_cluster_limit(f->c, "a", TEAM_A_LIMIT_TASKS);
+	fake_cluster_expect_limit(f->c, "a", TEAM_A_LIMIT_TASKS);
 }
 
 struct fake_faults *
@@ -861,19 +861,19 @@
 
 	for (uint32_t i = 0; i < j->tasks; i++) {
 		char *task = g_strdup_printf("%s.%u", j->id, i);
-		uint32_t starts = fake_cluster_starts(f->c, task);
+		uint32_t starts = fake_cluster_start_count(f->c, task);
 
 		if (g_strcmp0(state, "done") == 0 &&
 		    !fake_cluster_succeeded(f->c, task))
-			fake_cluster_fault(f->c,
+			fake_cluster_report_violation(f->c,
 			    "job %s is done, but task %s did not succeed",
 			    j->id, task);
 		if (g_strcmp0(verdict, "not_run") == 0 && starts > 0)
-			fake_cluster_fault(f->c,
+			fake_cluster_report_violation(f->c,
 			    "job %s: not_run, but task %s started", j->id,
 			    task);
-		if (!j->restartable && fake_cluster_again(f->c, task) > 0)
-			fake_cluster_fault(f->c,
+		if (!j->restartable && fake_cluster_reruns(f->c, task) > 0)
+			fake_cluster_report_violation(f->c,
 			    "task %s may not be restarted, but started %u "
 			    "times",
 			    task, starts);
@@ -887,13 +887,14 @@
 static bool
 poll_job(struct fake_faults *f, struct load_job *j)
 {
-	const struct fake_call *k = fake_cluster_answer(f->c, j->call);
+	const struct fake_call *k = fake_cluster_get_call(f->c, j->call);
 	char *path = g_strdup_printf("/v1/jobs/%s", j->id);
-	struct fake_ask a = {
-	    .method = "GET", .path = path, .key = fake_cluster_operator(f->c)};
+	struct fake_call_spec a = {.method = "GET",
+	    .path = path,
+	    .key = fake_cluster_operator_key(f->c)};
 	char *state;
 
-	k = fake_cluster_ask(f->c, live_node(f), &a);
+	k = fake_cluster_call_wait(f->c, live_node(f), &a);
 	state = fake_cluster_field(k->answer, "state");
 	if (k->status == 200 && g_strcmp0(state, "queued") != 0 &&
 	    g_strcmp0(state, "active") != 0) {
@@ -901,7 +902,7 @@
 		check_job_view(f, j, k->answer);
 	}
 	if (k->status == 404) {
-		fake_cluster_fault(
+		fake_cluster_report_violation(
 		    f->c, "job %s was accepted and is lost", j->id);
 		j->ended = true;
 	}
@@ -932,11 +933,11 @@
 	    "/v1/shards", "/v1/queues", "/v1/workers", "/v1/members"};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(paths); i++) {
-		struct fake_ask a = {.method = "GET",
+		struct fake_call_spec a = {.method = "GET",
 		    .path = paths[i],
-		    .key = fake_cluster_operator(f->c)};
+		    .key = fake_cluster_operator_key(f->c)};
 
-		fake_cluster_ask(f->c, live_node(f), &a);
+		fake_cluster_call_wait(f->c, live_node(f), &a);
 	}
 }
 
@@ -953,7 +954,8 @@
 		if (!any)
 			query_views(f);
 		any = true;
-		fake_cluster_fault(f->c, "job %s never ended", j->id);
+		fake_cluster_report_violation(
+		    f->c, "job %s never ended", j->id);
 	}
 }
 
@@ -999,7 +1001,7 @@
 	g_free(report);
 	for (size_t i = 0; i < n; i++) {
 		if (!is_allowed_finding(&found[i]))
-			fake_cluster_fault(f->c, "history: %s: %s",
+			fake_cluster_report_violation(f->c, "history: %s: %s",
 			    found[i].invariant->name, found[i].text);
 	}
 	ogl_check_end(check);
@@ -1027,10 +1029,10 @@
 		uint32_t n = fake_cluster_team_running(f->c, teams[i]);
 
 		if (n > 0)
-			fake_cluster_fault(f->c,
+			fake_cluster_report_violation(f->c,
 			    "%u tasks of team %s run though all has ended", n,
 			    teams[i]);
 	}
-	fake_cluster_check(f->c);
+	fake_cluster_check_answers(f->c);
 	check_history(f);
 }
--- a/test/fake_faults.h
+++ b/test/fake_faults.h
@@ -29,7 +29,7 @@
 
 void fake_faults_settle(struct fake_faults *f);
 /* Heals all faults, waits for the accepted jobs to end and checks the history.
- * Violations are reported by fake_cluster_faults(). */
+ * Violations are reported by fake_cluster_violations(). */
 
 #ifdef __cplusplus
 }
--- a/test/fake_feed.c
+++ b/test/fake_feed.c
@@ -26,7 +26,7 @@
 }
 
 void
-fake_feed_capacity(struct ogl_history *h, const char *worker, uint64_t boot,
+fake_record_capacity(struct ogl_history *h, const char *worker, uint64_t boot,
     const struct ogl_res *capacity, ogl_time now)
 {
 	struct history_event e = {.type = HISTORY_WORKER, .at = now};
--- a/test/fake_feed.h
+++ b/test/fake_feed.h
@@ -14,7 +14,7 @@
 void fake_record_worker(void *h, const struct fake_worker_event *ev);
 /* A hook for fake_worker_hook; h is a struct ogl_history. */
 
-void fake_feed_capacity(struct ogl_history *h, const char *worker,
+void fake_record_capacity(struct ogl_history *h, const char *worker,
     uint64_t boot, const struct ogl_res *capacity, ogl_time now);
 /* Adds a HISTORY_WORKER event. */
 
--- a/test/fake_log.c
+++ b/test/fake_log.c
@@ -84,13 +84,14 @@
 static bool
 take_token(struct fake_log *l, ogl_time now)
 {
-	double cap = MAX(1.0, l->script.rate * BUCKET_S);
+	double cap = MAX(1.0, l->script.appends_per_s * BUCKET_S);
 	double since = (double)(now - l->filled_at) / (double)OGL_SEC;
 
 	if (!l->started)
 		l->tokens = cap;
 	else if (since > 0)
-		l->tokens = MIN(cap, l->tokens + since * l->script.rate);
+		l->tokens =
+		    MIN(cap, l->tokens + since * l->script.appends_per_s);
 	l->started = true;
 	l->filled_at = MAX(l->filled_at, now);
 	if (l->tokens < 1.0)
@@ -104,7 +105,7 @@
 {
 	struct fake_log *l = g_new0(struct fake_log, 1);
 
-	l->script.rate = DEFAULT_APPENDS_PER_S;
+	l->script.appends_per_s = DEFAULT_APPENDS_PER_S;
 	l->streams =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, stream_free);
 	return l;
@@ -130,7 +131,7 @@
     ogl_time now, uint64_t *offset)
 {
 	struct stream *s = stream_get(l, stream);
-	bool lose = l->script.lose > 0;
+	bool lose = l->script.lose_answers > 0;
 	struct record *r;
 
 	if (l->script.outage && !lose)
@@ -145,7 +146,7 @@
 	stream_trim(l, s, now);
 	if (!lose)
 		return FAKE_LOG_OK;
-	l->script.lose--;
+	l->script.lose_answers--;
 	return FAKE_LOG_LOST;
 }
 
--- a/test/fake_log.h
+++ b/test/fake_log.h
@@ -24,12 +24,12 @@
 
 /* Limits and faults of the log; may be changed between calls. */
 struct fake_log_script {
-	double rate;         /* appends per second, over all streams */
-	uint64_t keep_count; /* records kept per stream; 0: no limit */
-	ogl_time keep_age;   /* records this old are dropped; 0: no limit */
-	bool outage;         /* appends and reads fail */
-	uint32_t lose;       /* number of next appends without an answer */
-	ogl_time slow;       /* extra delay of answers; the caller applies it */
+	double appends_per_s;  /* over all streams */
+	uint64_t keep_count;   /* records kept per stream; 0: no limit */
+	ogl_time keep_age;     /* records this old are dropped; 0: no limit */
+	bool outage;           /* appends and reads fail */
+	uint32_t lose_answers; /* number of next appends without an answer */
+	ogl_time answer_delay; /* of each answer; the caller applies it */
 };
 
 struct fake_log *fake_log_init(void);
@@ -40,8 +40,8 @@
 enum fake_log_result fake_log_append(struct fake_log *l, const char *stream,
     struct ogl_str data, ogl_time now, uint64_t *offset);
 /* Appends one record.  Its offset is stored in *offset, also when the answer is
- * lost.  `lose` takes precedence over `outage`: such a record is appended even
- * during an outage. */
+ * lost.  `lose_answers` takes precedence over `outage`: such a record is
+ * appended even during an outage. */
 
 enum fake_log_result fake_log_read(struct fake_log *l, const char *stream,
     uint64_t from, ogl_time now, uint64_t *first, uint64_t *next,
--- a/test/fake_worker.c
+++ b/test/fake_worker.c
@@ -297,7 +297,7 @@
 	w->epoch = 0;
 	w->seq = 0;
 	w->lease_until_ms = 0;
-	w->script.down = false;
+	w->script.unreachable = false;
 }
 
 /* ---- one sync ---------------------------------------------------------- */
@@ -575,7 +575,7 @@
 	uint64_t from_ms;
 
 	*report = NULL;
-	if (w->script.down)
+	if (w->script.unreachable)
 		return false;
 	fake_worker_tick(w, now);
 	if (s->epoch < w->epoch || (s->epoch == w->epoch && s->seq <= w->seq)) {
--- a/test/fake_worker.h
+++ b/test/fake_worker.h
@@ -29,9 +29,9 @@
 
 /* Capacity and faults of the worker; may be changed between calls. */
 struct fake_worker_script {
-	bool fail_all; /* every new task fails soon after its start */
-	bool down;     /* unreachable; tasks run on until the lease expires */
-	bool leaving;  /* set in its reports */
+	bool fail_all;           /* every new task fails soon after its start */
+	bool unreachable;        /* tasks run on until the lease expires */
+	bool leaving;            /* set in its reports */
 	struct ogl_res capacity; /* may be less than what tasks hold */
 };
 
--- a/test/standin_executor.c
+++ b/test/standin_executor.c
@@ -137,10 +137,10 @@
 	const struct fake_ctl table[] = {
 	    {"fail_all", FAKE_CTL_FLAG, &k->fail_all},
 	    {"leaving", FAKE_CTL_FLAG, &k->leaving},
-	    {"lose", FAKE_CTL_COUNT, &k->lose},
-	    {"cut", FAKE_CTL_COUNT, &k->cut},
-	    {"cross", FAKE_CTL_COUNT, &k->cross},
-	    {"late_ms", FAKE_CTL_MS, &k->late},
+	    {"lose", FAKE_CTL_COUNT, &k->lose_answers},
+	    {"cut", FAKE_CTL_COUNT, &k->truncate_answers},
+	    {"cross", FAKE_CTL_COUNT, &k->wrong_tokens},
+	    {"late_ms", FAKE_CTL_MS, &k->answer_delay},
 	};
 
 	return fake_ctl_answer(c, table, G_N_ELEMENTS(table));
--- a/test/standin_platform.c
+++ b/test/standin_platform.c
@@ -134,7 +134,7 @@
 static enum fake_http_next
 serve_hosts(struct platform *p, struct fake_http_call *c, ogl_time now)
 {
-	c->delay = fake_log_script(p->log)->slow;
+	c->delay = fake_log_script(p->log)->answer_delay;
 	if (p->hosts_down)
 		return fake_http_text(c, 503, g_strdup("outage\n"));
 	return fake_http_json(
@@ -149,7 +149,7 @@
 	enum fake_log_result r;
 	uint64_t at = 0;
 
-	c->delay = k->slow;
+	c->delay = k->answer_delay;
 	r = fake_log_append(p->log, stream, c->body, now, &at);
 	if (r == FAKE_LOG_OK || r == FAKE_LOG_LOST)
 		fake_http_wake(p->http);
@@ -199,7 +199,7 @@
 	uint64_t next;
 	size_t n;
 
-	c->delay = fake_log_script(p->log)->slow;
+	c->delay = fake_log_script(p->log)->answer_delay;
 	if (fake_log_read(p->log, stream, from, now, &first, &next, entries,
 		MIN(max, MAX_READ_RECORDS), &n) != FAKE_LOG_OK)
 		return fake_http_text(c, 503, g_strdup("outage\n"));
@@ -242,9 +242,9 @@
 	const struct fake_ctl table[] = {
 	    {"outage", FAKE_CTL_FLAG, &k->outage},
 	    {"hosts_down", FAKE_CTL_FLAG, &p->hosts_down},
-	    {"lose", FAKE_CTL_COUNT, &k->lose},
-	    {"slow_ms", FAKE_CTL_MS, &k->slow},
-	    {"rate", FAKE_CTL_REAL, &k->rate},
+	    {"lose", FAKE_CTL_COUNT, &k->lose_answers},
+	    {"slow_ms", FAKE_CTL_MS, &k->answer_delay},
+	    {"rate", FAKE_CTL_REAL, &k->appends_per_s},
 	    {"keep_count", FAKE_CTL_COUNT64, &k->keep_count},
 	    {"keep_age_ms", FAKE_CTL_MS, &k->keep_age},
 	    {"lag_ms", FAKE_CTL_MS, &p->hosts_lag},
--- a/test/standin_worker.c
+++ b/test/standin_worker.c
@@ -116,7 +116,7 @@
 	    (!booted && memcmp(c, &s->recorded_capacity, sizeof(*c)) == 0))
 		return;
 	s->recorded_capacity = *c;
-	fake_feed_capacity(s->history, s->name, s->boot, c, now);
+	fake_record_capacity(s->history, s->name, s->boot, c, now);
 }
 
 static void
@@ -207,7 +207,7 @@
 	struct fake_worker_script *k = fake_worker_script(s->worker);
 	const struct fake_ctl table[] = {
 	    {"fail_all", FAKE_CTL_FLAG, &k->fail_all},
-	    {"down", FAKE_CTL_FLAG, &k->down},
+	    {"down", FAKE_CTL_FLAG, &k->unreachable},
 	    {"leaving", FAKE_CTL_FLAG, &k->leaving},
 	    {"cpu_milli", FAKE_CTL_COUNT, &k->capacity.cpu_milli},
 	    {"mem_mb", FAKE_CTL_COUNT, &k->capacity.mem_mb},
--- a/test/test_check.cc
+++ b/test/test_check.cc
@@ -198,7 +198,7 @@
 	for (int w = 0; w < 4; w++) {
 		const struct ogl_res room = {2000, 64, 0};
 
-		fake_feed_capacity(
+		fake_record_capacity(
 		    h, ("w" + std::to_string(w)).c_str(), 1, &room, 0);
 	}
 	for (int i = 0; i < 20000; i++) {
--- a/test/test_cluster.cc
+++ b/test/test_cluster.cc
@@ -22,9 +22,10 @@
 	{
 		c = fake_cluster_init(&cfg);
 		fake_cluster_run(c, 8 * OGL_SEC);
-		ASSERT_TRUE(fake_cluster_set(c, 0, "teams/north", "{}"));
+		ASSERT_TRUE(
+		    fake_cluster_edit_setting(c, 0, "teams/north", "{}"));
 		fake_cluster_run(c, OGL_SEC);
-		char *k = fake_cluster_key(c, 1, "north", nullptr);
+		char *k = fake_cluster_create_key(c, 1, "north", nullptr);
 		ASSERT_NE(k, nullptr);
 		key = k;
 		g_free(k);
@@ -35,10 +36,10 @@
 	    const std::string &path, const std::string &body = "",
 	    const std::string &id = "", bool idempotent = false)
 	{
-		fake_ask a = {method, path.c_str(), key.c_str(), "north",
+		fake_call_spec a = {method, path.c_str(), key.c_str(), "north",
 		    id.c_str(), body.c_str(), idempotent, 0};
 
-		return fake_cluster_ask(c, node, &a);
+		return fake_cluster_call_wait(c, node, &a);
 	}
 
 	std::string submit(uint32_t node, const char *kind, int tasks,
@@ -90,10 +91,10 @@
 	{
 		if (c == nullptr)
 			return;
-		fake_cluster_check(c);
-		EXPECT_STREQ(fake_cluster_faults(c), "");
+		fake_cluster_check_answers(c);
+		EXPECT_STREQ(fake_cluster_violations(c), "");
 		if (HasFailure()) {
-			char *tail = fake_cluster_tail(c, 150);
+			char *tail = fake_cluster_trace_tail(c, 150);
 			fprintf(stderr, "%s", tail);
 			g_free(tail);
 		}
@@ -126,7 +127,7 @@
 	EXPECT_EQ(a->verdict, OGL_RAN);
 	EXPECT_EQ(b->verdict, OGL_RAN);
 	EXPECT_STREQ(b->answer, a->answer);
-	EXPECT_EQ(fake_cluster_ran(c, "book"), 1u);
+	EXPECT_EQ(fake_cluster_run_count(c, "book"), 1u);
 }
 
 TEST_F(Cluster, RunsJobsOfEveryKind)
@@ -169,7 +170,7 @@
 	fake_cluster_kill(c, owner);
 	EXPECT_TRUE(reaches_state((owner + 1) % 3, job, "done", 40));
 	for (int i = 0; i < 4; i++)
-		EXPECT_EQ(fake_cluster_starts(
+		EXPECT_EQ(fake_cluster_start_count(
 			      c, (job + "." + std::to_string(i)).c_str()),
 		    1u);
 }
--- a/test/test_cluster_scripts.cc
+++ b/test/test_cluster_scripts.cc
@@ -30,7 +30,7 @@
 {
       public:
 	std::string failure;
-	fake_unguarded guards_off = {};
+	fake_disabled_guards guards_off = {};
 	bool never_stale = false; /* old settings count as current */
 
 	~Script()
@@ -58,7 +58,7 @@
 
 	std::string history() const
 	{
-		char *t = fake_cluster_tail(c, 200);
+		char *t = fake_cluster_trace_tail(c, 200);
 		std::string s = t;
 
 		g_free(t);
@@ -141,7 +141,7 @@
 
 	std::string job_id(const std::string &name)
 	{
-		const fake_call *k = fake_cluster_answer(c, jobs[name].call);
+		const fake_call *k = fake_cluster_get_call(c, jobs[name].call);
 		char *id =
 		    k->done ? fake_cluster_field(k->answer, "job") : nullptr;
 		std::string s = id != nullptr ? id : "";
@@ -216,7 +216,8 @@
 	void new_key(const std::string &name)
 	{
 		char *id = nullptr;
-		char *k = fake_cluster_key(c, any_live_node(), TEAM, &id);
+		char *k =
+		    fake_cluster_create_key(c, any_live_node(), TEAM, &id);
 
 		if (k == nullptr)
 			return fail("no key was made");
@@ -236,9 +237,9 @@
 		cfg.seed = option(w, "seed", 1);
 		cfg.tune = never_stale ? tune_never_stale : tune;
 		c = fake_cluster_init(&cfg);
-		*fake_cluster_unguarded(c) = guards_off;
+		*fake_cluster_disabled_guards(c) = guards_off;
 		fake_cluster_run(c, 8 * OGL_SEC);
-		if (!fake_cluster_set(c, 0, "teams/north", "{}"))
+		if (!fake_cluster_edit_setting(c, 0, "teams/north", "{}"))
 			fail("the team was not made");
 		fake_cluster_run(c, OGL_SEC);
 		new_key("key");
@@ -248,8 +249,8 @@
 	    const std::string &body, const std::string &id, bool idempotent,
 	    const std::string &key)
 	{
-		fake_ask a = {method, path.c_str(), keys[key].c_str(), TEAM,
-		    id.c_str(), body.c_str(), idempotent, 0};
+		fake_call_spec a = {method, path.c_str(), keys[key].c_str(),
+		    TEAM, id.c_str(), body.c_str(), idempotent, 0};
 
 		return fake_cluster_call(c, at, &a);
 	}
@@ -285,7 +286,7 @@
 	/* again R2 n1 R: the same call at another node */
 	void again(const words &w)
 	{
-		const fake_call *k = fake_cluster_answer(c, calls[w[3]]);
+		const fake_call *k = fake_cluster_get_call(c, calls[w[3]]);
 
 		calls[w[1]] = send(node(w[2]), k->method, k->path, k->body,
 		    k->id, k->idempotent, "key");
@@ -295,10 +296,11 @@
 
 	std::string version(uint32_t at)
 	{
-		fake_ask see = {"GET", "/v1/settings", fake_cluster_operator(c),
-		    nullptr, nullptr, nullptr, false, 0};
+		fake_call_spec see = {"GET", "/v1/settings",
+		    fake_cluster_operator_key(c), nullptr, nullptr, nullptr,
+		    false, 0};
 		char *v = fake_cluster_field(
-		    fake_cluster_ask(c, at, &see)->answer, "version");
+		    fake_cluster_call_wait(c, at, &see)->answer, "version");
 		std::string s = v != nullptr ? v : "0";
 
 		g_free(v);
@@ -318,8 +320,9 @@
 
 		body = g_strdup_printf(
 		    form, base.c_str(), w[4].c_str(), w[5].c_str());
-		fake_ask a = {"POST", "/v1/settings", fake_cluster_operator(c),
-		    nullptr, nullptr, body, false, 0};
+		fake_call_spec a = {"POST", "/v1/settings",
+		    fake_cluster_operator_key(c), nullptr, nullptr, body, false,
+		    0};
 		calls[w[1]] = fake_cluster_call(c, node(w[2]), &a);
 		g_free(body);
 	}
@@ -327,8 +330,9 @@
 	void withdraw(const words &w)
 	{
 		std::string path = "/v1/keys/" + key_ids[w[1]];
-		fake_ask a = {"DELETE", path.c_str(), fake_cluster_operator(c),
-		    nullptr, nullptr, nullptr, false, 0};
+		fake_call_spec a = {"DELETE", path.c_str(),
+		    fake_cluster_operator_key(c), nullptr, nullptr, nullptr,
+		    false, 0};
 
 		calls["withdrawal"] = fake_cluster_call(c, node(w[2]), &a);
 	}
@@ -374,9 +378,9 @@
 		if (w[1] == "down" || w[1] == "up")
 			l->outage = w[1] == "down";
 		else if (w[1] == "slow")
-			l->slow = seconds(w[2]);
+			l->answer_delay = seconds(w[2]);
 		else if (w[1] == "lose")
-			l->lose = (uint32_t)std::stoul(w[2]);
+			l->lose_answers = (uint32_t)std::stoul(w[2]);
 		else if (w[1] == "keep")
 			l->keep_count = std::stoul(w[2]);
 		else
@@ -389,13 +393,13 @@
 		fake_worker *f = fake_cluster_worker(c, n);
 
 		if (w[2] == "down" || w[2] == "up")
-			fake_worker_script(f)->down = w[2] == "down";
+			fake_worker_script(f)->unreachable = w[2] == "down";
 		else if (w[2] == "restart")
 			fake_cluster_restart_worker(c, n);
 		else if (w[2] == "says-leaving")
 			fake_worker_script(f)->leaving = true;
 		else
-			fake_cluster_leaving(
+			fake_cluster_set_leaving(
 			    c, FAKE_WORKER, n, w[2] == "leaves");
 	}
 
@@ -406,11 +410,11 @@
 		    fake_exec_script(fake_cluster_exec(c, n));
 
 		if (w[2] == "late")
-			e->late = seconds(w[3]);
+			e->answer_delay = seconds(w[3]);
 		else if (w[2] == "lose")
-			e->lose = (uint32_t)std::stoul(w[3]);
+			e->lose_answers = (uint32_t)std::stoul(w[3]);
 		else if (w[2] == "leaves")
-			fake_cluster_leaving(c, FAKE_EXEC, n, true);
+			fake_cluster_set_leaving(c, FAKE_EXEC, n, true);
 		else
 			e->leaving = true;
 	}
@@ -421,7 +425,7 @@
 		    {"start", OGL_ACT_WORKER}, {"append", OGL_ACT_LOG_APPEND},
 		    {"request", OGL_ACT_EXEC}};
 
-		fake_cluster_pause_sending(
+		fake_cluster_pause_at_action(
 		    c, node(w[1]), types.at(w[2]), seconds(w[3]));
 	}
 
@@ -475,7 +479,8 @@
 		else if (v == "heal")
 			fake_cluster_heal(c);
 		else if (v == "hold")
-			fake_cluster_limit(c, TEAM, (uint32_t)std::stoul(w[1]));
+			fake_cluster_expect_limit(
+			    c, TEAM, (uint32_t)std::stoul(w[1]));
 		else if (v == "run")
 			fake_cluster_run(c, seconds(w[1]));
 		else
@@ -488,19 +493,21 @@
 	{
 		ogl_time end = fake_cluster_now(c) + timeout;
 
-		while (!fake_cluster_answer(c, calls[name])->done &&
+		while (!fake_cluster_get_call(c, calls[name])->done &&
 		       fake_cluster_now(c) < end)
 			fake_cluster_run(c, 10 * OGL_MS);
-		return fake_cluster_answer(c, calls[name])->done;
+		return fake_cluster_get_call(c, calls[name])->done;
 	}
 
 	std::string job_state(const std::string &name)
 	{
 		std::string path = "/v1/jobs/" + job_id(name);
-		fake_ask a = {"GET", path.c_str(), fake_cluster_operator(c),
-		    nullptr, nullptr, nullptr, false, 0};
+		fake_call_spec a = {"GET", path.c_str(),
+		    fake_cluster_operator_key(c), nullptr, nullptr, nullptr,
+		    false, 0};
 		char *st = fake_cluster_field(
-		    fake_cluster_ask(c, any_live_node(), &a)->answer, "state");
+		    fake_cluster_call_wait(c, any_live_node(), &a)->answer,
+		    "state");
 		std::string s = st != nullptr ? st : "unknown";
 
 		g_free(st);
@@ -513,7 +520,7 @@
 
 		for (uint32_t i = 0; i < jobs[name].tasks; i++) {
 			std::string t = job_id(name) + "." + std::to_string(i);
-			uint32_t n = fake_cluster_starts(c, t.c_str());
+			uint32_t n = fake_cluster_start_count(c, t.c_str());
 
 			least = std::min(least, n);
 			most = std::max(most, n);
@@ -560,19 +567,21 @@
 
 	std::string answer(const words &w)
 	{
-		const fake_call *k = fake_cluster_answer(c, calls[w[1]]);
+		const fake_call *k = fake_cluster_get_call(c, calls[w[1]]);
 
 		if (!wait_call(w[1], 60 * OGL_SEC))
 			return "none";
 		if (w[0] == "verdict")
-			return k->cut ? "cut" : ogl_verdict_name(k->verdict);
+			return k->disconnected ? "cut"
+					       : ogl_verdict_name(k->verdict);
 		if (w[0] == "status")
 			return std::to_string(k->status);
 		if (w[0] == "retry")
 			return k->retry_after_ms > 0 ? "named" : "none";
 		if (w[0] == "took")
-			return k->answered - k->asked <= seconds(w[2]) ? "less"
-								       : "more";
+			return k->answered_at - k->asked_at <= seconds(w[2])
+				   ? "less"
+				   : "more";
 		return k->answer;
 	}
 
@@ -612,10 +621,10 @@
 			    fake_worker_running(fake_cluster_worker(
 				c, (uint32_t)std::stoul(w[1].substr(1)))));
 		if (v == "most")
-			return std::to_string(fake_cluster_team_most(c, TEAM));
+			return std::to_string(fake_cluster_team_peak(c, TEAM));
 		if (v == "ran")
-			return std::to_string(fake_cluster_ran(
-			    c, fake_cluster_answer(c, calls[w[1]])->body));
+			return std::to_string(fake_cluster_run_count(
+			    c, fake_cluster_get_call(c, calls[w[1]])->body));
 		if (v == "value")
 			return value(node(w[1]), w[2]);
 		return answer(w);
@@ -624,9 +633,10 @@
 	std::string value(uint32_t at, const std::string &path)
 	{
 		std::string p = "/v1/settings?path=" + path;
-		fake_ask a = {"GET", p.c_str(), fake_cluster_operator(c),
-		    nullptr, nullptr, nullptr, false, 0};
-		const fake_call *k = fake_cluster_ask(c, at, &a);
+		fake_call_spec a = {"GET", p.c_str(),
+		    fake_cluster_operator_key(c), nullptr, nullptr, nullptr,
+		    false, 0};
+		const fake_call *k = fake_cluster_call_wait(c, at, &a);
 		char *r = fake_cluster_field(k->answer, "set");
 		std::string s = r != nullptr ? r : "none";
 
@@ -666,9 +676,9 @@
 	{
 		fake_cluster_heal(c);
 		fake_cluster_run(c, 15 * OGL_SEC);
-		fake_cluster_check(c);
-		if (fake_cluster_faults(c)[0] != '\0')
-			failure = fake_cluster_faults(c);
+		fake_cluster_check_answers(c);
+		if (fake_cluster_violations(c)[0] != '\0')
+			failure = fake_cluster_violations(c);
 	}
 };
 
@@ -712,8 +722,8 @@
 {
 	Script s;
 
-	s.guards_off.epochs = true;
-	s.guards_off.starts = true;
+	s.guards_off.epoch_check = true;
+	s.guards_off.start_expiry = true;
 	EXPECT_FALSE(s.run(std::string(DIR) + "cluster_paused_owner.txt"));
 	EXPECT_NE(s.failure.find("got \"2\""), std::string::npos) << s.failure;
 }
@@ -722,7 +732,7 @@
 {
 	Script s;
 
-	s.guards_off.leases = true;
+	s.guards_off.lease_expiry = true;
 	EXPECT_FALSE(s.run(
 	    std::string(DIR) + "cluster_takeover_worker_unreachable.txt"));
 	EXPECT_NE(s.failure.find("runs on w"), std::string::npos) << s.failure;
--- a/test/test_cluster_seeds.cc
+++ b/test/test_cluster_seeds.cc
@@ -56,13 +56,13 @@
 
 	fake_faults_run(f, 60 * OGL_SEC);
 	fake_faults_settle(f);
-	o.faults = fake_cluster_faults(fake_faults_cluster(f));
+	o.faults = fake_cluster_violations(fake_faults_cluster(f));
 	o.length = strlen(fake_cluster_trace(fake_faults_cluster(f)));
 	if (!o.faults.empty() || getenv("OGL_WHOLE") != nullptr) {
 		char *t =
 		    getenv("OGL_WHOLE") != nullptr
 			? g_strdup(fake_cluster_trace(fake_faults_cluster(f)))
-			: fake_cluster_tail(fake_faults_cluster(f), 40);
+			: fake_cluster_trace_tail(fake_faults_cluster(f), 40);
 		o.tail = t;
 		g_free(t);
 	}
--- a/test/test_daemon_fuzz.cc
+++ b/test/test_daemon_fuzz.cc
@@ -299,7 +299,7 @@
 		    "w0", "z0", "r0", {8000, 8000, 2}, 1, 0};
 
 		log = fake_log_init();
-		fake_log_script(log)->rate = 1e9;
+		fake_log_script(log)->appends_per_s = 1e9;
 		worker = fake_worker_init(&w);
 		exec = fake_exec_init("e0", 8);
 		EXPECT_TRUE(ogl_key_make(random, "", operator_key, &e, id));
--- a/test/test_fake_exec.cc
+++ b/test/test_fake_exec.cc
@@ -54,16 +54,16 @@
 {
 	struct fake_exec_script *s = fake_exec_script(e);
 
-	s->lose = 1;
+	s->lose_answers = 1;
 	Run("x run_ms=1", OGL_SEC);
 	EXPECT_TRUE(a.lost);
-	s->cut = 1;
+	s->truncate_answers = 1;
 	Run("x run_ms=1", 2 * OGL_SEC);
 	EXPECT_LT(a.sent_bytes, a.n);
-	s->cross = 1;
+	s->wrong_tokens = 1;
 	Run("x run_ms=1", 3 * OGL_SEC);
 	EXPECT_NE(5u, a.token);
-	s->late = OGL_SEC;
+	s->answer_delay = OGL_SEC;
 	s->fail_all = true;
 	Run("x run_ms=1", 4 * OGL_SEC);
 	EXPECT_EQ(500u, a.status);
--- a/test/test_fake_log.cc
+++ b/test/test_fake_log.cc
@@ -85,7 +85,7 @@
 {
 	fake_log_script(l)->outage = true;
 	EXPECT_EQ(FAKE_LOG_DOWN, Append("a", 1));
-	fake_log_script(l)->lose = 1;
+	fake_log_script(l)->lose_answers = 1;
 	EXPECT_EQ(FAKE_LOG_LOST, Append("b", 1));
 	EXPECT_EQ(FAKE_LOG_DOWN, Append("c", 1));
 	EXPECT_EQ(FAKE_LOG_DOWN, Read(0, 1));
--- a/test/test_fake_worker.cc
+++ b/test/test_fake_worker.cc
@@ -279,7 +279,7 @@
 {
 	LearnClock();
 	Sync(T0 + 1, {{"a.0", 1, 1000, "run_ms=9000"}});
-	fake_worker_script(w)->down = true;
+	fake_worker_script(w)->unreachable = true;
 	EXPECT_FALSE(Sync(T0 + 2));
 	fake_worker_restart(w, T0 + 3);
 	Sync(T0 + 4, {}, true);
--- a/test/test_lend.cc
+++ b/test/test_lend.cc
@@ -434,9 +434,10 @@
 			std::string path = std::string("teams/") + team;
 			char *k;
 
-			ASSERT_TRUE(fake_cluster_set(c, 0, path.c_str(), "{}"));
+			ASSERT_TRUE(fake_cluster_edit_setting(
+			    c, 0, path.c_str(), "{}"));
 			fake_cluster_run(c, OGL_SEC);
-			k = fake_cluster_key(c, 1, team, nullptr);
+			k = fake_cluster_create_key(c, 1, team, nullptr);
 			ASSERT_NE(k, nullptr);
 			keys[team] = k;
 			g_free(k);
@@ -451,10 +452,10 @@
 		    ",\"res\":{\"cpu_milli\":1000,\"mem_mb\":1024}," +
 		    "\"restartable\":" + (restartable ? "true" : "false") +
 		    ",\"run_ms\":900000}";
-		fake_ask a = {"POST", "/v1/jobs", keys[team].c_str(),
+		fake_call_spec a = {"POST", "/v1/jobs", keys[team].c_str(),
 		    team.c_str(), "", body.c_str(), false, 0};
 
-		EXPECT_EQ(fake_cluster_ask(c, 0, &a)->status, 202u);
+		EXPECT_EQ(fake_cluster_call_wait(c, 0, &a)->status, 202u);
 	}
 
 	std::string metric(const char *name)
@@ -471,7 +472,7 @@
 	{
 		if (c == nullptr)
 			return;
-		EXPECT_STREQ(fake_cluster_faults(c), "");
+		EXPECT_STREQ(fake_cluster_violations(c), "");
 		fake_cluster_end(c);
 	}
 };
@@ -508,7 +509,8 @@
 TEST_F(LendCell, PreemptsNothingForWorkOverItsTeamsLimit)
 {
 	ASSERT_NO_FATAL_FAILURE(start_cell());
-	ASSERT_TRUE(fake_cluster_set(c, 0, "teams/b/limit_tasks", "3"));
+	ASSERT_TRUE(
+	    fake_cluster_edit_setting(c, 0, "teams/b/limit_tasks", "3"));
 	submit("a", 40, true);
 	fake_cluster_run(c, 30 * OGL_SEC);
 	submit("b", 40, true);
--- a/test/test_rejoin.cc
+++ b/test/test_rejoin.cc
@@ -29,7 +29,8 @@
 		fake_cluster *c = fake_cluster_init(&three);
 
 		fake_cluster_run(c, 8 * OGL_SEC);
-		ASSERT_TRUE(fake_cluster_set(c, 0, "teams/north", "{}"));
+		ASSERT_TRUE(
+		    fake_cluster_edit_setting(c, 0, "teams/north", "{}"));
 		for (int round = 0; round < 3; round++) {
 			cut_off(c, node, true);
 			fake_cluster_run(c, 6 * OGL_SEC);
@@ -37,13 +38,13 @@
 			fake_cluster_run(c, 8 * OGL_SEC);
 		}
 		for (uint32_t i = 0; i < three.nodes; i++) {
-			EXPECT_TRUE(
-			    fake_cluster_set(c, i, "teams/north/share", "2"))
+			EXPECT_TRUE(fake_cluster_edit_setting(
+			    c, i, "teams/north/share", "2"))
 			    << "node " << i << " after " << node
 			    << " was cut off";
 			fake_cluster_run(c, 2 * OGL_SEC);
 		}
-		EXPECT_STREQ(fake_cluster_faults(c), "");
+		EXPECT_STREQ(fake_cluster_violations(c), "");
 		fake_cluster_end(c);
 	}
 }
@@ -55,11 +56,11 @@
 	fake_cluster *c = fake_cluster_init(&three);
 
 	fake_cluster_run(c, 8 * OGL_SEC);
-	ASSERT_TRUE(fake_cluster_set(c, 0, "teams/north", "{}"));
+	ASSERT_TRUE(fake_cluster_edit_setting(c, 0, "teams/north", "{}"));
 	fake_cluster_pause(c, 2, 10 * OGL_SEC);
 	fake_cluster_run(c, 16 * OGL_SEC);
-	EXPECT_TRUE(fake_cluster_set(c, 2, "teams/north/share", "3"));
-	EXPECT_STREQ(fake_cluster_faults(c), "");
+	EXPECT_TRUE(fake_cluster_edit_setting(c, 2, "teams/north/share", "3"));
+	EXPECT_STREQ(fake_cluster_violations(c), "");
 	fake_cluster_end(c);
 }
 
