--- a/test/fake_cluster.h
+++ b/test/fake_cluster.h
@@ -230,10 +230,10 @@
 
 void fake_cluster_report_violation(struct fake_cluster *c, const char *fmt, ...)
     G_GNUC_PRINTF(2, 3);
-/* Reports that a rule was broken. */
+/* Reports a broken invariant. */
 
 const char *fake_cluster_violations(const struct fake_cluster *c);
-/* The broken rules so far, one a line; empty if there are none. */
+/* Violations so far, one a line; empty if there are none. */
 
 const char *fake_cluster_trace(const struct fake_cluster *c);
 /* The trace so far, one event a line. */
