--- a/bench/bench_control.c
+++ b/bench/bench_control.c
@@ -28,7 +28,7 @@
 	uint32_t node;
 	enum ogl_event_type type;
 	uint64_t token;
-	enum ogl_io io;
+	enum ogl_io_result io;
 	uint64_t offset, first, next;
 	struct ogl_log_entry entries[READ_MAX_RECORDS];
 	size_t n;
@@ -294,7 +294,7 @@
 	sim->measure_memory = measure_memory;
 	sim->now = 1000 * OGL_SEC;
 	sim->log = fake_log_init();
-	fake_log_script(sim->log)->rate = 1e9;
+	fake_log_script(sim->log)->appends_per_s = 1e9;
 	fake_log_script(sim->log)->keep_age = 300 * OGL_SEC;
 	sim->deliveries = g_queue_new();
 	init_hosts(sim);
--- a/bench/bench_lend.c
+++ b/bench/bench_lend.c
@@ -60,7 +60,7 @@
 
 struct task {
 	uint32_t team;
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 	bool restartable;
 	bool running;
 	ogl_time left; /* remaining run time */
@@ -118,11 +118,11 @@
 		g_snprintf(name, sizeof name, "w%u", i);
 		g_snprintf(rack, sizeof rack, "r%u", i / 8);
 		w = ogl_place_worker(c->place, name, &cap, "z", rack);
-		ogl_place_set(c->place, w, OGL_PLACE_OPEN);
+		ogl_place_set_state(c->place, w, OGL_PLACE_SCHEDULABLE);
 	}
 	for (uint32_t t = 0; t < TEAMS; t++) {
-		ogl_queue_team(c->queue, names[t], weights[t]);
-		ogl_lend_share(c->lend, names[t], weights[t]);
+		ogl_queue_set_share(c->queue, names[t], weights[t]);
+		ogl_lend_set_weight(c->lend, names[t], weights[t]);
 	}
 }
 
@@ -150,8 +150,8 @@
 	w.kind = p->ask.kind;
 	w.tasks = 1;
 	w.res = p->ask.res;
-	w.since = p->since;
-	w.first = p->preemptions > 0;
+	w.waiting_since = p->since;
+	w.preempted = p->preemptions > 0;
 	ogl_queue_push(c->queue, &w, c->now);
 	c->waiting[p->team]++;
 }
@@ -245,13 +245,13 @@
 		if (p != NULL)
 			p->failure_rank = 0;
 	}
-	ogl_queue_again(c->queue, c->now);
+	ogl_queue_retry_deferred(c->queue, c->now);
 	while (failures < PLACE_FAILURES_MAX &&
 	       ogl_queue_pop(c->queue, c->now, &w)) {
 		struct task *p = g_ptr_array_index(c->tasks, w.id - 1);
 
 		if (!ogl_place_task(c->place, &p->ask, c->now, &p->worker)) {
-			ogl_queue_back(c->queue, w.id, c->now);
+			ogl_queue_defer(c->queue, w.id, c->now);
 			p->failure_rank = ++failures;
 			continue;
 		}
@@ -287,7 +287,7 @@
 
 		if (p == NULL)
 			continue;
-		struct ogl_lend_want want = {
+		struct ogl_lend_pending want = {
 		    names[p->team], p->ask.res, 1, p->failure_rank, p->since};
 		struct ogl_lend_task task = {i + 1, i + 1, names[p->team],
 		    p->ask.kind, p->ask.res, p->worker, p->since,
@@ -296,7 +296,7 @@
 			ogl_lend_add_task(c->lend, &task);
 			g_array_append_val(ids, i);
 		} else {
-			ogl_lend_add_want(c->lend, &want);
+			ogl_lend_add_pending(c->lend, &want);
 		}
 	}
 }
@@ -304,7 +304,7 @@
 static void
 preempt(struct cell *c)
 {
-	const struct ogl_lend_take *takes;
+	const struct ogl_lend_preemption *takes;
 	GArray *ids = g_array_new(FALSE, FALSE, sizeof(guint));
 	size_t n;
 
@@ -517,7 +517,7 @@
 	struct ogl_res cap = {CPUS * 1000, CPUS * 4096, 0};
 	struct ogl_res none = {0}, one = {1000, 4096, 0};
 	struct ogl_lend *l = ogl_lend_init();
-	const struct ogl_lend_take *takes;
+	const struct ogl_lend_preemption *takes;
 	double us[COST_ROUNDS];
 	ogl_time now = 1000000 * OGL_SEC;
 
@@ -537,11 +537,11 @@
 			ogl_lend_add_task(l, &task);
 		}
 		for (uint32_t i = 0; i < COST_WAITING; i++) {
-			struct ogl_lend_want want = {names[i % TEAMS], one, 1,
-			    i < PLACE_FAILURES_MAX ? i + 1 : 0,
+			struct ogl_lend_pending want = {names[i % TEAMS], one,
+			    1, i < PLACE_FAILURES_MAX ? i + 1 : 0,
 			    now - 50 * OGL_SEC};
 
-			ogl_lend_add_want(l, &want);
+			ogl_lend_add_pending(l, &want);
 		}
 		ogl_lend_decide(l, now, &takes);
 		us[k] = (mix_now_ns() - t) / 1000;
--- a/bench/bench_place.c
+++ b/bench/bench_place.c
@@ -16,7 +16,7 @@
 #define CPU_MIN_MILLI 420 /* the mean task then is 1/7 to 1/8 of a worker */
 
 struct held {
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 	uint32_t w;
 };
 
@@ -35,7 +35,7 @@
 			g_array_append_val(held, h);
 		else
 			failures++;
-		ogl_place_room(p, &total, &used);
+		ogl_place_totals(p, &total, &used);
 	} while (
 	    used.cpu_milli < FULL_PART * total.cpu_milli && failures < 100000);
 }
@@ -57,7 +57,7 @@
 		h = g_array_index(held, struct held, at);
 		ogl_place_free(p, h.w, &h.ask);
 		g_array_remove_index_fast(held, at);
-		ogl_place_room(p, &total, &used);
+		ogl_place_totals(p, &total, &used);
 		while (i < n && used.cpu_milli < FULL_PART * total.cpu_milli) {
 			mix_task(m, &h.ask, CPU_MIN_MILLI);
 			start = mix_now_ns();
@@ -66,7 +66,7 @@
 			if (!ok)
 				break;
 			g_array_append_val(held, h);
-			ogl_place_room(p, &total, &used);
+			ogl_place_totals(p, &total, &used);
 		}
 	}
 	qsort(ns, n, sizeof(*ns), mix_compare_double);
@@ -119,7 +119,7 @@
 measure_gangs(struct mix *m, struct ogl_place *p, uint32_t workers)
 {
 	const uint32_t n = 400;
-	struct ogl_ask ask = {OGL__KIND__gang, {2000, 8192, 0}, 1};
+	struct ogl_demand ask = {OGL__KIND__gang, {2000, 8192, 0}, 1};
 	uint32_t *w = g_new(uint32_t, workers * 8), size, i, j, count = 0;
 	double us[400], start, refuse;
 
@@ -206,7 +206,7 @@
 				sum = cpu + mem;
 				for (k = 0; k < backlog->len; k++) {
 					r = &g_array_index(
-					    backlog, struct ogl_ask, k)
+					    backlog, struct ogl_demand, k)
 						 .res;
 					rest = (1 - cpu) * r->cpu_milli /
 						   total->cpu_milli +
@@ -237,14 +237,14 @@
 {
 	struct mix m = {seed};
 	struct ogl_place *p = ogl_place_init(seed);
-	GArray *backlog = g_array_new(FALSE, FALSE, sizeof(struct ogl_ask));
+	GArray *backlog = g_array_new(FALSE, FALSE, sizeof(struct ogl_demand));
 	struct ogl_res total, used;
 	double cpu = 0, mem = 0, cpu_part, mem_part;
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 	uint32_t w;
 
 	mix_cell(&m, p, workers, 4);
-	ogl_place_room(p, &total, &used);
+	ogl_place_totals(p, &total, &used);
 	/* Each task is offered once: no task ends, so a refused task never
 	 * fits later. */
 	while (cpu < BACKLOG_CELLS || mem < BACKLOG_CELLS) {
@@ -254,7 +254,7 @@
 		mem += (double)ask.res.mem_mb / total.mem_mb;
 		ogl_place_task(p, &ask, 1, &w);
 	}
-	ogl_place_room(p, &total, &used);
+	ogl_place_totals(p, &total, &used);
 	cpu_part = (double)used.cpu_milli / total.cpu_milli;
 	mem_part = (double)used.mem_mb / total.mem_mb;
 	out->scarcest += cpu >= mem ? cpu_part : mem_part;
@@ -298,7 +298,7 @@
 
 struct job {
 	enum job_class job_class;
-	struct ogl_ask ask;
+	struct ogl_demand ask;
 	uint32_t n, placed;
 	ogl_time since, run;
 };
--- a/bench/bench_route_views.c
+++ b/bench/bench_route_views.c
@@ -166,13 +166,14 @@
 }
 
 static void
-request_done(struct simulation *sim, uint32_t id, enum ogl_io io, ogl_time now)
+request_done(
+    struct simulation *sim, uint32_t id, enum ogl_io_result io, ogl_time now)
 {
 	struct request *q = &sim->requests[id];
 	struct node *n = &sim->nodes[q->node];
 
 	if (sim->policy == ROUTER)
-		ogl_route_done(n->route, q->executor, id, io,
+		ogl_route_request_done(n->route, q->executor, id, io,
 		    io == OGL_IO_OK ? 200 : 503, now);
 	else
 		n->in_flight[q->executor]--;
@@ -210,7 +211,7 @@
 		sim.nodes[i].route = ogl_route_init(i, "z0");
 		for (executor = 0; executor < EXECUTORS; executor++) {
 			snprintf(name, sizeof(name), "e%u", executor);
-			ogl_route_target(
+			ogl_route_set_target(
 			    sim.nodes[i].route, name, "z0", SLOTS, false, 1);
 		}
 	}
--- a/bench/lib_baseline.c
+++ b/bench/lib_baseline.c
@@ -90,7 +90,7 @@
 	struct baseline *b = p;
 
 	(void)now;
-	ogl_queue_heap_add(&b->heap, it->w.since, it);
+	ogl_queue_heap_add(&b->heap, it->w.waiting_since, it);
 }
 
 static void
@@ -112,13 +112,13 @@
 	(void)now;
 	if (!it->ranked) {
 		double cost = (double)declared_ms_or_default(&it->w) *
-			      it->rate / f->weight;
+			      it->dominant_demand / f->weight;
 
 		f->last_tag = MAX(f->last_tag, b->clock) + cost;
-		it->sort = (uint64_t)(f->last_tag * TAG_SCALE);
+		it->policy_key = (uint64_t)(f->last_tag * TAG_SCALE);
 		it->ranked = true;
 	}
-	ogl_queue_heap_add(&b->heap, (int64_t)it->sort, it);
+	ogl_queue_heap_add(&b->heap, (int64_t)it->policy_key, it);
 }
 
 static struct ogl_queue_item *
@@ -146,8 +146,8 @@
 #define BASELINE(push_fn, label)                                               \
 	{                                                                      \
 		.name = (label), .init = baseline_init, .end = baseline_end,   \
-		.team = baseline_team, .push = (push_fn), .pop = baseline_pop, \
-		.unlink = baseline_unlink                                      \
+		.set_team_share = baseline_team, .push = (push_fn),            \
+		.pop = baseline_pop, .unlink = baseline_unlink                 \
 	}
 
 const struct ogl_queue_policy baseline_fcfs = BASELINE(fcfs_push, "fcfs");
--- a/bench/lib_mix.c
+++ b/bench/lib_mix.c
@@ -41,7 +41,7 @@
 }
 
 void
-mix_task(struct mix *m, struct ogl_ask *ask, uint32_t cpu_min_milli)
+mix_task(struct mix *m, struct ogl_demand *ask, uint32_t cpu_min_milli)
 {
 	double mem_ratio;
 
@@ -74,7 +74,7 @@
 		    mix_uniform(m) * WORKERS_PER_ACCEL < 1 ? WORKER_ACCEL : 0;
 		accel += c.accel;
 		w = ogl_place_worker(p, name, &c, zone, rack);
-		ogl_place_set(p, w, OGL_PLACE_OPEN);
+		ogl_place_set_state(p, w, OGL_PLACE_SCHEDULABLE);
 	}
 	return accel;
 }
--- a/bench/lib_mix.h
+++ b/bench/lib_mix.h
@@ -21,14 +21,14 @@
 double mix_exponential(struct mix *m, double mean);
 /* Exponential distribution. */
 
-void mix_task(struct mix *m, struct ogl_ask *ask, uint32_t cpu_min_milli);
+void mix_task(struct mix *m, struct ogl_demand *ask, uint32_t cpu_min_milli);
 /* Draws a task: one in five is a service, one in fifty needs an accelerator.
  * Processors are bounded Pareto from cpu_min_milli to a whole worker. */
 
 uint32_t mix_cell(
     struct mix *m, struct ogl_place *p, uint32_t workers, uint32_t zones);
-/* Adds open workers of 16 processors and 64 GB, 8 per rack, one in twenty with
- * four accelerators.  Returns the number of accelerators. */
+/* Adds schedulable workers of 16 processors and 64 GB, 8 per rack, one in
+ * twenty with four accelerators.  Returns the number of accelerators. */
 
 double mix_now_ns(void);
 /* Monotonic clock in nanoseconds. */
--- a/bench/lib_replay.c
+++ b/bench/lib_replay.c
@@ -103,7 +103,7 @@
 	w->res = x->res;
 	w->declared_ms =
 	    r->oracle ? (uint64_t)(x->run / OGL_MS) : x->declared_ms;
-	w->since = x->at;
+	w->waiting_since = x->at;
 }
 
 /* Reserves the fullest server on which the work fits.  `freed_server` is tried
@@ -220,7 +220,7 @@
 		uint32_t i = (uint32_t)w.id - 1;
 
 		if (!reserve_server(r, &w.res, &server)) {
-			ogl_queue_back(r->q, w.id, now);
+			ogl_queue_defer(r->q, w.id, now);
 			failures++;
 			continue;
 		}
@@ -279,7 +279,7 @@
 	r->free_cpu += k->res.cpu_milli;
 	r->freed_server = x.server;
 	ogl_queue_ended(r->q, x.work + 1, true, x.end);
-	ogl_queue_again(r->q, x.end);
+	ogl_queue_retry_deferred(r->q, x.end);
 	fill(r, x.end);
 }
 
@@ -517,7 +517,7 @@
 			    memcmp(t->teams[k].path, t->teams[i].path, n) == 0)
 				r->parent[i] = (int)k;
 		}
-		ogl_queue_team(r->q, t->teams[i].path, t->teams[i].share);
+		ogl_queue_set_share(r->q, t->teams[i].path, t->teams[i].share);
 	}
 }
 
--- a/cell/lead.c
+++ b/cell/lead.c
@@ -537,7 +537,7 @@
 		return;
 	l->probing = true;
 	l->probe_sent_at = now;
-	l->ops->read(l->ops->outside, &r, on_probe, l);
+	l->ops->read(l->ops->backend_ctx, &r, on_probe, l);
 }
 
 /* The number of shards is the first record of the stream, but the page may list
@@ -580,9 +580,9 @@
 	l->reading = true;
 	l->read_sent_at = now;
 	if (l->newest_next)
-		l->ops->newest(l->ops->outside, &q, on_newest, l);
+		l->ops->newest(l->ops->backend_ctx, &q, on_newest, l);
 	else
-		l->ops->read(l->ops->outside, &r, on_read, l);
+		l->ops->read(l->ops->backend_ctx, &r, on_read, l);
 }
 
 /* ---- the claims of a shard -------------------------------------------- */
@@ -623,7 +623,7 @@
 	    .timeout_ms = PROBE_TIMEOUT_MS};
 
 	s->reading_claims = true;
-	s->lead->ops->newest(s->lead->ops->outside, &q, on_newest_claim, s);
+	s->lead->ops->newest(s->lead->ops->backend_ctx, &q, on_newest_claim, s);
 }
 
 static void
@@ -653,7 +653,7 @@
 	if (s->reading_claims)
 		return;
 	s->reading_claims = true;
-	l->ops->read(l->ops->outside, &r, on_claims, s);
+	l->ops->read(l->ops->backend_ctx, &r, on_claims, s);
 }
 
 /* ---- writing ---------------------------------------------------------- */
@@ -666,7 +666,7 @@
 	struct cell_put put = {key, NULL};
 	struct cell_append a = {.stream = m->claim ? CELL_CLAIMS : CELL_LEAD,
 	    .shard = m->claim ? s->shard : 0,
-	    .at = m->claim ? (int64_t)s->epoch : -1,
+	    .expected_end = m->claim ? (int64_t)s->epoch : -1,
 	    .puts = &put,
 	    .nputs = 1,
 	    .timeout_ms = APPEND_TIMEOUT_MS};
@@ -685,7 +685,7 @@
 	p = g_malloc(n);
 	ogl__cell_lead__pack(m, p);
 	put.value = g_bytes_new_take(p, n);
-	l->ops->append(l->ops->outside, &a, done, arg);
+	l->ops->append(l->ops->backend_ctx, &a, done, arg);
 	g_bytes_unref(put.value);
 }
 
@@ -700,7 +700,7 @@
  * however often that was repeated. */
 static void
 apply_heartbeat_answer(struct lead_shard *s, const struct heartbeat *h,
-    enum ogl_io io, ogl_time now)
+    enum ogl_io_result io, ogl_time now)
 {
 	s->heartbeat_refused = io == OGL_IO_REFUSED;
 	if (io == OGL_IO_LOST)
@@ -753,8 +753,9 @@
 
 	s->claiming = false;
 	if (a->io != OGL_IO_OK) {
-		log_owner(s, a->moved ? "claim_late" : "claim_failed", l->addr);
-		if (a->moved || a->io == OGL_IO_LOST)
+		log_owner(
+		    s, a->end_moved ? "claim_late" : "claim_failed", l->addr);
+		if (a->end_moved || a->io == OGL_IO_LOST)
 			read_claims(s);
 		return;
 	}
@@ -803,7 +804,7 @@
 	struct cell_lead *l = s->lead;
 	int32_t ms = l->weak_delay_ms +
 		     g_rand_int_range(l->rand, 0, CLAIM_JITTER_MS) +
-		     (int32_t)cell_lead_owned(l) * OTHER_SHARD_DELAY_MS;
+		     (int32_t)cell_lead_owned_count(l) * OTHER_SHARD_DELAY_MS;
 
 	if (cell_shard_of_node(l->addr, l->shards) != s->shard)
 		ms += OTHER_SHARD_DELAY_MS;
@@ -837,7 +838,7 @@
 	if (s->own || s->claiming || s->reading_claims ||
 	    now < s->no_claim_until || s->claim_at != OGL_NEVER)
 		return;
-	if (!cell_lead_reads(s->lead, now))
+	if (!cell_lead_store_answers(s->lead, now))
 		return;
 	if (!vacant && !heartbeat_timed_out(s, now))
 		return;
@@ -868,7 +869,7 @@
 }
 
 bool
-cell_lead_unplanned(const struct cell_lead *l)
+cell_lead_needs_plan(const struct cell_lead *l)
 {
 	return l->loaded && l->shards == 0 && !l->planning;
 }
@@ -890,7 +891,7 @@
 	char key[] = PLAN_KEY;
 	struct cell_put put = {key, NULL};
 	struct cell_append a = {.stream = CELL_LEAD,
-	    .at = (int64_t)l->next_offset,
+	    .expected_end = (int64_t)l->next_offset,
 	    .puts = &put,
 	    .nputs = 1,
 	    .timeout_ms = APPEND_TIMEOUT_MS};
@@ -903,7 +904,7 @@
 	ogl__cell_plan__pack(&m, p);
 	put.value = g_bytes_new_take(p, n);
 	l->planning = true;
-	l->ops->append(l->ops->outside, &a, on_plan, l);
+	l->ops->append(l->ops->backend_ctx, &a, on_plan, l);
 	g_bytes_unref(put.value);
 }
 
@@ -924,7 +925,7 @@
 }
 
 void
-cell_lead_retire(struct cell_lead *l)
+cell_lead_stop_claiming(struct cell_lead *l)
 {
 	l->retired = true;
 }
@@ -939,7 +940,7 @@
 }
 
 void
-cell_lead_outranked(struct cell_lead *l, uint32_t shard, ogl_time now)
+cell_lead_epoch_refused(struct cell_lead *l, uint32_t shard, ogl_time now)
 {
 	struct lead_shard *s = &l->by_shard[shard];
 
@@ -953,7 +954,7 @@
 }
 
 void
-cell_lead_doubt(
+cell_lead_suspect(
     struct cell_lead *l, uint32_t shard, uint64_t epoch, ogl_time now)
 {
 	struct lead_shard *s = &l->by_shard[shard];
@@ -977,7 +978,7 @@
  * answers again.
  */
 void
-cell_lead_hear(struct cell_lead *l, uint32_t shard, uint64_t epoch,
+cell_lead_learn_owner(struct cell_lead *l, uint32_t shard, uint64_t epoch,
     const char *addr, ogl_time now)
 {
 	struct lead_shard *s = &l->by_shard[shard];
@@ -1004,7 +1005,7 @@
  * shard whenever a node claims.
  */
 void
-cell_lead_heard(
+cell_lead_owner_alive(
     struct cell_lead *l, uint32_t shard, uint64_t epoch, ogl_time now)
 {
 	struct lead_shard *s = &l->by_shard[shard];
@@ -1031,7 +1032,7 @@
 }
 
 uint32_t
-cell_lead_owned(const struct cell_lead *l)
+cell_lead_owned_count(const struct cell_lead *l)
 {
 	uint32_t n = 0;
 	uint32_t i;
@@ -1078,7 +1079,7 @@
 }
 
 ogl_time
-cell_lead_confirmed(const struct cell_lead *l)
+cell_lead_confirmed_at(const struct cell_lead *l)
 {
 	return l->confirmed_at;
 }
@@ -1090,19 +1091,19 @@
 }
 
 bool
-cell_lead_reads(const struct cell_lead *l, ogl_time now)
+cell_lead_store_answers(const struct cell_lead *l, ogl_time now)
 {
 	return now - l->last_read_ok < READ_OK_MAX_AGE;
 }
 
 ogl_time
-cell_lead_store_took(const struct cell_lead *l)
+cell_lead_claim_took(const struct cell_lead *l)
 {
 	return l->claim_took;
 }
 
 ogl_time
-cell_lead_beat_took(const struct cell_lead *l, uint32_t shard)
+cell_lead_heartbeat_took(const struct cell_lead *l, uint32_t shard)
 {
 	return l->by_shard[shard].heartbeat_took;
 }
--- a/cell/loader.c
+++ b/cell/loader.c
@@ -275,7 +275,7 @@
 }
 
 static void
-log_request_failed(struct cell_loader *l, enum ogl_io io)
+log_request_failed(struct cell_loader *l, enum ogl_io_result io)
 {
 	char text[128];
 
@@ -294,7 +294,7 @@
 }
 
 static void
-tail_request_failed(struct cell_loader *l, enum ogl_io io, ogl_time now)
+tail_request_failed(struct cell_loader *l, enum ogl_io_result io, ogl_time now)
 {
 	log_request_failed(l, io);
 	l->next_request_at = now + RETRY_DELAY;
@@ -331,14 +331,14 @@
 	    .shard = l->shard,
 	    .fenced = true,
 	    .epoch = l->epoch,
-	    .at = -1,
+	    .expected_end = -1,
 	    .timeout_ms = FENCE_TIMEOUT_MS};
 
 	if (l->fences_pending >= PENDING_FENCES_MAX)
 		return;
 	l->fences_pending++;
 	l->next_request_at = now + l->fence_overdue_ms * OGL_MS;
-	l->ops->append(l->ops->outside, &a, on_fenced, exchange_new(l));
+	l->ops->append(l->ops->backend_ctx, &a, on_fenced, exchange_new(l));
 }
 
 /* ---- records ---------------------------------------------------------- */
@@ -546,7 +546,7 @@
 
 static void
 page_request_failed(
-    struct cell_loader *l, struct range *r, enum ogl_io io, ogl_time now)
+    struct cell_loader *l, struct range *r, enum ogl_io_result io, ogl_time now)
 {
 	log_request_failed(l, io);
 	if (r->requests_pending == 0)
@@ -621,7 +621,7 @@
 	    .timeout_ms = l->page_overdue_ms};
 
 	l->tail_pending = true;
-	l->ops->read(l->ops->outside, &r, on_tail, exchange_new(l));
+	l->ops->read(l->ops->backend_ctx, &r, on_tail, exchange_new(l));
 }
 
 static void
@@ -638,7 +638,7 @@
 	x->range = r->number;
 	r->requests_pending++;
 	r->next_request_at = now + l->page_overdue_ms * OGL_MS;
-	l->ops->newest(l->ops->outside, &q, on_page, x);
+	l->ops->newest(l->ops->backend_ctx, &q, on_page, x);
 }
 
 static void
--- a/cell/ops.h
+++ b/cell/ops.h
@@ -45,18 +45,18 @@
 	bool fenced;
 	uint64_t epoch;
 	uint64_t seq;
-	int64_t at; /* refused unless the stream ends there; -1: no check */
+	int64_t expected_end; /* refused at any other end; -1: no check */
 	const struct cell_put *puts;
 	size_t nputs; /* 0: only tells the store the epoch */
 	uint32_t timeout_ms;
 };
 
 struct cell_append_answer {
-	enum ogl_io io;
+	enum ogl_io_result io;
 	bool outranked;  /* refused: a higher epoch was seen */
-	bool moved;      /* refused: the stream does not end at `at` */
+	bool end_moved;  /* refused: it does not end at expected_end */
 	uint64_t offset; /* of the first record, when OK */
-	uint64_t end;    /* offset after the last record, when OK or moved */
+	uint64_t end; /* offset after the last record, when OK or end_moved */
 };
 
 /* The records from an offset on. */
@@ -103,7 +103,7 @@
 };
 
 struct cell_read_answer {
-	enum ogl_io io;
+	enum ogl_io_result io;
 	bool trimmed;   /* the records asked for are deleted; first is set */
 	uint64_t first; /* oldest retained offset */
 	uint64_t end;
@@ -112,7 +112,7 @@
 };
 
 struct cell_newest_answer {
-	enum ogl_io io;
+	enum ogl_io_result io;
 	bool more; /* there is another page, after the last key */
 	uint64_t end;
 	const struct cell_record *records;
@@ -138,7 +138,7 @@
 };
 
 /* One run in a worker's answer to a hold: running or ended. */
-struct cell_row {
+struct cell_run_row {
 	struct cell_task_name task;
 	uint64_t run;
 	const char *checkpoint; /* "" none */
@@ -166,26 +166,26 @@
 
 /* Why a worker refused a call. */
 enum cell_refusal {
-	CELL_REFUSED_NOT,    /* not refused */
+	CELL_NOT_REFUSED,
 	CELL_REFUSED_FENCE,  /* it has seen a higher fencing token */
 	CELL_REFUSED_OLD,    /* the run's number is not above the last */
 	CELL_REFUSED_LATE,   /* the lease asked for has already expired */
 	CELL_REFUSED_ROOM,   /* not enough room */
 	CELL_REFUSED_TICKET, /* no ticket, or one that is no longer valid */
 	CELL_REFUSED_BUSY,   /* unhealthy or overloaded */
-	CELL_REFUSED_LIFE,   /* the call is for another incarnation */
-	CELL_REFUSED_BAD     /* malformed */
+	CELL_REFUSED_INCARNATION, /* the call is for another incarnation */
+	CELL_REFUSED_BAD          /* malformed */
 };
 
 struct cell_hold_answer {
-	enum ogl_io io;
+	enum ogl_io_result io;
 	bool no_listener; /* the connection was refused: no process listens */
 	enum cell_refusal why;
 	uint64_t clock_ms; /* the worker's clock */
 	uint64_t born_ms;  /* start of its incarnation, Unix ms */
-	const struct cell_row *running;
+	const struct cell_run_row *running;
 	size_t nrunning;
-	const struct cell_row *ended;
+	const struct cell_run_row *ended;
 	size_t nended;
 };
 
@@ -204,7 +204,7 @@
 };
 
 struct cell_order_answer {
-	enum ogl_io io;
+	enum ogl_io_result io;
 	enum cell_refusal why;
 	uint64_t clock_ms; /* the worker's clock, 0 unknown */
 };
@@ -225,7 +225,7 @@
 };
 
 struct cell_ask_answer {
-	enum ogl_io io;
+	enum ogl_io_result io;
 	uint32_t valid_ms; /* how long the tickets are valid */
 	const struct cell_ticket *tickets;
 	size_t n;
@@ -257,9 +257,9 @@
 	CELL_NO_QUEUE,
 	CELL_NO_JOB,
 	CELL_BAD_METHOD,
-	CELL_OVER,  /* refused: the team is over its rate */
-	CELL_BUSY,  /* refused: to be retried */
-	CELL_UNSURE /* may be accepted: to be retried with the same id */
+	CELL_OVER_RATE, /* refused: the team is over its rate */
+	CELL_BUSY,      /* refused: to be retried */
+	CELL_UNSURE     /* may be accepted: to be retried with the same id */
 };
 
 struct cell_answer {
@@ -328,8 +328,8 @@
 	void (*observe)(void *ctx, const char *name, uint64_t ms);
 	/* Add to a counter and to a latency histogram. */
 
-	void *outside; /* passed to the functions up to decode_job */
-	void *ctx;     /* passed to those after it */
+	void *backend_ctx; /* passed to the functions up to decode_job */
+	void *ctx;         /* passed to those after it */
 };
 
 /* Limits of a deployment, from the settings file. */
--- a/cell/relay.c
+++ b/cell/relay.c
@@ -195,7 +195,7 @@
 }
 
 void
-cell_relay_node(
+cell_relay_update_node(
     struct cell_relay *r, const char *addr, bool leaving, ogl_time now)
 {
 	struct node *n = g_hash_table_lookup(r->nodes, addr);
@@ -255,7 +255,7 @@
 }
 
 void
-cell_relay_told(struct cell_relay *r, const char *job, const char *addr)
+cell_relay_note_spec(struct cell_relay *r, const char *job, const char *addr)
 {
 	if (r->active)
 		g_hash_table_replace(
@@ -408,7 +408,7 @@
 	if (r->active && !must_call_directly(r, o->to.id))
 		n = choose_for_job(r, o->task.id, &has_spec);
 	if (n == NULL) {
-		r->ops->start(r->ops->outside, o, done, arg);
+		r->ops->start(r->ops->backend_ctx, o, done, arg);
 		return;
 	}
 	m = order_message(OGL__CELL_ORDER_KIND__cell_order_start, o);
@@ -420,7 +420,7 @@
 		x->spec = g_strdup(o->spec);
 	} else {
 		add_spec(m, o->spec);
-		cell_relay_told(r, o->task.id, n->addr);
+		cell_relay_note_spec(r, o->task.id, n->addr);
 	}
 	batch_add(r, n, m);
 }
@@ -435,7 +435,7 @@
 	Ogl__CellOrder *m;
 
 	if (n == NULL) {
-		r->ops->stop(r->ops->outside, o, done, arg);
+		r->ops->stop(r->ops->backend_ctx, o, done, arg);
 		return;
 	}
 	m = order_message(OGL__CELL_ORDER_KIND__cell_order_stop, o);
@@ -452,7 +452,7 @@
 	Ogl__CellOrder *m;
 
 	if (n == NULL) {
-		r->ops->hold(r->ops->outside, h, done, arg);
+		r->ops->hold(r->ops->backend_ctx, h, done, arg);
 		return;
 	}
 	m = message_new(
@@ -477,7 +477,7 @@
 	if (r->active && q->stream == CELL_WORKERS)
 		n = choose_node(r, WORKER_LIST_KEY, HOLD_RELAYS_MAX);
 	if (n == NULL) {
-		r->ops->read(r->ops->outside, q, done, arg);
+		r->ops->read(r->ops->backend_ctx, q, done, arg);
 		return;
 	}
 	m = message_new(
@@ -493,25 +493,25 @@
 {
 	struct cell_relay *r = ctx;
 
-	r->ops->newest(r->ops->outside, q, done, arg);
+	r->ops->newest(r->ops->backend_ctx, q, done, arg);
 }
 
 void
-cell_relay_fill(struct cell_relay *r, struct cell_ops *ops)
+cell_relay_set_ops(struct cell_relay *r, struct cell_ops *ops)
 {
 	ops->read = relay_read;
 	ops->newest = relay_newest;
 	ops->start = relay_start;
 	ops->stop = relay_stop;
 	ops->hold = relay_hold;
-	ops->outside = r;
+	ops->backend_ctx = r;
 }
 
 /* ---- answers ---------------------------------------------------------- */
 
 static void
 finish_list(struct pending_call *o, const Ogl__CellOrderAnswer *m,
-    enum ogl_io io, ogl_time now)
+    enum ogl_io_result io, ogl_time now)
 {
 	size_t n = m != NULL ? m->n_entries : 0;
 	struct cell_record *records = g_new0(struct cell_record, n);
@@ -535,7 +535,7 @@
 
 static void
 finish_order(struct pending_call *o, const Ogl__CellOrderAnswer *m,
-    enum ogl_io io, enum cell_refusal why, ogl_time now)
+    enum ogl_io_result io, enum cell_refusal why, ogl_time now)
 {
 	struct cell_order_answer a = {
 	    .io = io, .why = why, .clock_ms = m != NULL ? m->clock_ms : 0};
@@ -545,12 +545,13 @@
 
 static void
 finish_hold(struct pending_call *o, const Ogl__CellOrderAnswer *m,
-    enum ogl_io io, enum cell_refusal why, ogl_time now)
+    enum ogl_io_result io, enum cell_refusal why, ogl_time now)
 {
 	const Ogl__CellOrderAnswer none = OGL__CELL_ORDER_ANSWER__INIT;
 	const Ogl__CellOrderAnswer *x = m != NULL ? m : &none;
-	struct cell_row *running = cell_rows_from_msg(x->running, x->n_running);
-	struct cell_row *ended = cell_rows_from_msg(x->ended, x->n_ended);
+	struct cell_run_row *running =
+	    cell_rows_from_msg(x->running, x->n_running);
+	struct cell_run_row *ended = cell_rows_from_msg(x->ended, x->n_ended);
 	struct cell_hold_answer a = {.io = io,
 	    .why = why,
 	    .no_listener = x->no_listener,
@@ -571,11 +572,11 @@
 finish(struct cell_relay *r, struct pending_call *o,
     const Ogl__CellOrderAnswer *m, ogl_time now)
 {
-	enum ogl_io io =
+	enum ogl_io_result io =
 	    m != NULL ? cell_order_outcome_to_io(m->outcome) : OGL_IO_LOST;
 	enum cell_refusal why = m != NULL && m->refusal <= CELL_REFUSED_BAD
 				    ? (enum cell_refusal)m->refusal
-				    : CELL_REFUSED_NOT;
+				    : CELL_NOT_REFUSED;
 
 	if (o->worker != NULL)
 		update_losses(r, o->worker, io == OGL_IO_LOST, now);
@@ -635,7 +636,7 @@
 }
 
 ogl_time
-cell_relay_delay(const struct cell_relay *r, ogl_time now)
+cell_relay_min_delay(const struct cell_relay *r, ogl_time now)
 {
 	if (now - r->window_start > 2 * DELAY_WINDOW)
 		return 0;
@@ -805,7 +806,7 @@
 }
 
 bool
-cell_relay_thin(const struct cell_relay *r)
+cell_relay_active(const struct cell_relay *r)
 {
 	return r->active;
 }
--- a/cell/relay_serve.c
+++ b/cell/relay_serve.c
@@ -330,7 +330,7 @@
 }
 
 void
-cell_relay_serve_spec(
+cell_relay_serve_add_spec(
     struct cell_relay_serve *v, const char *job, const char *spec)
 {
 	spec_cache_add(&v->specs, job, spec);
@@ -338,7 +338,7 @@
 
 /* Adds an answer to the batch for the owner; the caller fills in the rest. */
 static Ogl__CellOrderAnswer *
-answer_new(const struct call *c, enum ogl_io io, ogl_time now)
+answer_new(const struct call *c, enum ogl_io_result io, ogl_time now)
 {
 	struct batch *b = batch_of(c->serve, c->shard, c->owner, now);
 	Ogl__CellOrderAnswer *m = malloc(sizeof *m);
@@ -410,7 +410,7 @@
 	    .wait_ms = m->wait_ms,
 	    .timeout_ms = m->timeout_ms};
 
-	ops->hold(ops->outside, &h, on_hold, c);
+	ops->hold(ops->backend_ctx, &h, on_hold, c);
 }
 
 /* ---- list of workers -------------------------------------------------- */
@@ -505,7 +505,7 @@
 	    .timeout_ms = m->timeout_ms};
 
 	c->from = m->from;
-	ops->read(ops->outside, &q, on_list, c);
+	ops->read(ops->backend_ctx, &q, on_list, c);
 }
 
 /* ---- orders ----------------------------------------------------------- */
@@ -542,7 +542,7 @@
 		reject(c, OGL__CELL_ORDER_OUTCOME__cell_order_lacks_spec, now);
 		return false;
 	}
-	v->ops->start(v->ops->outside, &o, on_order, c);
+	v->ops->start(v->ops->backend_ctx, &o, on_order, c);
 	return true;
 }
 
@@ -561,7 +561,7 @@
 	}
 	o = order_from_msg(m);
 	q->running++;
-	v->ops->stop(v->ops->outside, &o, on_order, c);
+	v->ops->stop(v->ops->backend_ctx, &o, on_order, c);
 }
 
 /* Carries out waiting orders.  The owner counts an order that has waited past
--- a/cell/schedule.c
+++ b/cell/schedule.c
@@ -181,7 +181,7 @@
 }
 
 void
-cell_sched_config(struct cell_sched *s, struct cell_config *c)
+cell_sched_set_config(struct cell_sched *s, struct cell_config *c)
 {
 	cell_config_ref(c);
 	cell_config_unref(s->config);
@@ -213,7 +213,7 @@
 }
 
 void
-cell_sched_spare(struct cell_sched *s, bool slow_link)
+cell_sched_set_slow_link(struct cell_sched *s, bool slow_link)
 {
 	s->slow_link = slow_link;
 }
@@ -288,9 +288,9 @@
 }
 
 double
-cell_sched_took_objective_ms(const struct cell_sched *s, struct cell_job *j)
+cell_sched_measured_objective_ms(const struct cell_sched *s, struct cell_job *j)
 {
-	return objective_for(queue_of(s, j), j, cell_job_took_chain_ms(j));
+	return objective_for(queue_of(s, j), j, cell_job_measured_chain_ms(j));
 }
 
 static unsigned
@@ -311,7 +311,8 @@
 		precedence = PRECEDENCE_TOO_LATE;
 	else if (end > objective)
 		precedence = 1;
-	return j->over ? precedence + PRECEDENCE_BEYOND_RATE : precedence;
+	return j->beyond_rate ? precedence + PRECEDENCE_BEYOND_RATE
+			      : precedence;
 }
 
 static bool
@@ -400,8 +401,8 @@
 	guint i;
 
 	for (i = 0; i < st->approvals->len; i++) {
-		const struct cell_good *g =
-		    &g_array_index(st->approvals, struct cell_good, i);
+		const struct cell_approval *g =
+		    &g_array_index(st->approvals, struct cell_approval, i);
 		struct cell_worker *w =
 		    cell_fleet_by_serial(s->parts.fleet, g->worker);
 
@@ -413,7 +414,7 @@
 			s->some_at_worker_max = true;
 			continue;
 		}
-		if (g->born_ms == w->life && g->until > now)
+		if (g->born_ms == w->incarnation && g->expires > now)
 			g_ptr_array_add(s->candidates, w);
 		else
 			g_ptr_array_add(s->expired, w);
@@ -485,7 +486,7 @@
 	if (*st->def->data_rack != '\0' &&
 	    strcmp(st->def->data_rack, w->rack) != 0)
 		cost += 1e6;
-	if (t->avoid != NULL && strcmp(t->avoid, w->id) == 0)
+	if (t->avoid_worker != NULL && strcmp(t->avoid_worker, w->id) == 0)
 		cost += 1e7;
 	return cost;
 }
@@ -534,7 +535,8 @@
 {
 	if (max == 0)
 		return 0;
-	return MAX((uint32_t)((uint64_t)max * part_ppm / CELL_PART_WHOLE), 1);
+	return MAX(
+	    (uint32_t)((uint64_t)max * part_ppm / CELL_PART_WHOLE_PPM), 1);
 }
 
 /* Resources of the team that this shard may have in use; 0: no limit. */
@@ -549,8 +551,8 @@
 	return max;
 }
 
-/* Millionths of the whole limit that are needed; more than CELL_PART_WHOLE if
- * the whole limit is not enough. */
+/* Millionths of the whole limit that are needed; more than CELL_PART_WHOLE_PPM
+ * if the whole limit is not enough. */
 static double
 ppm_needed(uint32_t used, uint64_t need, uint32_t max, double share)
 {
@@ -560,7 +562,7 @@
 		return 0;
 	if (need > limit)
 		limit = max;
-	return (double)(used + need) / (double)limit * CELL_PART_WHOLE;
+	return (double)(used + need) / (double)limit * CELL_PART_WHOLE_PPM;
 }
 
 static double
@@ -588,9 +590,9 @@
 	double want =
 	    ppm_needed_for_tasks(t, used, &need, cell_stage_waiting(st), share);
 
-	if (want > CELL_PART_WHOLE)
+	if (want > CELL_PART_WHOLE_PPM)
 		want = ppm_needed_for_tasks(t, used, &need, tasks, share);
-	if (want <= CELL_PART_WHOLE)
+	if (want <= CELL_PART_WHOLE_PPM)
 		cell_escrow_want(
 		    s->parts.escrow, t->name, (uint32_t)want + 1, now);
 }
@@ -884,14 +886,14 @@
 static bool
 task_startable(const struct cell_task *t, ogl_time now)
 {
-	return !t->done && t->active == NULL && now >= t->due;
+	return !t->done && t->active == NULL && now >= t->not_before;
 }
 
 static void
 start_task(struct cell_sched *s, struct cell_stage *st, uint32_t index,
     struct cell_worker *w, uint64_t run, uint32_t rank, ogl_time now)
 {
-	const struct cell_good *g = cell_advice_approval(st, w);
+	const struct cell_approval *g = cell_advice_approval(st, w);
 	struct cell_task *t = &st->tasks[index];
 
 	t->run = run;
@@ -916,7 +918,7 @@
 
 		if (t->done || t->active != NULL)
 			continue;
-		if (now < t->due) {
+		if (now < t->not_before) {
 			all = false;
 			continue;
 		}
@@ -1044,7 +1046,7 @@
 	uint64_t n = st->ntasks;
 
 	if (t == NULL ||
-	    cell_escrow_part(s->parts.escrow, team) != CELL_PART_WHOLE)
+	    cell_escrow_part(s->parts.escrow, team) != CELL_PART_WHOLE_PPM)
 		return false;
 	if (!limited_by_others(
 		used.cpu_milli, n * need.cpu_milli, t->max.cpu_milli) &&
@@ -1152,7 +1154,9 @@
 	const struct cell_stage *x = *(struct cell_stage *const *)a;
 	const struct cell_stage *y = *(struct cell_stage *const *)b;
 
-	return x->job->work < y->job->work ? -1 : x->job->work > y->job->work;
+	return x->job->cpu_seconds < y->job->cpu_seconds
+		   ? -1
+		   : x->job->cpu_seconds > y->job->cpu_seconds;
 }
 
 /*
@@ -1188,7 +1192,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct cell_worker *w = p;
 
-		if (!cell_worker_open(w, now))
+		if (!cell_worker_schedulable(w, now))
 			continue;
 		w->open_pass = s->pass;
 		w->reserved = 0;
@@ -1235,7 +1239,7 @@
 	unsigned precedence;
 	uint32_t rank;
 
-	if (waiting == 0 || cell_fleet_wants_proof(s->parts.fleet))
+	if (waiting == 0 || cell_fleet_awaits_confirmation(s->parts.fleet))
 		return;
 	/* A new owner may read the jobs before the configuration, without which
 	 * no team's limit is known. */
@@ -1265,7 +1269,7 @@
 {
 	struct ogl_res need = cell_stage_need(st);
 
-	return cell_worker_open(w, now) && could_run(st, w) &&
+	return cell_worker_schedulable(w, now) && could_run(st, w) &&
 	       cell_worker_fits(w, &need) &&
 	       cell_fleet_pace(s->parts.fleet, w) < PACE_FAULTY;
 }
--- a/daemon/cell_host.c
+++ b/daemon/cell_host.c
@@ -83,7 +83,7 @@
 	struct ogl_cell_host *h = ctx;
 	struct ogl_action act = {.type = OGL_ACT_REPLY,
 	    .token = token,
-	    .status = platform_status(a->status),
+	    .status = platform_http_status(a->status),
 	    .verdict = a->status == CELL_OK       ? OGL_RAN
 		       : a->status == CELL_UNSURE ? OGL_MAY_HAVE_RUN
 						  : OGL_NOT_RUN,
@@ -116,7 +116,7 @@
 {
 	struct ogl_cell_host *h = ctx;
 
-	return ogl_peer_refused(h->peer, addr);
+	return ogl_peer_connect_refused(h->peer, addr);
 }
 
 static void
@@ -184,11 +184,11 @@
 		r.budget_ms = (uint32_t)MIN(ev->u.call.budget_ms, 600000);
 		cell_node_call(h->node, ev->token, &r, boot_time(NULL));
 		break;
-	case OGL_EV_CALL_GONE:
-		cell_node_gone(h->node, ev->token);
+	case OGL_EV_CALLER_GONE:
+		cell_node_caller_gone(h->node, ev->token);
 		break;
 	case OGL_EV_PEER:
-		cell_node_peer(h->node, ev->u.peer.data, boot_time(NULL));
+		cell_node_receive(h->node, ev->u.peer.data, boot_time(NULL));
 		break;
 	default:
 		break;
@@ -319,7 +319,7 @@
 	else
 		on_log(h, "host", "settings_unchanged", "");
 	h->grace_ms = s->grace_ms;
-	cell_node_limits(h->node, &s->limits);
+	cell_node_set_limits(h->node, &s->limits);
 	platform_settings_free(s);
 out:
 	ogl_faults_free(faults);
@@ -368,7 +368,7 @@
 	h->stopping_since = ev_now(h->loop);
 	on_log(h, "host", "stopping", "");
 	cell_node_stop(h->node, boot_time(NULL));
-	ogl_http_in_closing(h->frontend_in);
+	ogl_http_in_set_closing(h->frontend_in);
 	ev_timer_start(h->loop, &h->drain_timer);
 }
 
@@ -398,9 +398,9 @@
 
 	ogl_http_in_limits_default(&limits);
 	limits.calls_only = true;
-	limits.body_max = BODY_MAX_BYTES;
-	limits.body_total_max = BODIES_MAX_BYTES;
-	limits.header_max = HEADERS_MAX_BYTES;
+	limits.body_max_bytes = BODY_MAX_BYTES;
+	limits.body_total_max_bytes = BODIES_MAX_BYTES;
+	limits.header_buffer_bytes = HEADERS_MAX_BYTES;
 	limits.budget_header = platform_deadline_header;
 	return ogl_http_in_init(
 	    h->loop, addr, &limits, sink, ops, h->log, error);
@@ -415,9 +415,9 @@
 	h->peer = ogl_peer_init(h->loop, s->peer, sink, h->log, error);
 	if (h->peer == NULL)
 		return false;
-	ogl_peer_expect(h->peer, &ogl__cell_msg__descriptor);
+	ogl_peer_set_message(h->peer, &ogl__cell_msg__descriptor);
 	if (s->link_kbps > 0 && s->link_kbps < COMPRESS_BELOW_KBPS)
-		ogl_peer_compress(h->peer);
+		ogl_peer_enable_compression(h->peer);
 	h->frontend_in = listen_frontend(h, s->frontend, error);
 	if (h->frontend_in == NULL)
 		return false;
@@ -442,7 +442,7 @@
 
 	randombytes_buf(&c.seed, sizeof c.seed);
 	h->platform = platform_init(h->http, s, boot_time, NULL);
-	platform_fill(h->platform, &h->ops);
+	platform_set_ops(h->platform, &h->ops);
 	h->ops.reply = on_reply;
 	h->ops.peer_send = on_peer_send;
 	h->ops.peer_reset = on_peer_reset;
--- a/daemon/http_client.h
+++ b/daemon/http_client.h
@@ -16,7 +16,7 @@
 	/* OGL_IO_OK: a complete answer of any status.  OGL_IO_NOT_SENT: the
 	 * request was certainly not sent.  OGL_IO_LOST: the request may have
 	 * been executed. */
-	enum ogl_io io;
+	enum ogl_io_result io;
 	bool no_listener; /* the host refused the connection */
 	unsigned status;
 	struct ogl_str body;
@@ -38,7 +38,7 @@
 	GBytes *body;        /* NULL: GET; else POST */
 	const char *kind;    /* to count its bytes by; a string literal */
 	uint32_t timeout_ms; /* for the whole request, connecting included */
-	bool again;          /* may be sent again if a reused connection ends */
+	bool resend_allowed; /* may be sent again if a reused connection ends */
 	ogl_http_done *done;
 	void *arg;
 };
--- a/daemon/http_in.h
+++ b/daemon/http_in.h
@@ -20,10 +20,10 @@
 };
 
 struct ogl_http_in_limits {
-	size_t body_max;          /* bytes of one request's body */
-	size_t body_total_max;    /* bytes of all bodies in memory */
-	unsigned connections_max; /* open at a time */
-	unsigned header_max;      /* bytes of a connection's header buffer */
+	size_t body_max_bytes;        /* bytes of one request's body */
+	size_t body_total_max_bytes;  /* bytes of all bodies in memory */
+	unsigned connections_max;     /* open at a time */
+	unsigned header_buffer_bytes; /* of each connection */
 	unsigned
 	    request_timeout_ms;    /* from a request's first byte to its last */
 	unsigned idle_timeout_s;   /* of a connection between requests */
@@ -60,7 +60,7 @@
 /* Serves all connections that are ready, without waiting; to be called before
  * the loop blocks.  Returns whether there was anything to do. */
 
-void ogl_http_in_closing(struct ogl_http_in *h);
+void ogl_http_in_set_closing(struct ogl_http_in *h);
 /* From now on each reply closes its connection. */
 
 void ogl_http_in_quiesce(struct ogl_http_in *h);
--- a/src/claim.c
+++ b/src/claim.c
@@ -19,7 +19,7 @@
 };
 
 void
-ogl_shard_known_owner(
+ogl_shard_set_known_owner(
     struct ogl_shard *sh, const char *node, uint64_t epoch, bool offered)
 {
 	g_free(sh->known_owner);
@@ -194,7 +194,7 @@
 		sh->state->complete = true;
 		/* The claim names this epoch, so that an owner that is still
 		 * alive sees that it is superseded. */
-		sh->state->epoch = sh->state->guess_epoch;
+		sh->state->epoch = sh->state->likely_epoch;
 	}
 	send_claim(sh, now);
 }
--- a/src/queue.c
+++ b/src/queue.c
@@ -5,13 +5,13 @@
  * baselines that it is compared with are in bench/.
  *
  * An item is waiting (in the policy's order), deferred (popped, but it did not
- * fit; it waits for ogl_queue_again), popped, or running.  Invariants: the age
- * heap holds exactly the waiting and the deferred items, so its size is the
- * queue length and the longest wait is at its top; `deferred` holds exactly
+ * fit; it waits for ogl_queue_retry_deferred), popped, or running.  Invariants:
+ * the age heap holds exactly the waiting and the deferred items, so its size is
+ * the queue length and the longest wait is at its top; `deferred` holds exactly
  * the deferred items.
  *
- * Each deferred item was popped once since the last ogl_queue_again, so
- * pushing all of them again costs O(log n) for each of those pops.
+ * Each deferred item was popped once since the last ogl_queue_retry_deferred,
+ * so pushing all of them again costs O(log n) for each of those pops.
  */
 
 #include <string.h>
@@ -138,7 +138,7 @@
 	it->w.label = it->label;
 	it->w.tasks = MAX(w->tasks, 1);
 	it->seq = ++q->seq;
-	it->rate = ogl_queue_demand(&it->w);
+	it->dominant_demand = ogl_queue_demand(&it->w);
 	g_hash_table_insert(q->items, &it->w.id, it);
 	return it;
 }
@@ -152,9 +152,9 @@
 }
 
 void
-ogl_queue_team(struct ogl_queue *q, const char *team, double share)
+ogl_queue_set_share(struct ogl_queue *q, const char *team, double share)
 {
-	q->policy->team(q->policy_state, intern(q, team), share);
+	q->policy->set_team_share(q->policy_state, intern(q, team), share);
 }
 
 void
@@ -168,7 +168,7 @@
 		return;
 	it = item_new(q, w);
 	it->state = OGL_QUEUE_WAITING;
-	ogl_queue_heap_add(&q->age, it->w.since, it);
+	ogl_queue_heap_add(&q->age, it->w.waiting_since, it);
 	q->policy->push(q->policy_state, it, now);
 }
 
@@ -186,7 +186,7 @@
 }
 
 void
-ogl_queue_back(struct ogl_queue *q, uint64_t id, ogl_time now)
+ogl_queue_defer(struct ogl_queue *q, uint64_t id, ogl_time now)
 {
 	struct ogl_queue_item *it = find(q, id);
 
@@ -195,13 +195,13 @@
 	if (q->policy->deferred != NULL)
 		q->policy->deferred(q->policy_state, it, now);
 	it->state = OGL_QUEUE_DEFERRED;
-	ogl_queue_heap_add(&q->age, it->w.since, it);
+	ogl_queue_heap_add(&q->age, it->w.waiting_since, it);
 	it->slot[OGL_HEAP_POLICY] = q->deferred->len;
 	g_ptr_array_add(q->deferred, it);
 }
 
 void
-ogl_queue_again(struct ogl_queue *q, ogl_time now)
+ogl_queue_retry_deferred(struct ogl_queue *q, ogl_time now)
 {
 	for (guint i = 0; i < q->deferred->len; i++) {
 		struct ogl_queue_item *it = q->deferred->pdata[i];
@@ -270,7 +270,7 @@
 {
 	const struct ogl_queue_item *it = ogl_queue_heap_top(&q->age);
 
-	if (it == NULL || it->w.since >= now)
+	if (it == NULL || it->w.waiting_since >= now)
 		return 0;
-	return (uint64_t)((now - it->w.since) / OGL_MS);
+	return (uint64_t)((now - it->w.waiting_since) / OGL_MS);
 }
--- a/src/shard.c
+++ b/src/shard.c
@@ -96,7 +96,7 @@
 	g_clear_pointer(&sh->state, ogl_state_free);
 	sh->role = OGL_ROLE_NONE;
 	sh->claim_sent = false;
-	sh->limbo = false;
+	sh->recovering = false;
 }
 
 void
@@ -124,7 +124,7 @@
 bool
 ogl_shard_ready(const struct ogl_shard *sh)
 {
-	return sh->role == OGL_ROLE_OWNER && !sh->limbo;
+	return sh->role == OGL_ROLE_OWNER && !sh->recovering;
 }
 
 void
@@ -132,10 +132,10 @@
 {
 	struct ogl_res total = {0}, held = {0};
 
-	ogl_place_room(sh->placer, &total, &held);
+	ogl_place_totals(sh->placer, &total, &held);
 	f->shard = sh->index;
 	f->epoch = sh->state->epoch;
-	f->ready = !sh->limbo;
+	f->ready = !sh->recovering;
 	f->free_cpu_milli = total.cpu_milli > held.cpu_milli
 				? total.cpu_milli - held.cpu_milli
 				: 0;
@@ -175,8 +175,9 @@
 	    (!ok && state != OGL__TASK_STATE__failed))
 		return;
 	s = g_ptr_array_index(sh->sessions, t->worker);
-	if (s->placed)
-		ogl_place_result(sh->placer, s->place, j->number, ok, now);
+	if (s->in_placer)
+		ogl_place_task_ended(
+		    sh->placer, s->placer_index, j->number, ok, now);
 }
 
 void
@@ -186,7 +187,7 @@
 	struct ogl_task *t = &j->tasks[i];
 	Ogl__Record *r;
 
-	if (t->ending)
+	if (t->end_pending)
 		return;
 	report_to_placer(sh, j, t, state, now);
 	ogl_sched_unbind(sh, j, i,
@@ -194,7 +195,7 @@
 		state == OGL__TASK_STATE__stopped ||
 		state == OGL__TASK_STATE__checkpointed,
 	    now);
-	t->ending = true;
+	t->end_pending = true;
 	r = ogl_shard_record(sh, now);
 	r->body_case = OGL__RECORD__BODY_TASK_ENDED;
 	r->task_ended = malloc(sizeof *r->task_ended);
@@ -252,8 +253,8 @@
 	sh->role = OGL_ROLE_OWNER;
 	sh->claim_sent = false;
 	sh->claimed_at = now;
-	sh->limbo = true;
-	sh->limbo_until = recovery_deadline(sh, r->claim->late, now);
+	sh->recovering = true;
+	sh->recovery_until = recovery_deadline(sh, r->claim->late, now);
 	sh->outranked_since = 0;
 	sh->promise_until = 0;
 	sh->next_promise_ask = 0;
@@ -267,10 +268,10 @@
 	ogl_sessions_init(sh);
 	ogl_shardcall_init(sh);
 	ogl_escrow_init(sh, now);
-	ogl_sched_settings(sh, now);
+	ogl_sched_apply_settings(sh, now);
 	mark_inherited_jobs(sh);
-	ogl_sessions_hosts(sh, now);
-	ogl_stream_poll(sh->stream, OWNER_POLL_MS, now);
+	ogl_sessions_update_hosts(sh, now);
+	ogl_stream_follow(sh->stream, OWNER_POLL_MS, now);
 	sh->env->counters->claims++;
 	ogl_shard_log(sh, OGL_LOG_INFO,
 	    "owned from epoch %" G_GUINT64_FORMAT ", %u jobs read",
@@ -338,11 +339,11 @@
 	(void)now;
 	if (!is_current_owner(sh))
 		return;
-	if (t->worker < sh->sessions->len && t->ending) {
+	if (t->worker < sh->sessions->len && t->end_pending) {
 		s = g_ptr_array_index(sh->sessions, t->worker);
 		ogl_session_ack(sh, s->name, j->id, i, e->attempt);
 	}
-	t->ending = false;
+	t->end_pending = false;
 	t->worker = OGL_NO_WORKER;
 	sh->env->counters->ends++;
 	g_ptr_array_add(sh->requeue, j);
@@ -355,7 +356,7 @@
 	struct ogl_shard *sh = ctx;
 
 	if (is_current_owner(sh))
-		ogl_sched_intended(sh, j, i, attempt, now);
+		ogl_sched_intent_recorded(sh, j, i, attempt, now);
 }
 
 static void
@@ -368,7 +369,7 @@
 }
 
 static void
-hook_id(void *ctx, struct ogl_idrec *r, ogl_time now)
+hook_id(void *ctx, struct ogl_request_id *r, ogl_time now)
 {
 	struct ogl_shard *sh = ctx;
 
@@ -382,7 +383,7 @@
 	struct ogl_shard *sh = ctx;
 
 	if (is_current_owner(sh))
-		ogl_session_worker(sh, name, on, now);
+		ogl_session_in_use_recorded(sh, name, on, now);
 }
 
 static void
@@ -396,14 +397,14 @@
 
 static const struct ogl_state_hooks hooks = {
     .claimed = hook_claimed,
-    .job = hook_job,
+    .job_accepted = hook_job,
     .cancelled = hook_cancelled,
     .task_ended = hook_task_ended,
-    .intent = hook_intent,
+    .start_intended = hook_intent,
     .referred = hook_referred,
-    .id = hook_id,
-    .worker = hook_worker,
-    .allot = hook_allot,
+    .id_changed = hook_id,
+    .worker_in_use_changed = hook_worker,
+    .allot_changed = hook_allot,
 };
 
 /* Handles a state that later records can't be applied to.  A reader replaces
@@ -429,7 +430,7 @@
 	if (ogl_state_stale(sh->state, r)) {
 		ogl_shard_log(sh, OGL_LOG_WARN,
 		    "the snapshot read was a superseded owner's");
-		reset_state(sh, ogl_state_anew(r));
+		reset_state(sh, ogl_state_new_after(r));
 	}
 	ogl_state_apply(sh->state, r, offset, &hooks, sh, now);
 }
@@ -454,7 +455,7 @@
 	sh->state = ogl_state_new();
 	sh->stream = ogl_stream_init(name, ogl_shard_token_base(sh->index),
 	    sh->env->cfg, &stream_ops, sh);
-	ogl_stream_poll(sh->stream, READER_POLL_MS, now);
+	ogl_stream_follow(sh->stream, READER_POLL_MS, now);
 }
 
 /* ---- owning ----------------------------------------------------------- */
@@ -468,7 +469,8 @@
 	for (uint32_t i = 0; i < j->ntasks; i++) {
 		struct ogl_task *t = &j->tasks[i];
 
-		if (t->phase == OGL_TASK_WAITING && t->intended && !t->ending)
+		if (t->phase == OGL_TASK_WAITING && t->intent_recorded &&
+		    !t->end_pending)
 			ogl_shard_task_end(sh, j, i, OGL__TASK_STATE__lapsed,
 			    "its owner was lost while it was started", now);
 	}
@@ -483,9 +485,10 @@
 
 	/* A worker that restarts forgets the new epoch and would obey the old
 	 * owner again, so the old owner's right to act must have ended too. */
-	if (now < right || (now < sh->limbo_until && ogl_sessions_unknown(sh)))
+	if (now < right ||
+	    (now < sh->recovery_until && ogl_sessions_any_unreported(sh)))
 		return;
-	sh->limbo = false;
+	sh->recovering = false;
 	sh->place_due = true;
 	g_hash_table_iter_init(&it, sh->state->jobs);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
@@ -544,7 +547,7 @@
 
 		r->epoch = sh->state->epoch;
 		r->at_ms = (uint64_t)(now / OGL_MS);
-		ogl_stream_put_first(sh->stream, r);
+		ogl_stream_add_first(sh->stream, r);
 	}
 	g_ptr_array_free(parts, TRUE);
 }
@@ -595,7 +598,7 @@
 	if (outranked != before) {
 		sh->outranked_since = outranked ? now : 0;
 		ogl_member_changed(sh->env->member);
-		ogl_stream_poll(sh->stream,
+		ogl_stream_follow(sh->stream,
 		    outranked || sh->stopping ? OFFER_POLL_MS : OWNER_POLL_MS,
 		    now);
 	}
@@ -615,12 +618,12 @@
 	requeue_jobs(sh, now);
 	ogl_right_ask_promises(sh, now);
 	ogl_sessions_tick(sh, now);
-	if (sh->limbo)
+	if (sh->recovering)
 		end_recovery(sh, now);
 	ogl_escrow_tick(sh, now);
 	if (now >= sh->next_maintenance) {
 		sh->next_maintenance = now + MAINTENANCE_EVERY_MS * OGL_MS;
-		ogl_sched_limits(sh, now);
+		ogl_sched_enforce_limits(sh, now);
 		renew_successors(sh, now);
 		update_outranked(sh, now);
 		write_snapshot(sh, now);
@@ -633,8 +636,8 @@
 		ogl_sched_place(sh, now);
 		ogl_sessions_tick(sh, now);
 	}
-	if (now >= ogl_sched_lend_next(sh))
-		ogl_sched_lend(sh, now);
+	if (now >= ogl_sched_next_reclaim(sh))
+		ogl_sched_reclaim_lent(sh, now);
 }
 
 void
@@ -663,7 +666,7 @@
 		t = MIN(t, sh->next_maintenance);
 		t = MIN(t, ogl_escrow_next(sh));
 		t = MIN(t, ogl_sessions_next(sh));
-		t = MIN(t, ogl_sched_lend_next(sh));
+		t = MIN(t, ogl_sched_next_reclaim(sh));
 		if (sh->place_due)
 			t = 0;
 	}
@@ -693,14 +696,14 @@
 	if (sh->role == OGL_ROLE_READER && !sh->claim_sent)
 		ogl_shard_leave_role(sh, now);
 	if (sh->role == OGL_ROLE_OWNER)
-		ogl_stream_poll(sh->stream, OFFER_POLL_MS, now);
+		ogl_stream_follow(sh->stream, OFFER_POLL_MS, now);
 }
 
 void
 ogl_shard_settings(struct ogl_shard *sh, ogl_time now)
 {
 	if (sh->role == OGL_ROLE_OWNER)
-		ogl_sched_settings(sh, now);
+		ogl_sched_apply_settings(sh, now);
 }
 
 void
--- a/src/shardcall.c
+++ b/src/shardcall.c
@@ -128,7 +128,7 @@
 			if (t->phase == OGL_TASK_ENDED)
 				tasks[i].state =
 				    (char *)ogl__task_state__descriptor
-					.values[t->end]
+					.values[t->end_state]
 					.name;
 			if (t->phase == OGL_TASK_PLACED) {
 				s = g_ptr_array_index(sh->sessions, t->worker);
@@ -257,7 +257,7 @@
 static const char *
 infeasible_reason(struct ogl_shard *sh, const Ogl__Submit *s)
 {
-	struct ogl_ask ask = {.kind = s->kind};
+	struct ogl_demand ask = {.kind = s->kind};
 	uint32_t tasks_at_once = s->kind == OGL__KIND__gang ? s->tasks : 1;
 
 	if (s->res != NULL) {
@@ -265,14 +265,14 @@
 		ask.res.mem_mb = s->res->mem_mb;
 		ask.res.accel = s->res->accel;
 	}
-	switch (ogl_place_never(sh->placer, &ask, tasks_at_once)) {
-	case OGL_NEVER_NO_WORKER:
+	switch (ogl_place_feasibility(sh->placer, &ask, tasks_at_once)) {
+	case OGL_INFEASIBLE_NO_WORKER:
 		return "it can never run: no worker is large enough for "
 		       "one task";
-	case OGL_NEVER_GANG_TOTAL:
+	case OGL_INFEASIBLE_GANG_TOTAL:
 		return "it can never run: all workers together hold too few "
 		       "of its tasks at once";
-	case OGL_NEVER_NOT:
+	case OGL_FEASIBLE:
 	default:
 		return NULL;
 	}
@@ -284,7 +284,7 @@
 {
 	struct ogl_team_view view;
 
-	ogl_settings_team(sh->env->settings, team, &view);
+	ogl_settings_lookup_team(sh->env->settings, team, &view);
 	if (s->kind == OGL__KIND__gang && view.exists &&
 	    view.limit_tasks < s->tasks)
 		return "it can never run: the gang is larger than the "
@@ -386,7 +386,7 @@
 /* Returns whether the submission is referred to another shard, and if so
  * answers the waiter, now or once the referral is on the log. */
 static bool
-refer(struct ogl_shard *sh, const struct ogl_ask_call *c, const char *id,
+refer(struct ogl_shard *sh, const struct ogl_owner_call *c, const char *id,
     ogl_time now)
 {
 	const Ogl__JobReferred *r;
@@ -420,7 +420,7 @@
  */
 static bool
 refused_before(
-    struct ogl_shard *sh, const struct ogl_ask_call *c, const char *id)
+    struct ogl_shard *sh, const struct ogl_owner_call *c, const char *id)
 {
 	const Ogl__JobReferred *r;
 	char *key;
@@ -443,7 +443,7 @@
 /* Records a permanent refusal.  The waiter is answered once it is on the
  * log. */
 static void
-record_refusal(struct ogl_shard *sh, const struct ogl_ask_call *c,
+record_refusal(struct ogl_shard *sh, const struct ogl_owner_call *c,
     const char *id, ogl_time now)
 {
 	char *key = ogl_request_key(c->team, id);
@@ -457,20 +457,20 @@
 static bool
 workers_unreported(const struct ogl_shard *sh)
 {
-	if (sh->limbo)
+	if (sh->recovering)
 		return true;
 	for (guint i = 0; i < sh->sessions->len; i++) {
 		const struct ogl_session *s =
 		    g_ptr_array_index(sh->sessions, i);
 
-		if (!s->known && !s->gone && s->fails < UNRESPONSIVE_FAILS)
+		if (!s->reported && !s->gone && s->fails < UNRESPONSIVE_FAILS)
 			return true;
 	}
 	return false;
 }
 
 static void
-call_submit(struct ogl_shard *sh, const struct ogl_ask_call *c, ogl_time now)
+call_submit(struct ogl_shard *sh, const struct ogl_owner_call *c, ogl_time now)
 {
 	struct ogl_faults *faults = ogl_faults_new();
 	Ogl__Submit *s = (Ogl__Submit *)ogl_json_parse(
@@ -536,13 +536,13 @@
 }
 
 static bool
-may_see(const struct ogl_ask_call *c, const struct ogl_job *j)
+may_see(const struct ogl_owner_call *c, const struct ogl_job *j)
 {
 	return c->team[0] == '\0' || strcmp(c->team, j->team) == 0;
 }
 
 static void
-call_list(struct ogl_shard *sh, const struct ogl_ask_call *c)
+call_list(struct ogl_shard *sh, const struct ogl_owner_call *c)
 {
 	Ogl__JobList list = OGL__JOB_LIST__INIT;
 	guint most = g_hash_table_size(sh->state->jobs);
@@ -572,7 +572,7 @@
 static bool
 never_started(const struct ogl_shard *sh, const struct ogl_job *j)
 {
-	if (j->nplaced > 0 || j->nended > 0 || (sh->limbo && j->inherited))
+	if (j->nplaced > 0 || j->nended > 0 || (sh->recovering && j->inherited))
 		return false;
 	for (uint32_t i = 0; i < j->ntasks; i++) {
 		if (j->tasks[i].attempt != 0)
@@ -590,8 +590,8 @@
 	Ogl__Record *r;
 
 	/* No task is started from here on, so a not_run verdict stays true. */
-	j->cancelling = true;
-	ogl_sched_unqueue(sh, j);
+	j->cancel_pending = true;
+	ogl_sched_dequeue(sh, j);
 	r = ogl_shard_record(sh, now);
 	r->body_case = OGL__RECORD__BODY_JOB_CANCELLED;
 	r->job_cancelled = malloc(sizeof *r->job_cancelled);
@@ -605,7 +605,7 @@
 }
 
 static void
-call_cancel(struct ogl_shard *sh, const struct ogl_ask_call *c,
+call_cancel(struct ogl_shard *sh, const struct ogl_owner_call *c,
     struct ogl_job *j, ogl_time now)
 {
 	if (ogl_job_ended(j)) {
@@ -613,7 +613,7 @@
 		return;
 	}
 	add_waiter(sh->cancels, j->id, c->waiter);
-	if (!j->cancelling)
+	if (!j->cancel_pending)
 		record_cancel(sh, j, "", now);
 }
 
@@ -633,14 +633,15 @@
 		struct ogl_job *j = v;
 		const char *why;
 
-		if (ogl_job_ended(j) || j->cancelling || j->nplaced > 0)
+		if (ogl_job_ended(j) || j->cancel_pending || j->nplaced > 0)
 			continue;
 		why = infeasible_reason(sh, j->spec);
 		if (why == NULL)
-			j->never_since = 0;
-		else if (j->never_since == 0)
-			j->never_since = now;
-		else if (now - j->never_since >= INFEASIBLE_MIN_S * OGL_SEC)
+			j->infeasible_since = 0;
+		else if (j->infeasible_since == 0)
+			j->infeasible_since = now;
+		else if (now - j->infeasible_since >=
+			 INFEASIBLE_MIN_S * OGL_SEC)
 			record_cancel(sh, j, why, now);
 	}
 }
@@ -651,7 +652,7 @@
 {
 	GArray *w = g_hash_table_lookup(sh->cancels, j->id);
 
-	ogl_sched_unqueue(sh, j);
+	ogl_sched_dequeue(sh, j);
 	ogl_sched_stop_job(sh, j, OGL__STOP_MODE__stop, now);
 	for (guint i = 0; w != NULL && i < w->len; i++)
 		reply_job(sh, g_array_index(w, uint64_t, i), 200, j, false);
@@ -659,7 +660,7 @@
 }
 
 static void
-call_job(struct ogl_shard *sh, const struct ogl_ask_call *c, const char *id,
+call_job(struct ogl_shard *sh, const struct ogl_owner_call *c, const char *id,
     ogl_time now)
 {
 	struct ogl_job *j = g_hash_table_lookup(sh->state->jobs, id);
@@ -675,14 +676,15 @@
 /* ---- short requests with an id ---------------------------------------- */
 
 static void
-reply_outcome(struct ogl_shard *sh, uint64_t waiter, const struct ogl_idrec *r)
+reply_outcome(
+    struct ogl_shard *sh, uint64_t waiter, const struct ogl_request_id *r)
 {
 	reply(sh, waiter, r->status, (enum ogl_verdict)r->verdict, 0,
 	    g_bytes_ref(r->body));
 }
 
 static void
-record_intent(struct ogl_shard *sh, const struct ogl_ask_call *c,
+record_intent(struct ogl_shard *sh, const struct ogl_owner_call *c,
     const char *id, ogl_time now)
 {
 	struct ogl_inflight *f = g_new0(struct ogl_inflight, 1);
@@ -705,10 +707,10 @@
 }
 
 static void
-call_request(struct ogl_shard *sh, const struct ogl_ask_call *c, ogl_time now)
+call_request(struct ogl_shard *sh, const struct ogl_owner_call *c, ogl_time now)
 {
 	char *id = ogl_request_key(c->team, c->request_id);
-	struct ogl_idrec *r = g_hash_table_lookup(sh->state->ids, id);
+	struct ogl_request_id *r = g_hash_table_lookup(sh->state->ids, id);
 	struct ogl_inflight *f = g_hash_table_lookup(sh->inflight, id);
 
 	if (f != NULL)
@@ -730,7 +732,7 @@
 
 void
 ogl_shardcall_id_recorded(
-    struct ogl_shard *sh, struct ogl_idrec *r, ogl_time now)
+    struct ogl_shard *sh, struct ogl_request_id *r, ogl_time now)
 {
 	struct ogl_inflight *f = g_hash_table_lookup(sh->inflight, r->id);
 
@@ -789,7 +791,8 @@
 /* ---- dispatch by path ------------------------------------------------- */
 
 void
-ogl_shard_call(struct ogl_shard *sh, const struct ogl_ask_call *c, ogl_time now)
+ogl_shard_call(
+    struct ogl_shard *sh, const struct ogl_owner_call *c, ogl_time now)
 {
 	const char *jobs = "/v1/jobs";
 	size_t n = strlen(jobs);
--- a/test/fake_cell.c
+++ b/test/fake_cell.c
@@ -192,7 +192,7 @@
 };
 
 struct fake_cell {
-	struct fake_cell_shape shape;
+	struct fake_cell_params shape;
 	ogl_time now;
 	uint64_t last_order; /* of events posted */
 	GSequence *events;   /* struct event */
@@ -657,7 +657,7 @@
 answer_append_moved(struct fake_cell *f, void *arg)
 {
 	struct call *c = arg;
-	struct cell_append_answer a = {.io = OGL_IO_REFUSED, .moved = true};
+	struct cell_append_answer a = {.io = OGL_IO_REFUSED, .end_moved = true};
 
 	answer_append(c, &a);
 	call_unref(f, c);
@@ -896,7 +896,9 @@
 static guint
 page_size(const struct fake_cell *f, enum cell_stream s)
 {
-	return f->shape.page > 0 && s != CELL_LEAD ? f->shape.page : G_MAXUINT;
+	return f->shape.page_records > 0 && s != CELL_LEAD
+		   ? f->shape.page_records
+		   : G_MAXUINT;
 }
 
 static void
@@ -949,15 +951,15 @@
 	return n;
 }
 
-/* The fault that this call meets: half of the writes meet FAKE_STORE_LOSING and
- * FAKE_STORE_LATE. */
+/* The fault that this call meets: half of the writes meet
+ * FAKE_STORE_LOSES_ANSWERS and FAKE_STORE_LATE. */
 static enum fake_store_fault
 pick_store_fault(struct fake_cell *f, const struct node *n, bool write)
 {
 	enum fake_store_fault fault = n->store_fault;
 
-	if (fault == FAKE_STORE_LOSING || fault == FAKE_STORE_LATE)
-		return write && chance(f, 0.5) ? fault : FAKE_STORE_WELL;
+	if (fault == FAKE_STORE_LOSES_ANSWERS || fault == FAKE_STORE_LATE)
+		return write && chance(f, 0.5) ? fault : FAKE_STORE_OK;
 	return fault;
 }
 
@@ -967,12 +969,12 @@
 	struct fake_cell *f = c->cell;
 
 	switch (pick_store_fault(f, c->node, true)) {
-	case FAKE_STORE_SILENT:
+	case FAKE_STORE_UNREACHABLE:
 		break;
-	case FAKE_STORE_BUSY:
+	case FAKE_STORE_REFUSING:
 		transmit(c, hop_delay(f), (int)c->node->index, answer_busy);
 		break;
-	case FAKE_STORE_LOSING:
+	case FAKE_STORE_LOSES_ANSWERS:
 		transmit(c, 0, -1, at_store_append_unanswered);
 		break;
 	case FAKE_STORE_LATE:
@@ -998,7 +1000,7 @@
 	c->fenced = a->fenced;
 	c->epoch = a->epoch;
 	c->seq = a->seq;
-	c->expected_end = a->at;
+	c->expected_end = a->expected_end;
 	c->puts = g_ptr_array_new_with_free_func(record_free);
 	for (i = 0; i < a->nputs; i++) {
 		struct record *r = g_new0(struct record, 1);
@@ -1017,9 +1019,9 @@
 	struct fake_cell *f = c->cell;
 	enum fake_store_fault fault = pick_store_fault(f, c->node, false);
 
-	if (fault == FAKE_STORE_BUSY)
+	if (fault == FAKE_STORE_REFUSING)
 		transmit(c, hop_delay(f), (int)c->node->index, answer_busy);
-	else if (fault != FAKE_STORE_SILENT)
+	else if (fault != FAKE_STORE_UNREACHABLE)
 		transmit(c, 0, -1, fn);
 }
 
@@ -1221,7 +1223,7 @@
 	g_ptr_array_add(w->ended, e);
 	raise_highest_run(w, &r->task, r->number);
 	remove_run(f, w, r);
-	if (w->fault != FAKE_WORKER_DARK)
+	if (w->fault != FAKE_WORKER_UNREACHABLE)
 		wake_holds(f, w);
 }
 
@@ -1454,15 +1456,15 @@
 		return CELL_REFUSED_OLD;
 	if (c->lease_until_ms <= worker_clock_ms(f, w))
 		return CELL_REFUSED_LATE;
-	if (!f->shape.policy)
-		return CELL_REFUSED_NOT;
+	if (!f->shape.needs_advice)
+		return CELL_NOT_REFUSED;
 	ticket = g_strdup_printf("%s.%u.%u %s %" G_GUINT64_FORMAT, c->task.id,
 	    c->task.occurrence, c->task.step, w->id, w->born_ms);
 	until = g_hash_table_lookup(f->tickets, ticket);
 	ticket_valid = c->ticket != NULL && strcmp(c->ticket, ticket) == 0 &&
 		       until != NULL && f->now <= *until;
 	g_free(ticket);
-	return ticket_valid ? CELL_REFUSED_NOT : CELL_REFUSED_TICKET;
+	return ticket_valid ? CELL_NOT_REFUSED : CELL_REFUSED_TICKET;
 }
 
 static void
@@ -1478,13 +1480,13 @@
 		return;
 	}
 	s = &j->steps[c->task.step];
-	check_start(f, w, j, &c->task, s->cpu);
+	check_start(f, w, j, &c->task, s->cpu_milli);
 	check_zone(f, w, c);
 	r = g_new0(struct run, 1);
 	r->task = c->task;
 	r->number = c->run;
 	r->id = ++f->last_run_id;
-	r->cpu_milli = s->cpu;
+	r->cpu_milli = s->cpu_milli;
 	r->run_ms = s->run_ms;
 	r->gang = s->gang;
 	r->gang_size = s->count;
@@ -1544,7 +1546,7 @@
 	if (run_of(w, &c->task, c->run) != NULL)
 		return;
 	why = start_refusal(f, w, c);
-	if (why != CELL_REFUSED_NOT) {
+	if (why != CELL_NOT_REFUSED) {
 		c->order_answer.io = OGL_IO_REFUSED;
 		c->order_answer.why = why;
 		return;
@@ -1593,7 +1595,7 @@
 {
 	(void)f;
 	return c->worker != NULL && c->worker->up &&
-	       c->worker->fault != FAKE_WORKER_DARK;
+	       c->worker->fault != FAKE_WORKER_UNREACHABLE;
 }
 
 static void
@@ -1718,14 +1720,14 @@
 	struct cell_hold_answer a = {.io = OGL_IO_OK,
 	    .clock_ms = worker_clock_ms(f, w),
 	    .born_ms = w->born_ms};
-	GArray *running = g_array_new(FALSE, TRUE, sizeof(struct cell_row));
-	GArray *ended = g_array_new(FALSE, TRUE, sizeof(struct cell_row));
+	GArray *running = g_array_new(FALSE, TRUE, sizeof(struct cell_run_row));
+	GArray *ended = g_array_new(FALSE, TRUE, sizeof(struct cell_run_row));
 	GPtrArray *texts = g_ptr_array_new_with_free_func(g_free);
 	guint i;
 
 	for (i = 0; i < w->runs->len; i++) {
 		const struct run *r = w->runs->pdata[i];
-		struct cell_row row = {.task = r->task, .run = r->number};
+		struct cell_run_row row = {.task = r->task, .run = r->number};
 		char *text = g_malloc0(24);
 
 		format_checkpoint(f, r, text, 24);
@@ -1737,7 +1739,7 @@
 	}
 	for (i = 0; i < w->ended->len; i++) {
 		const struct ended *e = w->ended->pdata[i];
-		struct cell_row row = {.task = e->task,
+		struct cell_run_row row = {.task = e->task,
 		    .run = e->run,
 		    .number = e->number,
 		    .how = e->how,
@@ -1745,9 +1747,9 @@
 
 		g_array_append_val(ended, row);
 	}
-	a.running = (const struct cell_row *)(void *)running->data;
+	a.running = (const struct cell_run_row *)(void *)running->data;
 	a.nrunning = running->len;
-	a.ended = (const struct cell_row *)(void *)ended->data;
+	a.ended = (const struct cell_run_row *)(void *)ended->data;
 	a.nended = ended->len;
 	if (worker_reachable(f, c) && c->born_ms == w->born_ms &&
 	    call_finish(c)) {
@@ -1806,7 +1808,7 @@
 	struct call *c = arg;
 	struct worker *w = c->worker;
 
-	if (f->shape.refuses && w != NULL && !w->up) {
+	if (f->shape.crashed_refuse && w != NULL && !w->up) {
 		transmit(c, 0, (int)c->node->index, answer_hold_refused);
 		call_unref(f, c);
 		return;
@@ -1941,7 +1943,7 @@
 
 	s.p = g_bytes_get_data(p->bytes, &len);
 	s.n = len;
-	cell_node_peer(n->node, s, f->now);
+	cell_node_receive(n->node, s, f->now);
 	peer_message_free(f, p);
 	step_node(f, n);
 }
@@ -2053,7 +2055,7 @@
 
 	ogl__cell_step__init(p);
 	p->count = s->count;
-	p->cpu_milli = s->cpu;
+	p->cpu_milli = s->cpu_milli;
 	p->mem_mb = 100;
 	p->estimate_ms = s->run_ms;
 	p->gang = s->gang;
@@ -2125,13 +2127,13 @@
 }
 
 void
-fake_cell_budget(struct fake_cell *f, uint32_t ms)
+fake_cell_set_caller_timeout(struct fake_cell *f, uint32_t ms)
 {
 	f->caller_timeout_ms = ms;
 }
 
 void
-fake_cell_rank(struct fake_cell *f, unsigned rank)
+fake_cell_set_queue_rank(struct fake_cell *f, unsigned rank)
 {
 	f->queue_rank = rank;
 }
@@ -2163,7 +2165,7 @@
 }
 
 void
-fake_cell_ask(struct fake_cell *f, unsigned node, const char *id)
+fake_cell_query_job(struct fake_cell *f, unsigned node, const char *id)
 {
 	call_node(f, node, CELL_GET, job_of(f, id), API_KEY);
 }
@@ -2186,27 +2188,27 @@
 	for (i = 0; i < f->shape.nodes; i++) {
 		if (f->nodes[i].frozen || !fake_cell_ready(f, i))
 			continue;
-		fake_cell_ask(f, i, id);
+		fake_cell_query_job(f, i, id);
 		break;
 	}
-	fake_cell_run(f, 3000);
+	fake_cell_advance(f, 3000);
 	return j->has_state ? names[j->state] : "none";
 }
 
 unsigned
-fake_cell_starts(const struct fake_cell *f, const char *id)
+fake_cell_started_runs(const struct fake_cell *f, const char *id)
 {
 	return job_of(f, id)->starts;
 }
 
 unsigned
-fake_cell_running(const struct fake_cell *f, const char *id)
+fake_cell_running_runs(const struct fake_cell *f, const char *id)
 {
 	return job_of(f, id)->running;
 }
 
 unsigned
-fake_cell_running_in(const struct fake_cell *f, const char *zone)
+fake_cell_zone_running_runs(const struct fake_cell *f, const char *zone)
 {
 	unsigned n = 0;
 	unsigned i;
@@ -2259,7 +2261,7 @@
 	o->log = on_log;
 	o->count = on_count;
 	o->observe = on_count;
-	o->outside = n;
+	o->backend_ctx = n;
 	o->ctx = n;
 }
 
@@ -2362,13 +2364,13 @@
 }
 
 void
-fake_cell_lag(struct fake_cell *f, unsigned node, uint32_t ms)
+fake_cell_set_step_ms(struct fake_cell *f, unsigned node, uint32_t ms)
 {
 	f->nodes[node].step_ms = ms;
 }
 
 unsigned
-fake_cell_link_ms(const struct fake_cell *f, unsigned node)
+fake_cell_link_wait_ms(const struct fake_cell *f, unsigned node)
 {
 	ogl_time link_wait = f->nodes[node].receive_busy_until - f->now;
 
@@ -2385,7 +2387,7 @@
 }
 
 unsigned
-fake_cell_shards(const struct fake_cell *f, unsigned node)
+fake_cell_known_shards(const struct fake_cell *f, unsigned node)
 {
 	return f->nodes[node].up ? cell_node_shards(f->nodes[node].node) : 0;
 }
@@ -2414,7 +2416,7 @@
 }
 
 unsigned
-fake_cell_claims(const struct fake_cell *f, unsigned shard)
+fake_cell_claim_count(const struct fake_cell *f, unsigned shard)
 {
 	return f->streams[CELL_CLAIMS][shard].records->len;
 }
@@ -2461,7 +2463,7 @@
 
 	g_string_printf(s, "%" G_GUINT64_FORMAT " %d %u %u %u",
 	    ++f->config_version,
-	    f->shape.policy ? 1 + (int)f->shape.advice_worker_ms : 0,
+	    f->shape.needs_advice ? 1 + (int)f->shape.advice_worker_ms : 0,
 	    f->shape.attempts_max, f->team_cpu_milli,
 	    f->shape.team_rate > 0 ? f->shape.team_rate : RATE_UNLIMITED);
 	for (i = 0; i < G_N_ELEMENTS(keys); i++) {
@@ -2481,7 +2483,8 @@
 }
 
 void
-fake_cell_store(struct fake_cell *f, int node, enum fake_store_fault fault)
+fake_cell_set_store_fault(
+    struct fake_cell *f, int node, enum fake_store_fault fault)
 {
 	unsigned i;
 
@@ -2490,7 +2493,7 @@
 			continue;
 		f->nodes[i].store_fault = fault;
 		f->nodes[i].healthy_since =
-		    fault == FAKE_STORE_WELL ? f->now : OGL_NEVER / 2;
+		    fault == FAKE_STORE_OK ? f->now : OGL_NEVER / 2;
 	}
 }
 
@@ -2509,7 +2512,7 @@
 }
 
 void
-fake_cell_forget_settings(struct fake_cell *f)
+fake_cell_trim_settings(struct fake_cell *f)
 {
 	struct stream *s = &f->streams[CELL_SETTINGS][0];
 
@@ -2517,21 +2520,21 @@
 }
 
 void
-fake_cell_revoke(struct fake_cell *f, const char *key)
+fake_cell_revoke_key(struct fake_cell *f, const char *key)
 {
 	g_hash_table_add(f->revoked_keys, g_strdup(key));
 	put_config(f);
 }
 
 void
-fake_cell_limit(struct fake_cell *f, uint32_t team_cpu_max)
+fake_cell_set_team_limit(struct fake_cell *f, uint32_t team_cpu_milli_max)
 {
 	if (f->now - f->limit_set_at > LIMIT_SETTLE_TIME)
 		f->earlier_limit_milli = f->team_cpu_milli;
 	else
 		f->earlier_limit_milli =
 		    MAX(f->earlier_limit_milli, f->team_cpu_milli);
-	f->team_cpu_milli = team_cpu_max;
+	f->team_cpu_milli = team_cpu_milli_max;
 	f->limit_set_at = f->now;
 	put_config(f);
 }
@@ -2543,7 +2546,7 @@
 }
 
 void
-fake_cell_forget_lists(struct fake_cell *f)
+fake_cell_expire_entries(struct fake_cell *f)
 {
 	unsigned i;
 
@@ -2585,7 +2588,7 @@
 }
 
 void
-fake_cell_worker(
+fake_cell_set_worker_fault(
     struct fake_cell *f, unsigned worker, enum fake_worker_fault fault)
 {
 	struct worker *w = &f->workers[worker];
@@ -2603,14 +2606,14 @@
 }
 
 void
-fake_cell_reborn(struct fake_cell *f, unsigned worker)
+fake_cell_restart_worker(struct fake_cell *f, unsigned worker)
 {
 	lose_state(f, &f->workers[worker]);
 	put_entry(f, &f->workers[worker]);
 }
 
 void
-fake_cell_drain(struct fake_cell *f, unsigned worker)
+fake_cell_drain_worker(struct fake_cell *f, unsigned worker)
 {
 	f->workers[worker].draining = true;
 	put_entry(f, &f->workers[worker]);
@@ -2648,7 +2651,7 @@
 }
 
 void
-fake_cell_run(struct fake_cell *f, uint32_t ms)
+fake_cell_advance(struct fake_cell *f, uint32_t ms)
 {
 	ogl_time end = f->now + ms * OGL_MS;
 
@@ -2724,7 +2727,7 @@
 }
 
 struct fake_cell *
-fake_cell_init(const struct fake_cell_shape *shape)
+fake_cell_init(const struct fake_cell_params *shape)
 {
 	struct fake_cell *f = g_new0(struct fake_cell, 1);
 	unsigned i;
@@ -2732,7 +2735,7 @@
 	f->shape = *shape;
 	f->caller_timeout_ms = 3000;
 	f->now = OGL_SEC;
-	f->team_cpu_milli = shape->team_cpu_max;
+	f->team_cpu_milli = shape->team_cpu_milli_max;
 	f->events = g_sequence_new(NULL);
 	f->rand = g_rand_new_with_seed((guint32)shape->seed);
 	f->jobs =
@@ -2754,7 +2757,7 @@
 		g_queue_init(&s->recent_appends);
 		g_queue_init(&s->readers);
 	}
-	if (!shape->unplanned)
+	if (!shape->no_shard_plan)
 		put_plan(f);
 	put_config(f);
 	for (i = 0; i < shape->workers; i++)
@@ -2818,7 +2821,7 @@
 }
 
 const char *
-fake_cell_breaches(const struct fake_cell *f)
+fake_cell_violations(const struct fake_cell *f)
 {
 	return f->violations->str;
 }
@@ -2835,10 +2838,10 @@
 		struct job *j = p;
 
 		if (!j->accepted || j->steps[0].lasting ||
-		    (j->has_state && cell_job_over(j->state)))
+		    (j->has_state && cell_job_state_ended(j->state)))
 			continue;
 		all_ended = false;
-		fake_cell_ask(
+		fake_cell_query_job(
 		    f, (unsigned)(f->last_token % f->shape.nodes), j->id);
 	}
 	return all_ended;
@@ -2855,7 +2858,8 @@
 		struct job *j = p;
 		char text[96];
 
-		if (!j->accepted || (j->has_state && cell_job_over(j->state)))
+		if (!j->accepted ||
+		    (j->has_state && cell_job_state_ended(j->state)))
 			continue;
 		g_snprintf(text, sizeof text, "%s state %d status %d runs %u",
 		    j->id, j->has_state ? (int)j->state : -1, j->status,
@@ -2871,14 +2875,14 @@
 	char zone[8];
 	unsigned i;
 
-	fake_cell_store(f, -1, FAKE_STORE_WELL);
+	fake_cell_set_store_fault(f, -1, FAKE_STORE_OK);
 	for (i = 0; i < f->shape.nodes; i++) {
 		fake_cell_boot(f, i);
 		fake_cell_freeze(f, i, false);
-		fake_cell_lag(f, i, 0);
+		fake_cell_set_step_ms(f, i, 0);
 	}
 	for (i = 0; i < f->shape.workers; i++)
-		fake_cell_worker(f, i, FAKE_WORKER_WELL);
+		fake_cell_set_worker_fault(f, i, FAKE_WORKER_OK);
 	for (i = 1; i <= MAX_ZONES; i++) {
 		g_snprintf(zone, sizeof zone, "z%u", i);
 		if (f->evacuated_at[i] != 0)
@@ -2889,7 +2893,7 @@
 			report_open_jobs(f);
 			return false;
 		}
-		fake_cell_run(f, 500);
+		fake_cell_advance(f, 500);
 	}
 	return true;
 }
--- a/test/test_cell_fleet.cc
+++ b/test/test_cell_fleet.cc
@@ -58,21 +58,22 @@
 		struct cell_fleet_events e = {};
 
 		ops_.hold = on_hold;
-		ops_.outside = &worker_;
+		ops_.backend_ctx = &worker_;
 		ops_.log = [](void *, const char *, const char *,
 			       const char *) {};
 		ops_.count = [](void *, const char *, uint64_t) {};
 		limits_.lease_max_ms = 10000;
 		e.answered = [](void *, struct cell_worker *, ogl_time) {};
-		e.room = [](void *, ogl_time) {};
+		e.room_freed = [](void *, ogl_time) {};
 		e.run_found = [](void *arg, struct cell_worker *w,
-				  const struct cell_row *row, ogl_time now) {
+				  const struct cell_run_row *row,
+				  ogl_time now) {
 			auto *t = static_cast<Fleet *>(arg);
 
-			cell_fleet_stray(t->fleet_, w, row, now);
+			cell_fleet_stop_orphan(t->fleet_, w, row, now);
 		};
 		e.arg = this;
-		e.up = [](void *, struct cell_run *, ogl_time) {};
+		e.run_started = [](void *, struct cell_run *, ogl_time) {};
 		e.run_ended = [](void *arg, struct cell_run *, enum cell_end,
 				  const char *, ogl_time) {
 			static_cast<Fleet *>(arg)->ended_++;
@@ -133,13 +134,13 @@
 	}
 
 	/* Answers the last hold as another worker at the address would. */
-	void refuse_life()
+	void refuse_incarnation()
 	{
 		struct cell_hold_answer a = {};
 		Hold &h = worker_.holds.back();
 
 		a.io = OGL_IO_REFUSED;
-		a.why = CELL_REFUSED_LIFE;
+		a.why = CELL_REFUSED_INCARNATION;
 		h.answered = true;
 		h.done(h.arg, &a, now_);
 	}
@@ -166,7 +167,7 @@
 	}
 
 	/* Starts a task on the worker and answers the start with io. */
-	void start(enum ogl_io io = OGL_IO_OK)
+	void start(enum ogl_io_result io = OGL_IO_OK)
 	{
 		auto *d = static_cast<Ogl__CellJob *>(
 		    calloc(1, sizeof(Ogl__CellJob)));
@@ -184,18 +185,18 @@
 		d->n_steps = 1;
 		job_ = cell_job_new(d, now_);
 		cell_fleet_start(fleet_, worker(),
-		    &cell_job_begin(job_, 0, now_)->stages[0], 0, 5, nullptr, 0,
-		    now_);
+		    &cell_job_begin_occurrence(job_, 0, now_)->stages[0], 0, 5,
+		    nullptr, 0, now_);
 		a.io = io;
 		worker_.starts.back().done(worker_.starts.back().arg, &a, now_);
 		answered_starts_ = worker_.starts.size();
 	}
 
 	/* Answers the last hold; the worker lists `running` (0 or 1) runs. */
-	void answer(enum ogl_io io, size_t running, uint64_t born = 7)
+	void answer(enum ogl_io_result io, size_t running, uint64_t born = 7)
 	{
 		struct cell_hold_answer a = {};
-		struct cell_row row = {};
+		struct cell_run_row row = {};
 		Hold &h = worker_.holds.back();
 
 		a.io = io;
@@ -280,7 +281,7 @@
 {
 	step(10);
 	EXPECT_FALSE(cell_fleet_settled(fleet_, now_));
-	refuse_life();
+	refuse_incarnation();
 	EXPECT_TRUE(cell_fleet_settled(fleet_, now_));
 }
 
@@ -289,7 +290,7 @@
 TEST_F(Fleet, GoneWorkerListedAtNewAddressIsWaitedFor)
 {
 	step(10);
-	refuse_life();
+	refuse_incarnation();
 	list("10.9.0.2:80");
 	EXPECT_FALSE(cell_fleet_settled(fleet_, now_));
 	step(10);
@@ -303,18 +304,18 @@
 {
 	step(10);
 	answer(OGL_IO_OK, 0);
-	cell_fleet_named(fleet_, "w", 1);
-	EXPECT_TRUE(cell_worker_open(worker(), now_));
+	cell_fleet_record_stored(fleet_, "w", 1);
+	EXPECT_TRUE(cell_worker_schedulable(worker(), now_));
 	list("10.9.0.2:80");
-	EXPECT_FALSE(cell_worker_open(worker(), now_));
-	EXPECT_TRUE(cell_fleet_names_changed(fleet_));
-	cell_fleet_named(fleet_, "w", 2);
-	EXPECT_FALSE(cell_worker_open(worker(), now_));
+	EXPECT_FALSE(cell_worker_schedulable(worker(), now_));
+	EXPECT_TRUE(cell_fleet_record_outdated(fleet_));
+	cell_fleet_record_stored(fleet_, "w", 2);
+	EXPECT_FALSE(cell_worker_schedulable(worker(), now_));
 	store(3);
-	cell_fleet_named(fleet_, "w", 2);
-	EXPECT_FALSE(cell_worker_open(worker(), now_));
-	cell_fleet_named(fleet_, "w", 3);
-	EXPECT_TRUE(cell_worker_open(worker(), now_));
+	cell_fleet_record_stored(fleet_, "w", 2);
+	EXPECT_FALSE(cell_worker_schedulable(worker(), now_));
+	cell_fleet_record_stored(fleet_, "w", 3);
+	EXPECT_TRUE(cell_worker_schedulable(worker(), now_));
 }
 
 /* Guards against work on a worker whose zone is evacuated. */
@@ -322,14 +323,14 @@
 {
 	step(10);
 	answer(OGL_IO_OK, 0);
-	cell_fleet_named(fleet_, "w", 1);
-	EXPECT_TRUE(cell_worker_open(worker(), now_));
+	cell_fleet_record_stored(fleet_, "w", 1);
+	EXPECT_TRUE(cell_worker_schedulable(worker(), now_));
 	evacuate(true);
-	EXPECT_FALSE(cell_worker_open(worker(), now_));
+	EXPECT_FALSE(cell_worker_schedulable(worker(), now_));
 	list("10.9.0.1:80");
-	EXPECT_FALSE(cell_worker_open(worker(), now_));
+	EXPECT_FALSE(cell_worker_schedulable(worker(), now_));
 	evacuate(false);
-	EXPECT_TRUE(cell_worker_open(worker(), now_));
+	EXPECT_TRUE(cell_worker_schedulable(worker(), now_));
 }
 
 /* Guards against repeating a lost start in an evacuated zone. */
--- a/test/test_cell_loader.cc
+++ b/test/test_cell_loader.cc
@@ -45,7 +45,7 @@
 		};
 		ops_.log = [](void *, const char *, const char *,
 			       const char *text) { EXPECT_NE(nullptr, text); };
-		ops_.outside = this;
+		ops_.backend_ctx = this;
 		events.outranked = [](void *arg, ogl_time) {
 			static_cast<Loader *>(arg)->outranked_++;
 		};
@@ -77,7 +77,7 @@
 	}
 
 	/* Answers request n, counted from 0. */
-	void answer(size_t n, enum ogl_io io, bool outranked = false)
+	void answer(size_t n, enum ogl_io_result io, bool outranked = false)
 	{
 		Request q = sent_[n];
 
--- a/test/test_cell_schedule.cc
+++ b/test/test_cell_schedule.cc
@@ -51,11 +51,11 @@
 			       const char *) {};
 		ops_.count = [](void *, const char *, uint64_t) {};
 		ops_.observe = ops_.count;
-		ops_.outside = this;
+		ops_.backend_ctx = this;
 		limits_.lease_max_ms = 10000;
 		fe.answered = [](void *, struct cell_worker *, ogl_time) {};
-		fe.room = [](void *, ogl_time) {};
-		fe.up = [](void *, struct cell_run *, ogl_time) {};
+		fe.room_freed = [](void *, ogl_time) {};
+		fe.run_started = [](void *, struct cell_run *, ogl_time) {};
 		fleet_ = cell_fleet_init(&ops_, &limits_, &fe);
 		ae.send = [](void *arg, const char *, const Ogl__CellAsk *a) {
 			auto *t = static_cast<Schedule *>(arg);
@@ -132,7 +132,7 @@
 		a.clock_ms = 1000;
 		for (const Hold &h : holds_) {
 			h.done(h.arg, &a, now_);
-			cell_fleet_named(fleet_, h.worker.c_str(), 1);
+			cell_fleet_record_stored(fleet_, h.worker.c_str(), 1);
 		}
 		now_ += OGL_MS;
 		cell_fleet_confirm(fleet_, now_);
@@ -150,7 +150,7 @@
 		q->policy.needed = true;
 		q->policy.decide_ms = 5;
 		q->policy.valid_ms = 2500;
-		cell_sched_config(sched_, c);
+		cell_sched_set_config(sched_, c);
 		cell_config_unref(c);
 	}
 
@@ -177,7 +177,7 @@
 		job_ = cell_job_new(d, now_);
 		job_->stored = true;
 		job_->settled = true;
-		stage_ = &cell_job_begin(job_, 0, now_)->stages[0];
+		stage_ = &cell_job_begin_occurrence(job_, 0, now_)->stages[0];
 		cell_sched_add(sched_, stage_);
 	}
 
@@ -187,8 +187,8 @@
 		now_ += ms * OGL_MS;
 		asked_.clear();
 		for (unsigned i = 0; i < kWorkers; i++)
-			worker(i)->holding = false;
-		cell_advice_node(advice_, "n", now_);
+			worker(i)->hold_pending = false;
+		cell_advice_update_node(advice_, "n", now_);
 		cell_sched_pass(sched_, now_);
 	}
 
--- a/test/test_queue.cc
+++ b/test/test_queue.cc
@@ -98,7 +98,7 @@
 	work.kind = w.kind;
 	work.tasks = 1;
 	work.res.cpu_milli = 1000;
-	work.since = w.since;
+	work.waiting_since = w.since;
 	works[id] = w;
 	ogl_queue_push(q, &work, now);
 }
@@ -128,7 +128,7 @@
 	work.kind = w.kind;
 	work.tasks = 1;
 	work.res.cpu_milli = 1000;
-	work.since = w.since;
+	work.waiting_since = w.since;
 	w.started_at = now;
 	ogl_time &l = longest_wait[w.team + " " + w.label];
 	l = std::max(l, now - w.since);
@@ -191,7 +191,7 @@
 	if (verb == "pop") {
 		print(pop(&id) ? "pop " + std::to_string(id) : "pop nothing");
 	} else if (verb == "again") {
-		ogl_queue_again(q, now);
+		ogl_queue_retry_deferred(q, now);
 	} else if (verb == "length") {
 		print("length " + std::to_string(ogl_queue_length(q)));
 	} else if (verb == "wait") {
@@ -199,7 +199,7 @@
 	} else {
 		in >> id >> word;
 		if (verb == "back")
-			ogl_queue_back(q, id, now);
+			ogl_queue_defer(q, id, now);
 		else if (verb == "remove")
 			print(ogl_queue_remove(q, id) ? "removed"
 						      : "not waiting");
@@ -222,7 +222,7 @@
 
 	if (verb == "team") {
 		in >> team >> share;
-		ogl_queue_team(q, team.c_str(), share);
+		ogl_queue_set_share(q, team.c_str(), share);
 	} else if (verb == "at") {
 		in >> ms;
 		now = ms * OGL_MS;
@@ -363,10 +363,11 @@
 			w.label = label.c_str();
 			w.kind = static_cast<Ogl__Kind>(draw(4));
 			w.res.cpu_milli = static_cast<uint32_t>(draw(4000));
-			w.since = now - static_cast<ogl_time>(draw(OGL_SEC));
+			w.waiting_since =
+			    now - static_cast<ogl_time>(draw(OGL_SEC));
 			ogl_queue_push(q, &w, now);
 			waiting.insert(id);
-			since[id] = w.since;
+			since[id] = w.waiting_since;
 		} else if (op < 8) {
 			bool got = ogl_queue_pop(q, now, &w);
 			ASSERT_EQ(!waiting.empty(), got);
@@ -374,7 +375,7 @@
 				continue;
 			ASSERT_EQ(1u, waiting.erase(w.id));
 			if (draw(3) == 0) {
-				ogl_queue_back(q, w.id, now);
+				ogl_queue_defer(q, w.id, now);
 				deferred.insert(w.id);
 			} else {
 				ogl_queue_started(q, &w, now);
@@ -387,7 +388,7 @@
 		} else if (!running.empty()) {
 			ogl_queue_ended(q, *running.begin(), draw(2), now);
 			running.erase(running.begin());
-			ogl_queue_again(q, now);
+			ogl_queue_retry_deferred(q, now);
 			waiting.insert(deferred.begin(), deferred.end());
 			deferred.clear();
 		}
