--- a/cell/pace.c
+++ b/cell/pace.c
@@ -16,11 +16,11 @@
 /* Weight of one sample.  A worker with ten runs gives about forty samples a
  * second, so a change shows within half a second. */
 #define SAMPLE_WEIGHT 0.1
-/* The initial pace of an unknown worker weighs as much as that many samples. */
+/* The initial pace of an unknown worker weighs as much as this many samples. */
 #define PRIOR_SAMPLES 4
 /* Samples after which a worker counts as known. */
 #define KNOWN_SAMPLES_MIN 4
-/* The slowest worker of the fastest third gives the pace of healthy workers, as
+/* The pace of healthy workers is that of the slowest in the fastest third, as
  * up to half of all workers may be slow at the same time. */
 #define BASELINE_DIVISOR 3
 /* Samples are limited to this range: a stalled run would otherwise dominate the
@@ -30,7 +30,7 @@
 /* A run is observed for at least this time before it has a pace of its own. */
 #define RUN_OBSERVED_MIN_MS 300
 /* Part of the distance to the baseline that an idle worker's pace moves five
- * times a second: a pace of 8 counts as out of order for about 9 s. */
+ * times a second.  A pace of 8 makes a worker count as faulty for about 9 s. */
 #define DECAY_FACTOR 0.05
 /* A run is stalled when it has made no progress for this time, and for this
  * fraction of its declared time. */
--- a/cell/pace.h
+++ b/cell/pace.h
@@ -10,15 +10,15 @@
 
 #include "orioleglade.h"
 
-/* The measured pace of a worker; zeroed: nothing measured yet. */
+/* The measured pace of a worker; all zero before the first sample. */
 struct cell_pace {
 	double value; /* smoothed; 0 not known */
 	uint32_t samples;
 };
 
-/* Progress of a run when it was last sampled; zeroed: not yet. */
+/* Progress of a run when it was last sampled; all zero before that. */
 struct cell_progress {
-	uint64_t clock_ms; /* the worker's clock; 0: not sampled yet */
+	uint64_t clock_ms; /* the worker's clock, 0 not sampled yet */
 	uint32_t percent;
 	uint64_t first_ms; /* the worker's clock at the first observation */
 	uint32_t first_percent;
@@ -36,7 +36,8 @@
 /* Adds a run of the worker that makes no progress. */
 
 double cell_pace_relative(const struct cell_pace *p, double baseline);
-/* 1: as fast as a healthy worker, or not known; 2: half as fast. */
+/* The pace relative to the baseline: 1 for a worker as fast as a healthy one,
+ * or not known; 2 for one half as fast. */
 
 double cell_pace_baseline(GArray *values);
 /* The pace of healthy workers, given the paces of all workers that are known
--- a/cell/straggler.c
+++ b/cell/straggler.c
@@ -1,13 +1,13 @@
 /*
  * A worker may become slow, or make no more progress, while it still answers
- * its holds.  It would keep its runs, and a step waits for its slowest task.
- * So the remaining time of each run, by the worker's pace, is compared with a
- * restart on another worker:
+ * the calls that renew its lease (holds), so its runs are not lost.  As a step
+ * is done only when its slowest task is, the time that each run still takes at
+ * the worker's pace is compared with the time of a restart on another worker:
  *
  *	remaining  (1 - done) x declared time x pace; infinite when the run is
  *		   stalled
  *	restart    declared time, or the rest of it when there is a checkpoint,
- *		   and what a stop and a start take
+ *		   plus the time for a stop and a start
  *
  * A run is stopped only while another allowed worker has room for it.  Gangs
  * are not moved, as moving one member restarts all of them.  Neither are
@@ -17,15 +17,16 @@
 #include "ablate.h"
 #include "straggler.h"
 
-/* A task that merely takes longer than declared reaches any pace below this. */
+/* A run with a lower pace may just have declared too little time. */
 #define STRAGGLER_PACE_MIN 2.5
-/* Duration of a stop, a request for a ticket and a start. */
+/* Time for a stop, a question to the advice service and a start. */
 #define MOVE_COST_MS 450.0
 /* Additional time to restore a checkpoint. */
 #define RESTORE_COST_MS 600.0
 /* The remaining time must exceed the restart time by this factor. */
 #define GAIN_FACTOR_MIN 1.3
-/* A task that is still slow after so many moves is slow by itself. */
+/* A task that was moved this often stays where it is: the workers are not the
+ * cause. */
 #define MOVES_PER_TASK_MAX 3
 
 bool
@@ -46,16 +47,16 @@
 }
 
 static bool
-restart_gains(const struct cell_run *r, double pace, bool stalled)
+worth_restarting(const struct cell_run *r, double pace, bool stalled)
 {
 	double declared_ms = r->stage->def->estimate_ms;
 	double rest_ms = declared_ms * (100 - MIN(r->percent, 100)) / 100;
-	bool saved = r->checkpoint != NULL && *r->checkpoint != '\0';
+	bool has_checkpoint = r->checkpoint != NULL && *r->checkpoint != '\0';
 
 	if (stalled)
 		return true;
-	return cell_straggler_worth_moving(
-	    rest_ms * pace, saved ? rest_ms + RESTORE_COST_MS : declared_ms);
+	return cell_straggler_worth_moving(rest_ms * pace,
+	    has_checkpoint ? rest_ms + RESTORE_COST_MS : declared_ms);
 }
 
 static void
@@ -79,7 +80,7 @@
 		cell_fleet_count_stall(f, w);
 	if (!stalled && pace < STRAGGLER_PACE_MIN)
 		return;
-	if (!restart_gains(r, pace, stalled) ||
+	if (!worth_restarting(r, pace, stalled) ||
 	    !cell_sched_has_room(s, r->stage, w, now))
 		return;
 	r->stage->tasks[r->name.index].moves++;
