--- a/cell/roster.c
+++ b/cell/roster.c
@@ -1,7 +1,8 @@
 /*
- * The list is read once in pages, the newest entry of each worker, and then
- * followed from the offset at which that reading began.  When the records from
- * there on have been trimmed, the whole list is read again.
+ * The list is a stream of the store with an entry of each worker.  First the
+ * newest entry of every worker is read, page by page.  From then on the changes
+ * are read, beginning at the end that the stream had at the first page.  When
+ * records to be read have been trimmed, the whole list is read again.
  */
 
 #include "roster.h"
@@ -19,37 +20,38 @@
 	uint64_t generation;
 	bool loaded;
 	bool reading;
-	bool following; /* the list was read: read changes from next_offset */
-	char *last_key; /* of the page before, NULL none */
+	bool following; /* read changes from next_offset, not pages */
+	char *last_key; /* last key of the previous page, NULL at the first */
 	uint64_t next_offset;
 	ogl_time next_read_at;
 	GHashTable *listed; /* workers on the pages read so far */
 };
 
-/* Argument of a read that awaits its answer. */
-struct exchange {
+/* Argument of the callback of a read. */
+struct read_call {
 	struct cell_roster *roster;
 	uint64_t generation;
 };
 
-static struct exchange *
-exchange_new(struct cell_roster *r)
+static struct read_call *
+read_call_new(struct cell_roster *r)
 {
-	struct exchange *x = g_new(struct exchange, 1);
+	struct read_call *c = g_new(struct read_call, 1);
 
-	x->roster = r;
-	x->generation = r->generation;
-	return x;
+	c->roster = r;
+	c->generation = r->generation;
+	return c;
 }
 
-/* Frees x.  Returns NULL when it was sent before the last open or close. */
+/* Frees c and returns its roster, or NULL if the read was sent before the last
+ * open or close, so that its answer no longer counts. */
 static struct cell_roster *
-exchange_end(struct exchange *x)
+read_call_end(struct read_call *c)
 {
 	struct cell_roster *r =
-	    x->generation == x->roster->generation ? x->roster : NULL;
+	    c->generation == c->roster->generation ? c->roster : NULL;
 
-	g_free(x);
+	g_free(c);
 	return r;
 }
 
@@ -101,7 +103,7 @@
 }
 
 static void
-take_entry(struct cell_roster *r, const struct cell_record *rec, ogl_time now)
+report_entry(struct cell_roster *r, const struct cell_record *rec, ogl_time now)
 {
 	const struct cell_worker_entry *e = rec->dropped ? NULL : rec->worker;
 
@@ -113,7 +115,7 @@
 static void
 on_page(void *arg, const struct cell_newest_answer *a, ogl_time now)
 {
-	struct cell_roster *r = exchange_end(arg);
+	struct cell_roster *r = read_call_end(arg);
 	size_t i;
 
 	if (r == NULL)
@@ -128,7 +130,7 @@
 		g_hash_table_remove_all(r->listed);
 	}
 	for (i = 0; i < a->n; i++)
-		take_entry(r, &a->records[i], now);
+		report_entry(r, &a->records[i], now);
 	if (a->more && a->n > 0) {
 		g_free(r->last_key);
 		r->last_key = g_strdup(a->records[a->n - 1].key);
@@ -144,9 +146,9 @@
 }
 
 static void
-on_tail(void *arg, const struct cell_read_answer *a, ogl_time now)
+on_changes(void *arg, const struct cell_read_answer *a, ogl_time now)
 {
-	struct cell_roster *r = exchange_end(arg);
+	struct cell_roster *r = read_call_end(arg);
 	size_t i;
 
 	if (r == NULL)
@@ -161,7 +163,7 @@
 		return;
 	}
 	for (i = 0; i < a->n; i++) {
-		take_entry(r, &a->records[i], now);
+		report_entry(r, &a->records[i], now);
 		r->next_offset = MAX(r->next_offset, a->records[i].offset + 1);
 	}
 }
@@ -169,10 +171,10 @@
 void
 cell_roster_step(struct cell_roster *r, ogl_time now)
 {
-	struct cell_read t = {.stream = CELL_WORKERS,
+	struct cell_read changes = {.stream = CELL_WORKERS,
 	    .from = r->next_offset,
 	    .timeout_ms = READ_TIMEOUT_MS};
-	struct cell_newest q = {.stream = CELL_WORKERS,
+	struct cell_newest page = {.stream = CELL_WORKERS,
 	    .after = r->last_key,
 	    .timeout_ms = READ_TIMEOUT_MS};
 
@@ -180,8 +182,9 @@
 		return;
 	r->reading = true;
 	if (r->following)
-		r->ops->read(r->ops->backend_ctx, &t, on_tail, exchange_new(r));
+		r->ops->read(r->ops->backend_ctx, &changes, on_changes,
+		    read_call_new(r));
 	else
 		r->ops->newest(
-		    r->ops->backend_ctx, &q, on_page, exchange_new(r));
+		    r->ops->backend_ctx, &page, on_page, read_call_new(r));
 }
--- a/cell/roster.h
+++ b/cell/roster.h
@@ -12,9 +12,9 @@
 struct cell_roster_events {
 	void (*entry)(void *arg, const char *id,
 	    const struct cell_worker_entry *e, ogl_time now);
-	/* A worker's entry was read; e NULL: it was removed or is malformed. */
+	/* A worker's entry was read; e is NULL if deleted or malformed. */
 	void (*list_read)(void *arg, GHashTable *listed, ogl_time now);
-	/* The whole list was read; listed: set of the ids on it. */
+	/* The whole list was read; listed is the set of the ids on it. */
 	void *arg;
 };
 
@@ -23,7 +23,7 @@
 void cell_roster_end(struct cell_roster *r);
 
 void cell_roster_open(struct cell_roster *r, ogl_time now);
-/* Begins to read the list from its beginning. */
+/* Begins to read the whole list. */
 void cell_roster_close(struct cell_roster *r);
 
 void cell_roster_step(struct cell_roster *r, ogl_time now);
