--- a/cell/fleet.c
+++ b/cell/fleet.c
@@ -1,15 +1,16 @@
 /*
- * A worker that runs something, has not answered yet or has ends that are to be
- * acknowledged has one hold in flight.  A hold renews the lease of all runs
- * there and acknowledges the ends that are stored; the worker delays its answer
- * until the next end, up to a time limit.  The answer lists running and ended
- * tasks, which are compared with the known runs:
+ * One hold is kept in flight to each worker that has runs, that has not
+ * answered yet, or whose ended runs are still to be acknowledged.  A hold
+ * renews the lease of all runs there and acknowledges the ends that are stored;
+ * the worker delays its answer until the next run ends, up to a time limit.
+ * The answer lists running and ended runs, which are compared with those known
+ * here:
  *
  *	listed as running, known       it is running; its checkpoint is kept
  *	listed as running, unknown     reported to the owner (run_found)
  *	listed as ended                the run is over
- *	running, but in neither list   it was lost
- *	stop answered, in neither      it never began, and can't any more
+ *	known to run, in neither list  it was lost
+ *	stopped, in neither list       it has not begun and no longer can
  *
  * A start that went unanswered may be carried out seconds later.  It is sent
  * again unchanged; the worker carries it out only once.  Only an answered stop
@@ -35,7 +36,8 @@
 #define CLOCK_SLOW_FACTOR 1.0205 /* 1 / 0.98: a clock may be 2% slow */
 #define LEASE_END_MARGIN (250 * OGL_MS)
 /* When the answer to a hold is lost, the ends at its worker stay unknown until
- * the timeout, so it is short.  A busy worker answers long before. */
+ * the timeout, so it is short.  A worker whose runs end often answers long
+ * before it. */
 #define HOLD_WAIT_MS 450
 #define HOLD_TIMEOUT_MS 800
 /* After a lost answer a worker gets short holds for this time: with the usual
@@ -43,9 +45,9 @@
 #define LOSSY_PERIOD (2 * OGL_SEC)
 #define LOSSY_HOLD_WAIT_MS 100
 #define LOSSY_HOLD_TIMEOUT_MS 250
-/* After a change of owner everything waits for the first answer of each worker.
- * The first hold may be repeated safely, so it has a short timeout, which
- * doubles with each failure. */
+/* A new owner starts no task of earlier owners' jobs before the first answer of
+ * each worker.  The first hold may be repeated safely, so it has a short
+ * timeout, which doubles with each failure. */
 #define FIRST_HOLD_TIMEOUT_MS 150
 /* Delay of the next hold after one that brought ends, so that ends in short
  * succession are fetched with one hold. */
@@ -55,13 +57,13 @@
 #define LEASE_RENEW_AFTER (700 * OGL_MS)
 #define HOLD_RETRY_DELAY (150 * OGL_MS)
 /* A worker has ended when this many connections in a row were refused, over at
- * least this time; a single one may have been made during its start. */
+ * least this time; a single one may be refused while the worker starts. */
 #define GONE_REFUSALS_MIN 3
 #define GONE_REFUSED_MIN (400 * OGL_MS)
 /* A worker whose answer is overdue by this gets no new work. */
 #define HOLD_OVERDUE_AFTER (250 * OGL_MS)
-/* The record calls a worker silent after this time; a single lost answer is not
- * worth a new record. */
+/* The stored record of the workers (known.h) calls a worker silent after this
+ * time; a single lost answer does not justify storing a new record. */
 #define SILENT_RECORDED_AFTER (400 * OGL_MS)
 #define ORDER_TIMEOUT_MS 600
 #define ORDER_RETRY_DELAY (100 * OGL_MS)
@@ -86,17 +88,17 @@
 	GHashTable *workers;   /* id -> struct cell_worker */
 	GHashTable *by_serial; /* the same workers, not owned */
 	uint32_t last_serial;
-	GHashTable *teams; /* name -> struct ogl_res of what may run */
-	const struct cell_zones *zones; /* evacuated ones; NULL not set yet */
-	double baseline_pace;           /* of healthy workers */
+	GHashTable *teams; /* name -> struct ogl_res that runs may use */
+	const struct cell_zones *zones; /* evacuated zones, NULL until set */
+	double baseline_pace;           /* pace of healthy workers */
 	bool open;
 	uint64_t epoch;
 	uint64_t generation;
 	ogl_time opened_at;
-	bool old_leases_expired; /* those of earlier owners */
-	bool record_outdated;
-	ogl_time confirmed_at; /* the store confirmed ownership as of then */
-	/* Nothing is started until ownership is confirmed as of then. */
+	bool old_leases_expired; /* no earlier owner's lease is left */
+	bool record_outdated;    /* the workers are to be stored again */
+	ogl_time confirmed_at;   /* latest time of confirmed ownership */
+	/* Nothing is started until ownership is confirmed as of this time. */
 	ogl_time confirmation_from;
 	ogl_time next_scan_at;
 	ogl_time next_run_scan_at;
@@ -106,10 +108,10 @@
 struct call {
 	struct cell_fleet *fleet;
 	struct cell_worker *worker;
-	struct cell_run *run; /* NULL: a hold */
+	struct cell_run *run; /* NULL for a hold */
 	uint64_t generation;
-	uint64_t ends_acked; /* of a hold: ends up to this were acknowledged */
-	uint64_t number;     /* of a hold */
+	uint64_t ends_acked;  /* ends up to this were acknowledged by a hold */
+	uint64_t hold_number; /* 0 for a start or stop */
 	ogl_time sent;
 	bool stop;
 };
@@ -306,8 +308,8 @@
 	log_worker_why(f, w, event, "");
 }
 
-/* A successor that knows only the old address would conclude there that the
- * worker has ended, and start elsewhere what runs at the new address.  So a
+/* A successor that knows only the old address would get no answer there, take
+ * the worker for ended and start elsewhere what runs at the new address.  So a
  * worker that has moved gets no work until a record with its new address is
  * stored. */
 static void
@@ -361,7 +363,8 @@
 		w->failures = 0;
 		w->next_hold_at = now;
 		/* A new incarnation has seen no epoch, so it is called at once.
-		 * A hold in flight belongs to the last incarnation. */
+		 * The answer to a hold in flight no longer counts, as it was
+		 * sent to the last incarnation. */
 		if (w->incarnation != 0 && e->born_ms != 0 &&
 		    e->born_ms != w->incarnation) {
 			w->fenced = false;
@@ -445,12 +448,13 @@
 }
 
 /*
- * A restarted worker knows no epoch and obeys whoever calls it first.  An owner
- * that was suspended or cut off may have been replaced without knowing it.  If
- * it called the new incarnation before its successor does, it would start there
- * what already runs elsewhere.  So after a worker's first answer, and after a
- * suspension of this process, nothing is started until the store has confirmed
- * the ownership once more.
+ * A restarted worker knows no epoch and accepts the calls of whichever owner
+ * calls it first.  An owner that was suspended or cut off may have been
+ * replaced without knowing it.  If it called the new incarnation before its
+ * successor does, it would start there what already runs elsewhere.  So after
+ * the first answer of a worker's incarnation, and after a suspension of this
+ * process, nothing is started until the store has confirmed the ownership once
+ * more.
  */
 void
 cell_fleet_confirm(struct cell_fleet *f, ogl_time at)
@@ -639,7 +643,7 @@
 	w->clock_at = now;
 }
 
-/* The least that the worker's clock shows now. */
+/* Lower bound of the time on the worker's clock, unless that clock is slow. */
 static uint64_t
 estimate_clock(const struct cell_worker *w, ogl_time now)
 {
@@ -658,7 +662,7 @@
 	return until;
 }
 
-/* When the worker's lease has certainly expired, if it is not renewed. */
+/* Time at which the worker's lease has certainly expired if not renewed. */
 static ogl_time
 lease_expires_at(const struct cell_worker *w)
 {
@@ -735,18 +739,18 @@
 remember_unanswered_start(const struct cell_run *r, ogl_time now)
 {
 	GArray *a = r->worker->unanswered_starts;
-	struct cell_unanswered_start l = {r->name, r->number, now};
+	struct cell_unanswered_start start = {r->name, r->number, now};
 
 	while (a->len > 0 &&
 	       now - g_array_index(a, struct cell_unanswered_start, 0).sent_at >
 		   UNANSWERED_START_MAX)
 		g_array_remove_index(a, 0);
-	g_array_append_val(a, l);
+	g_array_append_val(a, start);
 }
 
-/* Ends the runs of the worker's last incarnation, except for those that the new
- * incarnation lists, as a start may have reached it already.  reborn_answer:
- * the new incarnation's answer to the hold sent at asked_at; NULL none. */
+/* Ends the runs of the worker's last incarnation.  reborn_answer is the new
+ * incarnation's answer to the hold that was sent at asked_at, or NULL.  Runs
+ * that it lists are kept: their start has reached the new incarnation. */
 static void
 lose_runs(struct cell_fleet *f, struct cell_worker *w,
     const struct cell_hold_answer *reborn_answer, ogl_time asked_at,
@@ -764,11 +768,11 @@
 		if (reborn_answer == NULL && r->order_pending &&
 		    r->state == CELL_RUN_STARTING)
 			remember_unanswered_start(r, now);
-		/* An unanswered start may still reach the new incarnation of a
-		 * worker that kept its id.  That knows no epoch and no run
-		 * yet, so only a stop there rules the start out.  A start
-		 * answered since the hold was sent may have reached the new
-		 * incarnation after it listed its runs. */
+		/* A start without an answer may still reach the new incarnation
+		 * of a worker that kept its id.  As this knows no epoch and no
+		 * run yet, it would carry the start out unless it is sent a
+		 * stop first.  A start answered since the hold was sent may
+		 * have reached it after it listed its runs. */
 		if (reborn_answer != NULL &&
 		    (r->start_unanswered || r->order_pending ||
 			r->running_since > asked_at)) {
@@ -784,7 +788,7 @@
 /*
  * A new incarnation does not know earlier runs.  It would carry out a start
  * that the last incarnation left unanswered, even if the task is done by now.
- * A stop for each of these starts makes it refuse them.
+ * Each of these starts is refused once a stop for it has been received.
  */
 static void
 stop_unanswered_starts(
@@ -793,11 +797,12 @@
 	guint i;
 
 	for (i = 0; i < w->unanswered_starts->len; i++) {
-		const struct cell_unanswered_start *l = &g_array_index(
+		const struct cell_unanswered_start *start = &g_array_index(
 		    w->unanswered_starts, struct cell_unanswered_start, i);
-		struct cell_run_row row = {.task = l->task, .run = l->run};
+		struct cell_run_row row = {
+		    .task = start->task, .run = start->run};
 
-		if (now - l->sent_at < UNANSWERED_START_MAX &&
+		if (now - start->sent_at < UNANSWERED_START_MAX &&
 		    find_run(w, &row) == NULL)
 			cell_fleet_stop_orphan(f, w, &row, now);
 	}
@@ -832,7 +837,7 @@
 }
 
 /* The progress of a gang is that of its slowest member, and a lasting task
- * makes none, so neither tells the pace of a worker. */
+ * makes none, so neither shows the pace of a worker. */
 static void
 learn_pace(struct cell_fleet *f, struct cell_worker *w, struct cell_run *r,
     uint64_t clock_ms)
@@ -922,8 +927,8 @@
     const struct cell_hold_answer *a, ogl_time now)
 {
 	struct cell_worker *w = c->worker;
-	uint64_t taken = w->ends_reported;
-	bool first = !w->fenced;
+	uint64_t ends_before = w->ends_reported;
+	bool first_answer = !w->fenced;
 	GHashTable *seen;
 
 	if (w->failures > 0)
@@ -940,7 +945,7 @@
 		worker_reborn(f, w, a, c->sent, now);
 	read_clock(w, a->clock_ms, now);
 	if (w->incarnation != a->born_ms) {
-		taken = 0;
+		ends_before = 0;
 		/* An earlier owner may just have renewed the lease of the
 		 * runs there, for the longest time that an owner asks for. */
 		w->lease_end_ms = a->clock_ms + LEASE_MS;
@@ -957,11 +962,11 @@
 		process_missing(f, w, seen, c->sent, now);
 	g_hash_table_unref(seen);
 	w->next_hold_at = now;
-	if (w->ends_reported != taken) {
+	if (w->ends_reported != ends_before) {
 		w->next_hold_at = now + ENDS_BATCH_DELAY;
 		f->events.ends_processed(f->events.arg, w, now);
 	}
-	if (first) {
+	if (first_answer) {
 		f->confirmation_from = now;
 		f->events.answered(f->events.arg, w, now);
 	}
@@ -1047,7 +1052,8 @@
 	struct cell_fleet *f = c->fleet;
 	struct cell_worker *w = c->worker;
 
-	if (c->generation == f->generation && c->number == w->hold_number) {
+	if (c->generation == f->generation &&
+	    c->hold_number == w->hold_number) {
 		w->hold_pending = false;
 		w->hold_duration = now - c->sent;
 		if (a->io == OGL_IO_OK)
@@ -1059,10 +1065,10 @@
 }
 
 /*
- * A hold to a worker that does not answer does not extend the lease.  It may
- * reach the worker nevertheless, so each one would postpone the time from which
- * the worker's tasks are certainly over, and they would never be started
- * elsewhere.
+ * Whether a hold may extend the worker's lease.  A hold to a worker that does
+ * not answer must not: it may reach the worker nevertheless, so each one would
+ * postpone the time from which the worker's tasks are certainly over, and they
+ * would never be started elsewhere.
  */
 static bool
 may_renew(const struct cell_worker *w)
@@ -1078,7 +1084,7 @@
  * answers are missing: the next answer will tell of a new incarnation.
  */
 static uint64_t
-acknowledge(const struct cell_worker *w)
+ends_to_acknowledge(const struct cell_worker *w)
 {
 	return w->failures == 0 && w->ends_stored > w->ends_acked
 		   ? w->ends_stored
@@ -1112,7 +1118,7 @@
 	bool renew = g_hash_table_size(w->runs) > 0;
 	struct cell_hold h = {
 	    .to = {w->addr, w->id, f->epoch},
-	    .last_seen = acknowledge(w),
+	    .last_seen = ends_to_acknowledge(w),
 	    .until_ms = renew && may_renew(w) ? extend_lease(f, w, now) : 0,
 	};
 
@@ -1122,7 +1128,7 @@
 	c->generation = f->generation;
 	c->sent = now;
 	c->ends_acked = h.last_seen;
-	c->number = ++w->hold_number;
+	c->hold_number = ++w->hold_number;
 	w->calls_pending++;
 	w->hold_pending = true;
 	w->hold_sent_at = now;
@@ -1142,7 +1148,7 @@
 	 * there; otherwise it would never get work again. */
 	if (!w->fenced || w->failures > 0)
 		return true;
-	/* Its ends are not stored yet: it would only list them again. */
+	/* Until its reported ends are stored, it would only list them again. */
 	if (w->ends_reported > w->ends_stored &&
 	    now - w->hold_sent_at < LEASE_RENEW_AFTER)
 		return false;
@@ -1275,7 +1281,7 @@
 	cell_fleet_stop(f, r, now);
 }
 
-/* The start was certainly not carried out. */
+/* Removes a run whose start was certainly not carried out. */
 static void
 run_refused(struct cell_fleet *f, struct cell_run *r, enum cell_refusal why,
     ogl_time now)
@@ -1308,8 +1314,8 @@
 	case CELL_REFUSED_OLD:
 		if (!r->start_unanswered)
 			break;
-		/* An earlier sending was carried out; the next hold tells the
-		 * state of the run. */
+		/* An earlier copy of this start was carried out; the next hold
+		 * tells the state of the run. */
 		r->start_unanswered = false;
 		run_started(f, r, now);
 		r->worker->hold_immediate = true;
@@ -1514,7 +1520,7 @@
 
 static void
 step_worker(
-    struct cell_fleet *f, struct cell_worker *w, bool runs, ogl_time now)
+    struct cell_fleet *f, struct cell_worker *w, bool scan_runs, ogl_time now)
 {
 	if (w->incarnation != 0 && g_hash_table_size(w->runs) > 0 &&
 	    now > lease_expires_at(w)) {
@@ -1525,13 +1531,13 @@
 		f->record_outdated = true;
 	if (wants_hold(w, now))
 		send_hold(f, w, now);
-	if (runs)
+	if (scan_runs)
 		step_runs(f, w, now);
 }
 
-/* No owner asks for a lease longer than LEASE_MS, and an owner that was
- * replaced has renewed none since.  A worker that has not answered by the end
- * of that time runs nothing. */
+/* Called once the leases of earlier owners have expired: none was longer than
+ * LEASE_MS, and a replaced owner can renew none.  A worker that has not
+ * answered by then runs nothing, and is no longer waited for. */
 static void
 clear_expected(struct cell_fleet *f)
 {
@@ -1544,7 +1550,7 @@
 }
 
 static gboolean
-worker_is_gone(gpointer key, gpointer value, gpointer ctx)
+worker_is_unused(gpointer key, gpointer value, gpointer ctx)
 {
 	const struct cell_worker *w = value;
 	struct cell_fleet *f = ctx;
@@ -1561,7 +1567,7 @@
 void
 cell_fleet_step(struct cell_fleet *f, ogl_time now)
 {
-	bool runs = now >= f->next_run_scan_at;
+	bool scan_runs = now >= f->next_run_scan_at;
 	GHashTableIter it;
 	gpointer p;
 
@@ -1572,13 +1578,13 @@
 		clear_expected(f);
 	}
 	f->next_scan_at = now + SCAN_INTERVAL;
-	if (runs)
+	if (scan_runs)
 		f->next_run_scan_at = now + RUN_SCAN_INTERVAL;
 	g_hash_table_iter_init(&it, f->workers);
 	while (g_hash_table_iter_next(&it, NULL, &p))
-		step_worker(f, p, runs, now);
-	if (runs)
-		g_hash_table_foreach_remove(f->workers, worker_is_gone, f);
+		step_worker(f, p, scan_runs, now);
+	if (scan_runs)
+		g_hash_table_foreach_remove(f->workers, worker_is_unused, f);
 }
 
 bool
--- a/cell/fleet.h
+++ b/cell/fleet.h
@@ -37,17 +37,17 @@
 	char *ticket;
 	char *checkpoint;
 	ogl_time created_at;    /* when the start was decided */
-	ogl_time running_since; /* first known to run, 0 not yet */
+	ogl_time running_since; /* when first known to run, 0 not yet */
 	uint32_t percent;
 	struct cell_progress progress;
 	bool order_pending;    /* a start or stop awaits its answer */
 	bool start_unanswered; /* the answer to a start was lost */
-	bool start_sent;       /* a start was sent */
+	bool start_sent;       /* this owner has sent a start */
 	bool stop_answered;
 	ogl_time stop_answered_at;
 	ogl_time retry_at;
 	uint32_t tries; /* starts sent */
-	uint32_t rank;  /* of its queue */
+	uint32_t rank;  /* rank of its queue */
 	bool orphan;    /* belongs to no known job; its resources are unknown */
 };
 
@@ -77,30 +77,30 @@
 
 	uint64_t incarnation;  /* born_ms of the last incarnation, 0 none yet */
 	bool fenced;           /* this incarnation has seen our epoch */
-	uint64_t clock_ms;     /* its clock as last read, */
-	ogl_time clock_at;     /* and when that answer came */
+	uint64_t clock_ms;     /* its clock as last read */
+	ogl_time clock_at;     /* when clock_ms was read */
 	uint64_t lease_end_ms; /* latest lease end asked of this incarnation */
-	bool recorded;         /* the stored record allows any run there */
-	uint64_t recorded_min; /* first record that may allow it, 0 any */
-	bool addr_unrecorded;  /* no record has its address yet */
+	bool recorded;         /* a stored record allows new runs there */
+	uint64_t recorded_min; /* first record to allow new runs, 0 any */
+	bool addr_unrecorded;  /* no record holds its address yet */
 	bool recorded_silent;  /* the last record calls it silent */
-	ogl_time silent_since; /* while failures > 0 */
-	/* The record lists every task that may run there, so a takeover does
+	ogl_time silent_since; /* valid while failures > 0 */
+	/* The record lists every task that may run there, so a new owner does
 	 * not wait for its answer. */
 	bool tasks_recorded;
 	uint64_t ends_stored;   /* ends up to this are stored */
 	uint64_t ends_acked;    /* ends up to this were acknowledged to it */
 	uint64_t ends_reported; /* ends up to this were reported to the owner */
-	uint64_t hold_number;   /* of the hold whose answer counts */
+	uint64_t hold_number;   /* last hold; only its answer counts */
 	bool hold_pending;      /* a hold awaits its answer */
 	ogl_time hold_sent_at;
-	ogl_time lossy_until;        /* an answer was lost shortly before */
-	ogl_time hold_duration;      /* of the last hold, answered or not */
-	ogl_time next_hold_at;       /* no hold is sent before */
-	ogl_time last_answer_at;     /* of a hold */
-	uint32_t failures;           /* holds in a row without an answer */
-	uint32_t conn_refusals;      /* connections refused in a row, */
-	ogl_time conn_refused_since; /* and when the first was */
+	ogl_time lossy_until;    /* end of short holds after a lost answer */
+	ogl_time hold_duration;  /* last hold's time, answered or not */
+	ogl_time next_hold_at;   /* no hold is sent before */
+	ogl_time last_answer_at; /* last answer to a hold */
+	uint32_t failures;       /* holds in a row without an answer */
+	uint32_t conn_refusals;  /* connections refused in a row */
+	ogl_time conn_refused_since; /* time of the first of these */
 	bool gone;                   /* its process has ended */
 	bool hold_immediate; /* the next hold is answered without waiting */
 
@@ -109,12 +109,12 @@
 	uint64_t open_pass; /* the scheduler's last pass that may use it */
 	/* Rank + 1 of the gang that it is kept for in that pass, 0 none. */
 	uint32_t reserved;
-	uint32_t calls_pending; /* calls without answer; it may not be freed */
-	uint32_t norphans;
+	uint32_t calls_pending;  /* unanswered calls; not freed while > 0 */
+	uint32_t norphans;       /* runs that are orphans */
 	uint32_t failure_streak; /* failed ends in a row, of different jobs */
 	char *last_failed_job;   /* the last job of the streak */
 	ogl_time cooldown_until; /* gets no work until then */
-	uint32_t cooldowns;      /* in a row */
+	uint32_t cooldowns;      /* cooldowns in a row */
 	struct cell_pace pace;
 };
 
@@ -139,7 +139,8 @@
 	/* Ends up to w->ends_reported were reported; to be followed by
 	 * cell_fleet_ends_stored once they are stored. */
 	void (*answered)(void *arg, struct cell_worker *w, ogl_time now);
-	/* A worker has seen our epoch for the first time, or has ended. */
+	/* A worker's incarnation has answered under our epoch for the first
+	 * time, or the worker has ended. */
 	void (*outranked)(void *arg, ogl_time now);
 	/* A worker has seen a higher epoch than ours. */
 	void (*room_freed)(void *arg, ogl_time now);
@@ -158,7 +159,8 @@
 
 void cell_fleet_entry(struct cell_fleet *f, const char *id,
     const struct cell_worker_entry *e, ogl_time now);
-/* The platform lists a worker; e NULL: no longer. */
+/* Takes a worker's entry on the platform's list; e is NULL if the worker is no
+ * longer listed. */
 
 void cell_fleet_zones(
     struct cell_fleet *f, const struct cell_zones *z, ogl_time now);
@@ -179,8 +181,8 @@
  * worker: it may be given work, unless a later record calls it silent. */
 
 bool cell_worker_silent(const struct cell_worker *w, ogl_time now);
-/* Whether the worker has told under our epoch what it runs, and has not
- * answered for a while since. */
+/* Whether the worker has answered under our epoch before, but has not answered
+ * for a while. */
 
 bool cell_fleet_record_outdated(struct cell_fleet *f);
 /* Whether the record of the workers is out of date: one came, left, moved or
@@ -237,8 +239,8 @@
 /* Whether the worker may be given work. */
 
 double cell_fleet_pace(const struct cell_fleet *f, const struct cell_worker *w);
-/* How long the worker takes compared with healthy workers: 1 as long as they
- * or not known, 2 twice as long. */
+/* The time that the worker takes, relative to healthy workers: 1 for the same
+ * time or when it is not known, 2 for twice the time. */
 
 void cell_fleet_update_baseline(struct cell_fleet *f);
 /* Recomputes the pace of healthy workers from the paces of all workers. */
@@ -267,8 +269,8 @@
     struct cell_fleet *f, const char *team, const struct ogl_res *res);
 void cell_fleet_team_uncharge(
     struct cell_fleet *f, const char *team, const struct ogl_res *res);
-/* Add to, and take from, what counts against a team: resources of tasks that
- * may be running on workers which have not answered yet. */
+/* Add resources to those that count against a team's limit, and subtract them:
+ * they are of tasks that may be running on workers without an answer yet. */
 
 bool cell_fleet_settled(struct cell_fleet *f, ogl_time now);
 /* Whether every worker that could run something has answered under our epoch
--- a/cell/held.c
+++ b/cell/held.c
@@ -1,8 +1,9 @@
 /*
  * A task whose start got no answer is stopped and then started on another
- * worker, so the record may name it under two workers.  Each task therefore
- * counts the workers that hold it back, and falls due once the last of them has
- * answered or, if they never answer, at the end of the longest lease.
+ * worker, so the record of the workers may name it under both.  Each task
+ * therefore counts the workers that hold it back, and may be started once the
+ * last of them has answered or, if they never answer, when the longest lease
+ * has expired.
  */
 
 #include <string.h>
--- a/cell/held.h
+++ b/cell/held.h
@@ -19,12 +19,13 @@
 
 void cell_held_add(
     struct cell_held *h, const Ogl__CellKnown *k, ogl_time until);
-/* Holds back the tasks that the worker's record names, until then at the
- * latest. */
+/* Holds back the tasks that the record lists for the worker, until `until` at
+ * the latest. */
 
 void cell_held_release(struct cell_held *h, const char *worker, ogl_time now);
-/* The worker has reported what it runs, or has ended: its other tasks may be
- * started, unless another worker holds them back too. */
+/* To be called once the worker has reported what it runs, or has ended: the
+ * tasks held back for it may be started, unless they are held back for another
+ * worker too. */
 
 void cell_held_clear(struct cell_held *h);
 /* Forgets all held tasks; their stages are not touched. */
--- a/cell/known.c
+++ b/cell/known.c
@@ -1,10 +1,10 @@
 /*
  * A successor calls every worker in the record.  It starts no task that an
- * earlier owner may have started until each worker has told what it runs, or
- * its lease has expired, which takes 5 s.  An unreachable worker would thus
- * delay the whole cell at each change of owner.  So once a worker has been
- * silent for a short time, the record lists the tasks that may run there, and
- * only these wait for it.
+ * earlier owner may have started until each worker has reported what it runs,
+ * or the worker's lease has expired, which takes 5 s.  An unreachable worker
+ * would thus delay the whole cell at each change of owner.  So once a worker
+ * has been silent for a short time, the record lists the tasks that may run
+ * there, and only these wait for it.
  *
  * The list stays complete only if the worker gets no other work.  Hence it is
  * closed to new work (recorded is cleared) before the record that calls it
@@ -29,8 +29,8 @@
 	return t;
 }
 
-/* Adds every task that may run on the worker, or that a start which is still in
- * flight may begin there. */
+/* Adds every task that may be running on the worker, and those that it may
+ * begin because of a start without an answer. */
 static void
 add_tasks(Ogl__CellKnown *k, const struct cell_worker *w)
 {
--- a/cell/known.h
+++ b/cell/known.h
@@ -19,7 +19,7 @@
 
 bool cell_known_unpack(
     GBytes *record, cell_known_fn *each, void *arg, ogl_time now);
-/* Calls each for every worker in the record; NULL is an empty record.  Returns
- * false when the record is malformed. */
+/* Calls `each` for every worker in the record; NULL is an empty record.
+ * Returns false when the record is malformed. */
 
 #endif
