--- a/cell/owner.c
+++ b/cell/owner.c
@@ -33,7 +33,7 @@
  * promised. */
 #define ENDED_JOB_MARGIN_MS 20000
 #define SWEEP_INTERVAL (500 * OGL_MS)
-/* Run numbers reserved for each epoch; no task is started that often in one. */
+/* Run numbers reserved for each epoch, more than one task ever needs in it. */
 #define RUNS_PER_EPOCH 1024
 /* A gang of which only some members run is stopped if it is still incomplete
  * after this time. */
@@ -68,8 +68,8 @@
  * the store has answered. */
 struct store_wait {
 	struct cell_owner *owner;
-	char *name;    /* of the worker or the job */
-	uint64_t life; /* of the worker */
+	char *id;             /* id of the worker or the job */
+	uint64_t incarnation; /* incarnation of the worker */
 };
 
 struct cell_owner {
@@ -94,15 +94,15 @@
 	struct cell_sched *sched;
 	struct cell_advice *advice;
 	struct cell_escrow *escrow;
-	uint64_t worker_records; /* written by this process */
+	uint64_t worker_records; /* records of the workers written so far */
 	bool settled;
 	bool holds_tasks; /* tasks may be held back for silent workers */
 	ogl_time opened_at;
-	ogl_time confirmed; /* the store confirmed ownership as of then */
+	ogl_time confirmed; /* latest time of confirmed ownership */
 	ogl_time wall;
 
-	struct cell_load load;      /* of the processor */
-	struct cell_load link_load; /* of the node's link */
+	struct cell_load load;      /* load of the processor */
+	struct cell_load link_load; /* load of the node's link */
 	bool pass_needed;           /* the scheduler may have work */
 	ogl_time next_sweep_at;
 	ogl_time next_straggler_check;
@@ -187,7 +187,6 @@
 	       OGL_MS;
 }
 
-/* Begins the occurrences that are due. */
 static void
 begin_due_occurrences(struct cell_owner *o, struct cell_job *j)
 {
@@ -217,22 +216,22 @@
 	(void)tag;
 	(void)now;
 	if (result == CELL_STORED) {
-		j = job_of(n->owner, n->name);
+		j = job_of(n->owner, n->id);
 		if (j != NULL)
 			j->end_stored = true;
 	}
-	g_free(n->name);
+	g_free(n->id);
 	g_free(n);
 }
 
 static void
 call_after_store(
-    struct cell_owner *o, const char *name, cell_stored_fn *fn, uint64_t tag)
+    struct cell_owner *o, const char *id, cell_stored_fn *fn, uint64_t tag)
 {
 	struct store_wait *n = g_new0(struct store_wait, 1);
 
 	n->owner = o;
-	n->name = g_strdup(name);
+	n->id = g_strdup(id);
 	cell_journal_notify(o->journal, fn, n, tag);
 }
 
@@ -277,7 +276,7 @@
 		clear_assumed(o, st, &st->tasks[i]);
 }
 
-/* Tasks held back still count, since they may be running. */
+/* Tasks held back still count against the limit, as they may be running. */
 static void
 clear_assumed_unless_held(
     struct cell_owner *o, struct cell_stage *st, ogl_time now)
@@ -515,7 +514,7 @@
 }
 
 static void
-on_ended(void *arg, struct cell_run *r, enum cell_end how,
+on_run_ended(void *arg, struct cell_run *r, enum cell_end how,
     const char *checkpoint, ogl_time now)
 {
 	struct cell_owner *o = arg;
@@ -539,7 +538,8 @@
 }
 
 static void
-on_refused(void *arg, struct cell_run *r, enum cell_refusal why, ogl_time now)
+on_start_refused(
+    void *arg, struct cell_run *r, enum cell_refusal why, ogl_time now)
 {
 	struct cell_owner *o = arg;
 	struct cell_stage *st = r->stage;
@@ -574,7 +574,7 @@
 }
 
 static void
-on_run_up(void *arg, struct cell_run *r, ogl_time now)
+on_run_started(void *arg, struct cell_run *r, ogl_time now)
 {
 	struct cell_owner *o = arg;
 	struct cell_job *j;
@@ -591,7 +591,7 @@
 	job_changed(o, j, false, now);
 }
 
-/* The stage that has a use for a run found on a worker, NULL if none has. */
+/* The stage of a run found on a worker, NULL if the run is not needed. */
 static struct cell_stage *
 find_stage_for_run(struct cell_owner *o, const struct cell_run_row *row)
 {
@@ -607,7 +607,7 @@
 }
 
 static void
-on_found(void *arg, struct cell_worker *w, const struct cell_run_row *row,
+on_run_found(void *arg, struct cell_worker *w, const struct cell_run_row *row,
     ogl_time now)
 {
 	struct cell_owner *o = arg;
@@ -627,11 +627,11 @@
 	log_run(o, t->active, "run_adopted", "", now);
 	if (cell_stage_waiting(st) == 0)
 		cell_sched_remove(st);
-	on_run_up(o, t->active, now);
+	on_run_started(o, t->active, now);
 }
 
 static void
-on_found_end(void *arg, struct cell_worker *w, const struct cell_run_row *row,
+on_end_found(void *arg, struct cell_worker *w, const struct cell_run_row *row,
     ogl_time now)
 {
 	struct cell_owner *o = arg;
@@ -663,25 +663,25 @@
 
 	(void)now;
 	if (result == CELL_STORED) {
-		w = cell_fleet_worker(n->owner->fleet, n->name);
+		w = cell_fleet_worker(n->owner->fleet, n->id);
 		if (w != NULL)
 			cell_fleet_ends_stored(
-			    n->owner->fleet, w, n->life, tag);
+			    n->owner->fleet, w, n->incarnation, tag);
 	}
-	g_free(n->name);
+	g_free(n->id);
 	g_free(n);
 }
 
 static void
-on_ends_taken(void *arg, struct cell_worker *w, ogl_time now)
+on_ends_processed(void *arg, struct cell_worker *w, ogl_time now)
 {
 	struct cell_owner *o = arg;
 	struct store_wait *n = g_new0(struct store_wait, 1);
 
 	(void)now;
 	n->owner = o;
-	n->name = g_strdup(w->id);
-	n->life = w->incarnation;
+	n->id = g_strdup(w->id);
+	n->incarnation = w->incarnation;
 	cell_journal_notify(o->journal, on_ends_stored, n, w->ends_reported);
 }
 
@@ -732,7 +732,7 @@
 }
 
 static void
-on_started(void *arg, struct cell_stage *st, uint32_t index, ogl_time now)
+on_task_started(void *arg, struct cell_stage *st, uint32_t index, ogl_time now)
 {
 	struct cell_owner *o = arg;
 
@@ -742,7 +742,7 @@
 }
 
 static void
-on_stream_lost(void *arg, ogl_time now)
+on_ownership_lost(void *arg, ogl_time now)
 {
 	struct cell_owner *o = arg;
 
@@ -820,7 +820,7 @@
 }
 
 static void
-on_part(void *arg, ogl_time now)
+on_part_granted(void *arg, ogl_time now)
 {
 	struct cell_owner *o = arg;
 
@@ -840,7 +840,7 @@
 
 /* ---- taking over ------------------------------------------------------ */
 
-/* Makes a job from its two records, which pages may bring in either order. */
+/* Makes a job from its two records, which may be read in either order. */
 static void
 restore_job(struct cell_owner *o, Ogl__CellJob *def, const Ogl__CellProgress *p,
     ogl_time now)
@@ -850,7 +850,7 @@
 
 	if (p != NULL && cell_job_state_ended(p->state)) {
 		ogl__cell_job__free_unpacked(def, NULL);
-		return; /* it has ended: see restore_ended_jobs */
+		return; /* restore_ended_jobs adds it */
 	}
 	j = cell_job_new(def, now - MAX(age, 0));
 	j->stored = true;
@@ -929,7 +929,7 @@
 	cell_journal_notify(o->journal, on_workers_stored, n, 0);
 }
 
-/* Only the progress record of a job that has ended is left. */
+/* Restores ended jobs, of which only the progress records are left. */
 static void
 restore_ended_jobs(struct cell_owner *o, GHashTable *progress)
 {
@@ -949,8 +949,8 @@
 	}
 }
 
-/* All tasks of a stage or an occurrence may have been done when the previous
- * owner was lost. */
+/* Begins what is due, and finishes occurrences of which all tasks were done
+ * already when the previous owner was lost. */
 static void
 resume_job(struct cell_owner *o, struct cell_job *j, ogl_time now)
 {
@@ -1022,7 +1022,7 @@
 }
 
 static void
-on_entry(
+on_worker_entry(
     void *arg, const char *id, const struct cell_worker_entry *e, ogl_time now)
 {
 	struct cell_owner *o = arg;
@@ -1032,16 +1032,16 @@
 		cell_fleet_entry(o->fleet, id, e, now);
 }
 
-/* Workers that are not on a complete list have been removed from it. */
+/* Workers that are not on the complete list have been removed from it. */
 static void
-on_roster(void *arg, GHashTable *named, ogl_time now)
+on_list_read(void *arg, GHashTable *listed, ogl_time now)
 {
 	struct cell_owner *o = arg;
 	GList *ids = g_hash_table_get_keys(cell_fleet_workers(o->fleet));
 	GList *at;
 
 	for (at = ids; at != NULL; at = at->next) {
-		if (!g_hash_table_contains(named, at->data))
+		if (!g_hash_table_contains(listed, at->data))
 			cell_fleet_entry(o->fleet, at->data, NULL, now);
 	}
 	g_list_free(ids);
@@ -1061,18 +1061,21 @@
     const struct cell_owner_params *params)
 {
 	struct cell_owner *o = g_new0(struct cell_owner, 1);
-	struct cell_fleet_events fleet_events = {on_ended, on_refused, on_found,
-	    on_found_end, on_run_up, on_ends_taken, on_answered,
-	    on_fleet_outranked, on_room_freed, o};
+	struct cell_fleet_events fleet_events = {on_run_ended, on_start_refused,
+	    on_run_found, on_end_found, on_run_started, on_ends_processed,
+	    on_answered, on_fleet_outranked, on_room_freed, o};
 	struct cell_advice_events advice_events = {
 	    send_ask, stage_of, worker_of, on_advice_answer, o};
-	struct cell_sched_parts sched_parts = {
-	    .ops = ops, .next_run = next_run, .started = on_started, .arg = o};
+	struct cell_sched_parts sched_parts = {.ops = ops,
+	    .next_run = next_run,
+	    .started = on_task_started,
+	    .arg = o};
 	struct cell_loader_events loader_events = {
 	    on_loader_outranked, on_loaded, o};
-	struct cell_roster_events roster_events = {on_entry, on_roster, o};
+	struct cell_roster_events roster_events = {
+	    on_worker_entry, on_list_read, o};
 	struct cell_escrow_events escrow_events = {
-	    send_part, team_part, on_part, o};
+	    send_part, team_part, on_part_granted, o};
 	struct cell_relay_events relay_events = {send_orders, o};
 
 	o->ops = ops;
@@ -1086,7 +1089,8 @@
 	o->jobs =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
 	o->admission = cell_admission_init();
-	o->journal = cell_journal_init(ops, params->shard, on_stream_lost, o);
+	o->journal =
+	    cell_journal_init(ops, params->shard, on_ownership_lost, o);
 	o->fleet = cell_fleet_init(&o->worker_ops, limits, &fleet_events);
 	o->held = cell_held_init(open_stage, o);
 	o->advice = cell_advice_init(ops, &advice_events);
@@ -1285,7 +1289,8 @@
 		remove_refused_job(o, j, now);
 		refuse(o, w->to, w->token, now);
 	} else {
-		/* Also a second submission of a job that has been removed. */
+		/* This may be a second submission of a job that has been
+		 * removed. */
 		reply(o, w->to, w->token, OGL__CELL_OUTCOME__cell_not_owner, 0);
 	}
 	waiting_call_free(w);
@@ -1307,7 +1312,7 @@
 	waiting_call_free(w);
 }
 
-/* Counts one more job of the team and tells whether it is within the team's
+/* Counts one more job of the team and returns whether it is within the team's
  * rate on this shard. */
 static bool
 within_rate(struct cell_owner *o, const char *team, ogl_time now)
@@ -1346,8 +1351,8 @@
 why_refuse_any(struct cell_owner *o, const char *from, const Ogl__CellCall *c,
     ogl_time now)
 {
-	/* The node that passed the call on has read its configuration; this
-	 * one has just started. */
+	/* This node has just started.  The node that passed the call on has a
+	 * configuration already. */
 	if (o->config == NULL)
 		return "no_configuration";
 	if (cell_journal_failing(o->journal, now))
@@ -1391,8 +1396,8 @@
 	refuse(o, from, c->token, now);
 }
 
-/* A submission without its job, which is not known here: the front asks whether
- * to send it. */
+/* Answers a submission that comes without its job and is not known here: the
+ * front end asks whether to send the job. */
 static void
 call_submit_query(struct cell_owner *o, const char *from,
     const Ogl__CellCall *c, ogl_time now)
@@ -1448,8 +1453,8 @@
  * A successor may have accepted the job while this node was paused or could not
  * reach the store.  "No such job" would make the caller give the job up, or
  * take it for cancelled.  So unless ownership was confirmed recently the answer
- * is "not owner", and the front repeats the call until ownership is confirmed
- * or the successor is known.
+ * is "not owner", and the front end repeats the call until ownership is
+ * confirmed or the successor is known.
  */
 static void
 reply_absent(struct cell_owner *o, const char *from, const Ogl__CellCall *c,
@@ -1523,7 +1528,7 @@
     struct cell_owner *o, const char *from, Ogl__CellCall *c, ogl_time now)
 {
 	/* A call that was sent to the owner of another epoch is not accepted:
-	 * its front may have had the answer of another owner since. */
+	 * its front end may have got an answer of another owner since. */
 	if (o->phase != PHASE_SERVING || c->epoch != o->epoch) {
 		reply(o, from, c->token, OGL__CELL_OUTCOME__cell_not_owner, 0);
 		return;
@@ -1629,12 +1634,13 @@
 }
 
 /* Stops the rest of a gang of which only a part was found running, or which has
- * lost a member without the others noticing, so that it starts anew. */
+ * lost a member without the others noticing, so that all of it is started
+ * again. */
 static void
 repair_gang(struct cell_owner *o, struct cell_stage *st, ogl_time now)
 {
 	uint64_t run = 0;
-	bool mixed = false;
+	bool incomplete = false;
 	uint32_t i;
 
 	if (!st->def->gang || st->nactive == 0 || st->ndone > 0)
@@ -1644,14 +1650,14 @@
 
 		if (r == NULL || (run != 0 && r->number != run) ||
 		    r->state == CELL_RUN_STOPPING) {
-			mixed = true;
+			incomplete = true;
 			continue;
 		}
 		if (now - r->created_at < GANG_REPAIR_DELAY)
 			return;
 		run = r->number;
 	}
-	if (!mixed)
+	if (!incomplete)
 		return;
 	for (i = 0; i < st->ntasks; i++) {
 		struct cell_run *r = st->tasks[i].active;
@@ -1690,14 +1696,14 @@
 	(void)tag;
 	(void)now;
 	if (result == CELL_STORED) {
-		struct cell_job *j = job_of(n->owner, n->name);
+		struct cell_job *j = job_of(n->owner, n->id);
 
 		if (j != NULL && j->drop_records) {
 			cell_journal_unmark(n->owner->journal, j);
-			g_hash_table_remove(n->owner->jobs, n->name);
+			g_hash_table_remove(n->owner->jobs, n->id);
 		}
 	}
-	g_free(n->name);
+	g_free(n->id);
 	g_free(n);
 }
 
--- a/cell/owner.h
+++ b/cell/owner.h
@@ -41,7 +41,7 @@
 
 void cell_owner_open(
     struct cell_owner *o, uint64_t epoch, ogl_time store_took, ogl_time now);
-/* Takes the shard over under that epoch.  store_took: time that the store took
+/* Takes the shard over under the epoch.  store_took: time that the store took
  * for its last answer, 0 not known. */
 void cell_owner_prepare(
     struct cell_owner *o, ogl_time store_took, ogl_time now);
@@ -56,8 +56,8 @@
 void cell_owner_set_config(struct cell_owner *o, struct cell_config *c);
 void cell_owner_set_zones(
     struct cell_owner *o, const struct cell_zones *z, ogl_time now);
-/* Sets the evacuated zones, which are borrowed as long as the owner
- * exists.  To be called again when they have changed. */
+/* Sets the evacuated zones, which are borrowed as long as the owner exists.  To
+ * be called again when they have changed. */
 
 void cell_owner_call(
     struct cell_owner *o, const char *from, Ogl__CellCall *call, ogl_time now);
@@ -66,6 +66,7 @@
 
 void cell_owner_advice(
     struct cell_owner *o, const Ogl__CellAdvice *a, ogl_time now);
+/* Takes an answer of the advice service that another node passed on. */
 void cell_owner_part(
     struct cell_owner *o, const Ogl__CellPart *m, ogl_time now);
 /* Takes a message about a team's limit from the owner of m->from_shard. */
@@ -104,6 +105,6 @@
 /* When to call cell_owner_step next, OGL_NEVER if nothing is pending. */
 
 bool cell_owner_idle(const struct cell_owner *o);
-/* Whether everything that it knows is on the store. */
+/* Whether no change waits to be stored. */
 
 #endif
