--- a/cell/admission.c
+++ b/cell/admission.c
@@ -2,24 +2,24 @@
  * A refusal is final.  A repeat of the refused call may still be on its way;
  * accepting it would run a job whose caller was told that it never runs.
  *
- * Rates are token buckets, one per team, that hold the jobs of a second or
- * more.
+ * Rates are limited by token buckets, one per team.  A full bucket holds the
+ * jobs of one second or more.
  */
 
 #include <glib.h>
 
 #include "admission.h"
 
-/* Longer than any repeat of a call can be on its way. */
+/* No repeat of a refused call arrives later than this. */
 #define REFUSAL_RETENTION (10 * OGL_SEC)
 
 struct bucket {
-	double tokens;
-	ogl_time at;
+	double tokens; /* jobs that the team may submit at once */
+	ogl_time filled_at;
 };
 
 struct cell_admission {
-	GHashTable *refused; /* "node token" -> ogl_time */
+	GHashTable *refused; /* "node token" -> ogl_time of the refusal */
 	GHashTable *buckets; /* team -> struct bucket */
 };
 
@@ -53,7 +53,7 @@
 		return b;
 	b = g_new0(struct bucket, 1);
 	b->tokens = burst;
-	b->at = now;
+	b->filled_at = now;
 	g_hash_table_insert(a->buckets, g_strdup(team), b);
 	return b;
 }
@@ -67,9 +67,9 @@
 	if (rate <= 0)
 		return true;
 	b = bucket_of(a, team, burst, now);
-	b->tokens += rate * (double)(now - b->at) / OGL_SEC;
+	b->tokens += rate * (double)(now - b->filled_at) / OGL_SEC;
 	b->tokens = MIN(b->tokens, burst);
-	b->at = now;
+	b->filled_at = now;
 	if (b->tokens < 1)
 		return false;
 	b->tokens -= 1;
--- a/cell/admission.h
+++ b/cell/admission.h
@@ -28,6 +28,6 @@
     const struct cell_admission *a, const char *node, uint64_t token);
 
 void cell_admission_sweep(struct cell_admission *a, ogl_time now);
-/* Forgets refused calls of which no repeat can be on its way any more. */
+/* Forgets refused calls of which no repeat can arrive any more. */
 
 #endif
--- a/cell/load.c
+++ b/cell/load.c
@@ -1,16 +1,16 @@
 /*
  * An overloaded owner falls behind in everything at once: leases on workers
- * expire, answers to other nodes come late, and another node takes the cell
- * over and meets the same load.  No job is then accepted anywhere until the
+ * expire, answers to other nodes come late, and another node takes the shard
+ * over and is overloaded in turn.  No job is then accepted anywhere until the
  * load falls by itself.
  *
  * Overload is detected by how late the process runs: a wakeup is late when it
  * comes more than LATE_AFTER after the time asked for.  One late wakeup is a
  * pause of the machine; two within LATE_PAIR_WINDOW are overload.  Then a
  * growing fraction of the new jobs is refused at once with a retry time, which
- * costs next to nothing.  The fraction falls slowly once the process has run
- * on time for RECOVERY_DELAY.  Accepted jobs are still served on time, and
- * ownership does not move.
+ * takes hardly any processor time.  The fraction falls slowly once the process
+ * has run on time for RECOVERY_DELAY.  Accepted jobs are still served on time,
+ * and ownership does not move.
  */
 
 #include "load.h"
--- a/cell/load.h
+++ b/cell/load.h
@@ -1,5 +1,5 @@
 /*
- * Load shedding: which part of the new jobs an overloaded owner refuses.
+ * Load shedding: an overloaded owner refuses a fraction of the new jobs.
  */
 
 #ifndef OGL_CELL_LOAD_H
@@ -10,9 +10,9 @@
 #include "orioleglade.h"
 
 struct cell_load {
-	ogl_time stepped_at;
+	ogl_time stepped_at;     /* last call of cell_load_step */
 	ogl_time last_late_at;   /* last wakeup that came late, 0 none */
-	double refused_fraction; /* of the new jobs, 0 none */
+	double refused_fraction; /* fraction of the new jobs to refuse */
 	double admit_credit;     /* a job is admitted once this reaches 1 */
 	double fall_per_second;  /* of refused_fraction, 0 the default */
 };
