--- a/cell/cell_config.c
+++ b/cell/cell_config.c
@@ -12,7 +12,7 @@
 	unsigned refs;
 	GPtrArray *queues;
 	GPtrArray *services;
-	GPtrArray *team_list;
+	GPtrArray *teams;
 	GHashTable *keys; /* key -> struct cell_team, borrowed */
 	/* Name -> entry, both borrowed.  Made at the first lookup, since the
 	 * builder sets the names after it has added the entries. */
@@ -59,7 +59,7 @@
 	c->refs = 1;
 	c->queues = g_ptr_array_new_with_free_func(queue_free);
 	c->services = g_ptr_array_new_with_free_func(service_free);
-	c->team_list = g_ptr_array_new_with_free_func(team_free);
+	c->teams = g_ptr_array_new_with_free_func(team_free);
 	c->keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	return c;
 }
@@ -81,7 +81,7 @@
 	g_hash_table_unref(c->keys);
 	g_ptr_array_unref(c->queues);
 	g_ptr_array_unref(c->services);
-	g_ptr_array_unref(c->team_list);
+	g_ptr_array_unref(c->teams);
 	g_free(c);
 }
 
@@ -107,7 +107,7 @@
 	struct cell_team *t = g_new0(struct cell_team, 1);
 
 	g_clear_pointer(&c->team_names, g_hash_table_unref);
-	g_ptr_array_add(c->team_list, t);
+	g_ptr_array_add(c->teams, t);
 	return t;
 }
 
@@ -189,8 +189,8 @@
 	GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
 	guint i;
 
-	for (i = c->team_list->len; i-- > 0;) {
-		struct cell_team *t = c->team_list->pdata[i];
+	for (i = c->teams->len; i-- > 0;) {
+		struct cell_team *t = c->teams->pdata[i];
 
 		g_hash_table_replace(names, t->name, t);
 	}
--- a/cell/cell_config.h
+++ b/cell/cell_config.h
@@ -10,19 +10,19 @@
 #include "ops.h"
 
 /* Whether the steps of a queue's jobs may run only on workers that the advice
- * service approves, and what its questions cost. */
+ * service approves, and how long its answers take. */
 struct cell_policy {
 	bool needed;
-	double decide_ms;  /* time the service takes for a question, */
-	double worker_ms;  /* and in addition for each worker named in it */
+	double decide_ms;  /* time that the service takes for a question */
+	double worker_ms;  /* additional time for each worker named in it */
 	uint32_t valid_ms; /* how long its tickets are valid */
 };
 
 /* Where callers submit jobs. */
 struct cell_queue {
 	char *name;
-	char *host;   /* a request is routed by its Host header */
-	char *prefix; /* and by the longest prefix of its path */
+	char *host;   /* Host header of its requests */
+	char *prefix; /* path prefix; a request goes to its longest match */
 	char *service;
 	uint32_t rank; /* priority; 0 is the highest and may preempt others */
 	uint32_t attempts_max;
@@ -36,7 +36,7 @@
 struct cell_team {
 	char *name;
 	double rate;        /* jobs a second that it is entitled to */
-	struct ogl_res max; /* limit of what it has running; 0: none */
+	struct ogl_res max; /* limit of what its runs use; 0: none */
 };
 
 struct cell_service {
@@ -82,6 +82,6 @@
 /* Fills t with the fields of the queue that are saved in a job. */
 
 bool cell_config_serves(const struct cell_config *c, const char *service);
-/* Whether any queue is for the service. */
+/* Whether any queue's jobs run on the service's workers. */
 
 #endif
--- a/cell/front.c
+++ b/cell/front.c
@@ -4,10 +4,10 @@
  *
  *	WAITING  not sent: no owner is known, or too many calls to it are under
  *	         way.  Kept for OWNER_TIMEOUT, then refused as not accepted,
- *	         which is certain since no owner was told of it.
+ *	         which is certain since no owner was sent it.
  *	SENT     the owner has it or may have it.  Repeated while no answer
- *	         comes, to the shard's current owner; a job's id makes the
- *	         repeats one job.
+ *	         comes, to the shard's current owner.  All repeats have the
+ *	         job's id, so only one job is accepted.
  *
  * A call given up after it was sent may have been accepted, so its caller is
  * told that the outcome is unknown.
@@ -18,11 +18,12 @@
  * shards in turn.  A count of waiting jobs is asked of all shards and summed.
  *
  * The settings stream is read by long polls without a pause.  An answered read
- * proves that no other configuration was in force when it was sent.  Without
- * such a proof for too long every key is refused, since it may have been
- * withdrawn.  A node that can't read the store uses the owner's proofs, which
- * come with its pongs: the store refuses single machines for 9 s and more, and
- * each request to such a node would be refused and reach another node late.
+ * proves that no other configuration was in force when it was sent.  When there
+ * has been no such proof for too long, every key is refused, since it may have
+ * been withdrawn.  A node that can't read the store uses the owner's proofs,
+ * which come with its pongs: the store may refuse a single machine for 9 s and
+ * more.  The node would refuse each request during that time, and the request
+ * would reach another node late.
  */
 
 #include <string.h>
@@ -34,9 +35,9 @@
 #define READ_WAIT_MS 800
 #define READ_TIMEOUT_MS 2200
 #define RETRY_DELAY (150 * OGL_MS)
-/* Fraction of revoke_ms after which keys are no longer trusted.  The rest
- * covers the way of the request, and a pause of this process between its
- * reading of the clock and the answer. */
+/* Fraction of revoke_ms after which keys are no longer trusted.  The rest is
+ * for the transmission of the request, and for a pause of this process between
+ * its reading of the clock and the answer. */
 #define FRESH_FRACTION 0.7
 /* Limits how long a call waits unsent: for an owner to become known, or for the
  * owner's window to allow it. */
@@ -46,7 +47,7 @@
  * network may delay the answer. */
 #define REPEAT_DELAY (450 * OGL_MS)
 #define REPEAT_DOUBLINGS_MAX 2
-/* Left of a caller's deadline for the way of the answer. */
+/* Time kept for the transmission of the answer before a caller's deadline. */
 #define REPLY_MARGIN (150 * OGL_MS)
 #define CALL_BUDGET_DEFAULT_MS 3000
 #define CALLER_RETRY_MS 600
@@ -61,16 +62,16 @@
 	char *id;
 	char *team;
 	char *queue;
-	uint32_t shard;       /* that is asked now */
+	uint32_t shard;       /* shard that is asked now */
 	uint32_t shards_left; /* shards to ask after it */
 	uint32_t jobs_found;  /* waiting jobs of the shards asked before */
 	bool sent;
 	bool in_window;          /* counted in the window of its shard */
-	uint64_t admitted_epoch; /* whose owner asked for the job, 0 none */
+	uint64_t admitted_epoch; /* its owner asked for the job, 0 none */
 	uint64_t sent_epoch; /* highest epoch of the shard it was sent under */
-	bool refused;        /* by the owner that it was sent to last */
+	bool refused;        /* the last owner that it was sent to refused it */
 	ogl_time began;
-	unsigned repeats; /* to the owner that it was sent to last */
+	unsigned repeats; /* sent again to the same owner this often */
 	ogl_time repeat_at;
 	ogl_time deadline;
 };
@@ -78,7 +79,7 @@
 /* Who owns a shard. */
 struct shard_owner {
 	char *addr;     /* NULL: none is known */
-	uint64_t epoch; /* of its ownership */
+	uint64_t epoch; /* epoch of its ownership */
 	struct cell_window window;
 	/* The owner refuses some new jobs, so a job is sent only after the
 	 * owner has asked for it. */
@@ -88,7 +89,7 @@
 /* State of reading the newest record of each key, page by page. */
 struct listing {
 	char *after;      /* last key of the last page, NULL before the first */
-	uint64_t end;     /* of the stream at the first page */
+	uint64_t end;     /* end of the stream at the first page */
 	ogl_time sent;    /* when the first page was asked for */
 	GPtrArray *zones; /* names of evacuated zones found so far */
 };
@@ -102,7 +103,7 @@
 	GHashTable *calls; /* token -> struct pending_call */
 
 	struct cell_config *config;
-	GBytes *record; /* that config was decoded from */
+	GBytes *record; /* record that config was decoded from */
 	struct cell_zones *zones;
 	struct listing listing;
 	bool loaded;  /* a listing is complete; the stream is followed */
@@ -236,8 +237,8 @@
 	}
 }
 
-/* The listing holds every evacuated zone.  A zone that is not on it has been
- * taken back, although the record that says so may be gone. */
+/* The names are those of all evacuated zones.  Any other zone is no longer
+ * evacuated, even if the record that says so has been trimmed. */
 static void
 replace_zones(
     struct cell_front *f, char *const *names, size_t n, uint64_t known_to)
@@ -524,7 +525,7 @@
 	send_call(f, p, now);
 }
 
-/* The call no longer counts as under way to the owner of its shard. */
+/* Stops counting the call as under way to the owner of its shard. */
 static void
 leave_window(struct cell_front *f, struct pending_call *p)
 {
@@ -664,9 +665,10 @@
 
 	/*
 	 * A caller's last attempt may leave less time than the answer takes.
-	 * Sent, the call would be given up at once while the owner might still
-	 * accept the job: its caller would be told that the outcome is unknown,
-	 * and could not retry.  Not sent, the job certainly does not run.
+	 * If the call were sent, it would be given up at once while the owner
+	 * might still accept the job: its caller would be told that the outcome
+	 * is unknown, and could not retry.  If it is not sent, the job
+	 * certainly does not run.
 	 */
 	if (budget * OGL_MS <= REPLY_MARGIN) {
 		refuse(
--- a/cell/front.h
+++ b/cell/front.h
@@ -25,17 +25,17 @@
 void cell_front_end(struct cell_front *f);
 
 void cell_front_set_shards(struct cell_front *f, uint32_t shards);
-/* Sets the number of shards; to be called once, before any owner is set. */
+/* Sets the number of shards.  To be called once, before any owner is set. */
 void cell_front_set_owner(struct cell_front *f, uint32_t shard,
     const char *addr, uint64_t epoch, ogl_time now);
-/* Sets the owner of the shard and its epoch; addr is NULL when none is known.
- */
+/* Sets the owner of the shard and its epoch.  addr is NULL when no owner is
+ * known. */
 
 void cell_front_call(struct cell_front *f, uint64_t token,
     const struct cell_request *r, ogl_time now);
 /* Takes one request; ops->reply is called once with its token. */
 void cell_front_caller_gone(struct cell_front *f, uint64_t token);
-/* The caller has gone: its call is forgotten and not answered. */
+/* Forgets a call, unanswered, whose caller has closed its connection. */
 
 void cell_front_set_asks_first(
     struct cell_front *f, uint32_t shard, bool asks_first);
@@ -64,13 +64,13 @@
 /* What a node knows of the configuration. */
 struct cell_front_config {
 	uint64_t version; /* 0 none */
-	ogl_time as_of;   /* last time it was certainly the newest */
+	ogl_time as_of;   /* last time that it was certainly the newest */
 	struct ogl_str record;
 };
 
 struct cell_front_config cell_front_known_config(const struct cell_front *f);
 bool cell_front_cut_off(const struct cell_front *f, ogl_time now);
-/* Whether the settings could not be read lately. */
+/* Whether the last reads of the settings have failed. */
 void cell_front_learn_config(
     struct cell_front *f, const struct cell_front_config *c, ogl_time now);
 /* Takes the configuration that a peer knows, for a node that can't read the
