--- a/cell/ablate.h
+++ b/cell/ablate.h
@@ -20,7 +20,7 @@
 #define CELL_USES_MOVES 1
 #endif
 
-/* Of a team's jobs beyond its rate the smallest is first. */
+/* Of a team's jobs beyond its rate the smallest goes first. */
 #ifdef OGL_OFF_SMALLEST
 #define CELL_USES_SMALLEST 0
 #else
@@ -34,7 +34,7 @@
 #define CELL_USES_PIPELINE 1
 #endif
 
-/* A takeover waits only for the tasks of workers that don't answer. */
+/* After a takeover only tasks that may run on silent workers are delayed. */
 #ifdef OGL_OFF_SILENT
 #define CELL_USES_SILENT 0
 #else
--- a/cell/node.c
+++ b/cell/node.c
@@ -1,8 +1,9 @@
 /*
- * Each node pings the owner of each shard.  When pongs stay away, it closes the
+ * Each node pings the owner of each shard.  When no pong comes, it closes the
  * connection and opens a new one.  At most one owner may ask the advice service
  * through the node: the service takes one question at a time from each machine,
  * so owners must not share a machine.
+ *
  * Messages of a node to itself do not use the network.
  */
 
@@ -16,8 +17,8 @@
 /* A step is due at least every STEP_INTERVAL.  A gap longer than PAUSE_MIN
  * means that the process did not run, and other nodes may have replaced it. */
 #define PAUSE_MIN (400 * OGL_MS)
-/* An owner gives its shard up to a node that is stronger by this factor and has
- * been there for this time. */
+/* An owner resigns in favour of a node that is stronger by this factor and has
+ * pinged it for this time. */
 #define STRONGER_FACTOR 1.7
 #define STRONGER_TIME (2500 * OGL_MS)
 /* Orders read within this time after a pause may have been queued during it. */
@@ -37,8 +38,8 @@
 /* A successor counts as alive for this time after its last ping. */
 #define SUCCESSOR_TIMEOUT (600 * OGL_MS)
 /* A stopping owner resigns if the successor has not claimed the shard within
- * this time.  The successor reads some pages first, in 4 ms each, or 300 ms
- * when the store is slow.  A process has 6 s to end. */
+ * this time.  The successor reads some pages first, which takes 4 ms each, or
+ * 300 ms when the store is slow.  A process has 6 s to end. */
 #define HANDOVER_TIMEOUT (2200 * OGL_MS)
 /* The node is not ready for callers when a shard has had no known owner for
  * this time. */
@@ -49,12 +50,13 @@
 	struct cell_node *node;
 	uint32_t shard;
 	struct cell_owner *owner;
-	ogl_time ping_at;
+	ogl_time next_ping_at;
 	ogl_time pong_at; /* last pong, or the first ping to a new owner */
 	ogl_time owner_known_at; /* last time that an owner was known */
 	char *last_owner;        /* address of the last known owner */
-	/* First and last ping of a stronger node, see STRONGER_FACTOR; after a
-	 * gap of a second the next ping counts as the first. */
+	/* Times of the first and the last ping of stronger nodes, see
+	 * STRONGER_FACTOR.  After a gap of a second the next ping counts as the
+	 * first. */
 	ogl_time stronger_since;
 	ogl_time stronger_heard;
 	/* as owner: the node that could best take over, by its last ping */
@@ -101,7 +103,7 @@
 	const char *received;
 };
 
-static const struct kind_names kinds[] = {
+static const struct kind_names message_kinds[] = {
     {OGL__CELL_MSG__BODY_PING, "peer_sent_bytes_ping",
 	"peer_received_bytes_ping"},
     {OGL__CELL_MSG__BODY_PONG, "peer_sent_bytes_pong",
@@ -129,10 +131,11 @@
 {
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(kinds); i++) {
-		if (kinds[i].body == m->body_case)
+	for (i = 0; i < G_N_ELEMENTS(message_kinds); i++) {
+		if (message_kinds[i].body == m->body_case)
 			n->ops->count(n->ops->ctx,
-			    received ? kinds[i].received : kinds[i].sent,
+			    received ? message_kinds[i].received
+				     : message_kinds[i].sent,
 			    bytes);
 	}
 }
@@ -357,22 +360,23 @@
 	return uptime < s->successor_uptime_ms;
 }
 
-/* Updates the successor by the ping of a node. */
+/* Makes the node that sent the ping the successor if it is a better one, and
+ * drops it as the successor if it can't take over any more. */
 static void
 update_successor(struct node_shard *s, const char *from, const Ogl__CellPing *p,
     ogl_time now)
 {
 	bool same = g_strcmp0(s->successor, from) == 0;
-	bool fit =
+	bool eligible =
 	    p->store_ok && !p->leaving && strcmp(from, s->node->addr) != 0;
-	/* A node that owns a shard already counts half. */
+	/* The strength of a node that owns a shard already counts half. */
 	uint32_t strength = p->owned > 0 ? p->strength / 2 : p->strength;
 
-	if (same && !fit) {
+	if (same && !eligible) {
 		g_clear_pointer(&s->successor, g_free);
 		return;
 	}
-	if (!fit)
+	if (!eligible)
 		return;
 	if (!same && s->successor != NULL &&
 	    now - s->successor_heard < SUCCESSOR_TIMEOUT &&
@@ -470,8 +474,8 @@
 	g_ptr_array_unref(zones);
 }
 
-/* The owner may have restarted, or have lost only the store: its pongs tell so
- * much earlier than a timeout would. */
+/* The owner may have restarted, or have lost only its connection to the store.
+ * Its pongs tell so much earlier than a timeout would. */
 static void
 handle_pong(struct node_shard *s, const Ogl__CellMsg *m, ogl_time now)
 {
@@ -641,7 +645,8 @@
 }
 
 /* The last owner may be unable to read the store, and so may nodes that still
- * ping it.  The ping tells it who owns the shard now, its pongs tell them. */
+ * ping it.  The ping tells it who owns the shard now, and its pongs tell those
+ * nodes. */
 static void
 notify_last_owner(struct node_shard *s, const char *owner, ogl_time now)
 {
@@ -680,7 +685,7 @@
 	struct node_shard *s = &n->per_shard[shard];
 
 	s->pong_at = now;
-	s->ping_at = now;
+	s->next_ping_at = now;
 	s->owner_known_at = now;
 	s->claim_pending = false;
 	s->handover_at = 0;
@@ -811,12 +816,12 @@
 }
 
 static void
-ping(struct node_shard *s, ogl_time now)
+ping_owner(struct node_shard *s, ogl_time now)
 {
 	struct cell_node *n = s->node;
 	const char *owner = cell_lead_addr(n->lead, s->shard);
 
-	if (owner == NULL || now < s->ping_at)
+	if (owner == NULL || now < s->next_ping_at)
 		return;
 	if (n->ops->peer_refused(n->ops->ctx, owner) ||
 	    now - s->pong_at > OWNER_SUSPECT_TIMEOUT)
@@ -828,7 +833,7 @@
 		n->ops->peer_reset(n->ops->ctx, owner);
 		s->pong_at = now;
 	}
-	s->ping_at = now + PING_INTERVAL;
+	s->next_ping_at = now + PING_INTERVAL;
 	send_ping(s, owner, offers_lane(s), now);
 }
 
@@ -947,7 +952,7 @@
 	cell_front_step(n->front, now);
 	distribute_config(n);
 	for (i = 0; i < n->shards; i++)
-		ping(&n->per_shard[i], now);
+		ping_owner(&n->per_shard[i], now);
 	deliver_loopback(n, now);
 	for (i = 0; i < n->shards; i++)
 		step_shard(&n->per_shard[i], now, wall);
@@ -976,7 +981,7 @@
 
 	n->stopping = true;
 	for (i = 0; i < n->shards; i++)
-		n->per_shard[i].ping_at = now;
+		n->per_shard[i].next_ping_at = now;
 	cell_lead_stop_claiming(n->lead);
 	for (i = 0; i < n->shards; i++)
 		step_handover(&n->per_shard[i], now);
--- a/cell/node.h
+++ b/cell/node.h
@@ -16,8 +16,8 @@
 	const char *name;
 	const char *addr; /* where peers reach it */
 	uint64_t boot;    /* differs at each start */
-	uint64_t seed;    /* of its random numbers */
-	/* thousandths of a processor that it may use, 0 unknown */
+	uint64_t seed;    /* seed of its random numbers */
+	/* Thousandths of a processor that it may use, 0 unknown. */
 	uint32_t strength;
 	uint32_t link_kbps; /* rate of its link, 0 unknown */
 	struct cell_limits limits;
--- a/cell/ops.h
+++ b/cell/ops.h
@@ -45,7 +45,7 @@
 	bool fenced;
 	uint64_t epoch;
 	uint64_t seq;
-	int64_t expected_end; /* refused at any other end; -1: no check */
+	int64_t expected_end; /* refused at another end of the stream; -1 any */
 	const struct cell_put *puts;
 	size_t nputs; /* 0: only tells the store the epoch */
 	uint32_t timeout_ms;
@@ -54,12 +54,12 @@
 struct cell_append_answer {
 	enum ogl_io_result io;
 	bool outranked;  /* refused: a higher epoch was seen */
-	bool end_moved;  /* refused: it does not end at expected_end */
+	bool end_moved;  /* refused: the stream's end is not expected_end */
 	uint64_t offset; /* of the first record, when OK */
 	uint64_t end; /* offset after the last record, when OK or end_moved */
 };
 
-/* The records from an offset on. */
+/* A read of the records from an offset on. */
 struct cell_read {
 	enum cell_stream stream;
 	uint32_t shard;
@@ -68,7 +68,7 @@
 	uint32_t timeout_ms;
 };
 
-/* The newest record of each key, in pages. */
+/* A read of the newest record of each key, one page at a time. */
 struct cell_newest {
 	enum cell_stream stream;
 	uint32_t shard;
@@ -81,12 +81,12 @@
 	char *service;
 	char *addr;
 	char *zone;
-	char *rack;    /* by one of the labels; "" if none names a rack */
+	char *rack;    /* from one of the labels, "" if none names a rack */
 	char **labels; /* NULL at the end */
 	bool draining;
 	uint64_t born_ms; /* start of this incarnation, Unix ms; 0 unknown */
 	struct ogl_res capacity;
-	uint32_t cold_ms;   /* how long it is still slow after its start */
+	uint32_t cold_ms;   /* time after its start while it is slow */
 	uint32_t leaves_ms; /* draining: least time until it ends */
 };
 
@@ -194,12 +194,12 @@
 	struct cell_task_name task;
 	uint64_t run;
 	uint32_t timeout_ms;
-	/* of a start only */
+	/* for a start only */
 	const char *spec;
 	uint64_t until_ms; /* end of the lease, on the worker's clock */
 	const char *checkpoint;
 	const char *ticket; /* NULL none */
-	/* of a pace only */
+	/* for a pace only */
 	uint32_t percent;
 };
 
@@ -326,7 +326,7 @@
 	/* Writes one log line; text has `key=value` pairs. */
 	void (*count)(void *ctx, const char *name, uint64_t by);
 	void (*observe)(void *ctx, const char *name, uint64_t ms);
-	/* Add to a counter and to a latency histogram. */
+	/* Add to a counter, and a time to a latency histogram. */
 
 	void *backend_ctx; /* passed to the functions up to decode_job */
 	void *ctx;         /* passed to those after it */
@@ -336,12 +336,12 @@
 struct cell_limits {
 	uint32_t lease_max_ms; /* longest lease that a worker grants */
 	uint32_t stop_ms;      /* longest time that stopping a run takes */
-	uint32_t revoke_ms;    /* a withdrawn key is refused after it */
+	uint32_t revoke_ms;    /* withdrawn keys are refused after this time */
 	uint32_t status_ms;    /* how long the state of an ended job is kept */
-	uint32_t visible_ms;   /* an accepted job is visible after it */
+	uint32_t visible_ms;   /* accepted jobs are visible within this time */
 	uint32_t rack_factor;  /* slowdown of a run outside the data's rack */
 	uint32_t gang_ms;      /* how long members wait for the whole gang */
-	uint32_t notice_ms;    /* an ended lasting task runs again within it */
+	uint32_t notice_ms;    /* ended lasting tasks run again in this time */
 	uint32_t harm_ms;      /* longest time that a target may be missed */
 };
 
