--- a/cell/owner.c
+++ b/cell/owner.c
@@ -64,8 +64,8 @@
 	char id[CELL_ID_LEN + 1];
 };
 
-/* Argument of a callback for the ends of a worker's runs, or for a job, once
- * the store has answered. */
+/* Argument of a callback that is called once the store has answered: for the
+ * ends of a worker's runs or for a job. */
 struct store_wait {
 	struct cell_owner *owner;
 	char *id;             /* id of the worker or the job */
@@ -210,29 +210,29 @@
 on_end_stored(
     void *arg, uint64_t tag, enum cell_store_result result, ogl_time now)
 {
-	struct store_wait *n = arg;
+	struct store_wait *wait = arg;
 	struct cell_job *j;
 
 	(void)tag;
 	(void)now;
 	if (result == CELL_STORED) {
-		j = job_of(n->owner, n->id);
+		j = job_of(wait->owner, wait->id);
 		if (j != NULL)
 			j->end_stored = true;
 	}
-	g_free(n->id);
-	g_free(n);
+	g_free(wait->id);
+	g_free(wait);
 }
 
 static void
 call_after_store(
     struct cell_owner *o, const char *id, cell_stored_fn *fn, uint64_t tag)
 {
-	struct store_wait *n = g_new0(struct store_wait, 1);
+	struct store_wait *wait = g_new0(struct store_wait, 1);
 
-	n->owner = o;
-	n->id = g_strdup(id);
-	cell_journal_notify(o->journal, fn, n, tag);
+	wait->owner = o;
+	wait->id = g_strdup(id);
+	cell_journal_notify(o->journal, fn, wait, tag);
 }
 
 /*
@@ -435,7 +435,7 @@
 
 		task_done(st, t);
 		if (t->active != NULL) {
-			/* It has ended too; its worker has not reported it. */
+			/* It has ended too, not reported by its worker yet. */
 			t->active->stage = NULL;
 			t->active = NULL;
 			st->nactive--;
@@ -658,31 +658,31 @@
 on_ends_stored(
     void *arg, uint64_t tag, enum cell_store_result result, ogl_time now)
 {
-	struct store_wait *n = arg;
+	struct store_wait *wait = arg;
 	struct cell_worker *w;
 
 	(void)now;
 	if (result == CELL_STORED) {
-		w = cell_fleet_worker(n->owner->fleet, n->id);
+		w = cell_fleet_worker(wait->owner->fleet, wait->id);
 		if (w != NULL)
 			cell_fleet_ends_stored(
-			    n->owner->fleet, w, n->incarnation, tag);
+			    wait->owner->fleet, w, wait->incarnation, tag);
 	}
-	g_free(n->id);
-	g_free(n);
+	g_free(wait->id);
+	g_free(wait);
 }
 
 static void
 on_ends_processed(void *arg, struct cell_worker *w, ogl_time now)
 {
 	struct cell_owner *o = arg;
-	struct store_wait *n = g_new0(struct store_wait, 1);
+	struct store_wait *wait = g_new0(struct store_wait, 1);
 
 	(void)now;
-	n->owner = o;
-	n->id = g_strdup(w->id);
-	n->incarnation = w->incarnation;
-	cell_journal_notify(o->journal, on_ends_stored, n, w->ends_reported);
+	wait->owner = o;
+	wait->id = g_strdup(w->id);
+	wait->incarnation = w->incarnation;
+	cell_journal_notify(o->journal, on_ends_stored, wait, w->ends_reported);
 }
 
 static void
@@ -898,16 +898,16 @@
 on_workers_stored(
     void *arg, uint64_t tag, enum cell_store_result result, ogl_time now)
 {
-	struct workers_record *n = arg;
+	struct workers_record *pending = arg;
 	guint i;
 
 	(void)tag;
 	(void)now;
-	for (i = 0; result == CELL_STORED && i < n->ids->len; i++)
-		cell_fleet_record_stored(
-		    n->owner->fleet, n->ids->pdata[i], n->number);
-	g_ptr_array_unref(n->ids);
-	g_free(n);
+	for (i = 0; result == CELL_STORED && i < pending->ids->len; i++)
+		cell_fleet_record_stored(pending->owner->fleet,
+		    pending->ids->pdata[i], pending->number);
+	g_ptr_array_unref(pending->ids);
+	g_free(pending);
 }
 
 /*
@@ -918,15 +918,15 @@
 static void
 store_workers(struct cell_owner *o, ogl_time now)
 {
-	struct workers_record *n = g_new0(struct workers_record, 1);
+	struct workers_record *pending = g_new0(struct workers_record, 1);
 	GBytes *record;
 
-	n->owner = o;
-	n->ids = g_ptr_array_new_with_free_func(g_free);
-	n->number = ++o->worker_records;
-	record = cell_known_pack(o->fleet, n->number, n->ids, now);
+	pending->owner = o;
+	pending->ids = g_ptr_array_new_with_free_func(g_free);
+	pending->number = ++o->worker_records;
+	record = cell_known_pack(o->fleet, pending->number, pending->ids, now);
 	cell_journal_put(o->journal, CELL_WORKERS_KEY, record, now);
-	cell_journal_notify(o->journal, on_workers_stored, n, 0);
+	cell_journal_notify(o->journal, on_workers_stored, pending, 0);
 }
 
 /* Restores ended jobs, of which only the progress records are left. */
@@ -1691,20 +1691,20 @@
 on_forgotten(
     void *arg, uint64_t tag, enum cell_store_result result, ogl_time now)
 {
-	struct store_wait *n = arg;
+	struct store_wait *wait = arg;
 
 	(void)tag;
 	(void)now;
 	if (result == CELL_STORED) {
-		struct cell_job *j = job_of(n->owner, n->id);
+		struct cell_job *j = job_of(wait->owner, wait->id);
 
 		if (j != NULL && j->drop_records) {
-			cell_journal_unmark(n->owner->journal, j);
-			g_hash_table_remove(n->owner->jobs, n->id);
+			cell_journal_unmark(wait->owner->journal, j);
+			g_hash_table_remove(wait->owner->jobs, wait->id);
 		}
 	}
-	g_free(n->id);
-	g_free(n);
+	g_free(wait->id);
+	g_free(wait);
 }
 
 static void
--- a/cell/owner.h
+++ b/cell/owner.h
@@ -30,7 +30,7 @@
 /* The shard of an owner, and the link of its node. */
 struct cell_owner_params {
 	uint32_t shard;
-	uint32_t shards;    /* in the whole cell */
+	uint32_t shards;    /* shards of the whole cell */
 	uint32_t link_kbps; /* capacity of the node's own link, 0 not known */
 };
 
