--- a/cell/node.c
+++ b/cell/node.c
@@ -59,13 +59,14 @@
 	 * first. */
 	ogl_time stronger_since;
 	ogl_time stronger_heard;
-	/* as owner: the node that could best take over, by its last ping */
+	/* As the owner: the node that could best take over, as of its last
+	 * ping. */
 	char *successor; /* its address, NULL none */
 	uint32_t successor_strength;
 	uint32_t successor_uptime_ms;
 	ogl_time successor_heard;
 	ogl_time handover_at; /* the handover was sent, 0 not yet */
-	/* as successor */
+	/* As the successor: */
 	bool claim_pending; /* claims the shard once it has read the jobs */
 };
 
@@ -83,7 +84,7 @@
 	/* cell_zones_changes of the zones last given to the owners */
 	uint64_t zone_changes;
 	bool stopping;
-	ogl_time now;        /* of the step or event under way */
+	ogl_time now;        /* time of the step or event under way */
 	ogl_time started_at; /* first step, 0 not yet */
 	ogl_time stepped_at; /* last step, 0 none yet */
 	ogl_time wake_at;    /* next step asked for by the last, 0 none yet */
@@ -238,9 +239,9 @@
 static void
 on_advice(void *arg, const struct cell_ask_answer *a, ogl_time now)
 {
-	struct advice_call *q = arg;
+	struct advice_call *call = arg;
 	Ogl__CellMsg m = OGL__CELL_MSG__INIT;
-	Ogl__CellAdvice v = OGL__CELL_ADVICE__INIT;
+	Ogl__CellAdvice advice = OGL__CELL_ADVICE__INIT;
 	Ogl__CellTicket *tickets = g_new(Ogl__CellTicket, a->n);
 	Ogl__CellTicket **list = g_new(Ogl__CellTicket *, a->n);
 	size_t i;
@@ -252,33 +253,33 @@
 		tickets[i].ticket = (char *)(uintptr_t)a->tickets[i].ticket;
 		list[i] = &tickets[i];
 	}
-	v.token = q->token;
-	v.ok = a->io == OGL_IO_OK;
-	v.valid_ms = a->valid_ms;
-	v.tickets = list;
-	v.n_tickets = v.ok ? a->n : 0;
+	advice.token = call->token;
+	advice.ok = a->io == OGL_IO_OK;
+	advice.valid_ms = a->valid_ms;
+	advice.tickets = list;
+	advice.n_tickets = advice.ok ? a->n : 0;
 	m.body_case = OGL__CELL_MSG__BODY_ADVICE;
-	m.advice = &v;
-	send_msg(q->node, q->shard, q->to, &m);
+	m.advice = &advice;
+	send_msg(call->node, call->shard, call->to, &m);
 	g_free(tickets);
 	g_free(list);
-	g_free(q->to);
-	g_free(q);
+	g_free(call->to);
+	g_free(call);
 }
 
 static void
 handle_ask(struct cell_node *n, uint32_t shard, const char *from,
     const Ogl__CellAsk *a)
 {
-	struct advice_call *q = g_new(struct advice_call, 1);
+	struct advice_call *call = g_new(struct advice_call, 1);
 	struct cell_ask ask = {a->step, (const char *const *)(void *)a->workers,
 	    a->n_workers, a->timeout_ms};
 
-	q->node = n;
-	q->shard = shard;
-	q->to = g_strdup(from);
-	q->token = a->token;
-	n->ops->ask(n->ops->backend_ctx, &ask, on_advice, q);
+	call->node = n;
+	call->shard = shard;
+	call->to = g_strdup(from);
+	call->token = a->token;
+	n->ops->ask(n->ops->backend_ctx, &ask, on_advice, call);
 }
 
 /* ---- calls to workers for an owner ------------------------------------ */
@@ -754,12 +755,12 @@
 cell_node_init(const struct cell_node_config *c, const struct cell_ops *ops)
 {
 	struct cell_node *n = g_new0(struct cell_node, 1);
-	struct cell_lead_events le = {
+	struct cell_lead_events lead_events = {
 	    on_planned, on_won, on_lost, on_changed, n};
 	struct cell_lead_self self = {
 	    c->name, c->addr, c->boot, ownership_strength(c), c->link_kbps};
-	struct cell_plan_events pe = {on_decided, n};
-	struct cell_front_events fe = {send_call, n};
+	struct cell_plan_events plan_events = {on_decided, n};
+	struct cell_front_events front_events = {send_call, n};
 
 	n->ops = ops;
 	n->name = g_strdup(c->name);
@@ -769,9 +770,9 @@
 	n->strength = ownership_strength(c);
 	n->link_kbps = c->link_kbps;
 	n->serve = cell_relay_serve_init(ops, send_answers, n);
-	n->lead = cell_lead_init(ops, &le, &self, c->seed);
-	n->plan = cell_plan_init(ops, &pe, n->strength, c->seed);
-	n->front = cell_front_init(ops, &n->limits, &fe);
+	n->lead = cell_lead_init(ops, &lead_events, &self, c->seed);
+	n->plan = cell_plan_init(ops, &plan_events, n->strength, c->seed);
+	n->front = cell_front_init(ops, &n->limits, &front_events);
 	return n;
 }
 
