--- a/cell/known.c
+++ b/cell/known.c
@@ -2,7 +2,7 @@
  * A successor calls every worker in the record.  It starts no task that an
  * earlier owner may have started until each worker has reported what it runs,
  * or the worker's lease has expired, which takes 5 s.  An unreachable worker
- * would thus delay the whole cell at each change of owner.  So once a worker
+ * would thus delay the whole shard at each change of owner.  So once a worker
  * has been silent for a short time, the record lists the tasks that may run
  * there, and only these wait for it.
  *
--- a/cell/load.h
+++ b/cell/load.h
@@ -14,7 +14,7 @@
 	ogl_time last_late_at;   /* last wakeup that came late, 0 none */
 	double refused_fraction; /* fraction of the new jobs to refuse */
 	double admit_credit;     /* a job is admitted once this reaches 1 */
-	double fall_per_second;  /* of refused_fraction, 0 the default */
+	double fall_per_second;  /* fall of refused_fraction, 0 the default */
 };
 
 void cell_load_step(struct cell_load *l, ogl_time due, ogl_time now);
--- a/cell/ops.h
+++ b/cell/ops.h
@@ -22,8 +22,8 @@
 /* ---- the store: streams of keyed records ------------------------------ */
 
 enum cell_stream {
-	CELL_JOBS,     /* of a shard: jobs and their progress */
-	CELL_CLAIMS,   /* of a shard: who claimed it, one record per epoch */
+	CELL_JOBS,     /* the jobs of a shard and their progress */
+	CELL_CLAIMS,   /* who claimed a shard, one record per epoch */
 	CELL_LEAD,     /* heartbeats and resignations of all owners */
 	CELL_SETTINGS, /* written by the operator: configuration, evacuations */
 	CELL_WORKERS,  /* written by the workers: an entry of each */
@@ -55,7 +55,7 @@
 	enum ogl_io_result io;
 	bool outranked;  /* refused: a higher epoch was seen */
 	bool end_moved;  /* refused: the stream's end is not expected_end */
-	uint64_t offset; /* of the first record, when OK */
+	uint64_t offset; /* offset of the first record, when OK */
 	uint64_t end; /* offset after the last record, when OK or end_moved */
 };
 
