--- a/cell/node.c
+++ b/cell/node.c
@@ -1,8 +1,9 @@
 /*
- * Each node pings the owner of each shard.  When pongs stay away, it closes the
+ * Each node pings the owner of each shard.  When no pong comes, it closes the
  * connection and opens a new one.  At most one owner may ask the advice service
  * through the node: the service takes one question at a time from each machine,
  * so owners must not share a machine.
+ *
  * Messages of a node to itself do not use the network.
  */
 
@@ -16,8 +17,8 @@
 /* A step is due at least every STEP_INTERVAL.  A gap longer than PAUSE_MIN
  * means that the process did not run, and other nodes may have replaced it. */
 #define PAUSE_MIN (400 * OGL_MS)
-/* An owner gives its shard up to a node that is stronger by this factor and has
- * been there for this time. */
+/* An owner resigns in favour of a node that is stronger by this factor and has
+ * pinged it for this time. */
 #define STRONGER_FACTOR 1.7
 #define STRONGER_TIME (2500 * OGL_MS)
 /* Orders read within this time after a pause may have been queued during it. */
@@ -37,8 +38,8 @@
 /* A successor counts as alive for this time after its last ping. */
 #define SUCCESSOR_TIMEOUT (600 * OGL_MS)
 /* A stopping owner resigns if the successor has not claimed the shard within
- * this time.  The successor reads some pages first, in 4 ms each, or 300 ms
- * when the store is slow.  A process has 6 s to end. */
+ * this time.  The successor reads some pages first, which takes 4 ms each, or
+ * 300 ms when the store is slow.  A process has 6 s to end. */
 #define HANDOVER_TIMEOUT (2200 * OGL_MS)
 /* The node is not ready for callers when a shard has had no known owner for
  * this time. */
@@ -49,21 +50,23 @@
 	struct cell_node *node;
 	uint32_t shard;
 	struct cell_owner *owner;
-	ogl_time ping_at;
+	ogl_time next_ping_at;
 	ogl_time pong_at; /* last pong, or the first ping to a new owner */
 	ogl_time owner_known_at; /* last time that an owner was known */
 	char *last_owner;        /* address of the last known owner */
-	/* First and last ping of a stronger node, see STRONGER_FACTOR; after a
-	 * gap of a second the next ping counts as the first. */
+	/* Times of the first and the last ping of stronger nodes, see
+	 * STRONGER_FACTOR.  After a gap of a second the next ping counts as the
+	 * first. */
 	ogl_time stronger_since;
 	ogl_time stronger_heard;
-	/* as owner: the node that could best take over, by its last ping */
+	/* As the owner: the node that could best take over, as of its last
+	 * ping. */
 	char *successor; /* its address, NULL none */
 	uint32_t successor_strength;
 	uint32_t successor_uptime_ms;
 	ogl_time successor_heard;
 	ogl_time handover_at; /* the handover was sent, 0 not yet */
-	/* as successor */
+	/* As the successor: */
 	bool claim_pending; /* claims the shard once it has read the jobs */
 };
 
@@ -81,7 +84,7 @@
 	/* cell_zones_changes of the zones last given to the owners */
 	uint64_t zone_changes;
 	bool stopping;
-	ogl_time now;        /* of the step or event under way */
+	ogl_time now;        /* time of the step or event under way */
 	ogl_time started_at; /* first step, 0 not yet */
 	ogl_time stepped_at; /* last step, 0 none yet */
 	ogl_time wake_at;    /* next step asked for by the last, 0 none yet */
@@ -101,7 +104,7 @@
 	const char *received;
 };
 
-static const struct kind_names kinds[] = {
+static const struct kind_names message_kinds[] = {
     {OGL__CELL_MSG__BODY_PING, "peer_sent_bytes_ping",
 	"peer_received_bytes_ping"},
     {OGL__CELL_MSG__BODY_PONG, "peer_sent_bytes_pong",
@@ -129,10 +132,11 @@
 {
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(kinds); i++) {
-		if (kinds[i].body == m->body_case)
+	for (i = 0; i < G_N_ELEMENTS(message_kinds); i++) {
+		if (message_kinds[i].body == m->body_case)
 			n->ops->count(n->ops->ctx,
-			    received ? kinds[i].received : kinds[i].sent,
+			    received ? message_kinds[i].received
+				     : message_kinds[i].sent,
 			    bytes);
 	}
 }
@@ -235,9 +239,9 @@
 static void
 on_advice(void *arg, const struct cell_ask_answer *a, ogl_time now)
 {
-	struct advice_call *q = arg;
+	struct advice_call *call = arg;
 	Ogl__CellMsg m = OGL__CELL_MSG__INIT;
-	Ogl__CellAdvice v = OGL__CELL_ADVICE__INIT;
+	Ogl__CellAdvice advice = OGL__CELL_ADVICE__INIT;
 	Ogl__CellTicket *tickets = g_new(Ogl__CellTicket, a->n);
 	Ogl__CellTicket **list = g_new(Ogl__CellTicket *, a->n);
 	size_t i;
@@ -249,33 +253,33 @@
 		tickets[i].ticket = (char *)(uintptr_t)a->tickets[i].ticket;
 		list[i] = &tickets[i];
 	}
-	v.token = q->token;
-	v.ok = a->io == OGL_IO_OK;
-	v.valid_ms = a->valid_ms;
-	v.tickets = list;
-	v.n_tickets = v.ok ? a->n : 0;
+	advice.token = call->token;
+	advice.ok = a->io == OGL_IO_OK;
+	advice.valid_ms = a->valid_ms;
+	advice.tickets = list;
+	advice.n_tickets = advice.ok ? a->n : 0;
 	m.body_case = OGL__CELL_MSG__BODY_ADVICE;
-	m.advice = &v;
-	send_msg(q->node, q->shard, q->to, &m);
+	m.advice = &advice;
+	send_msg(call->node, call->shard, call->to, &m);
 	g_free(tickets);
 	g_free(list);
-	g_free(q->to);
-	g_free(q);
+	g_free(call->to);
+	g_free(call);
 }
 
 static void
 handle_ask(struct cell_node *n, uint32_t shard, const char *from,
     const Ogl__CellAsk *a)
 {
-	struct advice_call *q = g_new(struct advice_call, 1);
+	struct advice_call *call = g_new(struct advice_call, 1);
 	struct cell_ask ask = {a->step, (const char *const *)(void *)a->workers,
 	    a->n_workers, a->timeout_ms};
 
-	q->node = n;
-	q->shard = shard;
-	q->to = g_strdup(from);
-	q->token = a->token;
-	n->ops->ask(n->ops->backend_ctx, &ask, on_advice, q);
+	call->node = n;
+	call->shard = shard;
+	call->to = g_strdup(from);
+	call->token = a->token;
+	n->ops->ask(n->ops->backend_ctx, &ask, on_advice, call);
 }
 
 /* ---- calls to workers for an owner ------------------------------------ */
@@ -357,22 +361,23 @@
 	return uptime < s->successor_uptime_ms;
 }
 
-/* Updates the successor by the ping of a node. */
+/* Makes the node that sent the ping the successor if it is a better one, and
+ * drops it as the successor if it can't take over any more. */
 static void
 update_successor(struct node_shard *s, const char *from, const Ogl__CellPing *p,
     ogl_time now)
 {
 	bool same = g_strcmp0(s->successor, from) == 0;
-	bool fit =
+	bool eligible =
 	    p->store_ok && !p->leaving && strcmp(from, s->node->addr) != 0;
-	/* A node that owns a shard already counts half. */
+	/* The strength of a node that owns a shard already counts half. */
 	uint32_t strength = p->owned > 0 ? p->strength / 2 : p->strength;
 
-	if (same && !fit) {
+	if (same && !eligible) {
 		g_clear_pointer(&s->successor, g_free);
 		return;
 	}
-	if (!fit)
+	if (!eligible)
 		return;
 	if (!same && s->successor != NULL &&
 	    now - s->successor_heard < SUCCESSOR_TIMEOUT &&
@@ -470,8 +475,8 @@
 	g_ptr_array_unref(zones);
 }
 
-/* The owner may have restarted, or have lost only the store: its pongs tell so
- * much earlier than a timeout would. */
+/* The owner may have restarted, or have lost only its connection to the store.
+ * Its pongs tell so much earlier than a timeout would. */
 static void
 handle_pong(struct node_shard *s, const Ogl__CellMsg *m, ogl_time now)
 {
@@ -641,7 +646,8 @@
 }
 
 /* The last owner may be unable to read the store, and so may nodes that still
- * ping it.  The ping tells it who owns the shard now, its pongs tell them. */
+ * ping it.  The ping tells it who owns the shard now, and its pongs tell those
+ * nodes. */
 static void
 notify_last_owner(struct node_shard *s, const char *owner, ogl_time now)
 {
@@ -680,7 +686,7 @@
 	struct node_shard *s = &n->per_shard[shard];
 
 	s->pong_at = now;
-	s->ping_at = now;
+	s->next_ping_at = now;
 	s->owner_known_at = now;
 	s->claim_pending = false;
 	s->handover_at = 0;
@@ -749,12 +755,12 @@
 cell_node_init(const struct cell_node_config *c, const struct cell_ops *ops)
 {
 	struct cell_node *n = g_new0(struct cell_node, 1);
-	struct cell_lead_events le = {
+	struct cell_lead_events lead_events = {
 	    on_planned, on_won, on_lost, on_changed, n};
 	struct cell_lead_self self = {
 	    c->name, c->addr, c->boot, ownership_strength(c), c->link_kbps};
-	struct cell_plan_events pe = {on_decided, n};
-	struct cell_front_events fe = {send_call, n};
+	struct cell_plan_events plan_events = {on_decided, n};
+	struct cell_front_events front_events = {send_call, n};
 
 	n->ops = ops;
 	n->name = g_strdup(c->name);
@@ -764,9 +770,9 @@
 	n->strength = ownership_strength(c);
 	n->link_kbps = c->link_kbps;
 	n->serve = cell_relay_serve_init(ops, send_answers, n);
-	n->lead = cell_lead_init(ops, &le, &self, c->seed);
-	n->plan = cell_plan_init(ops, &pe, n->strength, c->seed);
-	n->front = cell_front_init(ops, &n->limits, &fe);
+	n->lead = cell_lead_init(ops, &lead_events, &self, c->seed);
+	n->plan = cell_plan_init(ops, &plan_events, n->strength, c->seed);
+	n->front = cell_front_init(ops, &n->limits, &front_events);
 	return n;
 }
 
@@ -811,12 +817,12 @@
 }
 
 static void
-ping(struct node_shard *s, ogl_time now)
+ping_owner(struct node_shard *s, ogl_time now)
 {
 	struct cell_node *n = s->node;
 	const char *owner = cell_lead_addr(n->lead, s->shard);
 
-	if (owner == NULL || now < s->ping_at)
+	if (owner == NULL || now < s->next_ping_at)
 		return;
 	if (n->ops->peer_refused(n->ops->ctx, owner) ||
 	    now - s->pong_at > OWNER_SUSPECT_TIMEOUT)
@@ -828,7 +834,7 @@
 		n->ops->peer_reset(n->ops->ctx, owner);
 		s->pong_at = now;
 	}
-	s->ping_at = now + PING_INTERVAL;
+	s->next_ping_at = now + PING_INTERVAL;
 	send_ping(s, owner, offers_lane(s), now);
 }
 
@@ -947,7 +953,7 @@
 	cell_front_step(n->front, now);
 	distribute_config(n);
 	for (i = 0; i < n->shards; i++)
-		ping(&n->per_shard[i], now);
+		ping_owner(&n->per_shard[i], now);
 	deliver_loopback(n, now);
 	for (i = 0; i < n->shards; i++)
 		step_shard(&n->per_shard[i], now, wall);
@@ -976,7 +982,7 @@
 
 	n->stopping = true;
 	for (i = 0; i < n->shards; i++)
-		n->per_shard[i].ping_at = now;
+		n->per_shard[i].next_ping_at = now;
 	cell_lead_stop_claiming(n->lead);
 	for (i = 0; i < n->shards; i++)
 		step_handover(&n->per_shard[i], now);
