--- a/cell/window.c
+++ b/cell/window.c
@@ -1,21 +1,26 @@
 /*
+ * Limits how many calls a node has in flight to the owner of a shard.  The
+ * limit, called the window, grows with each answer and shrinks when round trips
+ * take long.
+ *
  * While a new owner reads the jobs it takes over, calls wait for it at every
- * node.  Sent all at once, with the jobs they carry, they would fill its link.
- * Its heartbeats would be late, and it would lose the shard to the next owner,
- * which would get the same calls.  So a node starts with one call, and each
- * answer enlarges the window by one, which doubles it in each round trip.
+ * node.  Sent all at once, with the jobs they carry, they would fill its link
+ * and delay its heartbeats.  It would then lose the shard to another owner, and
+ * the same calls would fill that owner's link.  So a node starts with one call,
+ * and each answer enlarges the window by one, which doubles it in each round
+ * trip.
  *
- * The window shrinks while messages to the owner take long, whether they wait
- * for its link or its processor.  The duration of a call does not show that, as
- * a call also waits for the store.
+ * Long round trips show that messages wait for the owner's link or processor.
+ * The duration of a call does not show it, because a call also waits for the
+ * store.
  */
 
 #include "window.h"
 
 #define WINDOW_MAX_CALLS 256
-/* Least size after the first answer. */
+/* Least size of the window once the owner has answered a call. */
 #define WINDOW_SERVED_CALLS 4
-/* Least time between two calls to an owner that does not serve yet. */
+/* Delay after an owner that has not answered any call yet refuses one. */
 #define REFUSED_RETRY_DELAY (150 * OGL_MS)
 /* A normal round trip takes some milliseconds; a longer one shows a queue. */
 #define ROUND_TRIP_MAX (200 * OGL_MS)
@@ -61,9 +66,8 @@
 	w->closed_until = 0;
 }
 
-/* An owner that has served may refuse single calls while it can't confirm its
- * ownership, and still answers others.  So its refusals do not close the
- * window. */
+/* Refusals by an owner that has answered a call do not close the window: while
+ * it can't confirm its ownership it refuses some calls and answers others. */
 void
 cell_window_refused(struct cell_window *w, ogl_time now)
 {
