--- a/cell/relay.c
+++ b/cell/relay.c
@@ -1,13 +1,16 @@
 /*
+ * Sends a shard owner's calls to workers through other nodes (relays) while the
+ * owner's own link is too slow for them.
+ *
  * A start goes through the node that has the job's spec, as long as that node
  * is up; otherwise through one chosen by the job's id, which is sent the spec
  * once.  Stops and holds go through a node chosen by the worker's id, so that a
  * worker has few connections.
  *
- * To the fleet a relayed call is a call like any other: it ends exactly once,
- * as done, refused, lost or not sent.  A call that gets no answer is lost,
- * since the relay may still carry it out.  A relay that leaves calls unanswered
- * is not used for a while.
+ * A relayed call ends in the same way as a direct one: exactly once, as done,
+ * refused, lost or not sent.  A call that gets no answer is lost, since the
+ * relay may still carry it out.  A relay that leaves calls unanswered is not
+ * used for a while.
  *
  * Orders to the same relay are batched for a short time.
  */
@@ -22,15 +25,16 @@
 /* Fraction of the link that calls to workers may use before they are relayed:
  * jobs, the store and the other nodes need the rest. */
 #define LINK_FRACTION_MAX 0.25
-/* Each relay may have a connection to each worker, and a worker accepts 64. */
+/* Each relay may have a connection to each worker, and a worker accepts 64
+ * connections. */
 #define RELAYS_MAX 24
-/* The relays among them that are used for all calls but starts: with few relays
- * the messages are few and large. */
-#define HOLD_RELAYS_MAX 6
+/* Stops, holds and reads go through the first of these relays only, because
+ * fewer relays need fewer, larger messages. */
+#define NON_START_RELAYS_MAX 6
 /* How long orders to one node are batched. */
 #define BATCH_DELAY (2 * OGL_MS)
-/* An older batch was held up while this process was suspended: the ownership
- * under which its orders were given may have ended. */
+/* A batch older than this is withdrawn: this process was suspended meanwhile,
+ * and the ownership under which its orders were given may have ended. */
 #define BATCH_AGE_MAX (200 * OGL_MS)
 /* A node not heard from for this long is not used; nodes ping four times per
  * second. */
@@ -41,27 +45,29 @@
 /* A relay gives a call up after the call's timeout; its answer takes at most
  * this much longer. */
 #define ANSWER_MARGIN (400 * OGL_MS)
-/* How long a relay that left calls unanswered is not used. */
+/* A relay that left calls unanswered is not used for this long. */
 #define RELAY_BACKOFF (2 * OGL_SEC)
-/* After this many consecutive starts through relays were lost, their worker is
- * called directly for a time: it may be unreachable from a relay only. */
+/* When this many consecutive starts to a worker were lost through relays, it is
+ * called directly for a time, as it may be unreachable only from a relay. */
 #define LOST_STARTS_MAX 4
 #define DIRECT_CALL_TIME (5 * OGL_SEC)
-/* Period over which the shortest time to an answer is taken. */
-#define DELAY_WINDOW (200 * OGL_MS)
+/* The shortest delay of answers is kept for the present period of this length
+ * and for the one before it. */
+#define DELAY_PERIOD (200 * OGL_MS)
 /* A token is the epoch in its upper bits and a counter below them. */
 #define TOKEN_EPOCH_SHIFT 32
-#define WORKER_LIST_KEY "workers" /* chooses the relay that reads it */
+/* Key that chooses the relay for reads of the list of workers. */
+#define WORKER_LIST_KEY "workers"
 
 /* A node that may be used as a relay. */
 struct node {
 	char *addr;
 	ogl_time last_heard;
 	ogl_time backoff_until;
-	uint64_t unanswered; /* consecutive calls */
+	uint64_t unanswered; /* consecutive calls without an answer */
 	Ogl__CellOrders batch;
 	size_t batch_capacity; /* in orders */
-	ogl_time batch_since;  /* its first order was added */
+	ogl_time batch_since;  /* when the batch's first order was added */
 };
 
 /* Lost starts through relays to one worker. */
@@ -73,14 +79,14 @@
 /* A relayed call that waits for its answer. */
 struct pending_call {
 	uint64_t token;
-	char *relay;  /* its address */
-	char *worker; /* its id, only for a start */
+	char *relay;  /* address of the relay */
+	char *worker; /* id of the worker, only for a start */
 	ogl_time created_at;
 	ogl_time deadline;
-	/* Only for a start without spec, to send it again with the spec. */
+	/* Only for a start sent without spec, to repeat it with the spec. */
 	Ogl__CellOrder *message;
 	char *spec;
-	/* Exactly one of these is set. */
+	/* Exactly one of the three callbacks is set; arg is passed to it. */
 	cell_hold_fn *hold_done;
 	cell_order_fn *order_done;
 	cell_read_fn *list_done;
@@ -91,16 +97,17 @@
 	const struct cell_ops *ops;
 	struct cell_relay_events events;
 	uint32_t link_kbps;
-	bool active;  /* the link can't carry the calls: they are relayed */
-	ogl_time now; /* of the last step or event */
-	uint64_t token;
-	GHashTable *nodes;      /* addr -> struct node */
-	GPtrArray *sorted;      /* struct node, by address */
-	GHashTable *calls;      /* token -> struct pending_call */
+	bool active;       /* calls are relayed, as the link can't carry them */
+	ogl_time now;      /* time of the last step or event */
+	uint64_t token;    /* of the last call */
+	GHashTable *nodes; /* addr -> struct node */
+	GPtrArray *sorted; /* struct node, sorted by address */
+	GHashTable *calls; /* token -> struct pending_call */
 	GHashTable *spec_nodes; /* job -> address of a node with its spec */
 	GHashTable *losses;     /* worker -> struct relay_losses */
-	/* Shortest delays of this window and of the previous one, 0 if none. */
-	ogl_time window_start;
+	/* Shortest delays of answers in the present and the previous period of
+	 * DELAY_PERIOD; 0 if there was no answer. */
+	ogl_time period_start;
 	ogl_time min_delay;
 	ogl_time prev_min_delay;
 };
@@ -131,14 +138,14 @@
 static void
 call_free(void *p)
 {
-	struct pending_call *o = p;
+	struct pending_call *call = p;
 
-	if (o->message != NULL)
-		ogl__cell_order__free_unpacked(o->message, NULL);
-	g_free(o->spec);
-	g_free(o->worker);
-	g_free(o->relay);
-	g_free(o);
+	if (call->message != NULL)
+		ogl__cell_order__free_unpacked(call->message, NULL);
+	g_free(call->spec);
+	g_free(call->worker);
+	g_free(call->relay);
+	g_free(call);
 }
 
 struct cell_relay *
@@ -242,13 +249,13 @@
 	guint i;
 
 	for (i = 0; i < r->sorted->len && up < max_nodes; i++) {
-		struct node *x = r->sorted->pdata[i];
-		uint32_t w = weight(key, x->addr);
+		struct node *n = r->sorted->pdata[i];
+		uint32_t w = weight(key, n->addr);
 
-		up += r->now - x->last_heard < NODE_TIMEOUT;
-		if (!usable(r, x) || (best != NULL && w <= best_weight))
+		up += r->now - n->last_heard < NODE_TIMEOUT;
+		if (!usable(r, n) || (best != NULL && w <= best_weight))
 			continue;
-		best = x;
+		best = n;
 		best_weight = w;
 	}
 	return best;
@@ -296,7 +303,7 @@
 	return *has_spec ? n : choose_node(r, job, RELAYS_MAX);
 }
 
-/* ---- giving orders ---------------------------------------------------- */
+/* ---- sending orders --------------------------------------------------- */
 
 static Ogl__CellOrder *
 message_new(
@@ -349,50 +356,51 @@
 call_new(
     struct cell_relay *r, const struct node *n, Ogl__CellOrder *m, void *arg)
 {
-	struct pending_call *o = g_new0(struct pending_call, 1);
+	struct pending_call *call = g_new0(struct pending_call, 1);
 
-	o->token = ++r->token;
-	o->relay = g_strdup(n->addr);
-	o->created_at = r->now;
-	o->deadline = r->now + m->timeout_ms * OGL_MS + ANSWER_MARGIN;
-	o->arg = arg;
-	m->token = o->token;
-	g_hash_table_insert(r->calls, &o->token, o);
-	return o;
+	call->token = ++r->token;
+	call->relay = g_strdup(n->addr);
+	call->created_at = r->now;
+	call->deadline = r->now + m->timeout_ms * OGL_MS + ANSWER_MARGIN;
+	call->arg = arg;
+	m->token = call->token;
+	g_hash_table_insert(r->calls, &call->token, call);
+	return call;
 }
 
 static void
 add_spec(Ogl__CellOrder *m, const char *spec)
 {
-	m->spec = cell_order_strdup(spec); /* it had none to free */
+	m->spec = cell_order_strdup(spec); /* no earlier value to free */
 	m->with_spec = true;
 }
 
 static void
 update_losses(struct cell_relay *r, const char *worker, bool lost, ogl_time now)
 {
-	struct relay_losses *x = g_hash_table_lookup(r->losses, worker);
+	struct relay_losses *losses = g_hash_table_lookup(r->losses, worker);
 
 	if (!lost) {
 		g_hash_table_remove(r->losses, worker);
 		return;
 	}
-	if (x == NULL) {
-		x = g_new0(struct relay_losses, 1);
-		g_hash_table_insert(r->losses, g_strdup(worker), x);
+	if (losses == NULL) {
+		losses = g_new0(struct relay_losses, 1);
+		g_hash_table_insert(r->losses, g_strdup(worker), losses);
 	}
-	if (++x->consecutive < LOST_STARTS_MAX)
+	if (++losses->consecutive < LOST_STARTS_MAX)
 		return;
-	x->consecutive = 0;
-	x->direct_until = now + DIRECT_CALL_TIME;
+	losses->consecutive = 0;
+	losses->direct_until = now + DIRECT_CALL_TIME;
 }
 
 static bool
 must_call_directly(const struct cell_relay *r, const char *worker)
 {
-	const struct relay_losses *x = g_hash_table_lookup(r->losses, worker);
+	const struct relay_losses *losses =
+	    g_hash_table_lookup(r->losses, worker);
 
-	return x != NULL && r->now < x->direct_until;
+	return losses != NULL && r->now < losses->direct_until;
 }
 
 static void
@@ -403,7 +411,7 @@
 	bool has_spec = false;
 	struct node *n = NULL;
 	Ogl__CellOrder *m;
-	struct pending_call *x;
+	struct pending_call *call;
 
 	if (r->active && !must_call_directly(r, o->to.id))
 		n = choose_for_job(r, o->task.id, &has_spec);
@@ -412,12 +420,12 @@
 		return;
 	}
 	m = order_message(OGL__CELL_ORDER_KIND__cell_order_start, o);
-	x = call_new(r, n, m, arg);
-	x->order_done = done;
-	x->worker = g_strdup(o->to.id);
+	call = call_new(r, n, m, arg);
+	call->order_done = done;
+	call->worker = g_strdup(o->to.id);
 	if (has_spec) {
-		x->message = cell_order_copy(m);
-		x->spec = g_strdup(o->spec);
+		call->message = cell_order_copy(m);
+		call->spec = g_strdup(o->spec);
 	} else {
 		add_spec(m, o->spec);
 		cell_relay_note_spec(r, o->task.id, n->addr);
@@ -431,7 +439,7 @@
 {
 	struct cell_relay *r = ctx;
 	struct node *n =
-	    r->active ? choose_node(r, o->to.id, HOLD_RELAYS_MAX) : NULL;
+	    r->active ? choose_node(r, o->to.id, NON_START_RELAYS_MAX) : NULL;
 	Ogl__CellOrder *m;
 
 	if (n == NULL) {
@@ -448,7 +456,7 @@
 {
 	struct cell_relay *r = ctx;
 	struct node *n =
-	    r->active ? choose_node(r, h->to.id, HOLD_RELAYS_MAX) : NULL;
+	    r->active ? choose_node(r, h->to.id, NON_START_RELAYS_MAX) : NULL;
 	Ogl__CellOrder *m;
 
 	if (n == NULL) {
@@ -464,8 +472,9 @@
 	batch_add(r, n, m);
 }
 
-/* Relays only reads of the workers' entries: each entry is written again with
- * each of the worker's heartbeats, and is nearly always unchanged. */
+/* Relays only reads of the workers' entries.  A worker writes its entry again
+ * with each heartbeat, nearly always unchanged, and a relay answers with the
+ * changed entries only. */
 static void
 relay_read(void *ctx, const struct cell_read *q, cell_read_fn *done, void *arg)
 {
@@ -475,7 +484,7 @@
 	Ogl__CellOrder *m;
 
 	if (r->active && q->stream == CELL_WORKERS)
-		n = choose_node(r, WORKER_LIST_KEY, HOLD_RELAYS_MAX);
+		n = choose_node(r, WORKER_LIST_KEY, NON_START_RELAYS_MAX);
 	if (n == NULL) {
 		r->ops->read(r->ops->backend_ctx, q, done, arg);
 		return;
@@ -487,6 +496,7 @@
 	batch_add(r, n, m);
 }
 
+/* Reads of the newest records of a stream are never relayed. */
 static void
 relay_newest(
     void *ctx, const struct cell_newest *q, cell_newest_fn *done, void *arg)
@@ -510,7 +520,7 @@
 /* ---- answers ---------------------------------------------------------- */
 
 static void
-finish_list(struct pending_call *o, const Ogl__CellOrderAnswer *m,
+finish_list(struct pending_call *call, const Ogl__CellOrderAnswer *m,
     enum ogl_io_result io, ogl_time now)
 {
 	size_t n = m != NULL ? m->n_entries : 0;
@@ -526,7 +536,7 @@
 	}
 	for (i = 0; i < n; i++)
 		cell_entry_from_msg(m->entries[i], &records[i], &entries[i]);
-	o->list_done(o->arg, &a, now);
+	call->list_done(call->arg, &a, now);
 	for (i = 0; i < n; i++)
 		g_free(entries[i].labels);
 	g_free(entries);
@@ -534,42 +544,43 @@
 }
 
 static void
-finish_order(struct pending_call *o, const Ogl__CellOrderAnswer *m,
+finish_order(struct pending_call *call, const Ogl__CellOrderAnswer *m,
     enum ogl_io_result io, enum cell_refusal why, ogl_time now)
 {
 	struct cell_order_answer a = {
 	    .io = io, .why = why, .clock_ms = m != NULL ? m->clock_ms : 0};
 
-	o->order_done(o->arg, &a, now);
+	call->order_done(call->arg, &a, now);
 }
 
 static void
-finish_hold(struct pending_call *o, const Ogl__CellOrderAnswer *m,
+finish_hold(struct pending_call *call, const Ogl__CellOrderAnswer *m,
     enum ogl_io_result io, enum cell_refusal why, ogl_time now)
 {
-	const Ogl__CellOrderAnswer none = OGL__CELL_ORDER_ANSWER__INIT;
-	const Ogl__CellOrderAnswer *x = m != NULL ? m : &none;
+	const Ogl__CellOrderAnswer empty = OGL__CELL_ORDER_ANSWER__INIT;
+	const Ogl__CellOrderAnswer *answer = m != NULL ? m : &empty;
 	struct cell_run_row *running =
-	    cell_rows_from_msg(x->running, x->n_running);
-	struct cell_run_row *ended = cell_rows_from_msg(x->ended, x->n_ended);
+	    cell_rows_from_msg(answer->running, answer->n_running);
+	struct cell_run_row *ended =
+	    cell_rows_from_msg(answer->ended, answer->n_ended);
 	struct cell_hold_answer a = {.io = io,
 	    .why = why,
-	    .no_listener = x->no_listener,
-	    .clock_ms = x->clock_ms,
-	    .born_ms = x->born_ms,
+	    .no_listener = answer->no_listener,
+	    .clock_ms = answer->clock_ms,
+	    .born_ms = answer->born_ms,
 	    .running = running,
-	    .nrunning = x->n_running,
+	    .nrunning = answer->n_running,
 	    .ended = ended,
-	    .nended = x->n_ended};
+	    .nended = answer->n_ended};
 
-	o->hold_done(o->arg, &a, now);
+	call->hold_done(call->arg, &a, now);
 	g_free(running);
 	g_free(ended);
 }
 
-/* m: NULL if no answer came. */
+/* Ends the call.  m: NULL if no answer came. */
 static void
-finish(struct cell_relay *r, struct pending_call *o,
+finish(struct cell_relay *r, struct pending_call *call,
     const Ogl__CellOrderAnswer *m, ogl_time now)
 {
 	enum ogl_io_result io =
@@ -578,58 +589,60 @@
 				    ? (enum cell_refusal)m->refusal
 				    : CELL_NOT_REFUSED;
 
-	if (o->worker != NULL)
-		update_losses(r, o->worker, io == OGL_IO_LOST, now);
-	if (o->list_done != NULL)
-		finish_list(o, m, io, now);
-	else if (o->order_done != NULL)
-		finish_order(o, m, io, why, now);
+	if (call->worker != NULL)
+		update_losses(r, call->worker, io == OGL_IO_LOST, now);
+	if (call->list_done != NULL)
+		finish_list(call, m, io, now);
+	else if (call->order_done != NULL)
+		finish_order(call, m, io, why, now);
 	else
-		finish_hold(o, m, io, why, now);
-	call_free(o);
+		finish_hold(call, m, io, why, now);
+	call_free(call);
 }
 
 /* Removes the call from the table; the caller has to pass it to finish. */
 static struct pending_call *
 remove_call(struct cell_relay *r, uint64_t token)
 {
-	struct pending_call *o = g_hash_table_lookup(r->calls, &token);
+	struct pending_call *call = g_hash_table_lookup(r->calls, &token);
 
-	if (o != NULL)
+	if (call != NULL)
 		g_hash_table_steal(r->calls, &token);
-	return o;
+	return call;
 }
 
 /* Sends a start again, now with the spec, since the relay has dropped the spec.
  * False if the call can't be repeated. */
 static bool
-resend_with_spec(struct cell_relay *r, struct pending_call *o)
+resend_with_spec(struct cell_relay *r, struct pending_call *call)
 {
-	struct node *n = g_hash_table_lookup(r->nodes, o->relay);
+	struct node *n = g_hash_table_lookup(r->nodes, call->relay);
 
-	if (o->message == NULL || n == NULL)
+	if (call->message == NULL || n == NULL)
 		return false;
-	add_spec(o->message, o->spec);
-	batch_add(r, n, o->message);
-	o->message = NULL;
-	g_hash_table_insert(r->calls, &o->token, o);
+	add_spec(call->message, call->spec);
+	batch_add(r, n, call->message);
+	call->message = NULL;
+	g_hash_table_insert(r->calls, &call->token, call);
 	return true;
 }
 
-/* Notes how long the answer took.  A call without an answer counts with the
- * time that it waited: its answer would need at least as long. */
+/* Records how long the answer to a start or a stop took.  A call without an
+ * answer counts with the time that it waited, since its answer would take at
+ * least as long. */
 static void
-record_delay(struct cell_relay *r, const struct pending_call *o, ogl_time now)
+record_delay(
+    struct cell_relay *r, const struct pending_call *call, ogl_time now)
 {
-	ogl_time took = MAX(now - o->created_at, 1);
+	ogl_time took = MAX(now - call->created_at, 1);
 
-	if (o->order_done == NULL)
+	if (call->order_done == NULL)
 		return;
-	if (now - r->window_start > DELAY_WINDOW) {
+	if (now - r->period_start > DELAY_PERIOD) {
 		r->prev_min_delay =
-		    now - r->window_start > 2 * DELAY_WINDOW ? 0 : r->min_delay;
+		    now - r->period_start > 2 * DELAY_PERIOD ? 0 : r->min_delay;
 		r->min_delay = 0;
-		r->window_start = now;
+		r->period_start = now;
 	}
 	if (r->min_delay == 0 || took < r->min_delay)
 		r->min_delay = took;
@@ -638,7 +651,7 @@
 ogl_time
 cell_relay_min_delay(const struct cell_relay *r, ogl_time now)
 {
-	if (now - r->window_start > 2 * DELAY_WINDOW)
+	if (now - r->period_start > 2 * DELAY_PERIOD)
 		return 0;
 	if (r->prev_min_delay == 0)
 		return r->min_delay;
@@ -650,31 +663,31 @@
 cell_relay_answer(
     struct cell_relay *r, const Ogl__CellOrderAnswer *m, ogl_time now)
 {
-	struct pending_call *o = remove_call(r, m->token);
+	struct pending_call *call = remove_call(r, m->token);
 	struct node *n;
 
 	r->now = now;
-	if (o == NULL)
+	if (call == NULL)
 		return;
-	n = g_hash_table_lookup(r->nodes, o->relay);
-	record_delay(r, o, now);
+	n = g_hash_table_lookup(r->nodes, call->relay);
+	record_delay(r, call, now);
 	if (n != NULL)
 		n->unanswered = 0;
 	if (m->outcome == OGL__CELL_ORDER_OUTCOME__cell_order_lacks_spec &&
-	    resend_with_spec(r, o))
+	    resend_with_spec(r, call))
 		return;
-	finish(r, o, m, now);
+	finish(r, call, m, now);
 }
 
 /* ---- timers ----------------------------------------------------------- */
 
-/* One unanswered call is no reason to avoid the relay: a single answer may be
- * lost with its connection. */
+/* Stops using the relay after a second unanswered call in a row; a single
+ * answer may be lost with its connection. */
 static void
 count_unanswered(
-    struct cell_relay *r, const struct pending_call *o, ogl_time now)
+    struct cell_relay *r, const struct pending_call *call, ogl_time now)
 {
-	struct node *n = g_hash_table_lookup(r->nodes, o->relay);
+	struct node *n = g_hash_table_lookup(r->nodes, call->relay);
 	char line[160];
 
 	if (n == NULL || ++n->unanswered < 2 || now < n->backoff_until)
@@ -697,18 +710,18 @@
 
 	g_hash_table_iter_init(&it, r->calls);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		const struct pending_call *o = p;
+		const struct pending_call *call = p;
 
-		if (now >= o->deadline)
-			g_array_append_val(expired, o->token);
+		if (now >= call->deadline)
+			g_array_append_val(expired, call->token);
 	}
 	for (i = 0; i < expired->len; i++) {
-		struct pending_call *o =
+		struct pending_call *call =
 		    remove_call(r, g_array_index(expired, uint64_t, i));
 
-		record_delay(r, o, now);
-		count_unanswered(r, o, now);
-		finish(r, o, NULL, now);
+		record_delay(r, call, now);
+		count_unanswered(r, call, now);
+		finish(r, call, NULL, now);
 	}
 	g_array_unref(expired);
 }
@@ -717,20 +730,20 @@
 static void
 withdraw_batch(struct cell_relay *r, struct node *n, ogl_time now)
 {
-	Ogl__CellOrderAnswer none = OGL__CELL_ORDER_ANSWER__INIT;
+	Ogl__CellOrderAnswer answer = OGL__CELL_ORDER_ANSWER__INIT;
 	GArray *tokens = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	size_t i;
 
 	for (i = 0; i < n->batch.n_orders; i++)
 		g_array_append_val(tokens, n->batch.orders[i]->token);
 	batch_clear(n);
-	none.outcome = OGL__CELL_ORDER_OUTCOME__cell_order_not_sent;
+	answer.outcome = OGL__CELL_ORDER_OUTCOME__cell_order_not_sent;
 	for (i = 0; i < tokens->len; i++) {
-		struct pending_call *o =
+		struct pending_call *call =
 		    remove_call(r, g_array_index(tokens, uint64_t, i));
 
-		if (o != NULL)
-			finish(r, o, &none, now);
+		if (call != NULL)
+			finish(r, call, &answer, now);
 	}
 	g_array_unref(tokens);
 }
@@ -767,25 +780,26 @@
 ogl_time
 cell_relay_wake(const struct cell_relay *r)
 {
-	ogl_time at = OGL_NEVER;
+	ogl_time due = OGL_NEVER;
 	guint i;
 
 	for (i = 0; i < r->sorted->len; i++) {
 		const struct node *n = r->sorted->pdata[i];
 
 		if (n->batch.n_orders > 0)
-			at = MIN(at, n->batch_since + BATCH_DELAY);
+			due = MIN(due, n->batch_since + BATCH_DELAY);
 	}
-	return at;
+	return due;
 }
 
 static bool
 link_too_slow(const struct cell_relay *r, size_t workers)
 {
-	double part = r->link_kbps * 1000.0 / 8 * LINK_FRACTION_MAX;
+	double usable_bytes_per_sec =
+	    r->link_kbps * 1000.0 / 8 * LINK_FRACTION_MAX;
 
 	return r->link_kbps > 0 &&
-	       (double)workers * WORKER_BYTES_PER_SEC > part;
+	       (double)workers * WORKER_BYTES_PER_SEC > usable_bytes_per_sec;
 }
 
 void
@@ -822,13 +836,13 @@
 void
 cell_relay_end(struct cell_relay *r)
 {
-	GList *all = g_hash_table_get_values(r->calls);
-	GList *at;
+	GList *calls = g_hash_table_get_values(r->calls);
+	GList *item;
 
 	g_hash_table_steal_all(r->calls);
-	for (at = all; at != NULL; at = at->next)
-		finish(r, at->data, NULL, r->now);
-	g_list_free(all);
+	for (item = calls; item != NULL; item = item->next)
+		finish(r, item->data, NULL, r->now);
+	g_list_free(calls);
 	g_hash_table_unref(r->calls);
 	g_hash_table_unref(r->spec_nodes);
 	g_hash_table_unref(r->losses);
--- a/cell/relay.h
+++ b/cell/relay.h
@@ -1,8 +1,8 @@
 /*
- * Calls to workers through other nodes.
+ * Calls to workers through other nodes, the relays.
  *
  * Each start of a task carries the job's spec, and every worker is polled for
- * the tasks that have ended: with 120 workers that is more than a link of
+ * the tasks that have ended.  With 120 workers this is more than a link of
  * 2 Mbit/s carries, while the other nodes' links are idle.  An owner whose link
  * is too slow for its workers has the other nodes make these calls, and sends
  * them only what differs from call to call.
@@ -22,8 +22,8 @@
 
 struct cell_relay *cell_relay_init(const struct cell_ops *ops,
     uint32_t link_kbps, const struct cell_relay_events *events);
-/* link_kbps: capacity of the node's own link in kilobits per second; 0 if it is
- * not known, then no relay is ever used.  ops is borrowed. */
+/* link_kbps: capacity of the node's own link in kilobits per second, 0 if
+ * unknown; no relay is used then.  ops is borrowed. */
 void cell_relay_end(struct cell_relay *r);
 /* Calls in progress end as lost. */
 
@@ -50,6 +50,7 @@
 
 void cell_relay_answer(
     struct cell_relay *r, const Ogl__CellOrderAnswer *m, ogl_time now);
+/* A relay has answered an order. */
 
 void cell_relay_step(struct cell_relay *r, size_t workers, ogl_time now);
 /* Ends calls without an answer as lost, and decides whether calls are relayed.
@@ -66,7 +67,6 @@
  * worker. */
 
 bool cell_relay_active(const struct cell_relay *r);
-/* Whether workers are called through other nodes, since this node's link is
- * too slow. */
+/* Whether calls are relayed because this node's link is too slow. */
 
 #endif
