--- a/cell/relay_serve.c
+++ b/cell/relay_serve.c
@@ -1,4 +1,7 @@
 /*
+ * The other side of relay.c: carries out orders from owners of shards on other
+ * nodes, and returns the workers' answers.
+ *
  * The specs of the latest jobs are cached up to a number of bytes; the oldest
  * is evicted first.  An owner that relies on an evicted spec is told so, and
  * sends the start again with the spec.
@@ -15,7 +18,7 @@
 #include "relay_serve.h"
 
 #define SPEC_CACHE_BYTES_MAX ((size_t)2 * 1024 * 1024)
-/* How long answers to one owner are batched. */
+/* Answers to one owner are batched for this long. */
 #define BATCH_DELAY (2 * OGL_MS)
 /* Concurrent starts and stops to one worker.  A worker accepts 64 connections
  * from all nodes together, and any node may have orders for any worker. */
@@ -77,12 +80,12 @@
 
 /* ---- answers ---------------------------------------------------------- */
 
-/* Answers to the owner of a shard. */
+/* Answers that wait to be sent to the owner of a shard. */
 struct batch {
 	uint32_t shard;
-	char *owner; /* its address */
-	ogl_time since;
-	GPtrArray *answers; /* Ogl__CellOrderAnswer */
+	char *owner;         /* address of the owner */
+	ogl_time created_at; /* when its first answer was added */
+	GPtrArray *answers;  /* Ogl__CellOrderAnswer */
 };
 
 struct cell_relay_serve {
@@ -90,10 +93,10 @@
 	cell_relay_send_fn *send;
 	void *arg;
 	struct spec_cache specs;
-	GPtrArray *batches; /* struct batch, none empty */
+	GPtrArray *batches; /* struct batch; none is empty */
 	GHashTable *calls;  /* set of struct call */
 	GHashTable *queues; /* address of a worker -> struct worker_queue */
-	GHashTable *lists;  /* shard -> struct list_reader */
+	GHashTable *list_readers; /* shard -> struct list_reader */
 };
 
 static void
@@ -127,7 +130,7 @@
 	b = g_new0(struct batch, 1);
 	b->shard = shard;
 	b->owner = g_strdup(owner);
-	b->since = now;
+	b->created_at = now;
 	b->answers = g_ptr_array_new_with_free_func(answer_free);
 	g_ptr_array_add(v->batches, b);
 	return b;
@@ -151,7 +154,7 @@
 	while (i < v->batches->len) {
 		const struct batch *b = v->batches->pdata[i];
 
-		if (now - b->since < BATCH_DELAY) {
+		if (now - b->created_at < BATCH_DELAY) {
 			i++;
 			continue;
 		}
@@ -163,15 +166,15 @@
 ogl_time
 cell_relay_serve_wake(const struct cell_relay_serve *v)
 {
-	ogl_time at = OGL_NEVER;
+	ogl_time due = OGL_NEVER;
 	guint i;
 
 	for (i = 0; i < v->batches->len; i++) {
 		const struct batch *b = v->batches->pdata[i];
 
-		at = MIN(at, b->since + BATCH_DELAY);
+		due = MIN(due, b->created_at + BATCH_DELAY);
 	}
-	return at;
+	return due;
 }
 
 /* ---- calls ------------------------------------------------------------ */
@@ -186,7 +189,7 @@
 /* The workers' entries that were sent to the owner of a shard. */
 struct list_reader {
 	char *owner;
-	uint64_t next; /* offset it reads from next if it got the last answer */
+	uint64_t next_offset; /* of its next read if it got the last answer */
 	GHashTable *sent; /* worker -> GBytes of its entry without the offset */
 };
 
@@ -195,9 +198,9 @@
 	struct cell_relay_serve *serve; /* NULL after cell_relay_serve_end */
 	struct worker_queue *queue;     /* only for a start or a stop */
 	uint32_t shard;
-	char *owner; /* its address */
+	char *owner; /* address of the owner */
 	uint64_t token;
-	uint64_t from; /* only for a list: offset to read from */
+	uint64_t from; /* only for a read of the list: its first offset */
 };
 
 static struct call *
@@ -235,10 +238,10 @@
 static void
 queued_order_free(void *p)
 {
-	struct queued_order *x = p;
+	struct queued_order *queued = p;
 
-	ogl__cell_order__free_unpacked(x->order, NULL);
-	g_free(x);
+	ogl__cell_order__free_unpacked(queued->order, NULL);
+	g_free(queued);
 }
 
 static void
@@ -287,7 +290,8 @@
 	spec_cache_init(&v->specs);
 	v->batches = g_ptr_array_new_with_free_func(batch_free);
 	v->calls = g_hash_table_new(NULL, NULL);
-	v->lists = g_hash_table_new_full(NULL, NULL, NULL, list_reader_free);
+	v->list_readers =
+	    g_hash_table_new_full(NULL, NULL, NULL, list_reader_free);
 	v->queues =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, queue_free);
 	return v;
@@ -302,11 +306,11 @@
 	g_hash_table_iter_init(&it, v->queues);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
 		struct worker_queue *q = p;
-		struct queued_order *x;
+		struct queued_order *queued;
 
-		while ((x = g_queue_pop_head(&q->waiting)) != NULL) {
-			call_free(x->call);
-			queued_order_free(x);
+		while ((queued = g_queue_pop_head(&q->waiting)) != NULL) {
+			call_free(queued->call);
+			queued_order_free(queued);
 		}
 	}
 	g_hash_table_unref(v->queues);
@@ -319,7 +323,7 @@
 	gpointer p;
 
 	free_queues(v);
-	g_hash_table_unref(v->lists);
+	g_hash_table_unref(v->list_readers);
 	g_hash_table_iter_init(&it, v->calls);
 	while (g_hash_table_iter_next(&it, &p, NULL))
 		((struct call *)p)->serve = NULL;
@@ -336,7 +340,8 @@
 	spec_cache_add(&v->specs, job, spec);
 }
 
-/* Adds an answer to the batch for the owner; the caller fills in the rest. */
+/* Adds an answer with this outcome to the batch for the owner; the caller fills
+ * in the other fields. */
 static Ogl__CellOrderAnswer *
 answer_new(const struct call *c, enum ogl_io_result io, ogl_time now)
 {
@@ -393,7 +398,7 @@
 	}
 }
 
-/* Answers an order that is not carried out. */
+/* Answers an order without carrying it out. */
 static void
 reject(struct call *c, Ogl__CellOrderOutcome outcome, ogl_time now)
 {
@@ -419,27 +424,28 @@
 list_reader_of(struct cell_relay_serve *v, const struct call *c)
 {
 	struct list_reader *l =
-	    g_hash_table_lookup(v->lists, GUINT_TO_POINTER(c->shard));
+	    g_hash_table_lookup(v->list_readers, GUINT_TO_POINTER(c->shard));
 
 	if (l == NULL) {
 		l = g_new0(struct list_reader, 1);
 		l->sent = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 		    (GDestroyNotify)g_bytes_unref);
-		g_hash_table_insert(v->lists, GUINT_TO_POINTER(c->shard), l);
+		g_hash_table_insert(
+		    v->list_readers, GUINT_TO_POINTER(c->shard), l);
 	}
-	/* The owner is another one, did not get the last answer, or has read
-	 * through another node since: it needs all entries again. */
-	if (l->next != c->from || g_strcmp0(l->owner, c->owner) != 0)
+	/* All entries are sent again if the owner is another one, did not get
+	 * the last answer, or has read through another node since. */
+	if (l->next_offset != c->from || g_strcmp0(l->owner, c->owner) != 0)
 		g_hash_table_remove_all(l->sent);
 	g_free(l->owner);
 	l->owner = g_strdup(c->owner);
 	return l;
 }
 
-/* Whether the entry differs from the one sent to the owner before; from then on
- * it counts as sent. */
+/* Records that the entry is sent to the owner.  False if it is the same as the
+ * one sent before. */
 static bool
-note_changed(struct list_reader *l, const Ogl__CellEntry *m)
+record_if_changed(struct list_reader *l, const Ogl__CellEntry *m)
 {
 	size_t n = ogl__cell_entry__get_packed_size(m);
 	uint8_t *p = g_malloc(n);
@@ -456,8 +462,8 @@
 	return true;
 }
 
-/* Adds the changed entries, and in any case the last one: the owner reads on
- * after its offset. */
+/* Adds the changed entries and always the last one, because the owner's next
+ * read starts after its offset. */
 static void
 add_entries(struct list_reader *l, Ogl__CellOrderAnswer *m,
     const struct cell_read_answer *a)
@@ -468,12 +474,12 @@
 	for (i = 0; i < a->n; i++) {
 		Ogl__CellEntry *e = cell_entry_to_msg(&a->records[i]);
 
-		if (!note_changed(l, e) && i + 1 < a->n) {
+		if (!record_if_changed(l, e) && i + 1 < a->n) {
 			ogl__cell_entry__free_unpacked(e, NULL);
 			continue;
 		}
 		e->offset = a->records[i].offset;
-		l->next = e->offset + 1;
+		l->next_offset = e->offset + 1;
 		m->entries[m->n_entries++] = e;
 	}
 }
@@ -491,7 +497,7 @@
 		m->first = a->first;
 		m->end = a->end;
 		l = list_reader_of(c->serve, c);
-		l->next = c->from;
+		l->next_offset = c->from;
 		add_entries(l, m, a);
 	}
 	call_free(c);
@@ -527,7 +533,8 @@
 	return o;
 }
 
-/* Whether the start was sent; otherwise it was answered here. */
+/* Sends the start to its worker.  False if the spec is missing; the start has
+ * then been answered. */
 static bool
 make_start(struct cell_relay_serve *v, const Ogl__CellOrder *m, struct call *c,
     ogl_time now)
@@ -546,7 +553,8 @@
 	return true;
 }
 
-/* Makes a start or a stop, when no other call to its worker is in progress. */
+/* Sends a start or a stop; fewer than CALLS_PER_WORKER_MAX calls to its worker
+ * may be in progress. */
 static void
 call_worker(struct cell_relay_serve *v, struct worker_queue *q,
     const Ogl__CellOrder *m, struct call *c, ogl_time now)
@@ -564,21 +572,22 @@
 	v->ops->stop(v->ops->backend_ctx, &o, on_order, c);
 }
 
-/* Carries out waiting orders.  The owner counts an order that has waited past
- * its timeout as lost; the answer says that it was not sent. */
+/* Carries out the orders that wait for this worker, as far as
+ * CALLS_PER_WORKER_MAX allows.  An order that has waited past its timeout is
+ * answered as not sent; the owner has counted it as lost. */
 static void
 start_waiting(struct cell_relay_serve *v, struct worker_queue *q, ogl_time now)
 {
-	struct queued_order *x;
+	struct queued_order *queued;
 
 	while (q->running < CALLS_PER_WORKER_MAX &&
-	       (x = g_queue_pop_head(&q->waiting)) != NULL) {
-		if (now >= x->deadline)
-			reject(x->call,
+	       (queued = g_queue_pop_head(&q->waiting)) != NULL) {
+		if (now >= queued->deadline)
+			reject(queued->call,
 			    OGL__CELL_ORDER_OUTCOME__cell_order_not_sent, now);
 		else
-			call_worker(v, q, x->order, x->call, now);
-		queued_order_free(x);
+			call_worker(v, q, queued->order, queued->call, now);
+		queued_order_free(queued);
 	}
 	if (q->running == 0)
 		g_hash_table_remove(v->queues, q->addr);
@@ -589,12 +598,12 @@
     ogl_time now)
 {
 	struct worker_queue *q = queue_of(v, m->addr);
-	struct queued_order *x = g_new(struct queued_order, 1);
+	struct queued_order *queued = g_new(struct queued_order, 1);
 
-	x->order = cell_order_copy(m);
-	x->call = c;
-	x->deadline = now + m->timeout_ms * OGL_MS;
-	g_queue_push_tail(&q->waiting, x);
+	queued->order = cell_order_copy(m);
+	queued->call = c;
+	queued->deadline = now + m->timeout_ms * OGL_MS;
+	g_queue_push_tail(&q->waiting, queued);
 	start_waiting(v, q, now);
 }
 
@@ -613,7 +622,7 @@
 	case OGL__CELL_ORDER_KIND__cell_order_start:
 		enqueue(v, m, c, now);
 		break;
-	default: /* a kind of a later version */
+	default: /* a kind that only a later version knows */
 		reject(c, OGL__CELL_ORDER_OUTCOME__cell_order_not_sent, now);
 		break;
 	}
--- a/cell/relay_serve.h
+++ b/cell/relay_serve.h
@@ -1,5 +1,5 @@
 /*
- * Makes calls to workers for the owners of shards on other nodes.
+ * Makes calls to workers as a relay, for the owners of shards on other nodes.
  */
 
 #ifndef OGL_CELL_RELAY_SERVE_H
