--- a/cell/plan.c
+++ b/cell/plan.c
@@ -1,17 +1,19 @@
 /*
+ * Decides the number of shards of a new cell from the number of its workers.
+ *
  * The listed workers are counted until two counts in a row are equal.  When
  * all machines start together, workers appear in the list with their first
  * heartbeats, and the number of shards cannot be changed once decided.  Nodes
  * start counting after a random delay, small ones last, so that most nodes find
- * the number decided and read no list.
+ * the number already decided and read no list.
  */
 
 #include "plan.h"
 
-#define START_SPREAD_MS 300
+#define START_DELAY_RANGE_MS 300
 #define SMALL_MACHINE_DELAY_MS 900
-/* Smaller machines, in thousandths of a processor, are delayed. */
-#define SMALL_MACHINE_MILLI 400
+/* Machines with less than this, in thousandths of a processor, are delayed. */
+#define SMALL_MACHINE_CPU_MILLI 400
 #define COUNT_INTERVAL (300 * OGL_MS)
 /* After this time the last count decides even if it changed or is zero. */
 #define DECISION_TIMEOUT (5 * OGL_SEC)
@@ -22,13 +24,13 @@
 	const struct cell_ops *ops;
 	struct cell_plan_events events;
 	ogl_time start_delay;
-	ogl_time started_at; /* 0 not started */
+	ogl_time started_at; /* first step; 0 none yet */
 	ogl_time next_request_at;
 	bool request_pending;
-	char *after;
-	GHashTable *services; /* name -> workers counted, as a pointer */
-	size_t count_so_far;
-	size_t last_count; /* SIZE_MAX none */
+	char *after;          /* last key read; NULL: a new count begins */
+	GHashTable *services; /* name -> number of workers, as a pointer */
+	size_t count_so_far;  /* workers in the present count */
+	size_t last_count;    /* result of the last count; SIZE_MAX none */
 };
 
 struct cell_plan *
@@ -42,8 +44,8 @@
 	p->services =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	p->last_count = SIZE_MAX;
-	p->start_delay = (ogl_time)(seed % START_SPREAD_MS) * OGL_MS;
-	if (cpu_milli > 0 && cpu_milli < SMALL_MACHINE_MILLI)
+	p->start_delay = (ogl_time)(seed % START_DELAY_RANGE_MS) * OGL_MS;
+	if (cpu_milli > 0 && cpu_milli < SMALL_MACHINE_CPU_MILLI)
 		p->start_delay += SMALL_MACHINE_DELAY_MS * OGL_MS;
 	return p;
 }
@@ -82,12 +84,13 @@
 static void
 decide(struct cell_plan *p, ogl_time now)
 {
-	bool steady = p->count_so_far > 0 && p->count_so_far == p->last_count;
+	bool unchanged =
+	    p->count_so_far > 0 && p->count_so_far == p->last_count;
 	bool timed_out = now - p->started_at > DECISION_TIMEOUT;
 
 	p->next_request_at = now + COUNT_INTERVAL;
 	p->last_count = p->count_so_far;
-	if (steady || timed_out)
+	if (unchanged || timed_out)
 		p->events.decided(p->events.arg,
 		    cell_shards_wanted(p->last_count, smallest_service(p)),
 		    now);
--- a/cell/plan.h
+++ b/cell/plan.h
@@ -11,15 +11,16 @@
 
 struct cell_plan_events {
 	void (*decided)(void *arg, uint32_t shards, ogl_time now);
-	/* Called repeatedly until cell_plan_step is no longer called. */
+	/* May be called again for a later count, as long as cell_plan_step is
+	 * called. */
 	void *arg;
 };
 
 struct cell_plan *cell_plan_init(const struct cell_ops *ops,
     const struct cell_plan_events *events, uint32_t cpu_milli, uint64_t seed);
-/* cpu_milli: this machine's processor in thousandths, 0 not known; a small
- * machine waits longer, so that others decide first.  seed: random number
- * for the delay. */
+/* cpu_milli: this machine's processor capacity in thousandths of a core, 0 if
+ * unknown; a small machine waits longer, so that others decide first.  seed:
+ * random number for the delay. */
 void cell_plan_end(struct cell_plan *p);
 
 void cell_plan_step(struct cell_plan *p, ogl_time now);
--- a/cell/shards.c
+++ b/cell/shards.c
@@ -1,4 +1,7 @@
 /*
+ * Decides how many shards a cell has and which shard each worker, job and node
+ * belongs to.
+ *
  * Shards are assigned by a hash of a name, so that all nodes get the same
  * result without communication.
  */
@@ -11,8 +14,8 @@
  */
 #define WORKERS_PER_SHARD 400
 /* Racks are assigned by hash, so a shard may get none of a service's racks.
- * With 12 racks of 8 workers per shard, a given shard gets none in one of
- * 160,000 cells, whatever the number of shards. */
+ * If a service has 12 racks of 8 workers for each shard, a given shard gets
+ * none of its racks in one of 160,000 cells, whatever the number of shards. */
 #define SERVICE_WORKERS_PER_SHARD_MIN 100
 
 /* FNV-1a gives the same result on every machine and spreads short names
@@ -21,7 +24,7 @@
 #define FNV_PRIME 16777619U
 
 static uint32_t
-hash(const char *s)
+hash_name(const char *s)
 {
 	uint32_t h = FNV_OFFSET_BASIS;
 
@@ -33,16 +36,16 @@
 uint32_t
 cell_shards_wanted(size_t workers, size_t smallest_service)
 {
-	size_t n = (workers + WORKERS_PER_SHARD - 1) / WORKERS_PER_SHARD;
+	size_t shards = (workers + WORKERS_PER_SHARD - 1) / WORKERS_PER_SHARD;
 
-	n = MIN(n, smallest_service / SERVICE_WORKERS_PER_SHARD_MIN);
-	return (uint32_t)CLAMP(n, 1, CELL_SHARDS_MAX);
+	shards = MIN(shards, smallest_service / SERVICE_WORKERS_PER_SHARD_MIN);
+	return (uint32_t)CLAMP(shards, 1, CELL_SHARDS_MAX);
 }
 
 uint32_t
 cell_shard_of_worker(const char *rack, const char *id, uint32_t shards)
 {
-	return hash(*rack != '\0' ? rack : id) % shards;
+	return hash_name(*rack != '\0' ? rack : id) % shards;
 }
 
 uint32_t
@@ -54,13 +57,13 @@
 		const char *rack = def->steps[i]->data_rack;
 
 		if (*rack != '\0')
-			return hash(rack) % shards;
+			return hash_name(rack) % shards;
 	}
-	return hash(id) % shards;
+	return hash_name(id) % shards;
 }
 
 uint32_t
 cell_shard_of_node(const char *addr, uint32_t shards)
 {
-	return hash(addr) % shards;
+	return hash_name(addr) % shards;
 }
--- a/cell/shards.h
+++ b/cell/shards.h
@@ -23,8 +23,8 @@
 uint32_t cell_shards_wanted(size_t workers, size_t smallest_service);
 /* Returns the number of shards for a cell with this many workers, from 1 to
  * CELL_SHARDS_MAX.  smallest_service: number of workers of the service that has
- * the fewest.  Each shard needs some of them, or jobs submitted there would
- * never run. */
+ * the fewest.  Each shard needs workers of each service, or jobs of a service
+ * without workers there would never run. */
 
 uint32_t cell_shard_of_worker(
     const char *rack, const char *id, uint32_t shards);
@@ -33,9 +33,9 @@
 
 uint32_t cell_shard_of_job(
     const char *id, const Ogl__CellJob *def, uint32_t shards);
-/* Shard to which a job is submitted: that of the rack that holds its data, or
- * by its id if it names no rack.  def NULL: the shard to try first for a job of
- * which only the id is known. */
+/* Shard to which a job is submitted: the shard of the rack that holds its data,
+ * or one chosen by its id if it names no rack.  If only the id is known, def is
+ * NULL and the result is the shard to try first. */
 
 uint32_t cell_shard_of_node(const char *addr, uint32_t shards);
 /* Preferred shard of a node: its owner requests advice through the node, and
--- a/cell/zones.c
+++ b/cell/zones.c
@@ -1,4 +1,6 @@
 /*
+ * Keeps the set of evacuated availability zones.
+ *
  * The set is kept with the offset up to which the settings stream was applied,
  * so that lists from peers and records from the stream may arrive in any order.
  */
@@ -9,9 +11,9 @@
 
 struct cell_zones {
 	GHashTable *evacuated; /* set of names */
-	uint64_t known_to;     /* offset of the settings stream */
-	uint64_t changes;
-	bool complete; /* a complete list was applied */
+	uint64_t known_to; /* first offset of the settings stream not applied */
+	uint64_t changes;  /* number of changes so far */
+	bool complete;     /* a complete list was applied */
 };
 
 struct cell_zones *
@@ -104,13 +106,13 @@
 GPtrArray *
 cell_zones_list(const struct cell_zones *z)
 {
-	GPtrArray *a = g_ptr_array_new();
+	GPtrArray *names = g_ptr_array_new();
 	GHashTableIter it;
 	gpointer p;
 
 	g_hash_table_iter_init(&it, z->evacuated);
 	while (g_hash_table_iter_next(&it, &p, NULL))
-		g_ptr_array_add(a, p);
-	g_ptr_array_sort(a, compare_names);
-	return a;
+		g_ptr_array_add(names, p);
+	g_ptr_array_sort(names, compare_names);
+	return names;
 }
