--- a/cell/order_msg.c
+++ b/cell/order_msg.c
@@ -1,4 +1,7 @@
 /*
+ * Converts orders to workers, and their outcomes, from and to messages between
+ * nodes.
+ *
  * libprotobuf-c frees the contents of a message with the C library's free, so
  * messages are allocated with malloc here instead of with GLib.
  */
@@ -17,13 +20,13 @@
 cell_order_copy(const Ogl__CellOrder *m)
 {
 	size_t n = ogl__cell_order__get_packed_size(m);
-	uint8_t *p = g_malloc(n);
-	Ogl__CellOrder *c;
+	uint8_t *packed = g_malloc(n);
+	Ogl__CellOrder *copy;
 
-	ogl__cell_order__pack(m, p);
-	c = ogl__cell_order__unpack(NULL, n, p);
-	g_free(p);
-	return c;
+	ogl__cell_order__pack(m, packed);
+	copy = ogl__cell_order__unpack(NULL, n, packed);
+	g_free(packed);
+	return copy;
 }
 
 enum ogl_io_result
--- a/cell/order_msg.h
+++ b/cell/order_msg.h
@@ -12,9 +12,10 @@
 /* Copies s for a message, which frees it; NULL gives "". */
 
 Ogl__CellOrder *cell_order_copy(const Ogl__CellOrder *m);
+/* Result: free with ogl__cell_order__free_unpacked. */
 
 enum ogl_io_result cell_order_outcome_to_io(Ogl__CellOrderOutcome outcome);
-/* An outcome that is not known, of a later version, counts as lost. */
+/* An unknown outcome, sent by a later version, counts as lost. */
 Ogl__CellOrderOutcome cell_order_outcome_from_io(enum ogl_io_result io);
 
 struct cell_run_row *cell_rows_from_msg(Ogl__CellRunRow *const *list, size_t n);
