--- a/cell/advice.c
+++ b/cell/advice.c
@@ -1,7 +1,11 @@
 /*
- * Each node has a lane, which holds the time until which the service is
- * expected to be busy with that node's questions.  A question takes decide_ms,
- * and worker_ms for each worker named in it.
+ * Sends questions to the advice service through the nodes and keeps the
+ * approvals (tickets) from its answers.
+ *
+ * The service handles one question at a time from each node.  Each node has a
+ * lane, which records until when the service is expected to be busy with that
+ * node's questions.  A question takes the policy's decide_ms, and worker_ms for
+ * each worker named in it.
  */
 
 #include <string.h>
@@ -10,25 +14,27 @@
 #include "advice.h"
 #include "fleet.h"
 
-/* Only nodes that were heard within this time are asked. */
+/* Questions go only through nodes that were heard from within this time. */
 #define NODE_HEARD_MAX_AGE (1200 * OGL_MS)
 /* The next question of a lane is sent this long before the lane is free, to
  * hide the time it takes on the network. */
 #define LANE_SEND_AHEAD (12 * OGL_MS)
-/* Part of the lanes that is reserved for the short questions of rank 0, which
- * would otherwise wait for the long ones of other ranks. */
-#define URGENT_LANES_SHARE 0.3
+/* Fraction of the lanes reserved for the short questions of rank 0, which would
+ * otherwise wait for the long ones of other ranks. */
+#define RANK0_LANES_FRACTION 0.3
 /* Time for question and answer on the network, beyond the service's time. */
 #define NETWORK_MARGIN_MS 700
-/* A ticket counts as expired this long before it does, because the start order
- * takes time to reach the worker. */
+/* A ticket counts as expired this long before it expires, because the start
+ * order takes time to reach the worker. */
 #define TICKET_EXPIRY_MARGIN (120 * OGL_MS)
-#define TOKEN_QUESTION_BITS 32 /* no owner asks 2^32 in one epoch */
-/* A node that left a question unanswered is not asked for this time. */
+/* A token is the epoch in its upper bits and a counter in this many lower ones;
+ * no owner asks 2^32 questions in one epoch. */
+#define TOKEN_QUESTION_BITS 32
+/* A node whose question failed or got no answer is not used for this long. */
 #define LANE_PAUSE (1500 * OGL_MS)
 
 struct lane {
-	char *addr;
+	char *addr; /* of the node */
 	ogl_time heard_at;
 	ogl_time busy_until;
 	ogl_time paused_until;
@@ -131,9 +137,11 @@
 /*
  * Returns the lane that is free first; NULL if none is free within
  * LANE_SEND_AHEAD, or the free ones are reserved for rank 0.
+ *
  * Questions are not queued in lanes, so that they are asked in the scheduler's
- * order rather than in order of arrival.  Other ranks leave URGENT_LANES_SHARE
- * of the lanes free, so that no long question of theirs delays rank 0.
+ * order rather than in order of arrival.  Ranks other than 0 leave
+ * RANK0_LANES_FRACTION of the lanes free, so that none of their long questions
+ * delays rank 0.
  */
 static struct lane *
 pick_lane(struct cell_advice *a, uint32_t rank, ogl_time now)
@@ -159,7 +167,7 @@
 	}
 	if (best == NULL || best->busy_until > now + LANE_SEND_AHEAD)
 		return NULL;
-	if (CELL_USES_LANES && rank > 0 && idle <= lanes * URGENT_LANES_SHARE)
+	if (CELL_USES_LANES && rank > 0 && idle <= lanes * RANK0_LANES_FRACTION)
 		return NULL;
 	return best;
 }
@@ -194,7 +202,7 @@
 {
 	struct lane *l = pick_lane(a, rank, now);
 	struct question *q;
-	ogl_time cost;
+	ogl_time busy_time;
 	guint i;
 
 	if (l == NULL || workers->len == 0 || s->asking)
@@ -210,9 +218,9 @@
 
 		g_ptr_array_add(q->workers, g_strdup(w->id));
 	}
-	cost = (ogl_time)((p->decide_ms + p->worker_ms * q->workers->len) *
-			  OGL_MS);
-	l->busy_until = MAX(l->busy_until, now) + cost;
+	busy_time = (ogl_time)((p->decide_ms + p->worker_ms * q->workers->len) *
+			       OGL_MS);
+	l->busy_until = MAX(l->busy_until, now) + busy_time;
 	q->lane_addr = g_strdup(l->addr);
 	q->sent_at = now;
 	q->deadline = l->busy_until + NETWORK_MARGIN_MS * OGL_MS;
@@ -224,31 +232,31 @@
 
 static void
 store_ticket(struct cell_advice *a, struct cell_stage *s, const char *id,
-    const char *ticket, ogl_time until)
+    const char *ticket, ogl_time expires)
 {
 	const struct cell_worker *w = a->events.worker(a->events.arg, id);
-	struct cell_approval *g;
+	struct cell_approval *approval;
 
 	if (w == NULL)
 		return;
-	g = cell_stage_approval(s, w->serial);
-	if (g == NULL) {
+	approval = cell_stage_approval(s, w->serial);
+	if (approval == NULL) {
 		g_array_set_size(s->approvals, s->approvals->len + 1);
-		g = &g_array_index(
+		approval = &g_array_index(
 		    s->approvals, struct cell_approval, s->approvals->len - 1);
-		g->worker = w->serial;
+		approval->worker = w->serial;
 	}
-	g_free(g->ticket);
-	g->ticket = g_strdup(ticket);
-	g->expires = until;
-	g->born_ms = w->incarnation;
+	g_free(approval->ticket);
+	approval->ticket = g_strdup(ticket);
+	approval->expires = expires;
+	approval->born_ms = w->incarnation;
 }
 
 /*
- * No ticket is stored for a worker that is not listed when the answer arrives,
- * as happens when its entry lapses for a moment.  If it were marked as asked,
- * it would never be asked about again, and a stage that only this worker may
- * run would wait for ever.
+ * Marks the worker as asked about, unless it is not listed when the answer
+ * arrives, as happens when its entry lapses for a moment.  No ticket is stored
+ * for it then.  With the mark it would never be asked about again, and a stage
+ * that only this worker may run would wait for ever.
  */
 static void
 mark_asked(struct cell_advice *a, struct cell_stage *s, const char *id)
@@ -263,7 +271,7 @@
 store_answer(struct cell_advice *a, struct cell_stage *s,
     const struct question *q, const Ogl__CellAdvice *m, ogl_time now)
 {
-	ogl_time until =
+	ogl_time expires =
 	    now + ((ogl_time)m->valid_ms - (ogl_time)m->age_ms) * OGL_MS -
 	    TICKET_EXPIRY_MARGIN;
 	size_t i;
@@ -271,8 +279,8 @@
 	for (i = 0; i < q->workers->len; i++)
 		mark_asked(a, s, q->workers->pdata[i]);
 	for (i = 0; i < m->n_tickets; i++)
-		store_ticket(
-		    a, s, m->tickets[i]->worker, m->tickets[i]->ticket, until);
+		store_ticket(a, s, m->tickets[i]->worker, m->tickets[i]->ticket,
+		    expires);
 }
 
 /* Pauses a lane whose question failed or got no answer, because the service is
@@ -340,9 +348,10 @@
 const struct cell_approval *
 cell_advice_approval(const struct cell_stage *s, const struct cell_worker *w)
 {
-	const struct cell_approval *g = cell_stage_approval(s, w->serial);
+	const struct cell_approval *approval =
+	    cell_stage_approval(s, w->serial);
 
-	if (g == NULL || g->born_ms != w->incarnation)
+	if (approval == NULL || approval->born_ms != w->incarnation)
 		return NULL;
-	return g;
+	return approval;
 }
--- a/cell/advice.h
+++ b/cell/advice.h
@@ -2,7 +2,8 @@
  * Asks the advice service, through the nodes, which workers may run a step.
  *
  * The service handles one question at a time from each machine, so questions
- * are spread over all nodes, each sent to the node expected to answer first.
+ * are spread over all nodes, each sent to the node expected to answer first.  A
+ * node's place for one question is called its lane.
  */
 
 #ifndef OGL_CELL_ADVICE_H
@@ -17,9 +18,12 @@
 	void (*send)(void *arg, const char *addr, const Ogl__CellAsk *ask);
 	struct cell_stage *(*stage)(
 	    void *arg, const char *id, uint32_t occurrence, uint32_t step);
-	/* The stage of that name; NULL when it is no longer needed. */
+	/* The stage with that job id, occurrence and step; NULL when it is no
+	 * longer needed. */
 	struct cell_worker *(*worker)(void *arg, const char *id);
+	/* The worker with that id; NULL if it is not listed. */
 	void (*answered)(void *arg, struct cell_stage *s, ogl_time now);
+	/* A question for the stage was answered, or failed. */
 	void *arg;
 };
 
@@ -41,7 +45,7 @@
 void cell_advice_remove_node(struct cell_advice *a, const char *addr);
 
 bool cell_advice_lane_free(struct cell_advice *a, uint32_t rank, ogl_time now);
-/* Whether a lane is free for a question of that rank now. */
+/* Whether a lane is free now for a question of that rank (queue priority). */
 
 bool cell_advice_ask(struct cell_advice *a, struct cell_stage *s,
     const struct cell_policy *p, GPtrArray *workers, uint32_t rank,
@@ -56,11 +60,11 @@
     struct cell_advice *a, const Ogl__CellAdvice *m, ogl_time now);
 
 void cell_advice_step(struct cell_advice *a, ogl_time now);
-/* Gives up questions whose answer is overdue. */
+/* Drops questions whose answer is overdue. */
 
 const struct cell_approval *cell_advice_approval(
     const struct cell_stage *s, const struct cell_worker *w);
-/* The service's approval of a worker in its present incarnation; NULL: not
- * allowed, or not asked.  Its ticket may have expired. */
+/* The service's approval of a worker in its present incarnation; NULL if it was
+ * not given or not asked for.  Its ticket may have expired. */
 
 #endif
