--- a/cell/escrow.c
+++ b/cell/escrow.c
@@ -1,9 +1,11 @@
 /*
+ * Divides the limit of each team among the shards of the cell.
+ *
  * Each team has a coordinator, the owner of the shard that the team's name
  * hashes to.  A shard reports the part that it holds and the part that it
  * wants; the coordinator answers with the part that it may hold from then on,
- * so that all parts together never exceed the whole limit.  A shard reduces its
- * part by itself when it does not use it, and reports that.
+ * so that all parts together never exceed the whole limit.  A shard that does
+ * not use its part reduces it without being asked, and reports that.
  *
  * Reports are numbered.  The coordinator uses the highest number of the latest
  * owner of a shard, and a shard accepts a grant only if it answers its last
@@ -14,12 +16,12 @@
  * has reported what it holds, under a number that invalidates all grants of the
  * previous coordinator.  A new owner of a shard asks for the part that its
  * predecessor held, and starts no task of the team until it knows; if the
- * coordinator is new as well, it gets what the other shards leave.  What the
- * predecessor's tasks may still use there is reserved for the shard, though it
- * may be more than the shard is granted.
+ * coordinator is new as well, the new owner gets what the other shards leave.
+ * What the predecessor's tasks may still use in the shard is granted to no
+ * other shard, even where it exceeds the shard's own part.
  *
- * The coordinator remembers a shard that gets less than it wants, and asks the
- * others to return all that they do not use at the moment.
+ * When a shard gets less than it wants, the coordinator asks the others to
+ * return all that they do not use at the moment, and grants it later.
  *
  * Parts are fractions of a limit, so a changed limit needs no message.
  */
@@ -31,27 +33,28 @@
 /* Least time between two reports that ask for more for a team; a round trip to
  * the coordinator takes 2 to 6 ms. */
 #define REPORT_INTERVAL_MIN (8 * OGL_MS)
-/* Delay after a grant that was less than wanted: other shards have to return
- * something first. */
+/* Delay before the next report or query after a grant that was less than
+ * wanted: other shards have to return something first. */
 #define DENIED_BACKOFF (60 * OGL_MS)
-/* Without an answer for this long, the message or its recipient was lost. */
+/* A message without an answer for this long is assumed lost. */
 #define ANSWER_TIMEOUT (120 * OGL_MS)
 /* How often each team is checked for messages to repeat and parts to return. */
 #define SWEEP_INTERVAL (100 * OGL_MS)
-/* A shard keeps more than it uses, so that ordinary variation needs no message:
- * an eighth of what it uses, and a fiftieth of the limit. */
+/* A shard keeps spare capacity, so that ordinary variation needs no message: an
+ * eighth of what it uses, and a fiftieth of the limit. */
 #define SPARE_USED_DIVISOR 8
 #define SPARE_PPM (CELL_PART_WHOLE_PPM / 50)
-/* A part that is larger than that is reduced after this time. */
+/* A part that exceeds use and spare capacity for this long is reduced. */
 #define IDLE_TIMEOUT (500 * OGL_MS)
-/* Asked for in addition to the need, for the starts that follow at once. */
+/* A shard asks for this much more than it needs, because further starts usually
+ * follow at once. */
 #define REQUEST_AHEAD_PPM (CELL_PART_WHOLE_PPM / 50)
 
 /* What the coordinator knows of one shard. */
 struct shard_state {
 	bool reported;
-	uint64_t epoch;  /* of the owner that reported last */
-	uint64_t number; /* of its last report */
+	uint64_t epoch;  /* epoch of the owner that reported last */
+	uint64_t number; /* number of its last report */
 	uint32_t held;
 	uint32_t used; /* as of the last report; usually less than held */
 	uint32_t wanted;
@@ -60,17 +63,17 @@
 
 struct team {
 	char *name;
-	/* as a shard that holds a part */
+	/* State of this shard as a holder of a part. */
 	bool known; /* the coordinator has said what this shard holds */
 	uint32_t held;
 	uint32_t wanted;
-	uint64_t number; /* of the last report */
-	bool unanswered;
+	uint64_t number; /* number of the last report */
+	bool unanswered; /* the last report was not answered yet */
 	ogl_time sent_at;
-	bool report_due;         /* wants more and has not reported that yet */
+	bool report_due;         /* wants more, not reported yet */
 	ogl_time next_report_at; /* earliest time of the next report for more */
 	ogl_time idle_since;     /* held exceeds the need; 0 if it does not */
-	/* as the coordinator */
+	/* State of this shard as the coordinator. */
 	bool has_reports; /* a shard has reported to this owner */
 	ogl_time next_query_at;
 	struct shard_state states[CELL_SHARDS_MAX];
@@ -84,7 +87,7 @@
 	uint64_t epoch;
 	GHashTable *teams;    /* name -> struct team */
 	unsigned reports_due; /* number of teams with report_due */
-	ogl_time sweep_at;
+	ogl_time next_sweep_at;
 };
 
 static void
@@ -146,7 +149,7 @@
 	return t;
 }
 
-/* Teams and jobs are spread by the same hash. */
+/* The coordinator's shard is chosen by the hash that also spreads jobs. */
 static uint32_t
 coordinator_of(const struct cell_escrow *e, const char *team)
 {
@@ -250,7 +253,7 @@
 	send_report(e, t, now);
 }
 
-/* Returns what has not been used for a while. */
+/* Reduces the part to use and spare capacity after IDLE_TIMEOUT. */
 static void
 return_unused(struct cell_escrow *e, struct team *t, ogl_time now)
 {
@@ -285,24 +288,25 @@
 	return true;
 }
 
-/* The largest part that the other shards leave to a shard. */
+/* The largest part that the shard may hold besides the parts of the others. */
 static uint32_t
 available_to(const struct cell_escrow *e, const struct team *t, uint32_t shard)
 {
-	uint64_t others = 0;
+	uint64_t held_by_others = 0;
 	uint32_t i;
 
 	for (i = 0; i < e->shards; i++) {
-		const struct shard_state *a = &t->states[i];
+		const struct shard_state *state = &t->states[i];
 
 		if (i != shard)
-			others += MAX(a->held, a->used);
+			held_by_others += MAX(state->held, state->used);
 	}
-	return others < CELL_PART_WHOLE_PPM
-		   ? (uint32_t)(CELL_PART_WHOLE_PPM - others)
+	return held_by_others < CELL_PART_WHOLE_PPM
+		   ? (uint32_t)(CELL_PART_WHOLE_PPM - held_by_others)
 		   : 0;
 }
 
+/* Asks the shards that have not reported yet for a report. */
 static void
 query_missing(struct cell_escrow *e, struct team *t, ogl_time now)
 {
@@ -320,9 +324,10 @@
 }
 
 /*
- * Asks the shards that hold what they want to return what they can.  This
- * includes shards that hold nothing but had something in use at their last
- * report, after a takeover: nothing else would make them report its end.
+ * Asks the shards that hold what they want to return what they do not use, by a
+ * query with wanted set.  After a takeover a shard may hold nothing but still
+ * have something in use at its last report.  It is asked as well, because
+ * nothing else would make it report the end of that use.
  */
 static void
 query_holders(struct cell_escrow *e, struct team *t, ogl_time now)
@@ -331,10 +336,11 @@
 
 	t->next_query_at = now + DENIED_BACKOFF;
 	for (i = 0; i < e->shards; i++) {
-		const struct shard_state *a = &t->states[i];
+		const struct shard_state *state = &t->states[i];
 		Ogl__CellPart m = OGL__CELL_PART__INIT;
 
-		if (MAX(a->held, a->used) == 0 || a->wanted > a->held)
+		if (MAX(state->held, state->used) == 0 ||
+		    state->wanted > state->held)
 			continue;
 		m.kind = OGL__CELL_PART_KIND__cell_part_query;
 		m.wanted = 1;
@@ -342,42 +348,42 @@
 	}
 }
 
-/* Notes the report unless it is outdated; false if it is. */
+/* Records the report.  False if it is outdated. */
 static bool
-update_state(struct shard_state *a, const Ogl__CellPart *m)
+update_state(struct shard_state *state, const Ogl__CellPart *m)
 {
-	if (m->from_epoch < a->epoch ||
-	    (m->from_epoch == a->epoch && m->number <= a->number))
+	if (m->from_epoch < state->epoch ||
+	    (m->from_epoch == state->epoch && m->number <= state->number))
 		return false;
-	a->epoch = m->from_epoch;
-	a->number = m->number;
-	a->used = m->used;
-	a->wanted = m->wanted;
+	state->epoch = m->from_epoch;
+	state->number = m->number;
+	state->used = m->used;
+	state->wanted = m->wanted;
 	if (!m->fresh)
-		a->held = m->held;
-	a->reported = true;
-	a->answer_due = true;
+		state->held = m->held;
+	state->reported = true;
+	state->answer_due = true;
 	return true;
 }
 
 static void
 send_grant(struct cell_escrow *e, struct team *t, uint32_t shard)
 {
-	struct shard_state *a = &t->states[shard];
-	uint32_t left = available_to(e, t, shard);
-	Ogl__CellPart g = OGL__CELL_PART__INIT;
-
-	if (a->wanted > a->held && left > a->held)
-		a->held = MIN(a->wanted, left);
-	a->answer_due = false;
-	g.kind = OGL__CELL_PART_KIND__cell_part_grant;
-	g.number = a->number;
-	g.held = a->held;
-	send_part(e, shard, &g, t);
+	struct shard_state *state = &t->states[shard];
+	uint32_t available = available_to(e, t, shard);
+	Ogl__CellPart grant = OGL__CELL_PART__INIT;
+
+	if (state->wanted > state->held && available > state->held)
+		state->held = MIN(state->wanted, available);
+	state->answer_due = false;
+	grant.kind = OGL__CELL_PART_KIND__cell_part_grant;
+	grant.number = state->number;
+	grant.held = state->held;
+	send_part(e, shard, &grant, t);
 }
 
-/* Answers all reports, and grants what was returned to shards that got less
- * than they want.  Result: whether a shard still wants more. */
+/* Answers all reports, and grants what was returned to shards that want more.
+ * Returns whether a shard still wants more. */
 static bool
 send_grants(struct cell_escrow *e, struct team *t)
 {
@@ -385,19 +391,19 @@
 	uint32_t i;
 
 	for (i = 0; i < e->shards; i++) {
-		struct shard_state *a = &t->states[i];
-		bool more =
-		    a->wanted > a->held && available_to(e, t, i) > a->held;
+		struct shard_state *state = &t->states[i];
+		bool can_grant = state->wanted > state->held &&
+				 available_to(e, t, i) > state->held;
 
-		if (a->answer_due || more)
+		if (state->answer_due || can_grant)
 			send_grant(e, t, i);
-		denied = denied || a->wanted > a->held;
+		denied = denied || state->wanted > state->held;
 	}
 	return denied;
 }
 
-/* No report is answered before each shard has reported: a shard that does not
- * know what it holds can't be told yet, and one that does continues with it. */
+/* No report is answered before each shard has reported.  Until then a new owner
+ * can't be told what its shard holds; other shards go on using their parts. */
 static void
 handle_report(struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now)
 {
@@ -453,14 +459,14 @@
 void
 cell_escrow_step(struct cell_escrow *e, ogl_time now)
 {
-	bool sweep = now >= e->sweep_at;
+	bool sweep = now >= e->next_sweep_at;
 	GHashTableIter it;
 	gpointer v;
 
 	if (!e->open || e->shards == 1 || (!sweep && e->reports_due == 0))
 		return;
 	if (sweep)
-		e->sweep_at = now + SWEEP_INTERVAL;
+		e->next_sweep_at = now + SWEEP_INTERVAL;
 	g_hash_table_iter_init(&it, e->teams);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct team *t = v;
--- a/cell/escrow.h
+++ b/cell/escrow.h
@@ -1,6 +1,6 @@
 /*
- * Teams' limits in a cell with several shards: which part of each limit a shard
- * may use.  A start needs no message as long as it fits into the shard's part.
+ * Division of each team's limit among the shards of a cell.  A start that fits
+ * into the shard's part of the limit needs no message.
  */
 
 #ifndef OGL_CELL_ESCROW_H
@@ -19,7 +19,7 @@
 	/* Result: millionths of the team's limit that may be in use in this
 	 * shard. */
 	void (*granted)(void *arg, ogl_time now);
-	/* The part of a team has grown. */
+	/* This shard's part of a team's limit has grown. */
 	void *arg;
 };
 
@@ -38,7 +38,8 @@
 
 void cell_escrow_want(
     struct cell_escrow *e, const char *team, uint32_t part, ogl_time now);
-/* Asks for a part of that many millionths: waiting work could start with it. */
+/* Asks for a part of that many millionths, with which waiting tasks could
+ * start. */
 
 void cell_escrow_receive(
     struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now);
