--- a/cell/job.c
+++ b/cell/job.c
@@ -1,4 +1,7 @@
 /*
+ * Creates, changes and frees jobs in memory, and converts them to and from
+ * their stored records.
+ *
  * A job's occurrences are made when they are due and freed once all their tasks
  * are done, which limits the memory of a job that is repeated many times.
  */
@@ -65,9 +68,9 @@
 static void
 approval_clear(void *p)
 {
-	struct cell_approval *g = p;
+	struct cell_approval *approval = p;
 
-	g_free(g->ticket);
+	g_free(approval->ticket);
 }
 
 static void
@@ -114,10 +117,10 @@
 	g_free(o);
 }
 
-/* Steps come only after earlier ones, so the longest chain from each step on is
- * computed from the last step backwards. */
+/* A step depends only on earlier steps, so the longest chain that starts with
+ * each step is computed from the last step backwards. */
 static void
-measure_chains_from(struct cell_job *j)
+compute_chains_from(struct cell_job *j)
 {
 	size_t i, k;
 
@@ -162,9 +165,10 @@
 	return longest;
 }
 
-/* Computes the longest chain of declared run times and all declared work. */
+/* Computes the longest chain of declared run times and the declared processor
+ * time of all tasks. */
 static void
-measure_job(struct cell_job *j)
+compute_declared_work(struct cell_job *j)
 {
 	size_t i;
 
@@ -176,7 +180,7 @@
 		j->cpu_seconds +=
 		    s->count * (s->estimate_ms / 1e3) * (s->cpu_milli / 1e3);
 	}
-	measure_chains_from(j);
+	compute_chains_from(j);
 }
 
 void
@@ -209,7 +213,7 @@
 
 	j->def = def;
 	j->accepted = now;
-	measure_job(j);
+	compute_declared_work(j);
 	return j;
 }
 
@@ -331,11 +335,11 @@
 	guint i;
 
 	for (i = 0; i < s->approvals->len; i++) {
-		struct cell_approval *g =
+		struct cell_approval *approval =
 		    &g_array_index(s->approvals, struct cell_approval, i);
 
-		if (g->worker == worker)
-			return g;
+		if (approval->worker == worker)
+			return approval;
 	}
 	return NULL;
 }
@@ -348,9 +352,9 @@
 	size_t i;
 
 	for (i = 0; i < s->def->n_after; i++) {
-		const struct cell_stage *b = &o->stages[s->def->after[i]];
+		const struct cell_stage *before = &o->stages[s->def->after[i]];
 
-		if (b->ndone < b->ntasks)
+		if (before->ndone < before->ntasks)
 			return false;
 	}
 	return true;
@@ -393,10 +397,10 @@
 }
 
 /*
- * A new owner receives the ends of several runs in any order, and again if the
- * last owner stored but did not acknowledge them, so run numbers are kept
- * instead of a count.  A lasting task may fail without limit: beyond
- * FAILED_RUNS_MAX the oldest number is dropped.
+ * Records the number of a failed run.  A count is not enough: a new owner
+ * receives the ends of several runs in any order, and again if the last owner
+ * stored but did not acknowledge them.  A lasting task may fail without limit;
+ * beyond FAILED_RUNS_MAX the oldest number is dropped.
  */
 bool
 cell_task_record_failure(struct cell_task *t, uint64_t run)
@@ -450,8 +454,8 @@
 	return g_bytes_new_take(p, n);
 }
 
-/* A task that was never started needs no mark, and of a done task only that it
- * is done is stored. */
+/* A mark stores the runs and checkpoint of a task.  A task that was never
+ * started needs none, nor does a done task, which is listed in CellDone. */
 static bool
 needs_mark(const struct cell_task *t)
 {
@@ -562,8 +566,8 @@
 	       OGL_MS;
 }
 
-/* The stage of a task, whose occurrence is begun if it has not; NULL if the
- * occurrence is finished or there is no such task. */
+/* Returns the stage of a task, and begins its occurrence first if necessary.
+ * NULL if the occurrence is finished or there is no such task. */
 static struct cell_stage *
 begun_stage(struct cell_job *j, const struct cell_task_name *name)
 {
--- a/cell/job.h
+++ b/cell/job.h
@@ -1,11 +1,12 @@
 /*
- * Jobs in the memory of a shard's owner.  Each step becomes a stage (one for
- * each occurrence of a repeated job), a stage has tasks, a task has at most one
- * run and, where the step allows it, a second run, its copy.
+ * Jobs in the memory of a shard's owner.  Each step becomes a stage, in a
+ * repeated job one for each occurrence.  A stage has tasks.  A task has at most
+ * one run at a time and, where the step allows it, a second one, its copy.
  *
  * A job is stored as two records: the submission (key 's' and the id), written
  * once, and the progress (key 'p' and the id), written whenever it changes.
- * Once the job has ended only the progress stays, as long as callers may ask.
+ * Once the job has ended, only the progress is kept, for as long as callers may
+ * ask for it.
  */
 
 #ifndef OGL_CELL_JOB_H
@@ -37,7 +38,7 @@
 	uint32_t worker; /* serial number */
 	char *ticket;
 	ogl_time expires; /* the ticket counts as expired from then on */
-	uint64_t born_ms; /* incarnation of the worker it is valid for */
+	uint64_t born_ms; /* worker's incarnation for which it is valid */
 };
 
 /* Why tasks of a stage that is ready are not running. */
@@ -47,9 +48,9 @@
 	CELL_WAIT_SETTLE,    /* an earlier owner may have started them */
 	CELL_WAIT_LIMIT,     /* the team's limit is reached */
 	CELL_WAIT_ADVICE,    /* the policy has not answered yet */
-	CELL_WAIT_TICKET,    /* allowed workers have room, tickets expired */
+	CELL_WAIT_TICKET,    /* tickets of allowed workers with room expired */
 	CELL_WAIT_ROOM,      /* no allowed worker has room */
-	CELL_WAIT_WORKER_MAX /* workers with room run worker_max of the step */
+	CELL_WAIT_WORKER_MAX /* workers with room run worker_max of its tasks */
 };
 
 struct cell_stage {
@@ -68,7 +69,7 @@
 	bool asking;
 	enum cell_wait wait_reason; /* as last logged */
 	ogl_time wait_since;
-	ogl_time blocked_since; /* not placed since then; 0: placed */
+	ogl_time blocked_since; /* when placing it first failed; 0: placed */
 };
 
 struct cell_occurrence {
@@ -97,13 +98,13 @@
 	uint32_t nruns;        /* runs on any worker, whatever their state */
 	double cpu_seconds;    /* processor seconds declared, all steps */
 	double chain_ms;       /* longest chain of declared run times */
-	double *chain_from_ms; /* the same, from each step on */
+	double *chain_from_ms; /* longest such chain from each step on */
 	double *measured_ms;   /* longest finished run of each step; 0 none */
 	bool end_stored;       /* its end is stored, so callers may see it */
-	uint64_t queue_config_version;   /* version it is taken from */
-	struct cell_queue *queue_config; /* of its queue; NULL not looked up */
-	/* Accepted by this owner, or all workers have answered since the
-	 * takeover, so tasks that do not run may be started. */
+	uint64_t queue_config_version;   /* version of queue_config */
+	struct cell_queue *queue_config; /* its queue; NULL not looked up */
+	/* Tasks that do not run may be started: the job was accepted by this
+	 * owner, or all workers have answered since the takeover. */
 	bool settled;
 };
 
@@ -111,7 +112,7 @@
 /* Whether id is CELL_ID_LEN hexadecimal digits of either case. */
 
 bool cell_job_def_valid(const Ogl__CellJob *def, const char **why);
-/* Checks the number of steps, their counts and that each comes only after
+/* Checks the number of steps, their counts, and that each depends only on
  * earlier ones; if not valid, sets *why to the reason. */
 
 struct cell_job *cell_job_new(Ogl__CellJob *def, ogl_time now);
@@ -135,7 +136,8 @@
 bool cell_job_occurrence_finished(const struct cell_job *j, uint32_t number);
 
 struct ogl_res cell_stage_need(const struct cell_stage *s);
-/* Resources that one task uses; a filling one counts no processor. */
+/* Resources that one task uses.  A step with `fills` uses only processor time
+ * that others leave unused, so its tasks count with none. */
 
 void cell_stage_hold(struct cell_stage *s, uint32_t index, ogl_time until);
 /* The task may be running on a silent worker, so it is not started before
@@ -149,7 +151,7 @@
  * The pointer is valid until the next answer is stored. */
 
 bool cell_stage_ready(const struct cell_stage *s);
-/* Whether all steps that it comes after are done. */
+/* Whether all steps that it depends on are done. */
 
 uint32_t cell_stage_waiting(const struct cell_stage *s);
 /* Tasks that are neither done nor running. */
@@ -178,9 +180,9 @@
 uint32_t cell_task_failures(const struct cell_task *t);
 
 void cell_job_record_run_ms(struct cell_job *j, uint32_t step, double ms);
-/* Records that a run of the step was done after that time. */
+/* Records that a run of the step has taken that time. */
 double cell_job_measured_chain_ms(const struct cell_job *j);
-/* Longest chain of measured run times; declared ones where none is known. */
+/* Longest chain of run times: measured, or declared where none is measured. */
 
 void cell_job_clear(struct cell_job *j);
 /* Frees its stages and the submission; no run may point at them. */
