--- a/cell/journal.c
+++ b/cell/journal.c
@@ -1,4 +1,6 @@
 /*
+ * Writes the owner's changed jobs to the store in batches, one append for each.
+ *
  * Everything marked while an append is in flight goes into the next one.  The
  * appends of an epoch are numbered, and the store accepts them only in that
  * order.  An append whose answer is lost may have been stored or may still be.
@@ -25,8 +27,8 @@
 #include "ablate.h"
 #include "journal.h"
 
-/* Least time between two appends.  Each append is priced and occupies the
- * partition for 2 ms, and 15 ms are not noticeable to a caller against an
+/* Least time between two appends.  Each append costs a fee and occupies the
+ * partition for 2 ms, while 15 ms are not noticeable to a caller against an
  * objective of 250 ms. */
 #define APPEND_INTERVAL (15 * OGL_MS)
 #define APPEND_INTERVAL_SLOW_LINK (45 * OGL_MS)
@@ -40,17 +42,17 @@
 #define OVERDUE_MIN_SLOW_LINK_MS 300
 /* Limit for the answer to an attempt. */
 #define ATTEMPT_TIMEOUT_MS 2400
-/* Attempts of one append whose answers are awaited. */
+/* Attempts of one append that may be without an answer at the same time. */
 #define ATTEMPTS_IN_FLIGHT_MAX 8
-/* This many attempts come at an even pace, then each wait is twice the last.
+/* After this many attempts at equal intervals, each interval is twice the last.
  * Without the backoff, a store that is down would get all attempts at once and,
  * when it is back, none until the first has timed out. */
 #define ATTEMPTS_BEFORE_BACKOFF 3
 #define BACKOFF_MAX_MS 600
-/* Appends in flight at a time to a slow store, and the latency from which a
- * store counts as slow. */
+/* Appends in flight at a time to a slow store. */
 #define BATCHES_IN_FLIGHT_MAX 3
-#define SLOW_STORE (60 * OGL_MS)
+/* Latency from which a store counts as slow. */
+#define SLOW_STORE_LATENCY (60 * OGL_MS)
 #define REFUSED_RETRY_DELAY (100 * OGL_MS)
 /* After failing for this long, new submissions are refused instead of
  * waiting. */
@@ -58,24 +60,25 @@
 /* A store that is slow but accepts everything is not failing: an append may
  * take this multiple of the time that the last one took. */
 #define FAILING_FACTOR 2
-/* No job is added to a batch of this size; a quarter of the store's limit. */
+/* No job is added to a batch of this size or more, a quarter of the store's
+ * limit. */
 #define BATCH_FULL_BYTES ((size_t)512 * 1024)
 
 struct waiter {
 	cell_stored_fn *fn;
 	void *arg;
 	uint64_t tag;
-	struct cell_job *submitted; /* NULL: not a submission */
+	struct cell_job *submitted; /* its job; NULL: not a submission */
 };
 
 /* One append. */
 struct batch {
 	uint64_t number; /* unique in the journal; a seq may be used again */
-	uint64_t seq;
-	GArray *puts;      /* struct cell_put */
-	GPtrArray *jobs;   /* struct cell_job */
-	GArray *waiters;   /* struct waiter */
-	GHashTable *extra; /* key -> GBytes */
+	uint64_t seq;    /* number of the append in its epoch */
+	GArray *puts;    /* struct cell_put */
+	GPtrArray *jobs; /* struct cell_job */
+	GArray *waiters; /* struct waiter */
+	GHashTable *other_records; /* key -> GBytes */
 	uint32_t attempts;
 	uint32_t in_flight; /* attempts without an answer yet */
 	bool may_be_stored; /* an attempt whose answer was lost may be stored */
@@ -93,24 +96,24 @@
 	uint64_t generation; /* identifies late answers of an earlier epoch */
 	uint64_t seq;        /* of the last batch */
 	uint64_t number;     /* of the last batch */
-	bool epoch_accepted; /* an append of the epoch was stored: the store
-			      * knows the first number and accepts the appends
-			      * only in order */
+	/* An append of the epoch was stored, so the store knows the first seq
+	 * and accepts later appends only in order. */
+	bool epoch_accepted;
 	uint32_t overdue_ms;
 	bool slow_link;
 	ogl_time last_took; /* latency of the last answered attempt */
 	ogl_time last_sent_at;
 	ogl_time failing_since; /* 0: the last append was stored */
-	ogl_time retry_at;  /* while failing, no new batch before this time */
-	GPtrArray *marked;  /* struct cell_job, for the next append */
-	GHashTable *extra;  /* key -> GBytes, for the next append */
-	GArray *waiters;    /* struct waiter, for the next append */
-	ogl_time urgent_at; /* OGL_NEVER: no caller waits */
+	ogl_time retry_at; /* while failing, no new batch before this time */
+	GPtrArray *marked; /* struct cell_job, for the next append */
+	GHashTable *other_records; /* key -> GBytes, for the next append */
+	GArray *waiters;           /* struct waiter, for the next append */
+	ogl_time urgent_at;        /* OGL_NEVER: no caller waits */
 	ogl_time lazy_at;
 	GQueue batches; /* struct batch, not known to be stored, oldest first */
 };
 
-/* One attempt to send a batch; its answer is matched by it. */
+/* Context of one attempt to send a batch, to match its answer. */
 struct attempt {
 	struct cell_journal *journal;
 	uint64_t generation;
@@ -129,7 +132,7 @@
 }
 
 static GHashTable *
-extra_new(void)
+record_table_new(void)
 {
 	return g_hash_table_new_full(
 	    g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_bytes_unref);
@@ -144,7 +147,7 @@
 	g_array_set_clear_func(b->puts, clear_put);
 	b->jobs = g_ptr_array_new();
 	b->waiters = g_array_new(FALSE, FALSE, sizeof(struct waiter));
-	b->extra = extra_new();
+	b->other_records = record_table_new();
 	return b;
 }
 
@@ -156,7 +159,7 @@
 	g_array_unref(b->puts);
 	g_ptr_array_unref(b->jobs);
 	g_array_unref(b->waiters);
-	g_hash_table_unref(b->extra);
+	g_hash_table_unref(b->other_records);
 	g_free(b);
 }
 
@@ -171,7 +174,7 @@
 	g->lost = lost;
 	g->arg = arg;
 	g->marked = g_ptr_array_new();
-	g->extra = extra_new();
+	g->other_records = record_table_new();
 	g->waiters = g_array_new(FALSE, FALSE, sizeof(struct waiter));
 	g_queue_init(&g->batches);
 	g->urgent_at = OGL_NEVER;
@@ -179,8 +182,8 @@
 	return g;
 }
 
-/* Several times the store's latency, so that a slow answer does not count as
- * lost. */
+/* Time after which an answer is overdue: several times the store's latency, so
+ * that a slow answer does not count as lost. */
 static uint32_t
 overdue_ms_for(const struct cell_journal *g, ogl_time took)
 {
@@ -204,7 +207,7 @@
 cell_journal_end(struct cell_journal *g)
 {
 	g_ptr_array_unref(g->marked);
-	g_hash_table_unref(g->extra);
+	g_hash_table_unref(g->other_records);
 	g_array_unref(g->waiters);
 	g_queue_clear_full(&g->batches, batch_free);
 	g_free(g);
@@ -214,7 +217,7 @@
 clear_pending(struct cell_journal *g)
 {
 	g_ptr_array_set_size(g->marked, 0);
-	g_hash_table_remove_all(g->extra);
+	g_hash_table_remove_all(g->other_records);
 	g_array_set_size(g->waiters, 0);
 	g_queue_clear_full(&g->batches, batch_free);
 	g->urgent_at = OGL_NEVER;
@@ -293,7 +296,7 @@
 		g_bytes_unref(value);
 		return;
 	}
-	g_hash_table_replace(g->extra, g_strdup(key), value);
+	g_hash_table_replace(g->other_records, g_strdup(key), value);
 	g->urgent_at = MIN(g->urgent_at, now);
 }
 
@@ -373,7 +376,7 @@
 static bool
 nothing_marked(const struct cell_journal *g)
 {
-	return g->marked->len == 0 && g_hash_table_size(g->extra) == 0;
+	return g->marked->len == 0 && g_hash_table_size(g->other_records) == 0;
 }
 
 bool
@@ -421,9 +424,9 @@
 }
 
 /*
- * Jobs that exceed the limit of a batch wait for the next one.  So do all
- * waiters in that case, as each is told only when everything marked before it
- * is stored.
+ * Jobs beyond the size limit of a batch wait for the next one.  All waiters
+ * then do so too, because each is told only when everything marked before it is
+ * stored.
  */
 static struct batch *
 make_batch(struct cell_journal *g, ogl_time now)
@@ -434,14 +437,15 @@
 	gpointer k, v;
 	guint i;
 
-	g_hash_table_iter_init(&it, g->extra);
+	g_hash_table_iter_init(&it, g->other_records);
 	while (g_hash_table_iter_next(&it, &k, &v)) {
 		struct cell_put u = {g_strdup(k), g_bytes_ref(v)};
 
 		g_array_append_val(b->puts, u);
-		g_hash_table_replace(b->extra, g_strdup(k), g_bytes_ref(v));
+		g_hash_table_replace(
+		    b->other_records, g_strdup(k), g_bytes_ref(v));
 	}
-	g_hash_table_remove_all(g->extra);
+	g_hash_table_remove_all(g->other_records);
 	for (i = 0; i < g->marked->len && bytes < BATCH_FULL_BYTES; i++) {
 		struct cell_job *j = g->marked->pdata[i];
 
@@ -484,7 +488,8 @@
 	    max_ms);
 }
 
-/* The first letter of a key tells its kind: job, progress or workers. */
+/* Counts the bytes by kind of record: job, progress or workers, as shown by the
+ * first letter of the key. */
 static void
 count_bytes(struct cell_journal *g, const struct batch *b)
 {
@@ -493,20 +498,20 @@
 	for (i = 0; i < b->puts->len; i++) {
 		const struct cell_put *u =
 		    &g_array_index(b->puts, struct cell_put, i);
-		const char *name = *u->key == 's'   ? "store_bytes_jobs"
-				   : *u->key == 'p' ? "store_bytes_progress"
-						    : "store_bytes_workers";
+		const char *counter = *u->key == 's'   ? "store_bytes_jobs"
+				      : *u->key == 'p' ? "store_bytes_progress"
+						       : "store_bytes_workers";
 
 		if (u->value != NULL)
 			g->ops->count(
-			    g->ops->ctx, name, g_bytes_get_size(u->value));
+			    g->ops->ctx, counter, g_bytes_get_size(u->value));
 	}
 }
 
 static void
 send_batch(struct cell_journal *g, struct batch *b, ogl_time now)
 {
-	struct attempt *s = g_new(struct attempt, 1);
+	struct attempt *context = g_new(struct attempt, 1);
 	struct cell_append a = {
 	    .stream = CELL_JOBS,
 	    .shard = g->shard,
@@ -519,20 +524,20 @@
 	    .timeout_ms = ATTEMPT_TIMEOUT_MS,
 	};
 
-	s->journal = g;
-	s->generation = g->generation;
-	s->number = b->number;
-	s->sent_at = now;
+	context->journal = g;
+	context->generation = g->generation;
+	context->number = b->number;
+	context->sent_at = now;
 	count_bytes(g, b);
 	g->ops->count(g->ops->ctx, "store_appends", 1);
 	b->attempts++;
 	b->in_flight++;
 	b->retry_at = now + retry_delay_ms(g, b) * OGL_MS;
 	g->last_sent_at = now;
-	g->ops->append(g->ops->backend_ctx, &a, on_appended, s);
+	g->ops->append(g->ops->backend_ctx, &a, on_appended, context);
 }
 
-/* Adapts to the latency of the last answer.  The value decreases slowly. */
+/* Adapts overdue_ms to the latency of the last answer.  It decreases slowly. */
 static void
 adapt_overdue_ms(struct cell_journal *g)
 {
@@ -554,8 +559,8 @@
 	g->ops->log(g->ops->ctx, "journal", "append_repeated", text);
 }
 
-/* The batch and all before it are stored, by the answer to the attempt that was
- * sent at sent_at. */
+/* Removes the batch and all before it, as the store has confirmed them with the
+ * answer to the attempt sent at sent_at. */
 static void
 complete_up_to(struct cell_journal *g, const struct batch *last,
     ogl_time sent_at, ogl_time now)
@@ -595,8 +600,9 @@
 	}
 }
 
-/* If the jobs do not fit into one batch, a submission waits with a later batch
- * than its job, which may then already be stored. */
+/* Whether the batch contains the job.  If the marked jobs do not fit into one
+ * batch, a submission waits in a later batch than its job, which may already be
+ * stored. */
 static bool
 in_batch(const struct batch *b, const struct cell_job *j)
 {
@@ -611,11 +617,11 @@
 	gpointer k, v;
 	guint i;
 
-	g_hash_table_iter_init(&it, b->extra);
+	g_hash_table_iter_init(&it, b->other_records);
 	while (g_hash_table_iter_next(&it, &k, &v)) {
-		if (!g_hash_table_contains(g->extra, k))
+		if (!g_hash_table_contains(g->other_records, k))
 			g_hash_table_insert(
-			    g->extra, g_strdup(k), g_bytes_ref(v));
+			    g->other_records, g_strdup(k), g_bytes_ref(v));
 	}
 	for (i = 0; i < b->jobs->len; i++) {
 		struct cell_job *j = b->jobs->pdata[i];
@@ -629,7 +635,7 @@
 	}
 }
 
-/* Adds the jobs that the batch would have stored for the first time. */
+/* Adds the submitted jobs that the batch contains. */
 static void
 add_submitted_jobs(const struct batch *b, GHashTable *jobs)
 {
@@ -665,8 +671,9 @@
 }
 
 /*
- * The store has refused every attempt.  Submissions are unmarked and refused;
- * everything else goes into new batches under the same seq.  Since the nodes
+ * Takes back all batches after the store has refused every attempt.  The
+ * submissions are unmarked and refused; everything else goes into new batches,
+ * whose seq starts with that of the oldest one.  Since the nodes
  * that take calls repeat them, one job may have several submissions, both in a
  * batch and for the next one.  All of them are told: a remaining one would get
  * CELL_STORED with a later batch, and a job submitted again under the same id
@@ -745,13 +752,13 @@
 static void
 on_appended(void *arg, const struct cell_append_answer *a, ogl_time now)
 {
-	struct attempt *s = arg;
-	struct cell_journal *g = s->journal;
-	bool current = s->generation == g->generation;
-	struct batch *b = current ? find_batch(g, s->number) : NULL;
-	ogl_time sent_at = s->sent_at;
+	struct attempt *context = arg;
+	struct cell_journal *g = context->journal;
+	bool current = context->generation == g->generation;
+	struct batch *b = current ? find_batch(g, context->number) : NULL;
+	ogl_time sent_at = context->sent_at;
 
-	g_free(s);
+	g_free(context);
 	if (!current)
 		return;
 	if (a->outranked) {
@@ -767,8 +774,8 @@
 		batch_failed(g, b, a, now);
 }
 
-/* When the batch is sent, for the first time or again.  A refused or lost batch
- * behind others waits for them, as the store accepts batches only in order. */
+/* When to send the batch again.  A refused or lost batch behind others waits
+ * for them, because the store accepts batches only in order. */
 static ogl_time
 batch_wake(const struct cell_journal *g, const struct batch *b)
 {
@@ -785,7 +792,7 @@
 	const GList *at;
 
 	if (!CELL_USES_PIPELINE || !g->epoch_accepted ||
-	    g->last_took < SLOW_STORE ||
+	    g->last_took < SLOW_STORE_LATENCY ||
 	    g->batches.length >= BATCHES_IN_FLIGHT_MAX || g->failing_since != 0)
 		return OGL_NEVER;
 	for (at = g->batches.head; at != NULL; at = at->next) {
--- a/cell/journal.h
+++ b/cell/journal.h
@@ -45,8 +45,8 @@
 
 void cell_journal_put(
     struct cell_journal *g, const char *key, GBytes *value, ogl_time now);
-/* Marks a record that is not a job to be written at once.  Takes ownership of
- * value.  A later record with the same key replaces it. */
+/* Marks a record that is not part of a job, so that the next append writes it.
+ * Takes ownership of value.  A later record with the same key replaces it. */
 
 void cell_journal_unmark(struct cell_journal *g, struct cell_job *j);
 /* Forgets the job; to be called before it is freed. */
@@ -58,8 +58,8 @@
 
 void cell_journal_submit(struct cell_journal *g, struct cell_job *j,
     cell_stored_fn *fn, void *arg, uint64_t tag, ogl_time now);
-/* Writes a new job.  If the store has certainly refused it, the job is unmarked
- * and fn gets CELL_NOT_STORED. */
+/* Writes a new job.  If the store has refused it in every attempt, the job is
+ * unmarked and fn gets CELL_NOT_STORED. */
 
 bool cell_journal_failing(const struct cell_journal *g, ogl_time now);
 /* Whether the store has accepted no append for a while. */
