--- a/cell/lead.c
+++ b/cell/lead.c
@@ -1,11 +1,13 @@
 /*
+ * Elects the owner of each shard by records in streams of the store.
+ *
  * A claim is appended to the claims stream of the shard on the condition that
  * the stream still ends at the offset the claimant knows, so of several claims
- * after the same record only one succeeds.  Its offset + 1 is the epoch.  The
- * epoch is unique among the claims of the shard, and the owner puts it into
- * its records on the store and its orders to workers.  It is also the offset
- * that the next claim has to name, so a claimant does not have to read before
- * it claims.
+ * after the same record only one succeeds.  The epoch of the new owner is the
+ * claim's offset + 1, which is unique among the claims of the shard.  The owner
+ * puts it into its records on the store and its orders to workers.  The next
+ * claim has to name the epoch as its offset, so a claimant does not have to
+ * read before it claims.
  *
  * An owner appends a heartbeat to the ownership stream of the whole cell every
  * HEARTBEAT_INTERVAL, the first as soon as it has won.  All nodes read that
@@ -26,9 +28,9 @@
  * another owner would do no better, and each change of owner costs the time of
  * a takeover.
  *
- * An owner also reads the stream, and a later epoch than its own ends its
- * ownership.  Until it has read that epoch, every worker that the new owner has
- * called refuses its orders, and the new owner starts nothing that may be
+ * An owner also reads the ownership stream, and a later epoch than its own ends
+ * its ownership.  Until it has read that epoch, every worker that the new owner
+ * has called refuses its orders, and the new owner starts nothing that may be
  * running elsewhere before all workers have answered it (owner.c).  A worker
  * that restarts forgets which owner has called it, so an owner reads the stream
  * once more before it starts anything on a restarted worker.  That read shows
@@ -45,8 +47,8 @@
 #define HEARTBEAT_INTERVAL (400 * OGL_MS)
 #define HEARTBEAT_TIMEOUT (1300 * OGL_MS)
 /* Timeout when the owner's address also refuses connections or the owner does
- * not answer pings: its process or machine is probably gone, or a network cut
- * looks like that, so one missed heartbeat is enough. */
+ * not answer pings.  Its process, machine or network has probably failed, so
+ * one missed heartbeat is enough. */
 #define HEARTBEAT_TIMEOUT_DEAD (650 * OGL_MS)
 /* A heartbeat is repeated when its answer takes longer than this multiple of
  * the time that the last one took; at least HEARTBEAT_OVERDUE_MIN and at most
@@ -56,29 +58,32 @@
 /* An owner without an answer from the store for this long reports that to its
  * peers. */
 #define ABLE_TIMEOUT (750 * OGL_MS)
-/* Extra time on a slow link: answers to heartbeats wait behind the jobs that a
- * new owner reads.  It is the time the link needs for this many kilobits. */
+/* Added to ABLE_TIMEOUT on a slow link, where answers to heartbeats wait behind
+ * the jobs that a new owner reads: the link's time for this many kilobits. */
 #define ABLE_EXTRA_KBITS 4000
 #define ABLE_EXTRA_MAX (2 * OGL_SEC)
-/* An owner whose last answered heartbeat and read are both older than this
- * probes the store. */
-#define PROBE_AFTER (350 * OGL_MS)
+/* An owner whose last stored heartbeat and last answered read are both older
+ * than this probes the store. */
+#define PROBE_SILENCE_MIN (350 * OGL_MS)
 /* For this long after an outage of its own, a node does not give up an owner
- * that reported trouble: when the store returns for all, an owner needs a
- * moment to report that it reaches it again. */
+ * that reported trouble: when the store returns for all nodes, the owner needs
+ * a moment to report that it reaches the store again. */
 #define OUTAGE_GRACE (500 * OGL_MS)
-/* An outage is a longer period in which reads failed and none was answered. */
+/* A period of at least this length in which reads failed and none was answered
+ * is an outage. */
 #define OUTAGE_MIN (500 * OGL_MS)
 /* Claims get a random delay below this, so that most claimants read the first
  * claim before they would append their own. */
 #define CLAIM_JITTER_MS 150
-/* A machine of at least this strength (half a core has it) claims without
- * delay, one of half this strength WEAK_DELAY_MS later, and so on. */
+/* Processor capacity from which a machine claims without delay, in thousandths
+ * of a core.  A machine with half of it claims WEAK_DELAY_MS later, one with a
+ * third of it twice WEAK_DELAY_MS later, and so on. */
 #define NO_DELAY_CPU_MILLI 400
 #define WEAK_DELAY_MS 100
 #define WEAK_DELAY_MAX_MS 600
-/* A node delays its claim by this much for a shard that is not its preferred
- * one, and again for each shard that it owns: one shard per node is best. */
+/* A claim is delayed by this much for a shard that is not the node's preferred
+ * one, and again for each shard that the node owns, as one shard per node is
+ * best. */
 #define OTHER_SHARD_DELAY_MS 200
 #define READ_WAIT_MS 1000
 #define READ_TIMEOUT_MS 2200
@@ -95,7 +100,8 @@
 /* A node that resigned because it is in trouble leaves claims to others for
  * this long. */
 #define RESIGN_BACKOFF (8 * OGL_SEC)
-/* Reads count as answered while the last good one is no older than this. */
+/* The store counts as answering while the last answered read is no older than
+ * this. */
 #define READ_OK_MAX_AGE (1800 * OGL_MS)
 #define PROBE_TIMEOUT_MS 600
 #define PROBE_INTERVAL_MIN (20 * OGL_MS)
@@ -108,12 +114,12 @@
 struct lead_shard {
 	struct cell_lead *lead;
 	uint32_t shard;
-	uint64_t epoch;          /* highest known; end of the claims stream */
+	uint64_t epoch;          /* highest known; offset for the next claim */
 	uint64_t resigned_epoch; /* last epoch whose owner has resigned */
 	uint64_t reported_epoch; /* epoch of the last changed event */
 	char *owner;             /* address; NULL: vacant or never claimed */
-	bool own;
-	ogl_time last_heard; /* last sign of the owner, or failed read */
+	bool own;                /* this node is the owner */
+	ogl_time last_heard; /* last sign of the owner, or last failed read */
 
 	uint64_t suspect_epoch; /* epoch whose owner may be unable, 0 if none */
 	bool reading_claims;
@@ -122,7 +128,7 @@
 	ogl_time claim_at; /* OGL_NEVER unless scheduled */
 	ogl_time no_claim_until;
 	unsigned heartbeats_in_flight;
-	bool announced;           /* a heartbeat of this ownership was stored */
+	bool announced;           /* a heartbeat as this owner was stored */
 	ogl_time heartbeat_at;    /* next heartbeat is due */
 	ogl_time heartbeat_took;  /* of the last answered heartbeat */
 	ogl_time heartbeat_ok_at; /* last heartbeat stored, or ownership won */
@@ -142,22 +148,22 @@
 
 	bool loaded; /* the newest records were read */
 	bool reading;
-	bool newest_next; /* read the newest record of each key next */
+	bool newest_next; /* next read gets the newest record of each key */
 	ogl_time read_sent_at;
 	ogl_time read_at;     /* earliest time of the next read */
 	uint64_t next_offset; /* offset to read from */
 	ogl_time last_read_ok;
 	bool read_failing;        /* a read has failed since last_read_ok */
 	ogl_time outage_ended_at; /* first answer after the last outage */
-	ogl_time confirmed_at;    /* when the last good read was sent */
+	ogl_time confirmed_at;    /* when the last complete read was sent */
 	bool probing;
 	ogl_time probe_sent_at;
 
 	bool planning; /* an append of the number of shards is in flight */
 	uint32_t shards;
 	struct lead_shard *by_shard;
-	ogl_time claim_took; /* duration of the last successful claim */
-	bool retired;
+	ogl_time claim_took;   /* duration of the last successful claim */
+	bool claiming_stopped; /* the process is about to end */
 };
 
 /*
@@ -180,11 +186,11 @@
 static ogl_time
 able_timeout_for(uint32_t link_kbps)
 {
-	ogl_time more = 0;
+	ogl_time extra = 0;
 
 	if (link_kbps > 0)
-		more = (ogl_time)ABLE_EXTRA_KBITS * OGL_SEC / link_kbps;
-	return ABLE_TIMEOUT + MIN(more, ABLE_EXTRA_MAX);
+		extra = (ogl_time)ABLE_EXTRA_KBITS * OGL_SEC / link_kbps;
+	return ABLE_TIMEOUT + MIN(extra, ABLE_EXTRA_MAX);
 }
 
 struct cell_lead *
@@ -298,8 +304,8 @@
 	s->lead->events.changed(s->lead->events.arg, s->shard, s->owner, now);
 }
 
-/* Whether the record is from this node before its restart.  An owner of that
- * kind no longer exists, so the shard is vacant. */
+/* Whether the record was written by this node before its last restart.  The
+ * owner that it names no longer exists, so the shard is vacant. */
 static bool
 from_earlier_boot(const struct cell_lead *l, const Ogl__CellLead *m)
 {
@@ -337,7 +343,7 @@
 		set_owner(s, from_earlier_boot(l, m) ? NULL : m->addr, now);
 		return;
 	}
-	if (l->retired)
+	if (l->claiming_stopped)
 		return; /* others claim once the heartbeat timeout is over */
 	s->own = true;
 	s->announced = false;
@@ -350,8 +356,8 @@
 	l->events.won(l->events.arg, s->shard, epoch, now);
 }
 
-/* Applies a heartbeat or resignation.  One of an earlier epoch than the last
- * known is ignored; one of a later epoch ends the known ownership. */
+/* Applies a heartbeat or resignation.  It is ignored if its epoch is earlier
+ * than the last known one; a later epoch ends the known ownership. */
 static void
 apply_heartbeat(struct lead_shard *s, const Ogl__CellLead *m, ogl_time now)
 {
@@ -468,7 +474,8 @@
 }
 
 /* Called after an answered probe.  A suspect owner that has given no sign since
- * counts as unable, unless this node's own outage ended a moment ago. */
+ * counts as unable to reach the store, unless an outage of this node has just
+ * ended. */
 static void
 resolve_suspects(struct cell_lead *l, ogl_time now)
 {
@@ -507,8 +514,8 @@
 	read_succeeded(l, now);
 }
 
-/* A probe is a read without waiting, which shows the present owners for
- * certain. */
+/* A probe is a read that does not wait for new records, so its answer shows the
+ * present owners for certain. */
 static void
 on_probe(void *arg, const struct cell_read_answer *a, ogl_time now)
 {
@@ -540,8 +547,8 @@
 	l->ops->read(l->ops->backend_ctx, &r, on_probe, l);
 }
 
-/* The number of shards is the first record of the stream, but the page may list
- * others before it.  They need the number, so it is applied first. */
+/* Applies the record with the number of shards before all others, which need
+ * it.  The page may list others before it. */
 static void
 on_newest(void *arg, const struct cell_newest_answer *a, ogl_time now)
 {
@@ -614,7 +621,8 @@
 		apply_claims(s, a->records, a->n, now);
 }
 
-/* Used when the claims after the last known one are no longer retained. */
+/* Reads only the newest claim, as the claims after the last known one are no
+ * longer all retained. */
 static void
 read_newest_claim(struct lead_shard *s)
 {
@@ -693,7 +701,7 @@
 struct heartbeat {
 	struct lead_shard *shard;
 	uint64_t epoch;
-	ogl_time sent;
+	ogl_time sent_at;
 };
 
 /* The next heartbeat is due HEARTBEAT_INTERVAL after the answered one was sent,
@@ -705,8 +713,8 @@
 	s->heartbeat_refused = io == OGL_IO_REFUSED;
 	if (io == OGL_IO_LOST)
 		return;
-	s->heartbeat_at = MAX(s->heartbeat_at, h->sent + HEARTBEAT_INTERVAL);
-	s->heartbeat_took = now - h->sent;
+	s->heartbeat_at = MAX(s->heartbeat_at, h->sent_at + HEARTBEAT_INTERVAL);
+	s->heartbeat_took = now - h->sent_at;
 	if (io != OGL_IO_OK)
 		return;
 	s->heartbeat_ok_at = now;
@@ -737,7 +745,7 @@
 	m.vacant = vacant;
 	h->shard = s;
 	h->epoch = s->epoch;
-	h->sent = now;
+	h->sent_at = now;
 	s->heartbeats_in_flight++;
 	append(s, &m, on_heartbeat, h);
 }
@@ -778,7 +786,8 @@
 	append(s, &m, on_claim, s);
 }
 
-/* Several heartbeats may be in flight, as answers can get lost. */
+/* Sends a heartbeat if it is due.  Several may be in flight, as answers can get
+ * lost. */
 static void
 heartbeat_if_due(struct lead_shard *s, ogl_time now)
 {
@@ -787,8 +796,8 @@
 
 	if (!s->own)
 		return;
-	if (now - s->heartbeat_ok_at > PROBE_AFTER &&
-	    now - s->lead->last_read_ok > PROBE_AFTER)
+	if (now - s->heartbeat_ok_at > PROBE_SILENCE_MIN &&
+	    now - s->lead->last_read_ok > PROBE_SILENCE_MIN)
 		cell_lead_probe(s->lead, now);
 	if (now < s->heartbeat_at ||
 	    s->heartbeats_in_flight >= HEARTBEATS_IN_FLIGHT_MAX)
@@ -802,13 +811,13 @@
 claim_delay_ms(const struct lead_shard *s)
 {
 	struct cell_lead *l = s->lead;
-	int32_t ms = l->weak_delay_ms +
-		     g_rand_int_range(l->rand, 0, CLAIM_JITTER_MS) +
-		     (int32_t)cell_lead_owned_count(l) * OTHER_SHARD_DELAY_MS;
+	int32_t delay_ms =
+	    l->weak_delay_ms + g_rand_int_range(l->rand, 0, CLAIM_JITTER_MS) +
+	    (int32_t)cell_lead_owned_count(l) * OTHER_SHARD_DELAY_MS;
 
 	if (cell_shard_of_node(l->addr, l->shards) != s->shard)
-		ms += OTHER_SHARD_DELAY_MS;
-	return ms;
+		delay_ms += OTHER_SHARD_DELAY_MS;
+	return delay_ms;
 }
 
 /* Whether a read sent after the timeout had passed showed no sign of the owner.
@@ -851,7 +860,7 @@
 step_shard(struct lead_shard *s, ogl_time now)
 {
 	heartbeat_if_due(s, now);
-	if (s->lead->retired)
+	if (s->lead->claiming_stopped)
 		return;
 	schedule_claim(s, now);
 	if (s->claim_at <= now && !s->claiming)
@@ -927,7 +936,7 @@
 void
 cell_lead_stop_claiming(struct cell_lead *l)
 {
-	l->retired = true;
+	l->claiming_stopped = true;
 }
 
 void
@@ -935,7 +944,7 @@
 {
 	struct lead_shard *s = &l->by_shard[shard];
 
-	if (!l->retired && !s->own && !s->claiming)
+	if (!l->claiming_stopped && !s->own && !s->claiming)
 		send_claim(s, now);
 }
 
@@ -1000,9 +1009,9 @@
 }
 
 /*
- * The owner's heartbeats may all be late, as their answers are.  Its report to
- * this node replaces them.  This is safe because the store decides who owns the
- * shard whenever a node claims.
+ * All heartbeats of the owner may be late, as may the answers to them.  Its
+ * report to this node then takes their place.  This is safe because the store
+ * decides who owns the shard whenever a node claims.
  */
 void
 cell_lead_owner_alive(
@@ -1046,11 +1055,11 @@
 cell_lead_able(const struct cell_lead *l, uint32_t shard, ogl_time now)
 {
 	const struct lead_shard *s = &l->by_shard[shard];
-	ogl_time ok = s->heartbeat_ok_at;
+	ogl_time last_ok_at = s->heartbeat_ok_at;
 
 	if (!s->heartbeat_refused)
-		ok = MAX(ok, l->last_read_ok);
-	return s->own && now - ok < l->able_timeout;
+		last_ok_at = MAX(last_ok_at, l->last_read_ok);
+	return s->own && now - last_ok_at < l->able_timeout;
 }
 
 bool
--- a/cell/lead.h
+++ b/cell/lead.h
@@ -25,9 +25,9 @@
 struct cell_lead_self {
 	const char *node;
 	const char *addr; /* address for peers */
-	uint64_t boot;    /* differs at each start */
-	uint32_t
-	    strength; /* thousandths of a processor; weak nodes claim later */
+	uint64_t boot;    /* different after each start of the process */
+	/* Thousandths of a core, 0 if unknown; weak nodes claim later. */
+	uint32_t strength;
 	uint32_t link_kbps; /* capacity of its link, 0 if unknown */
 };
 
@@ -41,7 +41,7 @@
  * about 20 times a second. */
 
 bool cell_lead_needs_plan(const struct cell_lead *l);
-/* Whether the stream was read and holds no number of shards yet. */
+/* Whether the ownership stream was read and holds no number of shards yet. */
 void cell_lead_plan(struct cell_lead *l, uint32_t shards);
 /* Proposes a number of shards.  The first proposal that reaches the store is
  * final. */
@@ -81,8 +81,8 @@
 /* The owner of that epoch has reported that it reaches the store. */
 
 void cell_lead_hint_dead(struct cell_lead *l, uint32_t shard, ogl_time now);
-/* The owner's address refuses connections or the owner does not answer pings,
- * so a shorter heartbeat timeout applies. */
+/* The owner's address refuses connections, or the owner does not answer pings.
+ * A shorter heartbeat timeout applies for a while. */
 
 bool cell_lead_able(const struct cell_lead *l, uint32_t shard, ogl_time now);
 /* Whether this node owns the shard and reaches the store: its heartbeats are
