--- a/cell/loader.c
+++ b/cell/loader.c
@@ -1,19 +1,23 @@
 /*
+ * Reads a shard's jobs from the store for a new owner, and fences off the
+ * earlier owner.
+ *
  * Phases of a takeover:
  *
  *	PREPARING  jobs are read, page by page, while another node still owns
  *		   the shard and changes them; only at that owner's request
  *	FENCING    the store is told the epoch, after which no earlier owner
- *		   can write.  No request is served before, and an answer may
+ *		   can write.  No caller is served before, and an answer may
  *		   be lost, so an overdue fence is sent again while the first
  *		   is pending; a repeated fence changes nothing
  *	LOADING    jobs are read; no other node can change them now.  After
- *		   PREPARING only records written since its first page
+ *		   PREPARING, only the records written since its first page
+ *		   are read
  *
  * The store lists keys in order, and a job's key contains its id, which is
- * random.  So the part of the key space that the first page covers tells how
- * many pages are left; these are requested in parallel, each for a range of
- * keys of its own.  If a page is not sorted, reading starts again, one page
+ * random.  So the fraction of the key space that the first page covers tells
+ * how many pages are left.  These are requested in parallel, each for its own
+ * range of keys.  If a page is not sorted, reading starts again, one page
  * after the other.
  */
 
@@ -22,26 +26,29 @@
 #include "job.h"
 #include "loader.h"
 
-/* A page without an answer for this time, or for OVERDUE_FACTOR times the
- * store's last response time, is requested again while the first request is
- * pending: the answer may be lost, or the store may be slow, up to 60 times as
- * slow as usual.  Each repetition doubles the time. */
+/* A page without an answer for this time or OVERDUE_FACTOR times the store's
+ * last response time, whichever is longer, is requested again while the first
+ * request is pending.  The answer may be lost, or the store may be up to 60
+ * times slower than usual.  Each repetition doubles the time. */
 #define PAGE_OVERDUE_MIN_MS 250
 #define OVERDUE_FACTOR 4
 #define PAGE_OVERDUE_MAX_MS 4000
 #define PAGE_TIMEOUT_MS 4000
-#define PAGE_REQUESTS_MAX 3 /* pending for one page */
+/* Pending requests for one page. */
+#define PAGE_REQUESTS_MAX 3
 /* A page has up to 1 MB, but most have half of that or less. */
 #define PAGE_TYPICAL_KBITS 4000
-/* Pages requested at a time, on a link of FAST_LINK_KBPS or more. */
+/* Pages requested at a time on a link of at least FAST_LINK_KBPS; one on slower
+ * links. */
 #define PARALLEL_PAGES_MAX 8
 #define FAST_LINK_KBPS 50000
-/* Ids are not spread evenly, so a range is made smaller than what a page covers
- * on average. */
-#define PAGE_FILL 0.85
-#define ID_PREFIX_DIGITS 8 /* leading digits that give an id's position */
-/* A fence without an answer for this time, or for OVERDUE_FACTOR times the
- * store's last response time, is sent again. */
+/* Size of a range as a fraction of what a page covers on average; below 1
+ * because ids are not spread evenly. */
+#define RANGE_PER_PAGE 0.85
+/* Leading digits of an id that give its position in the id space. */
+#define ID_PREFIX_DIGITS 8
+/* A fence without an answer for this time or OVERDUE_FACTOR times the store's
+ * last response time, whichever is longer, is sent again. */
 #define FENCE_OVERDUE_MIN_MS 150
 #define FENCE_OVERDUE_MAX_MS 2400
 #define FENCE_TIMEOUT_MS 2400
@@ -65,7 +72,7 @@
 	enum phase phase;
 	uint64_t epoch;
 	uint64_t generation;
-	bool tail_pending;
+	bool tail_pending; /* a request for the tail is pending */
 	ogl_time next_request_at;
 	GPtrArray *ranges; /* struct range, not completely read */
 	uint32_t parallel_pages_max;
@@ -76,10 +83,12 @@
 	uint32_t fence_overdue_ms;
 	uint32_t page_overdue_min_ms; /* includes the transfer time of a page */
 	uint32_t page_overdue_ms;
-	bool reading_tail; /* all pages are read; tail_offset is next */
-	uint64_t tail_offset;
-	ogl_time prepared_at; /* 0 not prepared */
-	struct cell_loaded read;
+	/* All pages were read in PREPARING; the tail, which is the records
+	 * written meanwhile, is read next. */
+	bool reading_tail;
+	uint64_t tail_offset;       /* first offset of the tail not read yet */
+	ogl_time prepared_at;       /* 0 not prepared */
+	struct cell_loaded records; /* read so far */
 };
 
 /* A range of keys still to be read. */
@@ -92,10 +101,10 @@
 };
 
 /* Context of a request to the store. */
-struct exchange {
+struct request {
 	struct cell_loader *loader;
 	uint64_t generation;
-	uint32_t range; /* number of the page's range, which may be gone */
+	uint32_t range; /* number of its range, which may have been removed */
 };
 
 static void
@@ -121,19 +130,20 @@
 	g_ptr_array_add(l->ranges, r);
 }
 
-static struct exchange *
-exchange_new(struct cell_loader *l)
+static struct request *
+request_new(struct cell_loader *l)
 {
-	struct exchange *x = g_new0(struct exchange, 1);
+	struct request *x = g_new0(struct request, 1);
 
 	x->loader = l;
 	x->generation = l->generation;
 	return x;
 }
 
-/* Frees x; returns NULL when the request is from an earlier generation. */
+/* Frees x.  Returns its loader; NULL if the request is from an earlier
+ * generation, so that its answer is ignored. */
 static struct cell_loader *
-exchange_end(struct exchange *x)
+request_end(struct request *x)
 {
 	struct cell_loader *l =
 	    x->generation == x->loader->generation ? x->loader : NULL;
@@ -176,11 +186,11 @@
 }
 
 static void
-drop_read(struct cell_loader *l)
+drop_records(struct cell_loader *l)
 {
-	g_clear_pointer(&l->read.workers, g_bytes_unref);
-	g_clear_pointer(&l->read.progress, g_hash_table_unref);
-	g_clear_pointer(&l->read.defs, g_hash_table_unref);
+	g_clear_pointer(&l->records.workers, g_bytes_unref);
+	g_clear_pointer(&l->records.progress, g_hash_table_unref);
+	g_clear_pointer(&l->records.defs, g_hash_table_unref);
 	g_ptr_array_set_size(l->ranges, 0);
 	l->reading_tail = false;
 	l->tail_offset_known = false;
@@ -190,7 +200,7 @@
 void
 cell_loader_end(struct cell_loader *l)
 {
-	drop_read(l);
+	drop_records(l);
 	g_ptr_array_unref(l->ranges);
 	g_free(l);
 }
@@ -200,23 +210,24 @@
 static void
 begin_reading(struct cell_loader *l, ogl_time now)
 {
-	drop_read(l);
+	drop_records(l);
 	l->generation++;
 	add_range(l, NULL, NULL, now);
 	l->tail_pending = false;
 	l->next_request_at = now;
-	l->read.progress = g_hash_table_new_full(
+	l->records.progress = g_hash_table_new_full(
 	    g_str_hash, g_str_equal, g_free, progress_free);
-	l->read.defs =
+	l->records.defs =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, def_free);
 }
 
 static uint32_t
 page_overdue(const struct cell_loader *l, ogl_time store_took)
 {
-	ogl_time ms = store_took / OGL_MS * OVERDUE_FACTOR;
+	ogl_time overdue_ms = store_took / OGL_MS * OVERDUE_FACTOR;
 
-	return (uint32_t)CLAMP(ms, l->page_overdue_min_ms, PAGE_OVERDUE_MAX_MS);
+	return (uint32_t)CLAMP(
+	    overdue_ms, l->page_overdue_min_ms, PAGE_OVERDUE_MAX_MS);
 }
 
 void
@@ -271,7 +282,7 @@
 {
 	l->phase = PHASE_IDLE;
 	l->generation++;
-	drop_read(l);
+	drop_records(l);
 }
 
 static void
@@ -307,7 +318,7 @@
 static void
 on_fenced(void *arg, const struct cell_append_answer *a, ogl_time now)
 {
-	struct cell_loader *l = exchange_end(arg);
+	struct cell_loader *l = request_end(arg);
 
 	if (l == NULL)
 		return;
@@ -338,13 +349,13 @@
 		return;
 	l->fences_pending++;
 	l->next_request_at = now + l->fence_overdue_ms * OGL_MS;
-	l->ops->append(l->ops->backend_ctx, &a, on_fenced, exchange_new(l));
+	l->ops->append(l->ops->backend_ctx, &a, on_fenced, request_new(l));
 }
 
 /* ---- records ---------------------------------------------------------- */
 
 static void
-store_def(struct cell_loader *l, const char *id, struct ogl_str value)
+add_def(struct cell_loader *l, const char *id, struct ogl_str value)
 {
 	Ogl__CellJob *def =
 	    ogl__cell_job__unpack(NULL, value.n, (const uint8_t *)value.p);
@@ -352,7 +363,7 @@
 
 	if (def != NULL && strcmp(def->id, id) == 0 &&
 	    cell_job_def_valid(def, &why)) {
-		g_hash_table_replace(l->read.defs, g_strdup(id), def);
+		g_hash_table_replace(l->records.defs, g_strdup(id), def);
 		return;
 	}
 	l->ops->log(l->ops->ctx, "owner", "record_unreadable", id);
@@ -361,7 +372,7 @@
 }
 
 static void
-store_progress(struct cell_loader *l, const char *id, struct ogl_str value)
+add_progress(struct cell_loader *l, const char *id, struct ogl_str value)
 {
 	Ogl__CellProgress *p =
 	    ogl__cell_progress__unpack(NULL, value.n, (const uint8_t *)value.p);
@@ -369,29 +380,30 @@
 	if (p == NULL)
 		l->ops->log(l->ops->ctx, "owner", "record_unreadable", id);
 	else
-		g_hash_table_replace(l->read.progress, g_strdup(id), p);
+		g_hash_table_replace(l->records.progress, g_strdup(id), p);
 }
 
 static void
-store_record(struct cell_loader *l, const struct cell_record *r)
+apply_record(struct cell_loader *l, const struct cell_record *r)
 {
 	const char *id = r->key + 1;
 	bool def = r->key[0] == 's';
 
 	if (strcmp(r->key, CELL_WORKERS_KEY) == 0 && !r->dropped) {
-		g_clear_pointer(&l->read.workers, g_bytes_unref);
-		l->read.workers = g_bytes_new(r->value.p, r->value.n);
+		g_clear_pointer(&l->records.workers, g_bytes_unref);
+		l->records.workers = g_bytes_new(r->value.p, r->value.n);
 		return;
 	}
 	if (strlen(r->key) != CELL_ID_LEN + 1)
 		return;
 	/* Dropped since the first read: the job has ended or is forgotten. */
 	if (r->dropped)
-		g_hash_table_remove(def ? l->read.defs : l->read.progress, id);
+		g_hash_table_remove(
+		    def ? l->records.defs : l->records.progress, id);
 	else if (def)
-		store_def(l, id, r->value);
+		add_def(l, id, r->value);
 	else
-		store_progress(l, id, r->value);
+		add_progress(l, id, r->value);
 }
 
 /* ---- pages ------------------------------------------------------------ */
@@ -400,8 +412,8 @@
 finish_loading(struct cell_loader *l, ogl_time now)
 {
 	l->phase = PHASE_IDLE;
-	l->events.loaded(l->events.arg, &l->read, now);
-	drop_read(l);
+	l->events.loaded(l->events.arg, &l->records, now);
+	drop_records(l);
 }
 
 static void
@@ -415,7 +427,7 @@
 	l->reading_tail = true;
 }
 
-/* Part of the id space that lies below this id, 0 to 1. */
+/* Fraction of the id space that lies below this id, 0 to 1. */
 static double
 fraction_of_id(const char *id)
 {
@@ -425,8 +437,8 @@
 	return (double)g_ascii_strtoull(digits, NULL, 16) / 4294967296.0;
 }
 
-/* The same for a key with the given prefix; otherwise for any other key or
- * NULL. */
+/* Returns fraction_of_id for a key with the given prefix, and the value of
+ * `otherwise` for any other key or NULL. */
 static double
 fraction_of_key(const char *key, char prefix, double otherwise)
 {
@@ -436,8 +448,8 @@
 }
 
 /* Splits the keys between after and until, which have one prefix, into ranges
- * of about a page each.  covered: part of the id space that the last page held.
- */
+ * of about a page each.  covered: fraction of the id space that the last page
+ * covered. */
 static void
 split_prefix(struct cell_loader *l, const char *after, const char *until,
     double covered, ogl_time now)
@@ -445,16 +457,18 @@
 	char prefix = after[0];
 	double from = fraction_of_key(after, prefix, 0);
 	double to = fraction_of_key(until, prefix, 1);
-	double left = (to - from) / (covered * PAGE_FILL);
-	unsigned n = (unsigned)CLAMP(left, 0, PARALLEL_PAGES_MAX - 1) + 1;
+	double pages_left = (to - from) / (covered * RANGE_PER_PAGE);
+	unsigned pages =
+	    (unsigned)CLAMP(pages_left, 0, PARALLEL_PAGES_MAX - 1) + 1;
 	char *key = g_strdup(after);
 	unsigned i;
 
-	for (i = 1; i <= n; i++) {
-		double at = from + (to - from) * i / n;
-		char *next = i == n ? g_strdup(until)
-				    : g_strdup_printf("%c%08x", prefix,
-					  (unsigned)(at * 4294967295.0));
+	for (i = 1; i <= pages; i++) {
+		double fraction = from + (to - from) * i / pages;
+		char *next = i == pages
+				 ? g_strdup(until)
+				 : g_strdup_printf("%c%08x", prefix,
+				       (unsigned)(fraction * 4294967295.0));
 
 		add_range(l, key, next, now);
 		g_free(key);
@@ -504,10 +518,10 @@
 	return true;
 }
 
-/* Stores the records of a page that lie in its range; true if the range is now
+/* Applies the records of a page that lie in its range; true if the range is now
  * completely read. */
 static bool
-store_page(struct cell_loader *l, const struct range *r,
+apply_page(struct cell_loader *l, const struct range *r,
     const struct cell_newest_answer *a)
 {
 	size_t i;
@@ -517,12 +531,13 @@
 
 		if (r->until != NULL && strcmp(record->key, r->until) > 0)
 			return true;
-		store_record(l, record);
+		apply_record(l, record);
 	}
 	return !a->more || a->n == 0;
 }
 
-/* Records written while the pages are read are read again after them. */
+/* The tail starts at the lowest end offset of all pages, as records may be
+ * written while the pages are read. */
 static void
 lower_tail_offset(struct cell_loader *l, uint64_t end)
 {
@@ -556,8 +571,8 @@
 static void
 on_page(void *arg, const struct cell_newest_answer *a, ogl_time now)
 {
-	uint32_t number = ((struct exchange *)arg)->range;
-	struct cell_loader *l = exchange_end(arg);
+	uint32_t number = ((struct request *)arg)->range;
+	struct cell_loader *l = request_end(arg);
 	struct range *r = l != NULL ? find_range(l, number) : NULL;
 
 	if (r == NULL)
@@ -576,18 +591,18 @@
 	}
 	l->next_request_at = now;
 	lower_tail_offset(l, a->end);
-	if (!store_page(l, r, a))
+	if (!apply_page(l, r, a))
 		split_range(l, r, a->records[a->n - 1].key, now);
 	g_ptr_array_remove(l->ranges, r);
 	if (l->ranges->len == 0)
 		all_pages_read(l, now);
 }
 
-/* Records that were written after the first page of PREPARING. */
+/* Applies records that were written after the first page of PREPARING. */
 static void
 on_tail(void *arg, const struct cell_read_answer *a, ogl_time now)
 {
-	struct cell_loader *l = exchange_end(arg);
+	struct cell_loader *l = request_end(arg);
 	size_t i;
 
 	if (l == NULL)
@@ -603,7 +618,7 @@
 		return;
 	}
 	for (i = 0; i < a->n; i++) {
-		store_record(l, &a->records[i]);
+		apply_record(l, &a->records[i]);
 		l->tail_offset = a->records[i].offset + 1;
 	}
 	if (l->tail_offset >= a->end)
@@ -621,7 +636,7 @@
 	    .timeout_ms = l->page_overdue_ms};
 
 	l->tail_pending = true;
-	l->ops->read(l->ops->backend_ctx, &r, on_tail, exchange_new(l));
+	l->ops->read(l->ops->backend_ctx, &r, on_tail, request_new(l));
 }
 
 static void
@@ -631,7 +646,7 @@
 	    .shard = l->shard,
 	    .after = r->after,
 	    .timeout_ms = PAGE_TIMEOUT_MS};
-	struct exchange *x = exchange_new(l);
+	struct request *x = request_new(l);
 
 	if (r->requests_pending > 0)
 		back_off(l);
--- a/cell/loader.h
+++ b/cell/loader.h
@@ -13,7 +13,8 @@
 
 struct cell_loader;
 
-/* The records read; borrowed for the call, jobs may be taken out of defs. */
+/* The records that were read.  They are borrowed for the call, but jobs may be
+ * taken out of defs. */
 struct cell_loaded {
 	GHashTable *progress; /* id -> Ogl__CellProgress */
 	GHashTable *defs;     /* id -> Ogl__CellJob */
@@ -33,17 +34,18 @@
 
 void cell_loader_prepare(
     struct cell_loader *l, ogl_time store_took, ogl_time now);
-/* Reads the jobs while another node still owns the shard, so that an opening
- * within the next seconds has to read only later changes.  store_took: the
- * store's last response time, 0 not known. */
+/* Reads the jobs while another node still owns the shard, so that
+ * cell_loader_open has to read only later changes if it is called within the
+ * next seconds.  store_took: the store's last response time, 0 if unknown. */
 bool cell_loader_prepared(const struct cell_loader *l, ogl_time now);
-/* Whether the jobs were read recently enough to be used by an opening. */
+/* Whether the jobs were read recently enough to be used by cell_loader_open. */
 
 void cell_loader_open(
     struct cell_loader *l, uint64_t epoch, ogl_time store_took, ogl_time now);
 /* Fences the stream with the epoch and reads it; loaded is called at the end.
- * store_took: the store's last response time, 0 not known. */
+ * store_took: the store's last response time, 0 if unknown. */
 void cell_loader_close(struct cell_loader *l);
+/* Drops what was read, and ignores answers that arrive later. */
 
 void cell_loader_step(struct cell_loader *l, ogl_time now);
 /* Sends the requests that are due, and repeats overdue ones. */
