--- a/cell/schedule.c
+++ b/cell/schedule.c
@@ -1,4 +1,6 @@
 /*
+ * Schedules the tasks of a shard in passes over its waiting stages.
+ *
  * Waiting stages are kept in one list per rank (queue priority), oldest first.
  * A pass visits them in the order of
  *
@@ -14,12 +16,13 @@
  * queue's policy allows, the ones that have the least capacity left afterwards.
  * A gang is placed whole or not at all.
  *
- * A gang that finds no room reserves the workers that could hold it soonest
- * for the rest of the pass, against lower ranks and later work of its own
- * rank.  Otherwise smaller work would take all capacity as it becomes free, and
- * the gang would starve.  For the same reason, stages without a tight deadline
- * ask the advice service about the fullest workers first, and a gang that waits
- * for its team's limit blocks lower ranks of the team.
+ * A gang that finds no room reserves the workers that could hold it soonest,
+ * those with the most free capacity, for the rest of the pass, against lower
+ * ranks and later work of its own rank.  Otherwise smaller work would take all
+ * capacity as it becomes free, and the gang would starve.  For the same reason,
+ * stages without a tight deadline ask the advice service about the fullest
+ * workers first, and a gang that waits for its team's limit blocks lower ranks
+ * of the team.
  */
 
 #include <string.h>
@@ -28,18 +31,21 @@
 #include "schedule.h"
 
 #define RANKS 4
-#define PRECEDENCES 6            /* three within and three beyond the rate */
-#define PRECEDENCE_TOO_LATE 2    /* the last of three */
-#define PRECEDENCE_BEYOND_RATE 3 /* the first beyond the rate */
-/* Part of the estimated remaining run time that counts for the precedence of
- * a stage.  Estimates are often off by a fifth, so a stage that would miss its
- * objective by less still counts as in time. */
+/* Precedences are in time, late and too late, first for teams within their rate
+ * and then for teams beyond it. */
+#define PRECEDENCES 6
+#define PRECEDENCE_TOO_LATE 2
+#define PRECEDENCE_BEYOND_RATE 3 /* in time, but beyond the rate */
+/* Fraction of the estimated remaining run time that counts for the precedence
+ * of a stage.  Estimates are often off by a fifth, so a stage that would miss
+ * its objective by less still counts as in time. */
 #define ESTIMATE_FACTOR 0.7
 /* A result later than this many times the objective is worthless. */
 #define LATE_OBJECTIVES_MAX 3
-/* Gangs that may reserve workers in one pass; reserved capacity stays idle. */
+/* Gangs that may reserve workers in one pass.  The number is small because
+ * reserved capacity stays idle. */
 #define RESERVING_GANGS_MAX 2
-/* A stage without room asks about further workers after this time. */
+/* A stage that finds no room for this long asks about further workers. */
 #define ASK_MORE_DELAY (300 * OGL_MS)
 /* The first question names as many workers as the service can judge in this
  * time, because a longer one would delay the start. */
@@ -55,50 +61,53 @@
  * machine, because each waiting stage adds to the interval. */
 #define PASS_INTERVAL (4 * OGL_MS)
 #define PASS_INTERVAL_PER_STAGE_US ((ogl_time)10)
-/* Part of its limit that a team may use for ranks other than 0; otherwise its
- * short urgent work would wait for its own long tasks to end. */
+/* Fraction of its limit that a team may use for ranks other than 0; otherwise
+ * its short urgent work would wait for its own long tasks to end. */
 #define LOWER_RANK_LIMIT_SHARE 0.93
-/* A pass leaves a bucket after this many stages in a row were not placed. */
-#define UNPLACED_IN_ROW_MAX 40
+/* A pass skips the rest of a bucket after this many stages in a row found no
+ * place. */
+#define CONSECUTIVE_UNPLACED_MAX 40
 /* Of the stages that wait for a team's limit, this many of each rank renew
  * their tickets.  Questions for the others would be wasted and would take lanes
  * of the advice service from work that can be started. */
 #define LIMITED_STAGES_ASKING_MAX 2
-/* A stage of rank 0 that its team's limit refuses holds back the team's other
- * ranks for this time after each attempt. */
+/* When a team's limit refuses a stage of rank 0, other ranks of the team are
+ * not started for this long. */
 #define URGENT_HOLD_TIME (150 * OGL_MS)
 
-/* A gang that waits for its team's limit may leave more than half of the limit
- * unused for this time. */
-#define UNDERUSE_MAX (1500 * OGL_MS)
+/* While a gang waits for its team's limit, more than half of the limit may be
+ * unused for this long. */
+#define UNDERUSE_TIME_MAX (1500 * OGL_MS)
 
 /* Cost of one unit of pace, in thousandths of a core left over on a worker. */
 #define PACE_COST_MILLI 60e3
-/* A worker this many times slower than healthy ones is taken for faulty. */
-#define PACE_FAULTY 1.7
-#define PACE_FAULTY_COST_MILLI 300e3
+/* A worker more than this many times slower than healthy ones counts as
+ * faulty. */
+#define FAULTY_PACE_MIN 1.7
+#define FAULTY_PACE_COST_MILLI 300e3
 /* A deadline is tight when the time to the objective is less than this many
  * times the estimated remaining run time. */
 #define TIGHT_DEADLINE_FACTOR 2.0
 
-/* Room counts as spare when no stage lacked it for this time. */
+/* Free capacity counts as spare when no stage has lacked room for this long. */
 #define ROOM_SPARE_AFTER (300 * OGL_MS)
 
 /* State of a team that is kept between passes. */
 struct team_state {
 	ogl_time urgent_limited_at; /* last refusal of rank 0 by its limit */
-	uint64_t pass;              /* pass that the counts below belong to */
-	unsigned nlimited[RANKS];   /* stages refused by its limit, by rank */
+	uint64_t pass;              /* pass of nlimited and waiting_gang_rank */
+	unsigned nlimited[RANKS];   /* refused stages of each rank */
 	ogl_time limited_at;        /* last refusal of any rank */
-	/* In this pass a gang of this rank waits for running tasks of the team
-	 * to end, and lower ranks are not started; RANKS: none. */
+	/* Highest rank of a gang that waits in this pass for running tasks of
+	 * the team to end.  Lower ranks are not started.  RANKS: no gang. */
 	uint32_t waiting_gang_rank;
-	ogl_time underused_since; /* under half of the limit in use; 0 no */
+	/* Since when less than half of the limit is in use; 0: it is not. */
+	ogl_time underused_since;
 };
 
 /* Result of an attempt to place a stage. */
 enum outcome {
-	PLACED,  /* a task was started, or only time has to pass */
+	PLACED,  /* a task was started, or the stage must not start yet */
 	LIMITED, /* its team's limit is reached; other stages may fit */
 	UNPLACED /* no room, or no valid ticket for any worker */
 };
@@ -113,7 +122,7 @@
 	uint64_t pass;           /* number of the current pass */
 	ogl_time no_room_at;     /* last time that a stage found no room */
 	uint64_t free_cpu_milli; /* of schedulable workers as the pass began */
-	GPtrArray *schedulable;  /* workers that take work, most free first */
+	GPtrArray *schedulable;  /* workers that take work, most room first */
 	GPtrArray *buckets[PRECEDENCES][RANKS]; /* struct cell_stage */
 	GPtrArray *candidates; /* scratch: struct cell_worker */
 	GPtrArray *expired;    /* scratch: allowed, with room, ticket expired */
@@ -230,9 +239,9 @@
 	st->queue = q;
 	/* A new stage is nearly always the youngest, so start at the tail. */
 	for (at = q->tail; at != NULL; at = at->prev) {
-		const struct cell_stage *o = at->data;
+		const struct cell_stage *other = at->data;
 
-		if (o->job->accepted <= st->job->accepted)
+		if (other->job->accepted <= st->job->accepted)
 			break;
 	}
 	if (at == NULL)
@@ -267,12 +276,12 @@
 objective_for(
     const struct cell_queue *q, const struct cell_job *j, double chain_ms)
 {
-	double policy = q->policy.needed
-			    ? q->policy.decide_ms + 30 * q->policy.worker_ms
-			    : 0;
+	double policy_ms = q->policy.needed
+			       ? q->policy.decide_ms + 30 * q->policy.worker_ms
+			       : 0;
 
 	return q->objective_ms +
-	       q->slack * (chain_ms + policy * (double)j->def->n_steps);
+	       q->slack * (chain_ms + policy_ms * (double)j->def->n_steps);
 }
 
 static double
@@ -298,18 +307,18 @@
     const struct cell_queue *q, const struct cell_stage *st, ogl_time now)
 {
 	const struct cell_job *j = st->job;
-	double objective = objective_ms(q, j);
-	double end = (double)(now - j->accepted) / OGL_MS +
-		     ESTIMATE_FACTOR * j->chain_from_ms[st->step];
+	double allowed_ms = objective_ms(q, j);
+	double end_ms = (double)(now - j->accepted) / OGL_MS +
+			ESTIMATE_FACTOR * j->chain_from_ms[st->step];
 	unsigned precedence = 0;
 
 	if (st->def->lasting)
 		return 0;
 	if (!CELL_USES_STANDING)
 		precedence = 0;
-	else if (end > LATE_OBJECTIVES_MAX * objective)
+	else if (end_ms > LATE_OBJECTIVES_MAX * allowed_ms)
 		precedence = PRECEDENCE_TOO_LATE;
-	else if (end > objective)
+	else if (end_ms > allowed_ms)
 		precedence = 1;
 	return j->beyond_rate ? precedence + PRECEDENCE_BEYOND_RATE
 			      : precedence;
@@ -320,10 +329,11 @@
     const struct cell_queue *q, const struct cell_stage *st, ogl_time now)
 {
 	const struct cell_job *j = st->job;
-	double left = objective_ms(q, j) - (double)(now - j->accepted) / OGL_MS;
+	double left_ms =
+	    objective_ms(q, j) - (double)(now - j->accepted) / OGL_MS;
 
 	return !st->def->lasting &&
-	       left < TIGHT_DEADLINE_FACTOR * j->chain_from_ms[st->step];
+	       left_ms < TIGHT_DEADLINE_FACTOR * j->chain_from_ms[st->step];
 }
 
 /* ---- candidates ------------------------------------------------------- */
@@ -336,7 +346,7 @@
 		   g_strv_contains((const gchar *const *)w->labels, label));
 }
 
-/* Whether service, label and total capacity of the worker allow the stage. */
+/* Whether the worker's service, labels and total capacity suit the stage. */
 static bool
 could_run(const struct cell_stage *st, const struct cell_worker *w)
 {
@@ -348,6 +358,8 @@
 	       ogl_res_fits(&need, &w->capacity);
 }
 
+/* Whether a gang of the same or a higher rank has reserved the worker, which
+ * stores that gang's rank + 1. */
 static bool
 reserved_against(const struct cell_worker *w, uint32_t rank)
 {
@@ -401,20 +413,21 @@
 	guint i;
 
 	for (i = 0; i < st->approvals->len; i++) {
-		const struct cell_approval *g =
+		const struct cell_approval *approval =
 		    &g_array_index(st->approvals, struct cell_approval, i);
 		struct cell_worker *w =
-		    cell_fleet_by_serial(s->parts.fleet, g->worker);
+		    cell_fleet_by_serial(s->parts.fleet, approval->worker);
 
 		if (w == NULL || w->open_pass != s->pass ||
 		    reserved_against(w, rank) || !cell_worker_fits(w, &need))
 			continue;
-		/* The stage could not use a new ticket for this worker. */
+		/* Not listed, as the stage could not use a new ticket. */
 		if (at_worker_max(s, st, w)) {
 			s->some_at_worker_max = true;
 			continue;
 		}
-		if (g->born_ms == w->incarnation && g->expires > now)
+		if (approval->born_ms == w->incarnation &&
+		    approval->expires > now)
 			g_ptr_array_add(s->candidates, w);
 		else
 			g_ptr_array_add(s->expired, w);
@@ -455,8 +468,8 @@
 }
 
 /*
- * Stages with a tight deadline prefer fast workers.  Others leave these free
- * for them, but avoid faulty workers too.
+ * Stages with a tight deadline prefer fast workers.  Other stages prefer slow
+ * ones, to leave the fast ones free, but also avoid faulty workers.
  */
 static double
 pace_cost(const struct cell_sched *s, const struct cell_worker *w)
@@ -465,16 +478,16 @@
 
 	if (!CELL_USES_PACE)
 		return 0;
-	if (pace > PACE_FAULTY)
-		return PACE_FAULTY_COST_MILLI * pace;
+	if (pace > FAULTY_PACE_MIN)
+		return FAULTY_PACE_COST_MILLI * pace;
 	return s->tight_deadline ? PACE_COST_MILLI * pace
 				 : -PACE_COST_MILLI * pace;
 }
 
 /*
  * Lower is better.  A worker where the task failed before costs most, then one
- * outside of the data's rack; then the least processor capacity left over is
- * best, corrected for pace, which keeps large free workers for gangs.
+ * outside of the data's rack.  Otherwise the cost is the processor capacity
+ * left over, which keeps large free workers for gangs, corrected for pace.
  */
 static double
 placement_cost(const struct cell_sched *s, const struct cell_stage *st,
@@ -519,7 +532,8 @@
 
 /* ---- limits ----------------------------------------------------------- */
 
-/* A step that alone needs more than the share may use the whole limit. */
+/* Whether the need fits into the share of the limit.  A step that alone needs
+ * more than the share may use the whole limit. */
 static bool
 within_limit(uint32_t used, uint64_t need, uint32_t max, double share)
 {
@@ -539,7 +553,7 @@
 	    (uint32_t)((uint64_t)max * part_ppm / CELL_PART_WHOLE_PPM), 1);
 }
 
-/* Resources of the team that this shard may have in use; 0: no limit. */
+/* Resources that the team may use in this shard; 0: no limit. */
 static struct ogl_res
 shard_limit(const struct cell_sched *s, const struct cell_team *t)
 {
@@ -587,14 +601,14 @@
     double share, ogl_time now)
 {
 	struct ogl_res need = cell_stage_need(st);
-	double want =
+	double want_ppm =
 	    ppm_needed_for_tasks(t, used, &need, cell_stage_waiting(st), share);
 
-	if (want > CELL_PART_WHOLE_PPM)
-		want = ppm_needed_for_tasks(t, used, &need, tasks, share);
-	if (want <= CELL_PART_WHOLE_PPM)
+	if (want_ppm > CELL_PART_WHOLE_PPM)
+		want_ppm = ppm_needed_for_tasks(t, used, &need, tasks, share);
+	if (want_ppm <= CELL_PART_WHOLE_PPM)
 		cell_escrow_want(
-		    s->parts.escrow, t->name, (uint32_t)want + 1, now);
+		    s->parts.escrow, t->name, (uint32_t)want_ppm + 1, now);
 }
 
 static struct team_state *
@@ -617,9 +631,10 @@
 }
 
 /*
- * When a team is at its limit, capacity that becomes free goes to its short
- * urgent work (rank 0).  By precedence alone its long tasks would take it, and
- * its lookups would wait for seconds although the cell has room.
+ * Whether other ranks wait because the team's limit refused its urgent work
+ * (rank 0).  By precedence alone, the team's long tasks would take what becomes
+ * free of the limit, and its short urgent tasks would wait for seconds although
+ * the cell has room.
  */
 static bool
 held_back_for_urgent(struct cell_sched *s, const struct cell_stage *st,
@@ -687,7 +702,7 @@
 	return rv < rw ? 1 : rv > rw ? -1 : 0;
 }
 
-/* Number of the tasks that fit into the worker's free capacity. */
+/* Number of tasks that fit into the worker's free capacity. */
 static uint32_t
 free_slots(const struct cell_worker *w, const struct ogl_res *need)
 {
@@ -725,44 +740,47 @@
 	return !st->def->gang && !deadline_is_tight(q, st, now);
 }
 
-/* Workers with room for a task, those with the least room first. */
+/* Adds workers with room for a task, those with the least room first, until the
+ * list has max workers. */
 static void
 list_fullest(const struct cell_sched *s, const struct cell_stage *st, guint max,
-    GPtrArray *a)
+    GPtrArray *workers)
 {
 	struct ogl_res need = cell_stage_need(st);
 	guint i;
 
-	for (i = s->schedulable->len; i-- > 0 && a->len < max;) {
+	for (i = s->schedulable->len; i-- > 0 && workers->len < max;) {
 		struct cell_worker *w = s->schedulable->pdata[i];
 
 		if (cell_worker_fits(w, &need) && not_asked_about(st, w))
-			g_ptr_array_add(a, w);
+			g_ptr_array_add(workers, w);
 	}
 }
 
-/* Asks about workers not yet asked about, those with the most room first, after
- * the fullest ones where the stage may use these. */
+/* Asks about workers not yet asked about: first the fullest ones if the stage
+ * may use these, then those with the most room. */
 static bool
 ask_new(struct cell_sched *s, struct cell_stage *st, const struct cell_queue *q,
     ogl_time now)
 {
 	const struct cell_policy *p = &q->policy;
-	GPtrArray *a = g_ptr_array_new();
+	GPtrArray *workers = g_ptr_array_new();
 	guint max = first_ask_size(s, st, p);
 	bool asked;
 	guint i;
 
 	if (may_use_fullest(q, st, now))
-		list_fullest(s, st, max, a);
-	for (i = 0; i < s->schedulable->len && a->len < max; i++) {
+		list_fullest(s, st, max, workers);
+	for (i = 0; i < s->schedulable->len && workers->len < max; i++) {
 		struct cell_worker *w = s->schedulable->pdata[i];
 
-		if (not_asked_about(st, w) && !g_ptr_array_find(a, w, NULL))
-			g_ptr_array_add(a, w);
+		if (not_asked_about(st, w) &&
+		    !g_ptr_array_find(workers, w, NULL))
+			g_ptr_array_add(workers, w);
 	}
-	asked = cell_advice_ask(s->parts.advice, st, p, a, rank_of(s, st), now);
-	g_ptr_array_unref(a);
+	asked = cell_advice_ask(
+	    s->parts.advice, st, p, workers, rank_of(s, st), now);
+	g_ptr_array_unref(workers);
 	return asked;
 }
 
@@ -833,7 +851,7 @@
 
 /*
  * Logs one line each time the reason changes.  The lines explain why a job was
- * late: the time between two lines was lost for the reason in the first.
+ * late: between two lines it waited for the reason in the first.
  */
 static void
 log_wait(struct cell_sched *s, struct cell_stage *st, enum cell_wait why,
@@ -861,7 +879,7 @@
 	st->wait_since = now;
 }
 
-/* Why a stage that a pass tried to place still has waiting tasks. */
+/* Why a stage still has waiting tasks after a pass tried to place it. */
 static enum cell_wait
 find_wait_reason(const struct cell_sched *s, const struct cell_stage *st,
     const struct cell_policy *p)
@@ -893,12 +911,12 @@
 start_task(struct cell_sched *s, struct cell_stage *st, uint32_t index,
     struct cell_worker *w, uint64_t run, uint32_t rank, ogl_time now)
 {
-	const struct cell_approval *g = cell_advice_approval(st, w);
+	const struct cell_approval *approval = cell_advice_approval(st, w);
 	struct cell_task *t = &st->tasks[index];
 
 	t->run = run;
 	t->active = cell_fleet_start(s->parts.fleet, w, st, index, run,
-	    g != NULL ? g->ticket : NULL, rank, now);
+	    approval != NULL ? approval->ticket : NULL, rank, now);
 	st->nactive++;
 	s->parts.started(s->parts.arg, st, index, now);
 }
@@ -908,7 +926,7 @@
 place_tasks(
     struct cell_sched *s, struct cell_stage *st, uint32_t rank, ogl_time now)
 {
-	bool all = true;
+	bool all_placed = true;
 	uint32_t i;
 
 	g_ptr_array_set_size(s->chosen, 0);
@@ -919,7 +937,7 @@
 		if (t->done || t->active != NULL)
 			continue;
 		if (now < t->not_before) {
-			all = false;
+			all_placed = false;
 			continue;
 		}
 		w = task_startable(t, now) &&
@@ -927,13 +945,13 @@
 			? pick_worker(s, st, t)
 			: NULL;
 		if (w == NULL) {
-			all = false;
+			all_placed = false;
 			break;
 		}
 		start_task(s, st, i, w, s->parts.next_run(s->parts.arg, st),
 		    rank, now);
 	}
-	return all;
+	return all_placed;
 }
 
 static void
@@ -978,6 +996,8 @@
 	return true;
 }
 
+/* Reserves workers that the gang may use, those with the most room first, until
+ * their total capacity is enough for it. */
 static void
 reserve_workers(
     struct cell_sched *s, struct cell_stage *st, uint32_t rank, bool policy)
@@ -1014,7 +1034,7 @@
 }
 
 /* A team whose gang blocks lower ranks may have less than half of its limit in
- * use only for UNDERUSE_MAX. */
+ * use only for UNDERUSE_TIME_MAX. */
 static bool
 may_underuse(struct team_state *t, const struct ogl_res *used,
     const struct ogl_res *max, ogl_time now)
@@ -1027,7 +1047,7 @@
 	}
 	if (t->underused_since == 0)
 		t->underused_since = now;
-	return now - t->underused_since < UNDERUSE_MAX;
+	return now - t->underused_since < UNDERUSE_TIME_MAX;
 }
 
 /*
@@ -1064,7 +1084,7 @@
 {
 	struct team_state *t = team_state_of(s, st->job->def->team);
 
-	if (now - t->limited_at > UNDERUSE_MAX)
+	if (now - t->limited_at > UNDERUSE_TIME_MAX)
 		t->underused_since = 0;
 	t->limited_at = now;
 	if (st->def->gang && precedence % 3 < PRECEDENCE_TOO_LATE &&
@@ -1086,11 +1106,11 @@
 {
 	bool policy = q->policy.needed;
 	uint32_t tasks = st->def->gang ? st->ntasks : 1;
-	uint32_t active;
+	uint32_t active_before;
 	bool placed;
 
 	if (!st->job->settled || !st->job->stored) {
-		/* Asked now, the answer is there when the stage may start. */
+		/* So that the answer is there when the stage may start. */
 		if (g_hash_table_size(st->asked) == 0)
 			request_advice(s, st, q, now);
 		log_wait(s, st,
@@ -1102,7 +1122,7 @@
 		handle_limited(s, st, q, rank, precedence, now);
 		return LIMITED;
 	}
-	active = st->nactive;
+	active_before = st->nactive;
 	list_candidates(s, st, policy, rank, now);
 	s->tight_deadline = deadline_is_tight(q, st, now);
 	if (st->def->gang)
@@ -1121,7 +1141,7 @@
 	request_advice(s, st, q, now);
 	if (st->def->gang && precedence == 0)
 		reserve_workers(s, st, rank, policy);
-	return st->nactive > active ? PLACED : UNPLACED;
+	return st->nactive > active_before ? PLACED : UNPLACED;
 }
 
 /* Placing and asking change the waiting lists, so a pass works on a copy of
@@ -1202,18 +1222,19 @@
 	g_ptr_array_sort(s->schedulable, by_room);
 }
 
-/* After UNPLACED_IN_ROW_MAX stages in a row without room, the later ones are
- * unlikely to find any; they are tried once the first ones have left. */
+/* After CONSECUTIVE_UNPLACED_MAX stages without a place, the later ones are
+ * unlikely to find one.  They are tried once the first ones are placed. */
 static void
 place_bucket(
     struct cell_sched *s, uint32_t rank, unsigned precedence, ogl_time now)
 {
-	GPtrArray *a = s->buckets[precedence][rank];
+	GPtrArray *stages = s->buckets[precedence][rank];
 	unsigned unplaced = 0;
 	guint i;
 
-	for (i = 0; i < a->len && unplaced < UNPLACED_IN_ROW_MAX; i++) {
-		struct cell_stage *st = a->pdata[i];
+	for (i = 0; i < stages->len && unplaced < CONSECUTIVE_UNPLACED_MAX;
+	     i++) {
+		struct cell_stage *st = stages->pdata[i];
 
 		switch (place_stage(
 		    s, st, queue_of(s, st->job), rank, precedence, now)) {
@@ -1271,7 +1292,7 @@
 
 	return cell_worker_schedulable(w, now) && could_run(st, w) &&
 	       cell_worker_fits(w, &need) &&
-	       cell_fleet_pace(s->parts.fleet, w) < PACE_FAULTY;
+	       cell_fleet_pace(s->parts.fleet, w) < FAULTY_PACE_MIN;
 }
 
 bool
--- a/cell/schedule.h
+++ b/cell/schedule.h
@@ -27,13 +27,13 @@
 struct cell_sched *cell_sched_init(const struct cell_sched_parts *parts);
 void cell_sched_end(struct cell_sched *s);
 void cell_sched_clear(struct cell_sched *s);
-/* Removes all stages and forgets the state of all teams. */
+/* Removes all stages and drops the state of all teams. */
 
 void cell_sched_set_config(struct cell_sched *s, struct cell_config *c);
 /* Sets the configuration to be used from now on; takes a reference. */
 
 void cell_sched_set_slow_link(struct cell_sched *s, bool slow_link);
-/* On a slow link fewer workers are asked about at a time. */
+/* On a slow link, a question to the advice service names fewer workers. */
 
 void cell_sched_add(struct cell_sched *s, struct cell_stage *st);
 /* Adds a stage with waiting tasks; adding it twice changes nothing. */
@@ -47,17 +47,18 @@
 
 bool cell_sched_has_room(struct cell_sched *s, struct cell_stage *st,
     const struct cell_worker *other, ogl_time now);
-/* Whether a healthy worker other than that one has room for a task of the stage
+/* Whether a healthy worker other than `other` has room for a task of the stage
  * now; its ticket may have expired.  False if any stage recently found no room,
- * or the team's limit refused one: a task stopped to be moved would then lose
- * its place to waiting work. */
+ * or if the team's limit refused one: if a task were stopped to be moved then,
+ * waiting work would take its place. */
 
 double cell_sched_objective_ms(const struct cell_sched *s, struct cell_job *j);
 /* Time in ms after its acceptance within which the job has to end. */
 
 double cell_sched_measured_objective_ms(
     const struct cell_sched *s, struct cell_job *j);
-/* The same, computed with the measured run times of its steps where known. */
+/* As cell_sched_objective_ms, but with measured run times of the steps where
+ * known. */
 
 size_t cell_sched_waiting(const struct cell_sched *s);
 /* Number of waiting stages. */
