--- a/cell/advice.c
+++ b/cell/advice.c
@@ -34,7 +34,7 @@
 #define LANE_PAUSE (1500 * OGL_MS)
 
 struct lane {
-	char *addr; /* of the node */
+	char *addr; /* address of the node */
 	ogl_time heard_at;
 	ogl_time busy_until;
 	ogl_time paused_until;
--- a/cell/escrow.c
+++ b/cell/escrow.c
@@ -56,7 +56,7 @@
 	uint64_t epoch;  /* epoch of the owner that reported last */
 	uint64_t number; /* number of its last report */
 	uint32_t held;
-	uint32_t used; /* as of the last report; usually less than held */
+	uint32_t used; /* in the last report; usually less than held */
 	uint32_t wanted;
 	bool answer_due; /* the last report was not answered yet */
 };
--- a/cell/escrow.h
+++ b/cell/escrow.h
@@ -28,8 +28,8 @@
 void cell_escrow_end(struct cell_escrow *e);
 
 void cell_escrow_open(struct cell_escrow *e, uint64_t epoch);
-/* The shard has a new owner: it holds nothing yet, and knows nothing of the
- * other shards. */
+/* This node now owns the shard, which holds no part yet and knows nothing of
+ * the other shards. */
 void cell_escrow_close(struct cell_escrow *e);
 
 uint32_t cell_escrow_part(struct cell_escrow *e, const char *team);
--- a/cell/shards.h
+++ b/cell/shards.h
@@ -38,8 +38,8 @@
  * NULL and the result is the shard to try first. */
 
 uint32_t cell_shard_of_node(const char *addr, uint32_t shards);
-/* Preferred shard of a node: its owner requests advice through the node, and
- * the node claims it before others. */
+/* Preferred shard of a node.  The shard's owner requests advice through the
+ * node, and the node claims this shard before others. */
 
 #ifdef __cplusplus
 }
