--- a/cell/job.h
+++ b/cell/job.h
@@ -67,14 +67,14 @@
 	GArray *approvals; /* struct cell_approval */
 	GHashTable *asked; /* set of serials of workers the policy judged */
 	bool asking;
-	enum cell_wait wait_reason; /* as last logged */
+	enum cell_wait wait_reason; /* reason last logged */
 	ogl_time wait_since;
 	ogl_time blocked_since; /* when placing it first failed; 0: placed */
 };
 
 struct cell_occurrence {
 	uint32_t number;
-	ogl_time due; /* on the wall clock, microseconds */
+	ogl_time due; /* wall clock, microseconds */
 	struct cell_stage *stages;
 	uint32_t nstages_done;
 };
@@ -93,16 +93,16 @@
 	bool beyond_rate;      /* submitted beyond its team's rate */
 	bool dirty;            /* queued in the journal */
 	bool write_def;        /* the submission has to be written */
-	bool drop_def;         /* its record has to be dropped */
+	bool drop_def;         /* the submission has to be dropped */
 	bool drop_records;     /* both records have to be dropped */
 	uint32_t nruns;        /* runs on any worker, whatever their state */
 	double cpu_seconds;    /* processor seconds declared, all steps */
 	double chain_ms;       /* longest chain of declared run times */
 	double *chain_from_ms; /* longest such chain from each step on */
 	double *measured_ms;   /* longest finished run of each step; 0 none */
-	bool end_stored;       /* its end is stored, so callers may see it */
+	bool end_stored;       /* the end is stored, so callers may see it */
 	uint64_t queue_config_version;   /* version of queue_config */
-	struct cell_queue *queue_config; /* its queue; NULL not looked up */
+	struct cell_queue *queue_config; /* NULL not looked up yet */
 	/* Tasks that do not run may be started: the job was accepted by this
 	 * owner, or all workers have answered since the takeover. */
 	bool settled;
@@ -169,8 +169,8 @@
 /* Restores the progress that an earlier owner wrote; makes no runs. */
 
 struct cell_task *cell_stage_shared_task(struct cell_stage *s, uint32_t index);
-/* The task that holds attempts, checkpoint and earliest start: the first one of
- * a gang, whose members share them. */
+/* The task that holds attempts, checkpoint and earliest start.  Members of a
+ * gang share those of its first task. */
 
 void cell_task_save_checkpoint(struct cell_task *t, const char *checkpoint);
 /* Replaces the checkpoint; an empty one or NULL changes nothing. */
--- a/cell/journal.c
+++ b/cell/journal.c
@@ -94,8 +94,8 @@
 	bool open;
 	uint64_t epoch;
 	uint64_t generation; /* identifies late answers of an earlier epoch */
-	uint64_t seq;        /* of the last batch */
-	uint64_t number;     /* of the last batch */
+	uint64_t seq;        /* seq of the last batch */
+	uint64_t number;     /* number of the last batch */
 	/* An append of the epoch was stored, so the store knows the first seq
 	 * and accepts later appends only in order. */
 	bool epoch_accepted;
@@ -103,12 +103,12 @@
 	bool slow_link;
 	ogl_time last_took; /* latency of the last answered attempt */
 	ogl_time last_sent_at;
-	ogl_time failing_since; /* 0: the last append was stored */
+	ogl_time failing_since; /* 0 if the last append was stored */
 	ogl_time retry_at; /* while failing, no new batch before this time */
 	GPtrArray *marked; /* struct cell_job, for the next append */
 	GHashTable *other_records; /* key -> GBytes, for the next append */
 	GArray *waiters;           /* struct waiter, for the next append */
-	ogl_time urgent_at;        /* OGL_NEVER: no caller waits */
+	ogl_time urgent_at;        /* OGL_NEVER if no caller waits */
 	ogl_time lazy_at;
 	GQueue batches; /* struct batch, not known to be stored, oldest first */
 };
@@ -673,9 +673,9 @@
 /*
  * Takes back all batches after the store has refused every attempt.  The
  * submissions are unmarked and refused; everything else goes into new batches,
- * whose seq starts with that of the oldest one.  Since the nodes
- * that take calls repeat them, one job may have several submissions, both in a
- * batch and for the next one.  All of them are told: a remaining one would get
+ * whose seq starts with that of the oldest one.  Since the nodes that take
+ * calls repeat them, one job may have several submissions, both in a batch and
+ * for the next one.  All of them are told, as a remaining one would get
  * CELL_STORED with a later batch, and a job submitted again under the same id
  * would count as stored although it is not.
  */
