--- a/cell/lead.c
+++ b/cell/lead.c
@@ -58,8 +58,9 @@
 /* An owner without an answer from the store for this long reports that to its
  * peers. */
 #define ABLE_TIMEOUT (750 * OGL_MS)
-/* Added to ABLE_TIMEOUT on a slow link, where answers to heartbeats wait behind
- * the jobs that a new owner reads: the link's time for this many kilobits. */
+/* On a slow link, answers to heartbeats wait behind the jobs that a new owner
+ * reads.  The time that the link needs for this many kilobits is added to
+ * ABLE_TIMEOUT. */
 #define ABLE_EXTRA_KBITS 4000
 #define ABLE_EXTRA_MAX (2 * OGL_SEC)
 /* An owner whose last stored heartbeat and last answered read are both older
@@ -130,7 +131,7 @@
 	unsigned heartbeats_in_flight;
 	bool announced;           /* a heartbeat as this owner was stored */
 	ogl_time heartbeat_at;    /* next heartbeat is due */
-	ogl_time heartbeat_took;  /* of the last answered heartbeat */
+	ogl_time heartbeat_took;  /* duration of the last answered one */
 	ogl_time heartbeat_ok_at; /* last heartbeat stored, or ownership won */
 	bool heartbeat_refused;   /* the last answer was a refusal */
 	ogl_time dead_hint_at;    /* last sign that the owner's process ended */
@@ -750,7 +751,7 @@
 	append(s, &m, on_heartbeat, h);
 }
 
-/* If a claim is refused or its answer lost, the claims are read: the last one
+/* If a claim is refused or its answer lost, the claims are read.  The last one
  * names the owner, which may be this node. */
 static void
 on_claim(void *arg, const struct cell_append_answer *a, ogl_time now)
--- a/cell/lead.h
+++ b/cell/lead.h
@@ -102,7 +102,7 @@
  * that had announced itself by then is known. */
 bool cell_lead_announced(const struct cell_lead *l, uint32_t shard);
 /* Whether this node owns the shard and its first heartbeat is on the stream.
- * Before that it must not call a worker: an earlier owner relies on
+ * Before that it must not call a worker, because an earlier owner relies on
  * cell_lead_confirmed_at to learn of any owner that calls workers. */
 
 bool cell_lead_may_act(const struct cell_lead *l, uint32_t shard, ogl_time now);
