--- a/cell/relay.c
+++ b/cell/relay.c
@@ -66,7 +66,7 @@
 	ogl_time backoff_until;
 	uint64_t unanswered; /* consecutive calls without an answer */
 	Ogl__CellOrders batch;
-	size_t batch_capacity; /* in orders */
+	size_t batch_capacity; /* number of orders */
 	ogl_time batch_since;  /* when the batch's first order was added */
 };
 
@@ -99,7 +99,7 @@
 	uint32_t link_kbps;
 	bool active;       /* calls are relayed, as the link can't carry them */
 	ogl_time now;      /* time of the last step or event */
-	uint64_t token;    /* of the last call */
+	uint64_t token;    /* token of the last call */
 	GHashTable *nodes; /* addr -> struct node */
 	GPtrArray *sorted; /* struct node, sorted by address */
 	GHashTable *calls; /* token -> struct pending_call */
--- a/cell/relay.h
+++ b/cell/relay.h
@@ -62,9 +62,8 @@
 
 ogl_time cell_relay_min_delay(const struct cell_relay *r, ogl_time now);
 /* Shortest time in which a recent start or stop was answered; 0 if there is
- * none.  Workers and relays differ in speed: the delay that all answers have in
- * common is that of this node's link.  Holds are left out, as they wait at the
- * worker. */
+ * none.  Workers and relays differ in speed, but each answer includes the delay
+ * of this node's link.  Holds are left out, as they wait at the worker. */
 
 bool cell_relay_active(const struct cell_relay *r);
 /* Whether calls are relayed because this node's link is too slow. */
--- a/cell/relay_serve.c
+++ b/cell/relay_serve.c
@@ -84,7 +84,7 @@
 struct batch {
 	uint32_t shard;
 	char *owner;         /* address of the owner */
-	ogl_time created_at; /* when its first answer was added */
+	ogl_time created_at; /* time of its first answer */
 	GPtrArray *answers;  /* Ogl__CellOrderAnswer */
 };
 
@@ -189,7 +189,8 @@
 /* The workers' entries that were sent to the owner of a shard. */
 struct list_reader {
 	char *owner;
-	uint64_t next_offset; /* of its next read if it got the last answer */
+	/* Offset of the owner's next read if it gets the last answer. */
+	uint64_t next_offset;
 	GHashTable *sent; /* worker -> GBytes of its entry without the offset */
 };
 
@@ -200,7 +201,7 @@
 	uint32_t shard;
 	char *owner; /* address of the owner */
 	uint64_t token;
-	uint64_t from; /* only for a read of the list: its first offset */
+	uint64_t from; /* first offset of a read of the list */
 };
 
 static struct call *
