--- a/cell/schedule.c
+++ b/cell/schedule.c
@@ -51,7 +51,7 @@
  * time, because a longer one would delay the start. */
 #define FIRST_ASK_BUDGET_MS 650.0
 #define FIRST_ASK_MIN_WORKERS 16
-/* Workers asked about per waiting task on a slow link: the answer carries a
+/* Workers asked about per waiting task on a slow link, as the answer carries a
  * ticket for each worker that is allowed. */
 #define SLOW_LINK_WORKERS_PER_TASK 6
 /* Expired tickets are renewed for at most this many workers at a time. */
@@ -121,15 +121,16 @@
 	GHashTable *team_states; /* team -> struct team_state */
 	uint64_t pass;           /* number of the current pass */
 	ogl_time no_room_at;     /* last time that a stage found no room */
-	uint64_t free_cpu_milli; /* of schedulable workers as the pass began */
-	GPtrArray *schedulable;  /* workers that take work, most room first */
+	/* Free capacity of schedulable workers when the pass began. */
+	uint64_t free_cpu_milli;
+	GPtrArray *schedulable; /* workers that take work, most room first */
 	GPtrArray *buckets[PRECEDENCES][RANKS]; /* struct cell_stage */
 	GPtrArray *candidates; /* scratch: struct cell_worker */
 	GPtrArray *expired;    /* scratch: allowed, with room, ticket expired */
 	GPtrArray *chosen;     /* scratch: struct cell_worker, one per task */
 	bool tight_deadline;   /* scratch: of the current stage */
-	/* scratch: an allowed worker has room, but no more tasks of the stage
-	 * may be put on it */
+	/* scratch: an allowed worker has room, but already runs worker_max
+	 * tasks of the stage */
 	bool some_at_worker_max;
 	ogl_time next_pass_at; /* earliest time of the next pass */
 };
@@ -731,8 +732,8 @@
 	       could_run(st, w);
 }
 
-/* Whether the stage can use the small free capacity of full workers: it has no
- * tight deadline, and its tasks start one by one. */
+/* Whether the stage can use the small free capacity of nearly full workers.  It
+ * can if it has no tight deadline and its tasks start one by one. */
 static bool
 may_use_fullest(
     const struct cell_queue *q, const struct cell_stage *st, ogl_time now)
@@ -801,7 +802,7 @@
 
 /*
  * Renews the expired tickets of allowed workers that have room.  A gang that
- * would not fit even then does not ask: its tickets would expire unused, and
+ * would not fit even then does not ask, as its tickets would expire unused and
  * the service answers one question at a time.
  */
 static bool
--- a/cell/schedule.h
+++ b/cell/schedule.h
@@ -3,8 +3,8 @@
  * are started, and on which workers.
  */
 
-#ifndef OGL_CELL_SCHED_H
-#define OGL_CELL_SCHED_H
+#ifndef OGL_CELL_SCHEDULE_H
+#define OGL_CELL_SCHEDULE_H
 
 #include "advice.h"
 #include "escrow.h"
