--- a/cell/loader.c
+++ b/cell/loader.c
@@ -437,13 +437,13 @@
 	return (double)g_ascii_strtoull(digits, NULL, 16) / 4294967296.0;
 }
 
-/* Returns fraction_of_id for a key with the given prefix, and the value of
- * `otherwise` for any other key or NULL. */
+/* Returns fraction_of_id for a key with the given prefix, and fallback for any
+ * other key or NULL. */
 static double
-fraction_of_key(const char *key, char prefix, double otherwise)
+fraction_of_key(const char *key, char prefix, double fallback)
 {
 	if (key == NULL || key[0] != prefix || key[1] == '\0')
-		return otherwise;
+		return fallback;
 	return fraction_of_id(key + 1);
 }
 
