--- a/cell/escrow.c
+++ b/cell/escrow.c
@@ -36,7 +36,8 @@
 /* Delay before the next report or query after a grant that was less than
  * wanted: other shards have to return something first. */
 #define DENIED_BACKOFF (60 * OGL_MS)
-/* A message without an answer for this long, or its recipient, counts as lost. */
+/* A message without an answer for this long, or its recipient, counts as
+ * lost. */
 #define ANSWER_TIMEOUT (120 * OGL_MS)
 /* How often each team is checked for messages to repeat and parts to return. */
 #define SWEEP_INTERVAL (100 * OGL_MS)
