--- a/src/queue.c
+++ b/src/queue.c
@@ -239,7 +239,7 @@
 
 	if (it != NULL && it->state != OGL_QUEUE_POPPED)
 		return;
-	if (it == NULL) /* found running, e.g. by a new owner */
+	if (it == NULL) /* it was found running, e.g. by a new owner */
 		it = item_new(q, w);
 	it->state = OGL_QUEUE_RUNNING;
 	it->started_at = now;
--- a/src/queue.h
+++ b/src/queue.h
@@ -10,13 +10,13 @@
 
 enum ogl_queue_state {
 	OGL_QUEUE_WAITING,  /* in the policy's order */
-	OGL_QUEUE_DEFERRED, /* waits, but did not fit; in no order */
+	OGL_QUEUE_DEFERRED, /* waits, not in the policy's order */
 	OGL_QUEUE_POPPED,   /* handed out, not yet started or deferred */
 	OGL_QUEUE_RUNNING
 };
 
-/* Heaps that an item can be in at once.  Its index in each is kept in
- * ogl_queue_item.slot. */
+/* Uses of a heap.  An item is in at most one heap of each use; its index there
+ * is kept in ogl_queue_item.slot. */
 enum ogl_queue_heap_use {
 	OGL_HEAP_POLICY,
 	OGL_HEAP_AGE,
@@ -34,7 +34,7 @@
 	/* Owned by the policy. */
 	void *policy_team;   /* its state for the item's team */
 	uint64_t policy_key; /* hash of kind, size class and label */
-	uint32_t level;      /* of the expected run time */
+	uint32_t level;      /* class of the expected run time */
 	bool ranked;         /* level is set; deferring the item keeps it */
 	bool deferred;       /* counted against its team until pushed again */
 	bool aged;           /* popped early because it had waited too long */
@@ -82,7 +82,7 @@
 struct ogl_queue_item *ogl_queue_heap_top(const struct ogl_queue_heap *h);
 
 double ogl_queue_demand(const struct ogl_work *w);
-/* Demand of all its tasks for their dominant resource, in processors of a
- * reference worker; for a short request the number of slots. */
+/* What all tasks of the work need of their dominant resource, in processors of
+ * a reference worker; for a short request the number of slots. */
 
 #endif
--- a/src/queue_learned.c
+++ b/src/queue_learned.c
@@ -11,10 +11,10 @@
  * in turns: a turn of a long item costs as much as a thousand short ones, so
  * by turns long items would receive nearly all service.
  *
- * Short work may overtake other teams' turns: the shortest, then longest
- * waiting, short item of all teams goes first while its team is at most a
- * small debt ahead of its share.  The debt bounds the cost to other teams,
- * however a team labels its work.
+ * A short item may go before the team whose turn it is.  Among the teams that
+ * are ahead of their share by at most a small debt, the short item with the
+ * lowest level goes first, on equal levels the one that has waited longest.
+ * The debt bounds the cost to other teams, however a team labels its work.
  *
  * What counts as short is relative to the other work, not a fixed time: a
  * request of one second is long, a task of one second is short.  The boundary
@@ -40,18 +40,18 @@
 
 #define LEVELS 24 /* the last holds all run times from 2^23 ms */
 #define MS_PER_SEC 1000.0
-#define SHORT_LEVEL_INITIAL 6 /* until there is service to split; < 128 ms */
+#define SHORT_LEVEL_INITIAL 6 /* < 128 ms; used until service is counted */
 #define SHORT_UPDATE_INTERVAL OGL_SEC
 #define SERVICE_HALVE_ITEMS 1024 /* ended items between halvings of service */
-#define AWAITED_BOOST_LEVELS 1u  /* by which awaited work ranks shorter */
+#define AWAITED_BOOST_LEVELS 1u  /* subtracted from awaited work's level */
 
-/* Most that aged items may hold, as a part of what their team holds. */
+/* Largest part of a team's held resources that its aged items may hold. */
 #define AGED_FRACTION 0.25
 #define AGED_FRACTION_LONG 0.5  /* while the team has no short work waiting */
-#define AGED_CREDIT_MAX_SEC 1.0 /* aged_debt >= -this * held */
+#define AGED_CREDIT_MAX_SEC 1.0 /* aged_debt is at least -held times this */
 
-#define DEMOTIONS_MAX 16                /* per pop */
-#define COUNTED_RUN_MAX (600 * OGL_SEC) /* run time counted of one item */
+#define DEMOTIONS_MAX 16                /* items demoted in one search */
+#define COUNTED_RUN_MAX (600 * OGL_SEC) /* longest run counted per item */
 
 struct team {
 	struct learned *policy;
@@ -72,7 +72,7 @@
  * own, so that scanning all teams reads contiguous memory. */
 struct team_head {
 	uint32_t level; /* LEVELS when nothing waits */
-	ogl_time since;
+	ogl_time waiting_since;
 	uint64_t seq;
 	struct team *team;
 };
@@ -125,7 +125,7 @@
 }
 
 static void
-learned_team(void *data, const char *team, double share)
+learned_set_team_share(void *data, const char *team, double share)
 {
 	struct learned *p = data;
 
@@ -167,7 +167,6 @@
 	return t;
 }
 
-/* Level of the expected run time. */
 static uint32_t
 run_level(struct team *t, const struct ogl_queue_item *it, ogl_time now,
     bool *awaited)
@@ -284,7 +283,7 @@
 		return;
 	h->level = (uint32_t)__builtin_ctz(t->used_levels);
 	it = ogl_queue_heap_top(&t->level[h->level]);
-	h->since = it->w.waiting_since;
+	h->waiting_since = it->w.waiting_since;
 	h->seq = it->seq;
 }
 
@@ -402,8 +401,9 @@
 	t->aged_debt_at = MAX(t->aged_debt_at, now);
 }
 
-/* One aged item at a time may always run while there is no debt; otherwise a
- * team that holds little could never start any.  Its debt delays the next. */
+/* Without debt, one aged item may always run, even if it exceeds the allowed
+ * part; otherwise a team that holds little could never start any.  The debt
+ * that it causes delays the next one. */
 static bool
 may_serve_aged(struct team *t, ogl_time now)
 {
@@ -436,8 +436,8 @@
 {
 	if (a->level != b->level)
 		return a->level < b->level;
-	if (a->since != b->since)
-		return a->since < b->since;
+	if (a->waiting_since != b->waiting_since)
+		return a->waiting_since < b->waiting_since;
 	return a->seq < b->seq;
 }
 
@@ -480,8 +480,8 @@
 	    p->fair, exp2(split.long_mean_level) / MS_PER_SEC);
 }
 
-/* First by level, then by wait, of the short items of teams that may
- * overtake. */
+/* Of the short items of teams that may overtake, the one with the lowest level;
+ * on equal levels the one that has waited longest. */
 static struct ogl_queue_item *
 pick_overtaking_by_level(struct learned *p, ogl_time now)
 {
@@ -503,8 +503,8 @@
 	return ogl_queue_heap_top(&best->team->level[best->level]);
 }
 
-/* Repeats the choice when the item chosen turned out to be longer than it was
- * ranked. */
+/* Repeats the choice when the chosen item had to be demoted to a higher
+ * level. */
 static struct ogl_queue_item *
 pick_overtaking(struct learned *p, ogl_time now)
 {
@@ -530,9 +530,9 @@
 	if (now - p->short_updated_at >= SHORT_UPDATE_INTERVAL)
 		update_short_level(p, now);
 	it = pick_overtaking(p, now);
-	/* The team whose turn it is doesn't overtake anyone, so its aged items
-	 * may go before its short work; otherwise endless short work would
-	 * starve them. */
+	/* When the short item belongs to the team whose turn it is, the aged
+	 * items of that team may go before it; otherwise an endless supply of
+	 * short work would starve them. */
 	if (it == NULL || it->policy_team == ogl_fair_data(leaf))
 		it = team_next(ogl_fair_data(leaf), now);
 	learned_unlink(p, it);
@@ -586,7 +586,7 @@
     .name = "learned",
     .init = learned_init,
     .end = learned_end,
-    .set_team_share = learned_team,
+    .set_team_share = learned_set_team_share,
     .push = learned_push,
     .pop = learned_pop,
     .unlink = learned_unlink,
