--- a/src/budget.c
+++ b/src/budget.c
@@ -1,12 +1,12 @@
 /*
- * Retry budget.
+ * Retry budget: a token bucket, one token for each retry.
  *
  * When targets are overloaded, each retry adds load and makes more requests
  * fail, so the overload outlasts its cause: load stays high while few
- * requests succeed.  Therefore retries are paid for by successes.  Each
- * success adds a tenth of a retry, up to a small maximum, and time adds
- * retries at a low rate so that a node with few requests can retry at all.
- * Retries thus increase the load by a tenth at most.
+ * requests succeed.  Therefore the number of retries is bounded by the number
+ * of successes.  Each success adds a tenth of a retry, up to a small maximum,
+ * and time adds retries at a low rate so that a node with few requests can
+ * retry at all.  Retries thus increase the load by a tenth at most.
  */
 
 #include "budget.h"
--- a/src/fair.c
+++ b/src/fair.c
@@ -2,10 +2,11 @@
  * Hierarchical weighted fair sharing.
  *
  * Each node of the tree has a virtual time: service received divided by
- * weight.  Service is counted as it is received, resource held times the time
- * held, so a team's charge depends neither on run time estimates nor on
- * labels, and not on how work is split or cancelled.  At each level the next
- * item comes from the child with waiting work and the smallest
+ * weight.  Service is the resource held, multiplied by the time it is held, and
+ * is counted while it is received.  A team's charge therefore does not depend
+ * on run time estimates, on labels, or on how work is split or cancelled.  At
+ * each level the next item comes from the child with waiting work and the
+ * smallest
  *
  *	vtime + lookahead * (held + deferred) / weight
  *
@@ -15,12 +16,12 @@
  * and would then hold far more than its share.
  *
  * The virtual clock of a node is the smallest virtual time among its children
- * with waiting work; it never goes back.  The virtual time of a child that
- * begins to wait is raised to that clock minus a small credit, so an idle team
+ * with waiting work; it never goes back.  When a child begins to wait, its
+ * virtual time is raised to that clock minus a small credit, so an idle team
  * accumulates no claim.  When the first child of a node begins to wait, there
- * has been room for everything below the node until now; the clock then starts
- * at the greatest virtual time and no debts remain, because what a team
- * received beyond its share cost the others nothing.
+ * has been room for all work below the node until now.  What a team received
+ * beyond its share then cost the others nothing, so the clock starts at the
+ * greatest virtual time and no debts remain.
  *
  * A team's own work is a child named "" beside its sub-teams.
  *
@@ -33,8 +34,8 @@
 
 #include "fair.h"
 
-/* In typical run times, see ogl_fair_set_typical_run. */
-#define LOOKAHEAD_RUNS 1.5 /* how long held resources are extrapolated */
+/* Multiples of the typical run time, see ogl_fair_set_typical_run. */
+#define LOOKAHEAD_RUNS 1.5 /* how long held work is assumed to run on */
 #define CREDIT_RUNS 0.15   /* how far behind a returning team may be */
 #define DEBT_RUNS 0.5      /* how far ahead a team may get by overtaking */
 #define TYPICAL_RUN_INITIAL_SEC 0.4
@@ -51,10 +52,10 @@
 	void *data;
 	double weight;
 	double vtime;    /* as of vtime_at */
-	double held;     /* by running work of this subtree */
-	double deferred; /* needed by its work that did not fit */
+	double held;     /* resources of this subtree's running work */
+	double deferred; /* resources that its deferred work needs */
 	ogl_time vtime_at;
-	size_t nwait;         /* waiting items of this subtree */
+	size_t nwaiting;      /* waiting items of this subtree */
 	size_t waiting_index; /* index in parent->waiting */
 	double vclock;        /* virtual clock of its children */
 	double wait_weight;   /* sum of weights over `waiting` */
@@ -157,7 +158,7 @@
 
 	if (!(share > 0.0))
 		return;
-	if (n->nwait != 0 && n->parent != NULL)
+	if (n->nwaiting != 0 && n->parent != NULL)
 		n->parent->wait_weight += share - n->weight;
 	n->weight = share;
 }
@@ -240,7 +241,7 @@
 ogl_fair_add_waiting(struct ogl_fair_node *leaf, ogl_time now)
 {
 	for (struct ogl_fair_node *n = leaf; n->parent != NULL; n = n->parent) {
-		if (n->nwait++ == 0)
+		if (n->nwaiting++ == 0)
 			begin_waiting(n->parent, n, now);
 	}
 }
@@ -249,7 +250,7 @@
 ogl_fair_remove_waiting(struct ogl_fair_node *leaf)
 {
 	for (struct ogl_fair_node *n = leaf; n->parent != NULL; n = n->parent) {
-		if (--n->nwait == 0)
+		if (--n->nwaiting == 0)
 			end_waiting(n->parent, n);
 	}
 }
--- a/src/fair.h
+++ b/src/fair.h
@@ -20,21 +20,22 @@
 /* Sets the weight of a team among its siblings. */
 
 void ogl_fair_set_typical_run(struct ogl_fair *f, double sec);
-/* Sets how long the work that receives most of the service runs.  Debts,
- * credits and the lookahead are multiples of it, because capacity becomes free
- * at that pace. */
+/* Sets the typical run time: that of the work that receives most of the
+ * service.  Debts, credits and the lookahead are multiples of it, because
+ * capacity becomes free at that pace. */
 
 void ogl_fair_add_waiting(struct ogl_fair_node *leaf, ogl_time now);
 void ogl_fair_remove_waiting(struct ogl_fair_node *leaf);
-/* One more or one fewer item of the leaf waits. */
+/* Counts an item of the leaf that begins to wait or no longer waits. */
 
 void ogl_fair_change_held(
     struct ogl_fair_node *leaf, double units, ogl_time now);
-/* The resource held by the leaf's running work changed by `units`. */
+/* Adds `units`, which may be negative, to the resources held by the leaf's
+ * running work. */
 
 void ogl_fair_change_deferred(struct ogl_fair_node *leaf, double units);
-/* Work that needs `units` could not start, or with units < 0 is no longer
- * deferred.  Until then the leaf is ranked as if it held these units. */
+/* Adds `units` to the resources that the leaf's deferred work needs; negative
+ * when work is no longer deferred.  The leaf is ranked as if it held them. */
 
 struct ogl_fair_node *ogl_fair_pick(struct ogl_fair *f, ogl_time now);
 /* The leaf with waiting work that is furthest behind its share; NULL when
