--- a/src/learn.c
+++ b/src/learn.c
@@ -2,8 +2,8 @@
  * Run time estimates by class of work, for one team.
  *
  * The table has a fixed size, with WAYS entries in each bucket; a new class
- * replaces the least recently used one of its bucket.  A flood of labels
- * therefore only evicts entries of the team that sends it.
+ * replaces the least recently used one of its bucket.  A team that sends very
+ * many labels therefore evicts only entries of its own table.
  *
  * An entry keeps a decayed mean of the logarithm of the run time: run times
  * within a class vary by orders of magnitude, and the mean of the logarithm
@@ -15,16 +15,17 @@
  * new classes may be expected to be short; without a token, a new class is
  * expected to take the mean of what the first items of earlier new classes
  * took.  Otherwise a team could have all its work treated as short by giving
- * each item a new label.  This mean is arithmetic, the expected cost of an item
- * that nothing is known about: with the mean of the logarithm, a team that
- * mixes long work into much short work under ever new labels would have the
- * long work treated as short.
+ * each item a new label.  This mean is arithmetic, since it stands for the
+ * expected cost of an item that nothing is known about.  With the mean of the
+ * logarithm, a team could mix long work into much short work under ever new
+ * labels and have the long work treated as short.
  *
- * A class counts as awaited when its items come one after the other: the next
- * is pushed soon after the last has ended, and never while another one waits
- * or runs.  Work that nobody waits for usually comes in batches.  A team that
- * sends long work this way so that it counts as awaited gains little: it has
- * one item of that class in the cell at a time.
+ * A class counts as awaited, that is, a caller seems to wait for its items,
+ * when most of them come one after the other: each is pushed soon after the
+ * last has ended, and not while another one waits or runs.  Work that nobody
+ * waits for usually comes in batches.  A team that sends long work one by one
+ * so that it counts as awaited gains little, because it then has one item of
+ * that class in the cell at a time.
  */
 
 #include <math.h>
@@ -35,13 +36,13 @@
 
 #define BUCKETS 32
 #define WAYS 4
-#define RUN_WEIGHT 0.125           /* of the newest run time in log_run */
-#define NEW_CLASS_WEIGHT 0.002     /* of the newest class in new_class_run */
-#define NEW_ESTIMATE (20 * OGL_MS) /* of a new class that has a token */
+#define RUN_WEIGHT 0.125           /* newest run time's weight in log_run */
+#define NEW_CLASS_WEIGHT 0.002     /* newest class's in new_class_run */
+#define NEW_ESTIMATE (20 * OGL_MS) /* for a new class that has a token */
 #define NEW_TOKENS_MAX 16.0        /* token bucket for new classes */
 #define NEW_TOKEN_INTERVAL (4 * OGL_SEC)
 #define AWAITED_GAP_MAX (30 * OGL_SEC) /* from an end to the next push */
-#define AWAITED_WEIGHT 0.0625          /* of the newest item in sequential */
+#define AWAITED_WEIGHT 0.0625          /* newest item's in sequential_part */
 #define AWAITED_FRACTION 0.5           /* a class is awaited above this */
 #define ESTIMATE_MIN (1 * OGL_MS)
 #define SIZE_CLASS_BASE_MILLI 1000
@@ -56,14 +57,14 @@
 	uint32_t running;
 	uint32_t waiting;
 	ogl_time last_end;
-	float sequential; /* decayed fraction of sequential items */
-	bool rationed;    /* no token was left for the class */
+	float sequential_part; /* decayed, of items that came one by one */
+	bool without_token;    /* none was left when the class was new */
 };
 
 struct ogl_learn {
 	struct entry entries[BUCKETS][WAYS];
 	double tokens;
-	ogl_time tokens_at;
+	ogl_time tokens_updated_at;
 	double new_class_run; /* mean run time of first items of a class */
 	uint32_t new_classes_ended;
 };
@@ -109,13 +110,13 @@
 {
 	unsigned char key[crypto_shorthash_KEYBYTES] = {0};
 	unsigned char hash[crypto_shorthash_BYTES];
-	uint32_t head[2] = {(uint32_t)w->kind, size_class(w)};
+	uint32_t kind_and_size[2] = {(uint32_t)w->kind, size_class(w)};
 	const char *label = w->label != NULL ? w->label : "";
 	uint64_t work_class;
 
 	/* Keyed, so that callers can't choose labels that share a bucket. */
 	memcpy(key, &seed, sizeof(seed));
-	memcpy(key + sizeof(seed), head, sizeof(head));
+	memcpy(key + sizeof(seed), kind_and_size, sizeof(kind_and_size));
 	crypto_shorthash(
 	    hash, (const unsigned char *)label, strlen(label), key);
 	memcpy(&work_class, hash, sizeof(work_class));
@@ -123,7 +124,7 @@
 }
 
 static struct entry *
-find(struct ogl_learn *l, uint64_t work_class)
+find_entry(struct ogl_learn *l, uint64_t work_class)
 {
 	struct entry *b = l->entries[work_class % BUCKETS];
 
@@ -137,10 +138,11 @@
 static bool
 take_token(struct ogl_learn *l, ogl_time now)
 {
-	double earned = (double)(now - l->tokens_at) / NEW_TOKEN_INTERVAL;
+	double earned =
+	    (double)(now - l->tokens_updated_at) / NEW_TOKEN_INTERVAL;
 
 	l->tokens = MIN(NEW_TOKENS_MAX, l->tokens + MAX(earned, 0.0));
-	l->tokens_at = now;
+	l->tokens_updated_at = now;
 	if (l->tokens < 1.0)
 		return false;
 	l->tokens -= 1.0;
@@ -164,14 +166,14 @@
 	memset(e, 0, sizeof(*e));
 	e->work_class = work_class;
 	e->used_at = now;
-	e->rationed = !take_token(l, now);
+	e->without_token = !take_token(l, now);
 	return e;
 }
 
 static struct entry *
-touch(struct ogl_learn *l, uint64_t work_class, ogl_time now)
+find_or_replace(struct ogl_learn *l, uint64_t work_class, ogl_time now)
 {
-	struct entry *e = find(l, work_class);
+	struct entry *e = find_entry(l, work_class);
 
 	if (e == NULL)
 		e = replace_entry(l, work_class, now);
@@ -183,38 +185,38 @@
 ogl_learn_estimate(
     struct ogl_learn *l, uint64_t work_class, ogl_time now, bool *awaited)
 {
-	struct entry *e = touch(l, work_class, now);
+	struct entry *e = find_or_replace(l, work_class, now);
 	ogl_time estimate;
 
 	if (e->ended_items != 0)
 		estimate = e->estimate;
-	else if (e->rationed)
+	else if (e->without_token)
 		estimate = MAX((ogl_time)l->new_class_run, NEW_ESTIMATE);
 	else
 		estimate = NEW_ESTIMATE;
 	if (e->ended_items == 0 && e->running != 0)
 		estimate = MAX(estimate, now - e->first_start);
-	*awaited = e->sequential > AWAITED_FRACTION;
+	*awaited = e->sequential_part > AWAITED_FRACTION;
 	return MAX(estimate, ESTIMATE_MIN);
 }
 
 void
 ogl_learn_pushed(struct ogl_learn *l, uint64_t work_class, ogl_time now)
 {
-	struct entry *e = touch(l, work_class, now);
+	struct entry *e = find_or_replace(l, work_class, now);
 	bool sequential = e->waiting == 0 && e->running == 0 &&
 			  e->last_end != 0 &&
 			  now - e->last_end < AWAITED_GAP_MAX;
 
-	e->sequential +=
-	    AWAITED_WEIGHT * ((sequential ? 1 : 0) - e->sequential);
+	e->sequential_part +=
+	    AWAITED_WEIGHT * ((sequential ? 1 : 0) - e->sequential_part);
 	e->waiting++;
 }
 
 void
 ogl_learn_withdrawn(struct ogl_learn *l, uint64_t work_class)
 {
-	struct entry *e = find(l, work_class);
+	struct entry *e = find_entry(l, work_class);
 
 	if (e != NULL && e->waiting != 0)
 		e->waiting--;
@@ -223,7 +225,7 @@
 void
 ogl_learn_started(struct ogl_learn *l, uint64_t work_class, ogl_time now)
 {
-	struct entry *e = touch(l, work_class, now);
+	struct entry *e = find_or_replace(l, work_class, now);
 
 	if (e->waiting != 0)
 		e->waiting--;
@@ -235,19 +237,19 @@
 ogl_learn_ended(struct ogl_learn *l, uint64_t work_class, ogl_time ran, bool ok,
     ogl_time now)
 {
-	struct entry *e = touch(l, work_class, now);
-	double x = log((double)MAX(ran, ESTIMATE_MIN));
+	struct entry *e = find_or_replace(l, work_class, now);
+	double log_ran = log((double)MAX(ran, ESTIMATE_MIN));
 	double weight;
 
 	if (e->running != 0)
 		e->running--;
 	e->last_end = now;
 	/* An early failure doesn't tell how long the work would have run. */
-	if (!ok && e->ended_items != 0 && x < e->log_run)
+	if (!ok && e->ended_items != 0 && log_ran < e->log_run)
 		return;
 	e->ended_items++;
 	weight = MAX(RUN_WEIGHT, 1.0 / e->ended_items);
-	e->log_run += weight * (x - e->log_run);
+	e->log_run += weight * (log_ran - e->log_run);
 	e->estimate = (ogl_time)exp(e->log_run);
 	if (e->ended_items == 1) {
 		l->new_classes_ended++;
