--- a/src/json.c
+++ b/src/json.c
@@ -25,14 +25,14 @@
 
 #include "json.h"
 
-#define BRIEF_MAX_BYTES 60 /* of a faulty value that are quoted */
+#define BRIEF_MAX_BYTES 60 /* longest quotation of a faulty value */
 #define ROOT_PATH "$"      /* path of faults in the whole text */
 
 /* State of one walk. */
 struct reader {
 	struct ogl_faults *faults;
-	GString *path;  /* of the current value */
-	unsigned depth; /* messages around the current value */
+	GString *path;  /* path of the current value */
+	unsigned depth; /* number of messages that contain it */
 };
 
 static ProtobufCMessage *read_message(
@@ -312,7 +312,7 @@
 	}
 }
 
-/* The field's length counts only the elements read so far, so that the message
+/* The stored length counts only the elements read so far, so that the message
  * can be freed after a fault in the list. */
 static void
 read_list(struct reader *r, const ProtobufCFieldDescriptor *f, const json_t *v,
--- a/src/message.c
+++ b/src/message.c
@@ -1,10 +1,10 @@
-/* Helper functions for generated messages, shared by several parts. */
+/* Copies of protobuf-c messages, and the JSON body of error replies. */
 
 #include <string.h>
 
 #include "message.h"
 
-/* Packs and unpacks the message, which works for any type of message. */
+/* Copies by packing and unpacking, which works for every type of message. */
 void *
 ogl_message_copy(const ProtobufCMessage *m)
 {
--- a/src/message.h
+++ b/src/message.h
@@ -1,4 +1,4 @@
-/* Copies of messages, and the body of error replies. */
+/* Copies of messages, and the JSON body of error replies. */
 
 #ifndef OGL_MESSAGE_H
 #define OGL_MESSAGE_H
