--- a/src/place.c
+++ b/src/place.c
@@ -1,15 +1,15 @@
 /*
- * Placement: which worker a task runs on, and what workers hold.
+ * Placement: which worker a task runs on, and the resources held on workers.
  *
  * Every zone has one grid of free room (place_grid.c) for each group of workers
- * by free accelerators; tasks that need none try workers without any first.
+ * by free accelerators; tasks that need none first try workers without any.
  * place_index.c keeps the grids, place_pick.c has the policies of the kinds,
  * place_gang.c places gangs, place_aside.c quarantines failing workers.  Needs
- * found to fit nowhere are remembered until some worker gains room for them, so
+ * that fit on no worker are remembered until a worker gains room for them, so
  * a full cell refuses a task after a few comparisons.
  *
  * Invariant: on no worker does the sum of what is held exceed its capacity,
- * unless the worker itself lowered its capacity; then it gets no more.
+ * unless the worker itself lowered its capacity; then it gets no more tasks.
  */
 
 #include <string.h>
@@ -179,11 +179,11 @@
 }
 
 static void
-count_capacity(struct ogl_place *p, const struct ogl_res *r, int by)
+count_capacity(struct ogl_place *p, const struct ogl_res *r, int delta)
 {
 	guint n = GPOINTER_TO_UINT(g_hash_table_lookup(p->capacity_counts, r));
 
-	n = (guint)((int)n + by);
+	n = (guint)((int)n + delta);
 	if (n == 0)
 		g_hash_table_remove(p->capacity_counts, r);
 	else
@@ -204,7 +204,8 @@
 	g_free(z);
 }
 
-/* Returns the number of a zone; zones beyond 255 share the last number. */
+/* Returns the number of a zone.  Zones beyond the first 255 share the last
+ * number. */
 static uint16_t
 zone_number(struct ogl_place *p, const char *name)
 {
@@ -247,7 +248,7 @@
 }
 
 static uint32_t
-new_number(struct ogl_place *p)
+new_worker_number(struct ogl_place *p)
 {
 	uint32_t w;
 
@@ -269,7 +270,7 @@
 }
 
 static void
-leave_rack(struct ogl_place *p, uint32_t w)
+remove_from_rack(struct ogl_place *p, uint32_t w)
 {
 	GArray *a = ogl_place_rack_at(p, p->entries[w].rack)->workers;
 	uint32_t i;
@@ -307,9 +308,9 @@
 		ogl_place_unindex(p, w);
 		count_capacity(p, &k->capacity, -1);
 		recount_jobs(p, w, false);
-		leave_rack(p, w);
+		remove_from_rack(p, w);
 	} else {
-		w = new_number(p);
+		w = new_worker_number(p);
 		k = &p->workers[w];
 		memset(k, 0, sizeof(*k));
 		memset(&p->entries[w], 0, sizeof(p->entries[w]));
@@ -343,7 +344,7 @@
 	ogl_place_unindex(p, w);
 	count_capacity(p, &k->capacity, -1);
 	recount_jobs(p, w, false);
-	leave_rack(p, w);
+	remove_from_rack(p, w);
 	ogl_health_remove_worker(p->health, w);
 	g_hash_table_remove(p->worker_by_name, k->name);
 	g_free(k->name);
--- a/src/place.h
+++ b/src/place.h
@@ -40,7 +40,7 @@
 	bool by_mem;          /* order by memory, else by processors */
 	unsigned from_class;  /* class to begin at; lower ones come last */
 	uint32_t offers_left; /* 0 ends the search; offer may set it */
-	uint32_t misses_left; /* workers without room still to examine */
+	uint32_t misses_left; /* workers without room that may be examined */
 	bool skipped;         /* some workers that may fit were not examined */
 	void (*offer)(void *ctx, uint32_t w);
 	void *ctx;
@@ -108,7 +108,7 @@
 /* Records that worker w is quarantined; returns when its cooldown ends. */
 
 void ogl_health_resize(struct ogl_health *h, uint32_t workers);
-/* Enlarges the table of jobs for so many workers. */
+/* Enlarges the table of jobs if it is too small for this many workers. */
 
 size_t ogl_health_bytes(const struct ogl_health *h);
 
@@ -118,7 +118,7 @@
 /* ---- shared state ----------------------------------------------------- */
 
 enum ogl_quarantine {
-	OGL_QUARANTINE_NONE,      /* no quarantine */
+	OGL_QUARANTINE_NONE,
 	OGL_QUARANTINE_COOLDOWN,  /* gets no tasks until its delay is over */
 	OGL_QUARANTINE_PROBE_DUE, /* may be given one task */
 	OGL_QUARANTINE_PROBING    /* runs that task */
@@ -137,7 +137,7 @@
 	struct ogl_res held_by_services; /* part of held */
 	struct ogl_job_tasks *jobs;
 	uint16_t njobs, jobs_allocated;
-	uint32_t reserved_tasks;   /* hidden from others; 0 if not in force */
+	uint32_t reserved_tasks;   /* gang tasks it reserves room for now */
 	ogl_time quarantine_until; /* end of the present state */
 	uint8_t quarantine_state;  /* enum ogl_quarantine */
 	bool known;                /* the number is in use */
@@ -158,7 +158,7 @@
 	uint16_t zone;
 	uint64_t cpu, mem, accel; /* avail over indexed workers */
 	GArray *workers;          /* uint32_t */
-	uint32_t last_plan;       /* number of the last plan that used it */
+	uint32_t last_plan;       /* number of the last plan that tried it */
 };
 
 /* A worker with room reserved for some tasks of a gang. */
@@ -178,10 +178,11 @@
 	GArray *workers;    /* struct ogl_reserved_worker */
 };
 
-#define OGL_MAX_NO_FITS 8     /* needs known to fit nowhere */
-#define OGL_MAX_GANG_BOUNDS 4 /* needs known to fit only so many times */
+#define OGL_MAX_NO_FITS 8     /* needs remembered that fit nowhere */
+#define OGL_MAX_GANG_BOUNDS 4 /* bounds remembered for refused gangs */
 
-/* The most tasks with a need that fit, known since a gang was refused. */
+/* Upper bound on the tasks with this need that fit at once, noted when a gang
+ * was refused. */
 struct ogl_gang_bound {
 	struct ogl_res need;
 	uint64_t max_tasks;
@@ -299,7 +300,7 @@
 struct ogl_place_policy {
 	bool (*pick)(
 	    struct ogl_place *p, const struct ogl_demand *ask, uint32_t *w);
-	bool spreads; /* its jobs' tasks are in_totals by zone and rack */
+	bool spreads; /* its jobs' tasks are counted by zone and rack */
 };
 
 const struct ogl_place_policy *ogl_place_policy(Ogl__Kind kind);
@@ -307,10 +308,10 @@
 /* ---- place_gang.c ----------------------------------------------------- */
 
 void ogl_place_unreserve_worker(struct ogl_place *p, uint32_t w);
-/* Takes worker w out of the reservation, which will choose workers again. */
+/* Removes worker w from the reservation, which then needs other workers. */
 
 void ogl_place_expire_reservation(struct ogl_place *p, ogl_time now);
-/* Drops a reservation whose deadline has passed. */
+/* Ends the reservation if its deadline has passed. */
 
 /* ---- place_aside.c ---------------------------------------------------- */
 
--- a/src/place_grid.c
+++ b/src/place_grid.c
@@ -7,8 +7,8 @@
  * rows, so a search visits only buckets that are not empty, tightest first in
  * either dimension, and its cost depends on the number of classes, not of
  * workers.  In every bucket beyond the need's own row and column all workers
- * have enough processors and memory; in those two each worker must be examined,
- * and the caller limits how many are examined in vain.
+ * have enough processors and memory.  In that row and column each worker must
+ * be examined, and the caller limits how many without room are examined.
  *
  * Buckets are linked lists through the entries.  Rows of list heads are
  * allocated when first used, so a small cell needs few.
@@ -93,7 +93,8 @@
 	       size_class(s->avail.mem_mb) != s->col;
 }
 
-/* Searches one bucket; edge tells that some workers in it may not fit. */
+/* Searches one bucket, the list that starts at worker w.  With edge set, the
+ * bucket is in the need's own row or column, so some workers may lack room. */
 static void
 walk_bucket(const struct ogl_grid_entry *entries, uint32_t w, bool edge,
     struct ogl_grid_walk *k)
@@ -127,19 +128,20 @@
 {
 	unsigned cpu = size_class(k->need->cpu_milli);
 	unsigned mem = size_class(k->need->mem_mb);
-	unsigned a, b, row, col;
+	unsigned outer_class, inner_class, row, col;
 	uint64_t inner;
 
 	while (outer != 0 && k->offers_left > 0) {
-		a = (unsigned)__builtin_ctzll(outer);
+		outer_class = (unsigned)__builtin_ctzll(outer);
 		outer &= outer - 1;
-		inner = k->by_mem ? g->in_col[a] & (~(uint64_t)0 << cpu)
-				  : g->in_row[a] & (~(uint64_t)0 << mem);
+		inner = k->by_mem
+			    ? g->in_col[outer_class] & (~(uint64_t)0 << cpu)
+			    : g->in_row[outer_class] & (~(uint64_t)0 << mem);
 		while (inner != 0 && k->offers_left > 0) {
-			b = (unsigned)__builtin_ctzll(inner);
+			inner_class = (unsigned)__builtin_ctzll(inner);
 			inner &= inner - 1;
-			row = k->by_mem ? b : a;
-			col = k->by_mem ? a : b;
+			row = k->by_mem ? inner_class : outer_class;
+			col = k->by_mem ? outer_class : inner_class;
 			walk_bucket(entries, g->head[row][col],
 			    row == cpu || col == mem, k);
 		}
--- a/src/place_index.c
+++ b/src/place_index.c
@@ -1,10 +1,10 @@
 /*
  * The index of placement: the buckets of workers in the grids, sums by zone and
- * rack, needs known to fit nowhere, and gangs known not to fit.
+ * rack, needs known to fit on no worker, and gangs known not to fit.
  *
  * Every change of a worker ends in ogl_place_reindex, which computes the room
  * that searches see: the worker's free room less what is reserved for a gang,
- * or nothing when it is closed, quarantined or overfull.
+ * or nothing when it is unschedulable, quarantined or over its capacity.
  */
 
 #include "place.h"
@@ -40,7 +40,8 @@
 	return n < 8 ? 3 : 4;
 }
 
-/* 0 for workers without accelerators, else by how many are free. */
+/* The group is 0 for workers without accelerators; otherwise it depends on how
+ * many are free. */
 static unsigned
 accel_group_of(const struct ogl_res *capacity, const struct ogl_res *avail)
 {
@@ -159,7 +160,7 @@
 	       ogl_res_fits(&k->held, &k->capacity);
 }
 
-/* A worker gained room: forgets the needs that now fit there. */
+/* Forgets the needs that now fit on a worker that gained room. */
 static void
 forget_no_fits(struct ogl_place *p, const struct ogl_res *avail)
 {
@@ -173,20 +174,21 @@
 	}
 }
 
-/* Raises the bounds of gangs by the tasks that fit in room a worker gained. */
+/* Raises the bounds of gangs by the tasks that fit in the room that a worker
+ * gained. */
 static void
 raise_gang_bounds(struct ogl_place *p, const struct ogl_res *before,
     const struct ogl_res *after)
 {
-	struct ogl_gang_bound *m;
+	struct ogl_gang_bound *bound;
 	uint32_t i, old, new;
 
 	for (i = 0; i < p->gang_bound_count; i++) {
-		m = &p->gang_bounds[i];
-		old = ogl_place_tasks_fit(&m->need, before);
-		new = ogl_place_tasks_fit(&m->need, after);
+		bound = &p->gang_bounds[i];
+		old = ogl_place_tasks_fit(&bound->need, before);
+		new = ogl_place_tasks_fit(&bound->need, after);
 		if (new > old)
-			m->max_tasks += new - old;
+			bound->max_tasks += new - old;
 	}
 }
 
--- a/src/place_pick.c
+++ b/src/place_pick.c
@@ -8,8 +8,8 @@
  *            of the job;
  *   gang     a single task as batch; for whole gangs see place_gang.c.
  *
- * Each compares the workers that a bounded search of the grids offers.  A
- * search that was cut short and found nothing is repeated without a bound, so
+ * Each policy compares the workers that a bounded search of the grids offers.
+ * A search that reached its bound and found nothing is repeated without one, so
  * room is found whenever there is some.
  */
 
@@ -18,10 +18,10 @@
 #include "place.h"
 
 #define MAX_OFFERS 32          /* workers compared per decision */
-#define MAX_OFFERS_PER_ZONE 8  /* of them in one zone */
+#define MAX_OFFERS_PER_ZONE 8  /* workers compared in one zone */
 #define MAX_MISSES_PER_ZONE 48 /* workers without room, in the first search */
-#define TIGHTNESS_WEIGHT 0.05  /* of tightness against balance in a score */
-#define IMBALANCE_FLOOR 0.05   /* free fraction that counts as almost full */
+#define TIGHTNESS_WEIGHT 0.05  /* relative to balance in the score */
+#define IMBALANCE_FLOOR 0.05   /* a smaller free fraction is almost full */
 
 /* ---- batch: best fit -------------------------------------------------- */
 
@@ -35,8 +35,7 @@
 };
 
 /*
- * How far free processors and memory differ, weighted by the scarcity of the
- * scarcer one.
+ * How far free processors and memory differ, relative to the scarcer one.
  */
 static double
 imbalance(double cpu, double mem)
@@ -69,14 +68,14 @@
 
 /*
  * Searches one group of workers zone by zone, beginning with a random zone,
- * until there are enough offers; sets *skipped when a search was cut short.
+ * until there are enough offers; sets *skipped when a search reached its bound.
  */
 static void
 pack_accel_group(struct ogl_place *p, struct pack *k, unsigned accel_group,
     uint32_t misses, bool *skipped)
 {
 	uint32_t z, n = p->zones->len, left = MAX_OFFERS;
-	uint32_t at = n > 0 ? ogl_place_random(p) % n : 0;
+	uint32_t start = n > 0 ? ogl_place_random(p) % n : 0;
 
 	for (z = 0; z < n && left > 0; z++) {
 		struct ogl_grid_walk walk = {
@@ -90,7 +89,7 @@
 
 		left -= walk.offers_left;
 		ogl_grid_walk(
-		    &ogl_place_zone_at(p, (at + z) % n)->grid[accel_group],
+		    &ogl_place_zone_at(p, (start + z) % n)->grid[accel_group],
 		    p->entries, &walk);
 		left += walk.offers_left;
 		*skipped |= walk.skipped;
