--- a/src/place_aside.c
+++ b/src/place_aside.c
@@ -9,9 +9,9 @@
 
 #include "place.h"
 
-#define QUARANTINE_ONE_IN 10                /* at most one worker in so many */
-#define QUARANTINE_MIN_WORKERS 3            /* with fewer workers none */
-#define PROBE_SUCCESS_AFTER (120 * OGL_SEC) /* run time of a probe task */
+#define WORKERS_PER_QUARANTINE 10           /* at most one in so many */
+#define QUARANTINE_MIN_WORKERS 3            /* no quarantine in smaller cells */
+#define PROBE_SUCCESS_AFTER (120 * OGL_SEC) /* run time counted as success */
 #define PROBE_CANDIDATES 4 /* quarantined workers examined for a task */
 
 static void
@@ -80,14 +80,14 @@
 {
 	struct ogl_place_worker *k;
 	struct ogl_res room;
-	uint32_t i, at;
+	uint32_t i, start;
 
 	if (p->probes_due == 0 || ask->kind == OGL__KIND__gang)
 		return false;
-	at = ogl_place_random(p);
+	start = ogl_place_random(p);
 	for (i = 0; i < MIN(PROBE_CANDIDATES, p->quarantined->len); i++) {
-		*w = g_array_index(
-		    p->quarantined, uint32_t, (at + i) % p->quarantined->len);
+		*w = g_array_index(p->quarantined, uint32_t,
+		    (start + i) % p->quarantined->len);
 		k = &p->workers[*w];
 		room = ogl_place_free_room(k);
 		if (k->quarantine_state != OGL_QUARANTINE_PROBE_DUE ||
@@ -107,7 +107,7 @@
 /*
  * At most a small part of the cell is quarantined at once.  A common cause,
  * such as a broken image or store, can make many workers suspect; without this
- * limit the cell would lose most of them while other things fail as well.
+ * limit the cell would also lose most of its workers during such a failure.
  */
 static bool
 may_quarantine(const struct ogl_place *p)
@@ -116,7 +116,7 @@
 
 	if (n < QUARANTINE_MIN_WORKERS)
 		return false;
-	return p->quarantined->len < MAX(n / QUARANTINE_ONE_IN, 1);
+	return p->quarantined->len < MAX(n / WORKERS_PER_QUARANTINE, 1);
 }
 
 void
--- a/src/place_gang.c
+++ b/src/place_gang.c
@@ -10,21 +10,21 @@
  * workers gain room; while it is below the gang's size the gang is refused at
  * once.
  *
- * Without a reservation a large gang may wait for ever, since each bit of room
- * that falls free goes to some smaller task at once.  The reservation keeps
- * room on chosen workers for one gang: on each for a number of its tasks.
- * Others see only the room beyond that, and all of the workers not chosen, so
- * smaller tasks keep running meanwhile.  Room that services hold is assumed to
- * stay held.  The reservation ends at its deadline at the latest.  A gang that
- * could not run even if all tasks but those of services ended gets none, so no
- * room is kept in vain.
+ * Without a reservation a large gang may wait forever, since room that becomes
+ * free goes to smaller tasks at once.  The reservation keeps room on chosen
+ * workers for one gang: on each for a number of its tasks.  Other work is
+ * offered the remaining room of these workers and all room of the other
+ * workers, so smaller tasks keep running meanwhile.  Room that services hold is
+ * assumed to stay held.  The reservation ends at its deadline at the latest.  A
+ * gang that could not run even if all tasks but those of services ended gets no
+ * reservation, because the room would be kept for nothing.
  */
 
 #include "place.h"
 
-#define SINGLE_RACK_OFFERS 4        /* racks offered per zone */
+#define SINGLE_RACK_OFFERS 4        /* racks with enough room tried per zone */
 #define SINGLE_RACK_MISSES 32       /* racks without room examined per zone */
-#define BISECTION_STEPS 7           /* to find how much work has to end */
+#define BISECTION_STEPS 7           /* of the search in choose_workers */
 #define MIN_CHOOSE_INTERVAL OGL_SEC /* between choices of workers */
 
 /* ---- plans ------------------------------------------------------------ */
@@ -33,8 +33,8 @@
 	struct ogl_place *p;
 	const struct ogl_demand *ask;
 	uint32_t n; /* tasks wanted */
-	uint32_t got;
-	uint32_t *w;
+	uint32_t planned;
+	uint32_t *w;            /* worker of each planned task */
 	bool use_accel_workers; /* even when no accelerator is needed */
 	struct ogl_grid_walk *walk;
 };
@@ -46,7 +46,7 @@
 	const struct ogl_grid_entry *s;
 	uint32_t i, w, fit;
 
-	for (i = 0; i < a->len && k->got < k->n; i++) {
+	for (i = 0; i < a->len && k->planned < k->n; i++) {
 		w = g_array_index(a, uint32_t, i);
 		s = &k->p->entries[w];
 		if (!s->indexed)
@@ -55,8 +55,8 @@
 		    !k->use_accel_workers)
 			continue;
 		fit = ogl_place_tasks_fit(&k->ask->res, &s->avail);
-		for (; fit > 0 && k->got < k->n; fit--)
-			k->w[k->got++] = w;
+		for (; fit > 0 && k->planned < k->n; fit--)
+			k->w[k->planned++] = w;
 	}
 }
 
@@ -65,21 +65,22 @@
 {
 	struct plan *k = ctx;
 
-	k->got = 0;
+	k->planned = 0;
 	plan_rack(k, rack);
-	if (k->got == k->n)
+	if (k->planned == k->n)
 		k->walk->offers_left = 0;
 }
 
-/* Looks for one rack that holds all, in each zone the tightest first. */
+/* Looks for one rack that can hold the whole gang; in each zone the racks with
+ * the least room come first. */
 static bool
 plan_single_rack(struct plan *k)
 {
 	struct ogl_res all = ogl_place_multiply(&k->ask->res, k->n);
-	uint32_t i, zones = k->p->zones->len, at = ogl_place_random(k->p);
+	uint32_t i, zones = k->p->zones->len, start = ogl_place_random(k->p);
 	struct ogl_place_zone *z;
 
-	k->got = 0;
+	k->planned = 0;
 	for (i = 0; i < zones; i++) {
 		struct ogl_grid_walk walk = {
 		    .need = &all,
@@ -90,9 +91,9 @@
 		};
 
 		k->walk = &walk;
-		z = ogl_place_zone_at(k->p, (at + i) % zones);
+		z = ogl_place_zone_at(k->p, (start + i) % zones);
 		ogl_grid_walk(&z->racks, k->p->rack_entries, &walk);
-		if (k->got == k->n)
+		if (k->planned == k->n)
 			return true;
 	}
 	return false;
@@ -108,7 +109,7 @@
 		return;
 	r->last_plan = k->p->plans_made;
 	plan_rack(k, rack);
-	if (k->got == k->n)
+	if (k->planned == k->n)
 		k->walk->offers_left = 0;
 }
 
@@ -123,7 +124,7 @@
 	uint32_t tasks = k->n;
 	struct ogl_res need;
 
-	while (k->got < k->n && tasks > 0) {
+	while (k->planned < k->n && tasks > 0) {
 		struct ogl_grid_walk walk = {
 		    .need = &need,
 		    .offers_left = UINT32_MAX,
@@ -145,7 +146,7 @@
 	return need > 0 ? sum / need : UINT32_MAX;
 }
 
-/* An upper bound of the tasks that fit in a zone, by its sums. */
+/* An upper bound on the tasks that fit in a zone, from the sums of its room. */
 static uint64_t
 zone_upper_bound(const struct ogl_place_zone *z, const struct ogl_res *need)
 {
@@ -171,13 +172,13 @@
 			best = z;
 		}
 	}
-	k->got = 0;
+	k->planned = 0;
 	if (sum < k->n)
 		return false;
 	k->p->plans_made++;
-	for (z = 0; z < zones && k->got < k->n; z++)
+	for (z = 0; z < zones && k->planned < k->n; z++)
 		plan_zone(k, (best + z) % zones);
-	return k->got == k->n;
+	return k->planned == k->n;
 }
 
 static bool
@@ -197,28 +198,29 @@
 		if (plan_single_rack(k) || plan_many_racks(k))
 			return true;
 	}
-	/* The failed plan over all racks has counted all tasks that fit. */
-	if (k->got > 0)
-		ogl_place_note_gang_bound(k->p, need, k->got);
+	/* The failed plan over all racks contains every task that fits. */
+	if (k->planned > 0)
+		ogl_place_note_gang_bound(k->p, need, k->planned);
 	return false;
 }
 
 /* ---- the reservation -------------------------------------------------- */
 
 static uint32_t
-free_after_end(
-    uint32_t capacity, uint32_t held, uint32_t held_by_services, double ended)
+free_after_end(uint32_t capacity, uint32_t held, uint32_t held_by_services,
+    double fraction)
 {
-	return capacity - held + (uint32_t)(ended * (held - held_by_services));
+	return capacity - held +
+	       (uint32_t)(fraction * (held - held_by_services));
 }
 
 /*
- * Tasks of the gang that fit on w once the fraction `ended` of its work, apart
- * from services, has ended.
+ * Number of tasks of the gang that would fit on w once the given fraction of
+ * its work, services not counted, has ended.
  */
 static uint32_t
-fit_after_end(
-    const struct ogl_place *p, uint32_t w, double ended, bool use_accel_workers)
+fit_after_end(const struct ogl_place *p, uint32_t w, double fraction,
+    bool use_accel_workers)
 {
 	const struct ogl_place_worker *k = &p->workers[w];
 	const struct ogl_res *need = &p->reserved.ask.res;
@@ -229,36 +231,38 @@
 	if (need->accel == 0 && k->capacity.accel > 0 && !use_accel_workers)
 		return 0;
 	room.cpu_milli = free_after_end(k->capacity.cpu_milli,
-	    k->held.cpu_milli, k->held_by_services.cpu_milli, ended);
+	    k->held.cpu_milli, k->held_by_services.cpu_milli, fraction);
 	room.mem_mb = free_after_end(k->capacity.mem_mb, k->held.mem_mb,
-	    k->held_by_services.mem_mb, ended);
-	room.accel = free_after_end(
-	    k->capacity.accel, k->held.accel, k->held_by_services.accel, ended);
+	    k->held_by_services.mem_mb, fraction);
+	room.accel = free_after_end(k->capacity.accel, k->held.accel,
+	    k->held_by_services.accel, fraction);
 	return MIN(ogl_place_tasks_fit(need, &room), p->reserved.n);
 }
 
 static bool
 enough_after_end(
-    const struct ogl_place *p, double ended, bool use_accel_workers)
+    const struct ogl_place *p, double fraction, bool use_accel_workers)
 {
 	uint64_t sum = 0;
 	uint32_t w;
 
 	for (w = 0; w < p->n && sum < p->reserved.n; w++)
-		sum += fit_after_end(p, w, ended, use_accel_workers);
+		sum += fit_after_end(p, w, fraction, use_accel_workers);
 	return sum >= p->reserved.n;
 }
 
-/* Adds workers to the reservation, for what fits then, until *left is 0. */
+/* Adds workers to the reservation, each for as many tasks as would fit once the
+ * fraction of its work has ended, until *left, the tasks still without a
+ * worker, is 0. */
 static void
-reserve_on_workers(
-    struct ogl_place *p, double ended, bool use_accel_workers, uint32_t *left)
+reserve_on_workers(struct ogl_place *p, double fraction, bool use_accel_workers,
+    uint32_t *left)
 {
 	struct ogl_reserved_worker r;
 	uint32_t fit;
 
 	for (r.w = 0; r.w<p->n && * left> 0; r.w++) {
-		fit = fit_after_end(p, r.w, ended, use_accel_workers);
+		fit = fit_after_end(p, r.w, fraction, use_accel_workers);
 		r.tasks = MIN(fit, *left);
 		if (r.tasks == 0)
 			continue;
@@ -268,12 +272,13 @@
 }
 
 /*
- * Chooses workers to reserve room on; false when too little can ever fall free.
- * Bisection finds the least fraction of every worker's work that has to end, so
- * that room is kept where little is missing, for a few tasks on each of many
- * workers: the first tasks to end on many workers end long before the last ones
- * on few.  Room that is free already is kept at any fraction, so choosing again
- * loses none of it and uses the room that fell free since.
+ * Chooses the workers to reserve room on; false when the gang would not fit
+ * even if all work but services ended.  Bisection finds the least fraction of
+ * every worker's work that has to end.  The reservation then takes room for a
+ * few tasks on each of many workers, because the first tasks to end on many
+ * workers end long before the last tasks on a few.  Room that is already free
+ * counts at any fraction, so choosing again loses none of it and uses the room
+ * that has become free since.
  */
 static bool
 choose_workers(struct ogl_place *p, ogl_time now)
@@ -299,7 +304,7 @@
 	return true;
 }
 
-/* Hides the reserved room from others, or shows it to all. */
+/* Hides the reserved room from other work, or makes it available again. */
 static void
 apply_reservation(struct ogl_place *p, bool on)
 {
@@ -314,7 +319,7 @@
 	}
 }
 
-/* Ends the reservation; the room kept is open to all. */
+/* Ends the reservation; all work may use the room that was reserved. */
 static void
 end_reservation(struct ogl_place *p)
 {
@@ -378,8 +383,9 @@
 /* ---- a gang ----------------------------------------------------------- */
 
 /*
- * Plans the gang that holds the reservation, with the reserved room.  When that
- * fails, workers are chosen again if one was lost or the choice is old.
+ * Plans the gang that has the reservation, with the reserved room available.
+ * When that fails, the workers are chosen again if one was lost or the last
+ * choice is at least MIN_CHOOSE_INTERVAL old.
  */
 static bool
 plan_reserved(struct ogl_place *p, struct plan *k, ogl_time now)
--- a/src/place_health.c
+++ b/src/place_health.c
@@ -1,19 +1,20 @@
 /*
  * Failure records of workers and jobs.
  *
- * A worker is suspect when its failures are improbable.  A failed task of a job
- * that succeeds elsewhere is improbable, one of a job that fails everywhere is
- * not: each failure since the worker's last successful tasks adds its surprisal
- * of -log2(p) bits, p being how often that job fails on other workers.  Twenty
- * bits, about one in a million by chance, from several jobs make it suspect.
- * Of one job at most two failures count against a worker, so a wave of failures
- * of one job makes no worker suspect.  In the job's own record a worker counts
- * once, so a worker that fails its tasks at once, and so is given many, does
- * not spoil the records of their jobs.
+ * A worker is suspect when its failures are improbable.  The failure of a task
+ * is improbable if its job succeeds elsewhere, and not if the job fails
+ * everywhere: each failure since the worker's last successful tasks adds its
+ * surprisal of -log2(p) bits, where p is how often that job fails on other
+ * workers.  A sum of twenty bits, which has a chance of about one in a million,
+ * from several jobs makes the worker suspect.  At most two failures of one job
+ * count against a worker, so many failures of a single job make no worker
+ * suspect.  In the record of a job, repeated failures on one worker count once,
+ * so a worker that fails its tasks at once, and is therefore given many, does
+ * not distort the records of their jobs.
  *
- * Without this a broken worker, always empty because all it starts ends at
- * once, is given a large part of all new tasks, and many jobs fail on that one
- * worker.
+ * Without this, a broken worker would be given a large part of all new tasks,
+ * because it is always empty: all it starts ends at once.  Many jobs would fail
+ * on that one worker.
  *
  * The records of jobs are kept in a two-way set-associative table sized by the
  * number of workers, where a new job replaces the least recently used of two.
@@ -23,24 +24,24 @@
 
 #include "place.h"
 
-#define MIN_JOB_SETS 64 /* of two records each */
-#define WORKERS_PER_SET 4
-#define MAX_JOB_RESULTS 64       /* beyond this a job's counts are halved */
-#define MAX_FAILED_JOBS 8        /* remembered per worker */
-#define MAX_SURPRISAL_BITS 4.0   /* that one failure can add */
-#define MIN_SURPRISAL_BITS 0.5   /* failures below this count as nothing */
-#define SUSPECT_BITS 20.0        /* sum that makes a worker suspect ... */
-#define SUSPECT_MIN_JOBS 3       /* ... when so many jobs add to it */
-#define REPEAT_SUSPECT_BITS 10.0 /* for workers quarantined before */
+#define MIN_JOB_SETS 64    /* sets in the smallest table, two records each */
+#define WORKERS_PER_SET 4  /* the table is enlarged above this ratio */
+#define MAX_JOB_RESULTS 64 /* above this, a job's counts are halved */
+#define MAX_FAILED_JOBS 8  /* jobs remembered per worker */
+#define MAX_SURPRISAL_BITS 4.0   /* most that one failure can add */
+#define MIN_SURPRISAL_BITS 0.5   /* a failure below this adds nothing */
+#define SUSPECT_BITS 20.0        /* least sum for a suspect worker */
+#define SUSPECT_MIN_JOBS 3       /* least number of jobs in that sum */
+#define REPEAT_SUSPECT_BITS 10.0 /* same, if quarantined before */
 #define REPEAT_SUSPECT_MIN_JOBS 2
 #define MIN_COOLDOWN (30 * OGL_SEC)
 #define MAX_COOLDOWN_DOUBLINGS 6
-#define CLEARING_SUCCESSES 32  /* that delete a worker's record */
-#define MAX_FAILURES_PER_JOB 2 /* that count against a worker */
+#define CLEARING_SUCCESSES 32  /* successes that delete a worker's record */
+#define MAX_FAILURES_PER_JOB 2 /* failures of one job that count */
 
 struct job_record {
 	uint64_t job;
-	ogl_time last;
+	ogl_time used_at;
 	uint16_t ok, failed;
 };
 
@@ -94,11 +95,11 @@
 	if (set[0].job == job || set[1].job == job) {
 		r = set[0].job == job ? &set[0] : &set[1];
 	} else {
-		r = set[0].last <= set[1].last ? &set[0] : &set[1];
+		r = set[0].used_at <= set[1].used_at ? &set[0] : &set[1];
 		memset(r, 0, sizeof(*r));
 		r->job = job;
 	}
-	r->last = now;
+	r->used_at = now;
 	return r;
 }
 
@@ -119,12 +120,12 @@
 static double
 surprisal(const struct job_record *r)
 {
-	unsigned other = r->failed > 0 ? r->failed - 1u : 0;
+	unsigned other_failures = r->failed > 0 ? r->failed - 1u : 0;
 	double bits;
 
 	if (r->ok == 0)
 		return 0;
-	bits = -log2((other + 1.0) / (r->ok + other + 2.0));
+	bits = -log2((other_failures + 1.0) / (r->ok + other_failures + 2.0));
 	return bits < MIN_SURPRISAL_BITS ? 0 : MIN(bits, MAX_SURPRISAL_BITS);
 }
 
@@ -238,8 +239,8 @@
 	h->jobs = g_malloc0(h->sets * sizeof(*h->jobs));
 	for (i = 0; i < 2 * n; i++) {
 		r = &old[i / 2][i % 2];
-		if (r->last != 0)
-			*job_record(h, r->job, r->last) = *r;
+		if (r->used_at != 0)
+			*job_record(h, r->job, r->used_at) = *r;
 	}
 	g_free(old);
 }
