--- a/src/sched.c
+++ b/src/sched.c
@@ -15,10 +15,10 @@
 #include "shard_impl.h"
 
 enum {
-	STEP_PLACEMENTS_MAX = 2000,  /* the rest waits for the next step */
-	CONSECUTIVE_MISSES_MAX = 64, /* then the round ends */
+	STEP_PLACEMENTS_MAX = 2000,  /* units of work placed in one step */
+	CONSECUTIVE_MISSES_MAX = 64, /* failed starts that end a step */
 	GANG_RESERVE_S = 60,         /* how long room is reserved for a gang */
-	ATTEMPT_BITS = 12,    /* low bits of an attempt; claims are above */
+	ATTEMPT_BITS = 12,    /* of an attempt number, below the claim count */
 	TEAM_PATH_BYTES = 128 /* with the terminating zero */
 };
 
@@ -76,31 +76,31 @@
 }
 
 static void
-add_held(struct ogl_shard *sh, const char *path, int64_t n)
+add_placed_count(struct ogl_shard *sh, const char *path, int64_t n)
 {
-	uint64_t *held = g_hash_table_lookup(sh->placed_tasks_by_team, path);
+	uint64_t *count = g_hash_table_lookup(sh->placed_tasks_by_team, path);
 
-	if (held == NULL) {
-		held = g_new0(uint64_t, 1);
+	if (count == NULL) {
+		count = g_new0(uint64_t, 1);
 		g_hash_table_insert(
-		    sh->placed_tasks_by_team, g_strdup(path), held);
+		    sh->placed_tasks_by_team, g_strdup(path), count);
 	}
-	*held += (uint64_t)n;
+	*count += (uint64_t)n;
 }
 
 uint64_t
 ogl_sched_placed_count(const struct ogl_shard *sh, const char *team)
 {
-	const uint64_t *held =
+	const uint64_t *count =
 	    g_hash_table_lookup(sh->placed_tasks_by_team, team);
 
-	return held != NULL ? *held : 0;
+	return count != NULL ? *count : 0;
 }
 
 /* Whether n more tasks stay within the limits of the team and its ancestors;
- * asks the bank for what is missing.  While workers have yet to report what
- * they run (recovering), tasks started by an earlier owner may be running
- * unnoticed, so limited teams have to wait. */
+ * requests a larger allotment where they do not.  During recovery, tasks that
+ * an earlier owner started may run without having been reported yet, so teams
+ * with a limit have to wait. */
 static bool
 limits_allow(struct ogl_shard *sh, const char *team, uint32_t n)
 {
@@ -111,12 +111,12 @@
 	g_strlcpy(path, team, sizeof path);
 	for (;;) {
 		uint64_t allowed = ogl_escrow_allowed(sh, path);
-		uint64_t held = ogl_sched_placed_count(sh, path);
+		uint64_t count = ogl_sched_placed_count(sh, path);
 
 		if (sh->recovering && allowed != UINT64_MAX) {
 			ok = false;
-		} else if (allowed < n || held > allowed - n) {
-			ogl_escrow_want(sh, path, held + n);
+		} else if (allowed < n || count > allowed - n) {
+			ogl_escrow_want(sh, path, count + n);
 			ok = false;
 		}
 		slash = strrchr(path, '/');
@@ -131,9 +131,9 @@
 	ogl_time now;
 };
 
-/* Restartable tasks first, then the newest. */
+/* Orders restartable tasks first, and among equals the newest first. */
 static gint
-stop_order(gconstpointer a, gconstpointer b)
+compare_stop_order(gconstpointer a, gconstpointer b)
 {
 	const struct ogl_task_ref *ra = *(struct ogl_task_ref *const *)a;
 	const struct ogl_task_ref *rb = *(struct ogl_task_ref *const *)b;
@@ -180,7 +180,8 @@
 	sh->env->counters->task_stops++;
 }
 
-/* Stops tasks of the team until it is within its limit, in stop_order. */
+/* Stops `excess` tasks of the team and its subteams, in the order of
+ * compare_stop_order. */
 static void
 stop_excess(
     struct ogl_shard *sh, const char *team, uint64_t excess, ogl_time now)
@@ -197,7 +198,7 @@
 				g_ptr_array_add(refs, r);
 		}
 	}
-	g_ptr_array_sort(refs, stop_order);
+	g_ptr_array_sort(refs, compare_stop_order);
 	for (guint i = 0; i < refs->len && i < excess; i++) {
 		struct ogl_task_ref *r = g_ptr_array_index(refs, i);
 		bool restartable = r->job->spec->restartable;
@@ -213,23 +214,23 @@
 static void
 enforce_limit(void *ctx, const char *team, const struct ogl_team_view *view)
 {
-	struct limit_check *lc = ctx;
-	uint64_t held = ogl_sched_placed_count(lc->sh, team);
+	struct limit_check *check = ctx;
+	uint64_t count = ogl_sched_placed_count(check->sh, team);
 	uint64_t allowed;
 
-	if (view->limit_tasks == UINT64_MAX || held == 0)
+	if (view->limit_tasks == UINT64_MAX || count == 0)
 		return;
-	allowed = ogl_escrow_allowed(lc->sh, team);
-	if (held > allowed)
-		stop_excess(lc->sh, team, held - allowed, lc->now);
+	allowed = ogl_escrow_allowed(check->sh, team);
+	if (count > allowed)
+		stop_excess(check->sh, team, count - allowed, check->now);
 }
 
 void
 ogl_sched_enforce_limits(struct ogl_shard *sh, ogl_time now)
 {
-	struct limit_check lc = {sh, now};
+	struct limit_check check = {sh, now};
 
-	ogl_settings_each_team(sh->env->settings, enforce_limit, &lc);
+	ogl_settings_each_team(sh->env->settings, enforce_limit, &check);
 }
 
 static void
@@ -313,7 +314,8 @@
 	return w.id;
 }
 
-/* A task ended for good without success; the others can't run without it. */
+/* Whether a task has ended without success and will not run again.  The other
+ * tasks of the gang can't run without it. */
 static bool
 gang_failed(const struct ogl_job *j)
 {
@@ -331,8 +333,8 @@
 	}
 }
 
-/* A gang runs as a whole or not at all: while some of its tasks are placed and
- * others wait, the placed ones are stopped; then all are queued together. */
+/* A gang runs as a whole or not at all: if some of its tasks are placed while
+ * others wait, the placed ones are stopped and then all are queued together. */
 static void
 enqueue_gang(struct ogl_shard *sh, struct ogl_job *j, ogl_time now)
 {
@@ -420,7 +422,7 @@
 	t->bound_at = now;
 	j->nplaced++;
 	sh->nplaced++;
-	for_team_and_ancestors(j->team, add_held, sh, 1);
+	for_team_and_ancestors(j->team, add_placed_count, sh, 1);
 }
 
 bool
@@ -439,7 +441,7 @@
 }
 
 static void
-remove_ref(struct ogl_session *s, const struct ogl_job *j, uint32_t i)
+remove_task_ref(struct ogl_session *s, const struct ogl_job *j, uint32_t i)
 {
 	for (guint k = 0; k < s->tasks->len; k++) {
 		const struct ogl_task_ref *r = g_ptr_array_index(s->tasks, k);
@@ -463,7 +465,7 @@
 	if (t->phase != OGL_TASK_PLACED)
 		return;
 	s = g_ptr_array_index(sh->sessions, t->worker);
-	remove_ref(s, j, i);
+	remove_task_ref(s, j, i);
 	ogl_sched_ask_of(j, &ask);
 	if (s->in_placer)
 		ogl_place_free(sh->placer, s->placer_index, &ask);
@@ -474,7 +476,7 @@
 	t->work_number = 0;
 	j->nplaced--;
 	sh->nplaced--;
-	for_team_and_ancestors(j->team, add_held, sh, -1);
+	for_team_and_ancestors(j->team, add_placed_count, sh, -1);
 	if (work != 0 && (j->spec->kind != OGL__KIND__gang || j->nplaced == 0))
 		ogl_queue_ended(sh->queue, work, ok, now);
 	sh->place_due = true;
@@ -491,7 +493,7 @@
 /* ---- placing ---------------------------------------------------------- */
 
 /* Attempt numbers of a task increase, also from one owner to the next, so that
- * a report of an earlier attempt is never mistaken for one of ours. */
+ * a report of an earlier attempt is never mistaken for a newer one. */
 static uint32_t
 new_attempt(const struct ogl_shard *sh, const struct ogl_task *t)
 {
@@ -530,10 +532,11 @@
 }
 
 static void
-start_on(struct ogl_shard *sh, struct ogl_job *j, uint32_t i, uint32_t place,
-    uint64_t work, ogl_time now)
+start_on(struct ogl_shard *sh, struct ogl_job *j, uint32_t i,
+    uint32_t placer_index, uint64_t work, ogl_time now)
 {
-	struct ogl_session *s = g_ptr_array_index(sh->by_placer_index, place);
+	struct ogl_session *s =
+	    g_ptr_array_index(sh->by_placer_index, placer_index);
 
 	bind(sh, s, j, i, new_attempt(sh, &j->tasks[i]), now);
 	j->tasks[i].work_number = work;
@@ -548,26 +551,26 @@
 start_gang(struct ogl_shard *sh, struct ogl_job *j, const struct ogl_work *w,
     ogl_time now)
 {
-	uint32_t *places = g_new(uint32_t, w->tasks);
+	uint32_t *placer_indexes = g_new(uint32_t, w->tasks);
 	struct ogl_demand ask;
 	uint32_t k = 0;
 	bool ok;
 
 	ogl_sched_ask_of(j, &ask);
-	ok = ogl_place_gang(sh->placer, &ask, w->tasks, now, places);
+	ok = ogl_place_gang(sh->placer, &ask, w->tasks, now, placer_indexes);
 	if (!ok) {
 		ogl_place_reserve(sh->placer, j->number, &ask, w->tasks,
 		    now + GANG_RESERVE_S * OGL_SEC, now);
-		g_free(places);
+		g_free(placer_indexes);
 		return false;
 	}
 	ogl_place_unreserve(sh->placer, j->number);
 	for (uint32_t i = 0; i < j->ntasks; i++) {
 		if (j->tasks[i].phase == OGL_TASK_WAITING &&
 		    j->tasks[i].work_number == w->id)
-			start_on(sh, j, i, places[k++], w->id, now);
+			start_on(sh, j, i, placer_indexes[k++], w->id, now);
 	}
-	g_free(places);
+	g_free(placer_indexes);
 	return true;
 }
 
@@ -577,7 +580,7 @@
 	int64_t key = (int64_t)w->id;
 	struct ogl_work_ref *ref = g_hash_table_lookup(sh->queue_refs, &key);
 	struct ogl_demand ask;
-	uint32_t place;
+	uint32_t placer_index;
 	bool ok;
 
 	if (!ref->job->spec->restartable && !ogl_shard_log_up(sh, now))
@@ -588,9 +591,10 @@
 		ok = start_gang(sh, ref->job, w, now);
 	} else {
 		ogl_sched_ask_of(ref->job, &ask);
-		ok = ogl_place_task(sh->placer, &ask, now, &place);
+		ok = ogl_place_task(sh->placer, &ask, now, &placer_index);
 		if (ok)
-			start_on(sh, ref->job, ref->index, place, w->id, now);
+			start_on(
+			    sh, ref->job, ref->index, placer_index, w->id, now);
 	}
 	if (!ok)
 		g_array_append_val(sh->unplaced, w->id);
