--- a/src/sched_lend.c
+++ b/src/sched_lend.c
@@ -1,10 +1,11 @@
 /*
- * Reclaims lent room: passes the shard's workers, placed tasks and waiting work
- * to lend.c and preempts the tasks that it chooses.
+ * Reclaims lent room, which is room that a team uses beyond its entitlement
+ * while other teams leave it free: passes the shard's workers, placed tasks and
+ * waiting work to lend.c and preempts the tasks that it chooses.
  *
- * Waiting work that exceeds its team's limit is left out, since freed room
- * would not let it start.  Limits are checked as if all work added before had
- * started.
+ * Waiting work that would exceed its team's limit is left out, since freed room
+ * would not let it start.  The limit check counts the waiting work already
+ * added in this round as if it had started.
  */
 
 #include <string.h>
@@ -14,7 +15,9 @@
 
 enum {
 	TEAM_PATH_BYTES = 128,
-	TASK_INDEX_BITS = 16 /* of a task id; a job has fewer tasks than 2^16 */
+	/* Low bits of a task id that hold the task's index in its job, which
+	 * has fewer than 2^16 tasks. */
+	TASK_INDEX_BITS = 16
 };
 
 static uint64_t
@@ -36,8 +39,8 @@
 	return ogl_lend_next(sh->lend);
 }
 
-/* Adds the schedulable workers; returns the round's worker number of each
- * session. */
+/* Adds the schedulable workers.  Returns the worker number that lend.c gave to
+ * each session, OGL_LEND_NO_WORKER for a session without one. */
 static uint32_t *
 add_workers(struct ogl_shard *sh)
 {
@@ -68,20 +71,20 @@
 {
 	const struct ogl_job *j = ref->job;
 	const struct ogl_task *t = &j->tasks[ref->index];
-	struct ogl_lend_task lt = {0};
+	struct ogl_lend_task lend_task = {0};
 	struct ogl_demand ask;
 
 	ogl_sched_ask_of(j, &ask);
-	lt.id = task_id(j, ref->index);
-	lt.job = j->number;
-	lt.team = j->team;
-	lt.kind = j->spec->kind;
-	lt.res = ask.res;
-	lt.worker = worker;
-	lt.since = t->bound_at;
-	lt.restartable = j->spec->restartable;
-	lt.stopping = t->stopping;
-	ogl_lend_add_task(sh->lend, &lt);
+	lend_task.id = task_id(j, ref->index);
+	lend_task.job = j->number;
+	lend_task.team = j->team;
+	lend_task.kind = j->spec->kind;
+	lend_task.res = ask.res;
+	lend_task.worker = worker;
+	lend_task.since = t->bound_at;
+	lend_task.restartable = j->spec->restartable;
+	lend_task.stopping = t->stopping;
+	ogl_lend_add_task(sh->lend, &lend_task);
 }
 
 /* Adds all placed tasks; returns them in the order they were added. */
@@ -104,9 +107,9 @@
 	return refs;
 }
 
-/* With add false: whether n more tasks of the team, beside the tasks in
- * `added` (by team path), are within the limits of the team and its ancestors.
- * With add true: adds n to `added`. */
+/* With add false: whether n more tasks would keep the team and its ancestors
+ * within their limits; `added` maps a team path to the number of tasks already
+ * added for it.  With add true: adds n to those numbers instead. */
 static bool
 within_limits(const struct ogl_shard *sh, GHashTable *added, const char *team,
     uint32_t n, bool add)
@@ -134,8 +137,8 @@
 }
 
 static void
-add_want(struct ogl_shard *sh, const struct ogl_work_ref *ref, uint64_t work,
-    GHashTable *added, uint32_t turn, ogl_time now)
+add_pending_work(struct ogl_shard *sh, const struct ogl_work_ref *ref,
+    uint64_t work_id, GHashTable *added, uint32_t queue_position, ogl_time now)
 {
 	const struct ogl_job *j = ref->job;
 	struct ogl_lend_pending w = {.team = j->team, .tasks = 1};
@@ -145,14 +148,14 @@
 		w.tasks = 0;
 		for (uint32_t i = 0; i < j->ntasks; i++)
 			w.tasks += j->tasks[i].phase == OGL_TASK_WAITING &&
-				   j->tasks[i].work_number == work;
+				   j->tasks[i].work_number == work_id;
 	}
 	if (!within_limits(sh, added, j->team, w.tasks, false))
 		return;
 	within_limits(sh, added, j->team, w.tasks, true);
 	ogl_sched_ask_of(j, &ask);
 	w.res = ask.res;
-	w.queue_position = turn;
+	w.queue_position = queue_position;
 	w.since = now;
 	/* A damaged log may give a future time, which could overflow. */
 	if (j->accepted_ms < (uint64_t)(now / OGL_MS))
@@ -160,54 +163,56 @@
 	ogl_lend_add_pending(sh->lend, &w);
 }
 
-/* Adds the work that found no room first, so that other work of its team
- * doesn't use up the team's limit before it. */
+/* Adds waiting work, beginning with the work that the last placement found no
+ * room for, so that other work of a team does not use up its limit before. */
 static void
-add_wants(struct ogl_shard *sh, ogl_time now)
+add_all_pending_work(struct ogl_shard *sh, ogl_time now)
 {
 	GHashTable *added =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	GHashTable *missed = g_hash_table_new(g_int64_hash, g_int64_equal);
+	GHashTable *unplaced_ids =
+	    g_hash_table_new(g_int64_hash, g_int64_equal);
 	GHashTableIter it;
 	void *k, *v;
 
 	for (guint i = 0; i < sh->unplaced->len; i++) {
 		k = &g_array_index(sh->unplaced, uint64_t, i);
 		v = g_hash_table_lookup(sh->queue_refs, k);
-		g_hash_table_add(missed, k);
+		g_hash_table_add(unplaced_ids, k);
 		if (v != NULL)
-			add_want(sh, v, *(uint64_t *)k, added, i + 1, now);
+			add_pending_work(
+			    sh, v, *(uint64_t *)k, added, i + 1, now);
 	}
 	g_hash_table_iter_init(&it, sh->queue_refs);
 	while (g_hash_table_iter_next(&it, &k, &v)) {
-		if (!g_hash_table_contains(missed, k))
-			add_want(sh, v, *(uint64_t *)k, added, 0, now);
+		if (!g_hash_table_contains(unplaced_ids, k))
+			add_pending_work(sh, v, *(uint64_t *)k, added, 0, now);
 	}
-	g_hash_table_destroy(missed);
+	g_hash_table_destroy(unplaced_ids);
 	g_hash_table_destroy(added);
 }
 
 static void
 preempt(struct ogl_shard *sh, const struct ogl_task_ref *ref,
-    const struct ogl_lend_preemption *k, ogl_time now)
+    const struct ogl_lend_preemption *preemption, ogl_time now)
 {
 	struct ogl_task *t = &ref->job->tasks[ref->index];
 
 	if (t->stopping) {
-		/* It was told to stop before and has not stopped. */
+		/* It was told to stop earlier but still runs. */
 		ogl_session_stop_task(sh,
 		    g_ptr_array_index(sh->sessions, t->worker), ref->job->id,
-		    ref->index, t->attempt, k->mode, now);
+		    ref->index, t->attempt, preemption->mode, now);
 		return;
 	}
 	sh->env->counters->lend_taken++;
 	sh->env->counters->lend_lost_ms +=
-	    (uint64_t)(k->lost_run_time / OGL_MS);
-	ogl_sched_stop_task(sh, ref->job, ref->index, k->mode, now);
+	    (uint64_t)(preemption->lost_run_time / OGL_MS);
+	ogl_sched_stop_task(sh, ref->job, ref->index, preemption->mode, now);
 }
 
-/* The end of a task takes effect only through the log, so while the log is down
- * a preempted task could not start again. */
+/* A task has ended only when its end is in the log.  While the log is down, a
+ * preempted task could therefore not start again. */
 static bool
 may_reclaim(const struct ogl_shard *sh, ogl_time now)
 {
@@ -218,7 +223,7 @@
 void
 ogl_sched_reclaim_lent(struct ogl_shard *sh, ogl_time now)
 {
-	const struct ogl_lend_preemption *takes;
+	const struct ogl_lend_preemption *preemptions;
 	GPtrArray *refs;
 	uint32_t *worker_of;
 	size_t n;
@@ -229,16 +234,16 @@
 		return;
 	worker_of = add_workers(sh);
 	refs = add_tasks(sh, worker_of);
-	add_wants(sh, now);
-	n = ogl_lend_decide(sh->lend, now, &takes);
-	/* Copied, because unbinding a task whose start was never sent frees
-	 * its ref. */
+	add_all_pending_work(sh, now);
+	n = ogl_lend_decide(sh->lend, now, &preemptions);
+	/* Each ref is copied, because ogl_sched_stop_task frees the ref of a
+	 * task whose start was never sent. */
 	for (size_t i = 0; i < n; i++) {
 		struct ogl_task_ref ref =
 		    *(struct ogl_task_ref *)g_ptr_array_index(
-			refs, takes[i].task);
+			refs, preemptions[i].task);
 
-		preempt(sh, &ref, &takes[i], now);
+		preempt(sh, &ref, &preemptions[i], now);
 	}
 	g_ptr_array_free(refs, TRUE);
 	g_free(worker_of);
