--- a/src/settings.c
+++ b/src/settings.c
@@ -15,9 +15,9 @@
  * default: a team of the first level may exceed it.  The tasks of subteams
  * count towards the parent's limit, too.
  *
- * The state depends on nothing but the edits in log order.  That includes
- * which removed paths and audit entries are dropped.  So two followers of one
- * log hold the same tree, also when one of them started from the other's dump.
+ * The state, including which removed paths and audit entries are dropped,
+ * depends on nothing but the edits in log order.  Two followers of one log thus
+ * hold the same tree, also when one of them started from the other's dump.
  */
 
 #include <sodium.h>
@@ -69,7 +69,7 @@
 	return sodium_memcmp(a, b, OGL_HASH_BYTES) == 0;
 }
 
-/* The bits of a hash are uniformly distributed, so its first bytes will do. */
+/* A hash is uniformly distributed, so its first bytes suffice for the table. */
 static guint
 hash_first_bytes(gconstpointer p)
 {
@@ -88,7 +88,7 @@
 }
 
 static GTreeNode *
-if_below(GTreeNode *at, const char *prefix)
+if_has_prefix(GTreeNode *at, const char *prefix)
 {
 	if (at == NULL || !g_str_has_prefix(g_tree_node_key(at), prefix))
 		return NULL;
@@ -98,13 +98,13 @@
 GTreeNode *
 ogl_settings_first(const struct ogl_settings *s, const char *prefix)
 {
-	return if_below(g_tree_lower_bound(s->nodes, prefix), prefix);
+	return if_has_prefix(g_tree_lower_bound(s->nodes, prefix), prefix);
 }
 
 GTreeNode *
 ogl_settings_next(GTreeNode *at, const char *prefix)
 {
-	return if_below(g_tree_node_next(at), prefix);
+	return if_has_prefix(g_tree_node_next(at), prefix);
 }
 
 static bool
@@ -393,7 +393,8 @@
 	return (x > y) - (x < y);
 }
 
-/* The version up to which removals are dropped, so that about half stay. */
+/* The version up to which removed paths are dropped; about half of them are
+ * kept. */
 static uint64_t
 version_to_forget(const struct ogl_settings *s)
 {
@@ -414,10 +415,11 @@
 }
 
 /*
- * Drops the oldest removed paths.  Each withdrawn key leaves its paths in the
- * tree, so without a bound the tree and its snapshots would grow for as long
- * as the cell exists.  An edit made from a version before forgotten_version is
- * refused if it names a path that is not in the tree.
+ * Drops the oldest removed paths when there are too many.  Each withdrawn key
+ * leaves its paths in the tree, so without a bound the tree and its snapshots
+ * would grow for as long as the cell exists.  An edit made from a version
+ * before forgotten_version is refused if it names a path that is not in the
+ * tree, because the path may have been removed since.
  */
 static void
 forget_removed(struct ogl_settings *s)
--- a/src/settings.h
+++ b/src/settings.h
@@ -64,7 +64,7 @@
 /* Whether the field may have the value.  If not, a description of the allowed
  * values is written to allowed, which has n bytes. */
 
-/* A value in the tree, or the record that one was removed. */
+/* The value at a path, or the record that it was removed. */
 struct ogl_settings_node {
 	json_t *value;    /* JSON null after removal */
 	uint64_t version; /* of the tree when it was last changed */
@@ -92,7 +92,7 @@
 
 struct ogl_settings {
 	uint64_t version;
-	uint64_t forgotten_version; /* removals up to it are dropped */
+	uint64_t forgotten_version; /* removals up to it are not kept */
 	size_t removed_count;       /* nodes with value JSON null */
 	GTree *nodes;      /* path -> struct ogl_settings_node, sorted */
 	GHashTable *teams; /* path -> struct ogl_team_entry */
--- a/src/settings_dump.c
+++ b/src/settings_dump.c
@@ -4,9 +4,10 @@
  *     {"version":V,"forgotten":F,"nodes":[[path,value,version],...],
  *      "audit":[...]}
  *
- * Nodes are sorted by path, so equal trees give equal text.  They are written
- * directly into one buffer: building JSON values first took 50 ms for 15,000
- * nodes, and every caller of the host waits meanwhile.
+ * V is the tree's version and F its forgotten_version.  Nodes are sorted by
+ * path, so equal trees give equal text.  They are written directly into one
+ * buffer: building JSON values first took 50 ms for 15,000 nodes, and the host
+ * serves no caller during a dump.
  */
 
 #include "json.h"
@@ -14,7 +15,8 @@
 
 /* ---- dump ------------------------------------------------------------- */
 
-/* Strings need no escaping: no field allows a character that JSON escapes. */
+/* Strings are not escaped, since no field allows a character that JSON
+ * escapes. */
 static void
 append_value(GString *text, const json_t *v)
 {
@@ -84,7 +86,9 @@
 
 /* ---- load ------------------------------------------------------------- */
 
-/* Whether the path is valid and may have the value. */
+/* Whether the path is valid for a node and may have the value.  Kinds below
+ * OGL_PATH_CELL_FIELD are containers, which have no node of their own; a path
+ * without a field is a team or key, whose value is {}. */
 static bool
 node_allowed(const char *path, const json_t *v)
 {
--- a/src/settings_edit.c
+++ b/src/settings_edit.c
@@ -25,9 +25,10 @@
 #include "settings.h"
 
 #define CHANGES_MAX 256      /* in one edit */
-#define VALUE_MAX_BYTES 1024 /* of one value */
+#define VALUE_MAX_BYTES 1024 /* JSON text of one value */
 #define WHO_MAX_BYTES 128
-/* Checked against the tree before the edit, so one edit may exceed these. */
+/* Both are checked against the tree before the edit, so one edit that adds
+ * several teams or keys may exceed them. */
 #define TEAMS_MAX 4096
 #define KEYS_MAX 65536
 
@@ -176,8 +177,9 @@
 	json_decref(v);
 }
 
-/* Implied removals come first.  A value that the edit sets in a team that it
- * removes is then still in the overlay, and gets refused, not lost. */
+/* Implied removals are added first, so that they do not overwrite a value that
+ * the edit sets in a team that it removes.  Such a value is then refused rather
+ * than lost. */
 static void
 overlay_changes(struct ogl_draft *d)
 {
@@ -263,9 +265,10 @@
 	return v;
 }
 
-/* Newest version of anything that the change depends on. */
+/* Newest version of all paths that the change depends on, see the head of this
+ * file. */
 static uint64_t
-newest_version_needed(const struct ogl_settings *s, const struct change *c)
+newest_dependency_version(const struct ogl_settings *s, const struct change *c)
 {
 	const struct ogl_path *p = &c->path;
 	char path[OGL_PATH_BYTES];
@@ -297,7 +300,7 @@
 
 		if (!c->valid)
 			continue;
-		v = newest_version_needed(d->s, c);
+		v = newest_dependency_version(d->s, c);
 		if (v <= d->e->base_version)
 			continue;
 		n++;
@@ -345,7 +348,7 @@
 	return n;
 }
 
-/* Probably the name of a field was misspelt, so the fault lists the fields. */
+/* The name of a field was probably misspelt, so the fault lists the fields. */
 static void
 team_value_fault(struct ogl_draft *d, const struct change *c)
 {
@@ -616,7 +619,7 @@
 	d->overlay = g_tree_new_full(compare_paths, NULL, g_free, value_free);
 	check_edit(d);
 	if (e->n_changes > CHANGES_MAX)
-		goto refused; /* any other edit gets all its faults reported */
+		goto refused; /* without the faults of its changes */
 	d->n = e->n_changes;
 	d->changes = g_new0(struct change, d->n);
 	read_changes(d);
--- a/src/settings_show.c
+++ b/src/settings_show.c
@@ -11,8 +11,9 @@
 
 /* ---- one field -------------------------------------------------------- */
 
-/* The path of the nearest level that sets a team's field, NULL when none does.
- * Points to the tree's own copy of the path. */
+/* The path that sets the field for the team: the team's own, else its nearest
+ * ancestor's, else that for all teams; NULL when none is set.  Points to the
+ * tree's own copy of the path. */
 static const char *
 team_field_source(
     const struct ogl_settings *s, const char *team, const char *field)
@@ -79,7 +80,7 @@
 	if (json_is_number(v))
 		n = (int64_t)json_number_value(v);
 	else if (p.field->type == OGL_SETTING_LIMIT)
-		n = INT64_MAX;
+		n = INT64_MAX; /* the value is "none" */
 	json_decref(v);
 	return n;
 }
@@ -95,7 +96,8 @@
 	       p.field == &ogl_key_settings[OGL_KEY_HASH];
 }
 
-/* All values set at and below a path, without key hashes. */
+/* All values set at and below a path, without key hashes.  A node whose value
+ * is JSON null was removed. */
 static json_t *
 collect_set(const struct ogl_settings *s, const char *path)
 {
@@ -179,6 +181,7 @@
 	}
 }
 
+/* Whether the path's team or key exists; all other valid paths exist. */
 static bool
 path_exists(const struct ogl_settings *s, const struct ogl_path *p)
 {
