--- a/orioleglade.h
+++ b/orioleglade.h
@@ -96,13 +96,13 @@
 };
 
 bool ogl_res_fits(const struct ogl_res *need, const struct ogl_res *room);
-/* Whether need is at most room in each of the three. */
+/* Whether need is at most room in each dimension. */
 
 void ogl_res_add(struct ogl_res *to, const struct ogl_res *r);
-/* Overflow is not checked. */
+/* Adds r; overflow is not checked. */
 
 void ogl_res_sub(struct ogl_res *from, const struct ogl_res *r);
-/* A value of r that is greater than that of from leaves 0. */
+/* Subtracts r; a dimension that would become negative becomes 0. */
 
 /* ---- JSON form of messages -------------------------------------------- */
 
@@ -267,11 +267,12 @@
 
 uint32_t ogl_place_worker(struct ogl_place *p, const char *name,
     const struct ogl_res *capacity, const char *zone, const char *rack);
-/* Adds a worker in the state closed, or updates its capacity.  Returns its
- * number.  With a capacity below what its tasks hold it gets no more tasks. */
+/* Adds a worker, unschedulable at first, or updates its capacity.  Returns its
+ * number.  A worker whose tasks hold more than the new capacity gets no more
+ * tasks. */
 
 void ogl_place_remove_worker(struct ogl_place *p, uint32_t w);
-/* Removes a worker and forgets what its tasks held.  Its number may be reused.
+/* Removes a worker and the resources held there.  Its number may be reused.
  * Does nothing for an unknown number. */
 
 void ogl_place_set_state(
@@ -334,7 +335,8 @@
 	struct ogl_res res;     /* of each task */
 	uint64_t declared_ms;   /* run time as submitted, 0: none */
 	ogl_time waiting_since; /* when it began to wait */
-	bool preempted; /* preempted: goes before similar work of its team */
+	bool
+	    preempted; /* was preempted: goes before similar work of its team */
 };
 
 struct ogl_queue_policy; /* table of function pointers, see src/queue.h */
@@ -357,17 +359,17 @@
 
 bool ogl_queue_pop(struct ogl_queue *q, ogl_time now, struct ogl_work *w);
 /* Removes the work that is next in order; its team and label stay valid until
- * the next call on q.  Returns false when no work waits except what is passed
- * over.  Popped work must be started, put back, pushed again or removed,
+ * the next call on q.  Returns false when no work waits except deferred
+ * work.  Popped work must be started, deferred, pushed again or removed,
  * otherwise it stays in memory. */
 
 void ogl_queue_defer(struct ogl_queue *q, uint64_t id, ogl_time now);
-/* Puts back popped work that could not start.  It keeps its rank, and pop
- * passes over it until ogl_queue_retry_deferred is called. */
+/* Defers popped work that could not start.  It waits again with its old rank,
+ * but pop skips it until ogl_queue_retry_deferred is called. */
 
 void ogl_queue_retry_deferred(struct ogl_queue *q, ogl_time now);
-/* Makes all work that was passed over available to pop again, for use when
- * resources have become free. */
+/* Makes all deferred work available to pop again; to be called when resources
+ * have become free. */
 
 bool ogl_queue_remove(struct ogl_queue *q, uint64_t id);
 /* Removes waiting work and returns true; otherwise returns false.  Popped work
@@ -382,7 +384,7 @@
 /* Started work ended.  Learns its run time and settles the team's charge. */
 
 size_t ogl_queue_length(const struct ogl_queue *q);
-/* Number of waiting units of work, those passed over included. */
+/* Number of waiting units of work, deferred ones included. */
 
 uint64_t ogl_queue_wait_ms(const struct ogl_queue *q, ogl_time now);
 /* How long the oldest waiting work has waited, 0 when none waits. */
@@ -581,8 +583,9 @@
 	/* How long an owner may act after its last contact with the log. */
 	uint32_t right_ms;
 	uint32_t stale_ms; /* settings not confirmed for longer are stale */
-	/* The same while its named successors promise not to claim.  Any other
-	 * node that claims assumes that the old owner acts this long. */
+	/* The same limit while its named successors promise not to claim.  Any
+	 * other node that claims waits this long before it takes over, since
+	 * the old owner may act until then. */
 	uint32_t late_claim_ms;
 	uint32_t snapshot_records; /* records between snapshots */
 	uint32_t snapshot_ms;      /* age that forces a snapshot */
