--- a/src/sched.c
+++ b/src/sched.c
@@ -1,7 +1,7 @@
 /*
  * Scheduling by the owner of a shard: the queue decides the order of waiting
- * work, the placer chooses workers with enough room, and the shard's allotments
- * set the team limits.
+ * work, the placer chooses workers with enough room, and the shard's parts of
+ * the team limits (escrow.c) bound the placed tasks of each team.
  *
  * Tasks of batch jobs and services are queued one by one; a gang is queued as
  * a single item for all its tasks that have not ended.  A task is removed from
@@ -98,9 +98,9 @@
 }
 
 /* Whether n more tasks stay within the limits of the team and its ancestors;
- * requests a larger allotment where they do not.  During recovery, tasks that
- * an earlier owner started may run without having been reported yet, so teams
- * with a limit have to wait. */
+ * asks for a larger part of the limit where they do not.  During recovery,
+ * tasks that an earlier owner started may run without having been reported yet,
+ * so teams with a limit have to wait. */
 static bool
 limits_allow(struct ogl_shard *sh, const char *team, uint32_t n)
 {
