--- a/orioleglade.h
+++ b/orioleglade.h
@@ -251,7 +251,7 @@
 struct ogl_demand {
 	Ogl__Kind kind;
 	struct ogl_res res;
-	uint64_t job; /* tasks of one job are spread out or packed */
+	uint64_t job; /* number of the job; a service's tasks are spread out */
 };
 
 /* Why tasks can never run on the workers known. */
--- a/src/keys.c
+++ b/src/keys.c
@@ -16,8 +16,8 @@
 #define KEY_PREFIX "og_"
 #define SECRET_BYTES 32
 #define SECRET_CHARS 43
-#define ID_HASH_BYTES 8
-#define KEY_TEXT_BYTES 80
+#define ID_HASH_BYTES 8   /* an id is this many bytes of hash, as hex */
+#define KEY_TEXT_BYTES 80 /* buffer for the text of a key and a NUL */
 #define ID_CONTEXT "orioleglade key id"
 #define ID_CHARS "abcdefghijklmnopqrstuvwxyz0123456789"
 #define SECRET_ALPHABET                                                        \
--- a/src/place.h
+++ b/src/place.h
@@ -170,9 +170,9 @@
 /* Room reserved for one waiting gang; there is at most one reservation. */
 struct ogl_reservation {
 	bool active;
-	bool worker_lost; /* a chosen worker can no longer be used */
-	struct ogl_demand ask;
-	uint32_t n;
+	bool worker_lost;      /* a chosen worker can no longer be used */
+	struct ogl_demand ask; /* of each task of the gang */
+	uint32_t n;            /* number of its tasks */
 	ogl_time until;
 	ogl_time chosen_at; /* when the workers were last chosen */
 	GArray *workers;    /* struct ogl_reserved_worker */
