--- a/src/route.c
+++ b/src/route.c
@@ -8,7 +8,8 @@
  * of the oldest request there if that is longer) times the load per slot,
  * which counts own requests in flight and an estimate of those of other
  * nodes.  The estimate comes from refusals, which show that the target was
- * full, and decays.  A target in another zone must be clearly better.
+ * full, and decays.  A target in another zone is chosen only if its expected
+ * time is clearly shorter.
  *
  * The limit of own requests in flight on a target is found by additive
  * increase and by multiplicative decrease on refusals.  It never exceeds the
@@ -28,20 +29,21 @@
 #include "route.h"
 
 #define CANDIDATES 4                    /* targets compared for each request */
-#define SERVICE_TIME_WEIGHT 0.1         /* of one answer in the average */
-#define SERVICE_TIME_INITIAL_US 20000.0 /* before the first answer */
+#define SERVICE_TIME_WEIGHT 0.1         /* weight of the newest answer */
+#define SERVICE_TIME_INITIAL_US 20000.0 /* until the first answer */
 #define SERVICE_TIME_EXPIRY (10 * OGL_SEC)
 #define OTHER_ZONE_PENALTY 1.15 /* factor on the expected time */
-#define OTHERS_DECAY 0.95       /* factor on others' load for each answer */
+#define OTHERS_DECAY 0.95       /* factor on others_in_flight per answer */
 #define OTHERS_EXPIRY (2 * OGL_SEC)
-#define LIMIT_DECREASE 0.9            /* factor on the limit for each refusal */
-#define LIMIT_MIN 2.0                 /* refusals do not lower it further */
-#define FAILURES_TO_OPEN 5            /* consecutive, open the breaker */
-#define FAILURES_EXPIRY (5 * OGL_SEC) /* of the penalty for failures */
-#define REFUSALS_TO_OPEN 8            /* consecutive, open the breaker */
+#define LIMIT_DECREASE 0.9 /* factor on the limit for each refusal */
+#define LIMIT_MIN 2.0      /* refusals do not lower it further */
+#define FAILURES_TO_OPEN 5 /* consecutive failures */
+/* The penalty for failures decays to nothing in this time. */
+#define FAILURES_EXPIRY (5 * OGL_SEC)
+#define REFUSALS_TO_OPEN 8 /* consecutive refusals */
 #define OPEN_DELAY_MIN (1 * OGL_SEC)
 #define OPEN_DELAY_DOUBLINGS_MAX 6
-#define WAIT_NO_TARGET_MS 2000 /* no active target and no probe due */
+#define WAIT_NO_TARGET_MS 2000 /* without an active target or a probe */
 #define WAIT_MAX_MS 60000
 #define WAIT_MIN_MS 20
 
@@ -61,13 +63,13 @@
 	struct in_flight *in_flight; /* oldest first */
 	uint32_t n_in_flight, in_flight_capacity;
 	uint32_t slots;
-	double limit;           /* of own requests in flight */
+	double limit;           /* most own requests in flight */
 	double service_time_us; /* moving average, 0 before any answer */
 	ogl_time answered_at;
 	ogl_time failed_at;
-	double others; /* requests of other nodes at the last refusal */
-	ogl_time others_at;
-	ogl_time probe_at;
+	double others_in_flight; /* of other nodes, estimated at refused_at */
+	ogl_time refused_at;
+	ogl_time probe_at;     /* when its open breaker may be probed */
 	uint32_t active_index; /* in the list of active, while in it */
 	uint8_t breaker;       /* enum breaker */
 	uint8_t failures;      /* consecutive */
@@ -75,7 +77,7 @@
 	uint8_t openings;      /* of the breaker since the last answer */
 	bool known;
 	bool leaving;
-	bool own_zone;
+	bool in_own_zone;
 };
 
 struct ogl_route {
@@ -84,8 +86,8 @@
 	uint32_t ntargets, targets_capacity;
 	GArray *free_numbers; /* uint32_t, numbers of removed targets */
 	GHashTable *by_name;  /* name -> number */
-	GArray *active;       /* uint32_t, those that may get requests */
-	uint32_t n_tripped;   /* breaker not closed, known and not leaving */
+	GArray *active;       /* uint32_t, targets that may get requests */
+	uint32_t n_tripped;   /* open or half-open, and not leaving */
 	ogl_time next_probe;  /* earliest probe_at, OGL_NEVER for none */
 	struct ogl_blame blame;
 	double service_time_us; /* average over all targets */
@@ -239,7 +241,7 @@
 	else
 		t = new_target(r, name);
 	k = &r->targets[t];
-	k->own_zone = strcmp(zone != NULL ? zone : "", r->own_zone) == 0;
+	k->in_own_zone = strcmp(zone != NULL ? zone : "", r->own_zone) == 0;
 	slots = MAX(slots, 1);
 	if (k->slots != slots) {
 		k->slots = slots;
@@ -268,14 +270,14 @@
 /* ---- selection -------------------------------------------------------- */
 
 static uint32_t
-free_places(const struct target *k)
+free_slots(const struct target *k)
 {
 	uint32_t limit = (uint32_t)k->limit;
 
 	return limit > k->n_in_flight ? limit - k->n_in_flight : 0;
 }
 
-/* The part, 1 to 0, that is left of a value that decays until it expires. */
+/* Weight of a value noted at `since`: falls from 1 to 0 until it expires. */
 static double
 decay(ogl_time since, ogl_time expiry, ogl_time now)
 {
@@ -309,14 +311,15 @@
 	double service_time = current_service_time(r, k, now);
 	double age =
 	    k->n_in_flight > 0 ? (double)(now - k->in_flight[0].since) : 0;
-	double others = k->others * decay(k->others_at, OTHERS_EXPIRY, now);
+	double others =
+	    k->others_in_flight * decay(k->refused_at, OTHERS_EXPIRY, now);
 	double load = k->n_in_flight + others + 1;
 
 	service_time = MAX(service_time, age);
 	service_time *=
 	    1 + k->failures * decay(k->failed_at, FAILURES_EXPIRY, now);
 	return service_time * (1 + load / k->slots) *
-	       (k->own_zone ? 1 : OTHER_ZONE_PENALTY);
+	       (k->in_own_zone ? 1 : OTHER_ZONE_PENALTY);
 }
 
 static bool
@@ -331,7 +334,8 @@
 	return false;
 }
 
-/* The best of a few targets with a free place, chosen at random. */
+/* Picks a few targets with a free slot at random and stores the best of them;
+ * false if there is none. */
 static bool
 choose_random(struct ogl_route *r, const uint32_t *tried, size_t ntried,
     ogl_time now, uint32_t *best)
@@ -349,7 +353,7 @@
 		    j;
 		g_array_index(r->active, uint32_t, i) = t;
 		r->targets[t].active_index = i;
-		if (free_places(&r->targets[t]) == 0 ||
+		if (free_slots(&r->targets[t]) == 0 ||
 		    was_tried(tried, ntried, t))
 			continue;
 		score = expected_time(r, &r->targets[t], now);
@@ -431,26 +435,26 @@
 }
 
 static void
-update_average(double *average, double took)
+update_average(double *average, double took_us)
 {
 	if (*average > 0)
-		*average += SERVICE_TIME_WEIGHT * (took - *average);
+		*average += SERVICE_TIME_WEIGHT * (took_us - *average);
 	else
-		*average = took;
+		*average = took_us;
 }
 
 static void
 answered(struct ogl_route *r, uint32_t t, ogl_time since, ogl_time now)
 {
 	struct target *k = &r->targets[t];
-	double took = MAX((double)(now - since), 1);
+	double took_us = MAX((double)(now - since), 1);
 
-	update_average(&k->service_time_us, took);
-	update_average(&r->service_time_us, took);
+	update_average(&k->service_time_us, took_us);
+	update_average(&r->service_time_us, took_us);
 	k->answered_at = now;
 	if (k->n_in_flight + 1 >= (uint32_t)k->limit)
 		k->limit = MIN(k->limit + 1 / k->limit, k->slots);
-	k->others *= OTHERS_DECAY;
+	k->others_in_flight *= OTHERS_DECAY;
 	k->failures = 0;
 	k->refusals = 0;
 	k->openings = 0;
@@ -469,8 +473,9 @@
 
 	k->limit = MIN(k->limit, k->n_in_flight + 1) * LIMIT_DECREASE;
 	k->limit = MIN(MAX(k->limit, LIMIT_MIN), k->slots);
-	k->others = k->slots > k->n_in_flight ? k->slots - k->n_in_flight : 0;
-	k->others_at = now;
+	k->others_in_flight =
+	    k->slots > k->n_in_flight ? k->slots - k->n_in_flight : 0;
+	k->refused_at = now;
 	if (k->refusals < UINT8_MAX)
 		k->refusals++;
 	if (k->breaker == BREAKER_HALF_OPEN ||
@@ -479,7 +484,7 @@
 		open_breaker(r, t, now);
 }
 
-/* Takes back a counted failure of t: the request was at fault. */
+/* Removes a failure counted against t, since the request was at fault. */
 static void
 take_back_failure(struct ogl_route *r, uint32_t t)
 {
@@ -549,7 +554,7 @@
 	return ogl_budget_take(&r->budget, now);
 }
 
-/* ---- waiting time and free places ------------------------------------- */
+/* ---- waiting time and free slots -------------------------------------- */
 
 /* Requests per second that the active targets can complete, estimated from
  * their limits and learned service times. */
@@ -567,8 +572,8 @@
 	return sum;
 }
 
-/* With no active target, the earliest that a request can go is the next
- * probe. */
+/* Without an active target, a request is sent at the next probe at the
+ * earliest. */
 static uint64_t
 wait_for_probe(const struct ogl_route *r, ogl_time now)
 {
@@ -604,7 +609,7 @@
 
 	(void)now;
 	for (i = 0; i < r->active->len; i++) {
-		sum += free_places(
+		sum += free_slots(
 		    &r->targets[g_array_index(r->active, uint32_t, i)]);
 	}
 	return sum;
--- a/src/route.h
+++ b/src/route.h
@@ -1,6 +1,6 @@
 /*
- * Parts of routing: which failures are the target's fault, and the rate at
- * which requests complete.
+ * Parts of the router: which failures are the target's fault, the rate at which
+ * requests complete while targets are full, and memory use.
  */
 
 #ifndef OGL_ROUTE_H
@@ -49,18 +49,18 @@
 void ogl_drain_init(struct ogl_drain *d);
 
 void ogl_drain_note_full(struct ogl_drain *d, ogl_time now);
-/* Notes that a request found no target with a free place. */
+/* Notes that a request found no target with a free slot. */
 
 void ogl_drain_note_completed(struct ogl_drain *d, ogl_time now);
 /* Counts a completed request. */
 
 double ogl_drain_rate(const struct ogl_drain *d, ogl_time now);
-/* Requests completed per second, or 0 if no request lately found all targets
- * full. */
+/* Returns the requests completed per second, or 0 for unknown if no request
+ * found all targets full lately. */
 
 /* ---- memory use ------------------------------------------------------- */
 
 size_t ogl_route_bytes(const struct ogl_route *r);
-/* Memory held in bytes, for benchmarks and metrics. */
+/* Returns the memory held in bytes, for benchmarks and metrics. */
 
 #endif
--- a/src/route_drain.c
+++ b/src/route_drain.c
@@ -1,16 +1,19 @@
 /*
- * The rate at which requests complete.
+ * The rate at which requests complete while all targets are full.  The router
+ * estimates waiting times from it.
  *
  * Completions are counted per time window and averaged with more weight on
- * newer windows.  If no request found all targets full in a window, its count
- * shows the demand and not the capacity, so the window is left out.
+ * newer windows.  A window in which no request found all targets full is left
+ * out, since its count shows how many requests came and not how many the
+ * targets can complete.
  */
 
 #include "route.h"
 
 #define WINDOW_LENGTH (500 * OGL_MS)
-#define WINDOW_WEIGHT 0.4         /* of one window in the average */
-#define FULL_EXPIRY (2 * OGL_SEC) /* how long full targets are remembered */
+#define WINDOW_WEIGHT 0.4 /* weight of the newest window in the average */
+/* The rate is unknown this long after a request last found all targets full. */
+#define RATE_EXPIRY (2 * OGL_SEC)
 
 void
 ogl_drain_init(struct ogl_drain *d)
@@ -18,7 +21,7 @@
 	d->window_start = 0;
 	d->completed = 0;
 	d->rate = 0;
-	d->full_at = -FULL_EXPIRY;
+	d->full_at = -RATE_EXPIRY;
 }
 
 void
@@ -50,5 +53,5 @@
 double
 ogl_drain_rate(const struct ogl_drain *d, ogl_time now)
 {
-	return now - d->full_at < FULL_EXPIRY ? d->rate : 0;
+	return now - d->full_at < RATE_EXPIRY ? d->rate : 0;
 }
