--- a/src/reqs.c
+++ b/src/reqs.c
@@ -1,12 +1,12 @@
 /*
- * Short requests.
+ * Short requests, which an executor answers directly.
  *
  * A request waits in the queue, which decides on the order, until the router
  * has a free slot at a target; it is then sent, and its answer is passed on.
  * The queue is bounded by time: a request that is expected to wait longer
  * than its team allows is refused at once, with a time after which to retry.
- * One that is accepted and still waits too long is refused when that time is
- * over.
+ * An accepted request that has waited as long as its team allows is refused
+ * then.
  *
  * A request is sent to another target only if it certainly did not run, or if
  * its caller declared it as idempotent, and only within the retry budget.  If
@@ -20,9 +20,9 @@
 #include "reqs.h"
 
 enum {
-	TOKEN_PART = 3,        /* top byte of the tokens of requests */
-	MAX_TRIES = 3,         /* targets that one request is sent to */
-	MAX_BUDGET_MS = 30000, /* for a whole request; also the default */
+	TOKEN_PART = 3,        /* top byte of this module's tokens */
+	MAX_TRIES = 3,         /* most targets that one request is sent to */
+	MAX_BUDGET_MS = 30000, /* longest and default time for a request */
 	NO_TARGET_RETRY_AFTER_MS = 1000,
 	MIN_RETRY_AFTER_MS = 50
 };
@@ -33,8 +33,8 @@
 };
 
 struct req {
-	uint64_t id; /* its number in the queue and in its token */
-	uint64_t cookie;
+	uint64_t id;     /* identifies it in the queue and in its token */
+	uint64_t cookie; /* identifies it to the caller of this module */
 	enum req_phase phase;
 	bool idempotent;
 	bool abandoned; /* its caller no longer waits for the answer */
@@ -42,9 +42,9 @@
 	char *team;
 	char *label;
 	GBytes *body;
-	ogl_time since;
-	ogl_time wait_until; /* neither queued nor retried after it */
-	ogl_time deadline;   /* of the whole request */
+	ogl_time submitted_at;
+	ogl_time wait_until; /* latest time to queue or retry it */
+	ogl_time deadline;   /* end of the time for the whole request */
 	uint32_t tried[MAX_TRIES];
 	uint32_t ntried;
 	GSequenceIter *expiry;
@@ -53,7 +53,7 @@
 struct target {
 	char *name;
 	char *addr;
-	uint32_t number; /* the router's */
+	uint32_t number; /* the router's number for the target */
 };
 
 struct ogl_reqs {
@@ -267,7 +267,7 @@
 	w.kind = OGL__KIND__request;
 	w.tasks = 1;
 	w.res.cpu_milli = 1000;
-	w.waiting_since = r->since;
+	w.waiting_since = r->submitted_at;
 	r->phase = REQ_WAITING;
 	r->expiry =
 	    g_sequence_insert_sorted(q->expiry, r, compare_wait_until, NULL);
@@ -291,7 +291,7 @@
 	r->team = g_strdup(team);
 	r->label = g_strdup(label);
 	r->body = g_bytes_new(body.p, body.n);
-	r->since = now;
+	r->submitted_at = now;
 	budget_ms =
 	    budget_ms > 0 ? MIN(budget_ms, MAX_BUDGET_MS) : MAX_BUDGET_MS;
 	max_wait_ms =
@@ -357,18 +357,18 @@
 dispatch(struct ogl_reqs *q, ogl_time now, struct ogl_actions *out)
 {
 	struct ogl_work w;
-	uint32_t misses = 0;
+	uint32_t ndeferred = 0;
 
 	q->dispatch_due = false;
 	ogl_queue_retry_deferred(q->queue, now);
-	while (misses < MAX_TRIES && ogl_queue_pop(q->queue, now, &w)) {
+	while (ndeferred < MAX_TRIES && ogl_queue_pop(q->queue, now, &w)) {
 		struct req *r = g_hash_table_lookup(q->live, &w.id);
 		uint32_t t;
 
 		if (!ogl_route_pick(
 			q->route, r->cookie, r->tried, r->ntried, now, &t)) {
 			ogl_queue_defer(q->queue, w.id, now);
-			misses++;
+			ndeferred++;
 			continue;
 		}
 		ogl_queue_started(q->queue, &w, now);
@@ -416,8 +416,8 @@
 {
 	GBytes *body;
 
-	/* An earlier try of an idempotent request may have run although the
-	 * last one certainly did not. */
+	/* A request that is not idempotent is retried only if it certainly did
+	 * not run.  An idempotent one may have run at an earlier target. */
 	if (certainly_not_run(ev) && (!r->idempotent || r->ntried == 1)) {
 		q->counters->refused++;
 		finish_error(q, r, 503, OGL_NOT_RUN, retry_after_ms(q, now),
@@ -467,6 +467,8 @@
 	while (!g_sequence_iter_is_end(
 	    it = g_sequence_get_begin_iter(q->expiry))) {
 		struct req *r = g_sequence_get(it);
+		/* Only an idempotent request is queued again although it may
+		 * have run. */
 		bool not_run = r->ntried == 0 || !r->idempotent;
 
 		if (r->wait_until > now)
