--- a/src/calls.c
+++ b/src/calls.c
@@ -2,7 +2,7 @@
  * Calls: what callers and operators ask of a node, and what nodes forward to
  * each other.
  *
- * A call's key is looked up first; it names the team.  Then a table says, by
+ * First the caller's key is checked; it gives the team.  Then a table says, by
  * method and path, whether the call is answered here (operators' views), by
  * the executors (short requests), by the owner of one shard (jobs, short
  * requests with an id) or by the owners of all shards (lists).  In the last
@@ -18,12 +18,13 @@
 #include "node_impl.h"
 
 enum {
-	CALL_TIMEOUT_MS = 10000,  /* the longest and the default */
-	RESEND_MS = 700,          /* of a forwarded call without an answer */
-	NO_OWNER_RETRY_MS = 100,  /* until the owner is looked up again */
-	GATHER_TIMEOUT_MS = 2000, /* a list is then sent without the rest */
+	CALL_TIMEOUT_MS = 10000,  /* longest and default time for a call */
+	RESEND_MS = 700,          /* between sends of an unanswered call */
+	NO_OWNER_RETRY_MS = 100,  /* between lookups of an unknown owner */
+	GATHER_TIMEOUT_MS = 2000, /* a list then omits missing shards */
 	STALE_RETRY_MS = 1000,    /* told to callers while settings are stale */
 	STOP_RETRY_MS = 100,      /* told to callers while shutting down */
+	TICK_MS = 50,             /* between checks for due calls */
 	TEAM_MAX_BYTES = 128,
 	ID_MAX_BYTES = 128 /* of a request id */
 };
@@ -42,7 +43,7 @@
 
 struct call {
 	uint64_t id;    /* number within this node */
-	uint64_t token; /* of the HTTP adapter, for the reply */
+	uint64_t token; /* identifies the call to the HTTP adapter */
 	enum call_kind kind;
 	char *method;
 	char *path;
@@ -56,15 +57,15 @@
 	 * remembers the id and refers the job to the shard that runs it. */
 	uint32_t home_shard;
 	bool has_caller_id;
-	bool referred;       /* shard is the one that the home referred to */
-	uint32_t suggest;    /* for the home to refer to: shard + 1, 0: none */
-	uint32_t refused_by; /* shard + 1, 0: none */
-	bool any_shard;      /* without a caller's id: any may take the job */
+	bool referred;       /* `shard` is where the home referred the job */
+	uint32_t suggest;    /* shard + 1 proposed to the home, 0: none */
+	uint32_t refused_by; /* shard + 1 that can never run it, 0: none */
+	bool any_shard;      /* a job without a caller's id, for any shard */
 	uint32_t unanswered; /* times sent to an owner without an answer */
 	bool waits_locally;  /* a shard of this node holds it as a waiter */
 	ogl_time deadline;
 	ogl_time next_send;
-	json_t *rows;         /* gathered so far */
+	json_t *rows;         /* of the shards that answered so far */
 	GByteArray *answered; /* by shard: 1 if it has answered */
 	uint32_t nmissing;    /* shards that have not answered */
 };
@@ -80,7 +81,7 @@
 
 /* A short request sent to an executor on behalf of a shard. */
 struct dispatched {
-	uint64_t cookie;
+	uint64_t cookie; /* identifies the request in reqs.c */
 	uint32_t shard;
 	char *id;
 };
@@ -90,8 +91,8 @@
 	GHashTable *by_token;     /* token -> struct call */
 	GHashTable *remote_calls; /* waiter -> struct remote_call */
 	GHashTable *dispatched;   /* cookie -> struct dispatched */
-	uint64_t last_id;         /* of calls, waiters and cookies */
-	uint64_t last_auto_id;    /* in the request ids made here */
+	uint64_t last_id;         /* last number of a call, waiter or cookie */
+	uint64_t last_auto_id;    /* number in the last request id made here */
 	ogl_time next_tick;
 };
 
@@ -220,7 +221,7 @@
 /* ---- forwarding ------------------------------------------------------- */
 
 static void
-ask_local(struct ogl_node *n, const struct call *c, uint32_t shard)
+call_local_owner(struct ogl_node *n, const struct call *c, uint32_t shard)
 {
 	struct ogl_owner_call q = {0};
 	gsize len;
@@ -241,7 +242,7 @@
 }
 
 static void
-ask_remote(struct ogl_node *n, const struct call *c, uint32_t shard,
+forward_to_peer(struct ogl_node *n, const struct call *c, uint32_t shard,
     const struct ogl_peer *p)
 {
 	Ogl__PeerMsg msg = OGL__PEER_MSG__INIT;
@@ -276,20 +277,20 @@
 	const struct ogl_peer *p;
 
 	if (ogl_shard_role(n->shards[shard]) == OGL_ROLE_OWNER) {
-		ask_local(n, c, shard);
+		call_local_owner(n, c, shard);
 		return true;
 	}
 	p = o->name != NULL ? ogl_member_find(n->member, o->name) : NULL;
 	if (p == NULL)
 		return false;
-	ask_remote(n, c, shard, p);
+	forward_to_peer(n, c, shard, p);
 	return true;
 }
 
-/* A shard of this node keeps the waiter and is certain to answer, so it is
- * asked once.  A peer's answer may be lost, so a peer is asked again. */
+/* Sends a call to the owner of its shard.  An owner on this node gets it once,
+ * since its answer can't be lost; a peer gets it again until it answers. */
 static void
-send_shard(struct ogl_node *n, struct call *c)
+send_to_shard(struct ogl_node *n, struct call *c)
 {
 	bool local = ogl_shard_role(n->shards[c->shard]) == OGL_ROLE_OWNER;
 
@@ -322,7 +323,7 @@
 }
 
 static void
-send_gather(struct ogl_node *n, struct call *c)
+send_to_all_shards(struct ogl_node *n, struct call *c)
 {
 	uint64_t id = c->id;
 
@@ -385,7 +386,8 @@
 	return true;
 }
 
-/* The first shard, counted from this one, that has a known owner. */
+/* Returns the first shard from `from` on that has a known owner, or `from` if
+ * no shard has one. */
 static uint32_t
 next_owned(const struct ogl_node *n, uint32_t from)
 {
@@ -398,8 +400,8 @@
 	return from;
 }
 
-/* The one of two random shards that has more free processors.  This spreads
- * jobs without any node knowing the load of all shards. */
+/* Picks the one of two random shards that has more free processors.  This
+ * spreads jobs although no node knows the load of all shards. */
 static uint32_t
 pick_shard(struct ogl_node *n)
 {
@@ -443,8 +445,8 @@
 	schedule_send(n, c, 0);
 }
 
-/* After a shard that can never run the job, the home is asked to refer it to
- * the next one. */
+/* Asks the home to refer the job to the next shard, since this one can never
+ * run it. */
 static void
 return_home(struct ogl_node *n, struct call *c)
 {
@@ -695,7 +697,7 @@
 	if (c->request_id[0] != '\0' && !ev->u.call.idempotent) {
 		c->kind = CALL_SHARD;
 		c->shard = shard_of_id(n, team, c->request_id);
-		send_shard(n, c);
+		send_to_shard(n, c);
 		return;
 	}
 	c->kind = CALL_REQUEST;
@@ -790,7 +792,7 @@
 	    has_caller_id ? shard_of_id(n, team, s->request_id) : pick_shard(n);
 	c->home_shard = c->shard;
 	c->suggest = has_caller_id ? pick_shard(n) + 1 : 0;
-	send_shard(n, c);
+	send_to_shard(n, c);
 out:
 	if (s != NULL)
 		ogl__submit__free_unpacked(s, NULL);
@@ -811,7 +813,7 @@
 	c = call_new(n, ev, team, path);
 	c->kind = CALL_SHARD;
 	c->shard = shard;
-	send_shard(n, c);
+	send_to_shard(n, c);
 }
 
 static void
@@ -828,13 +830,14 @@
 	c->answered = g_byte_array_new();
 	g_byte_array_set_size(c->answered, n->cfg.shards);
 	memset(c->answered->data, 0, n->cfg.shards);
-	send_gather(n, c);
+	send_to_all_shards(n, c);
 }
 
-enum right {
-	RIGHT_TEAM, /* callers of a team */
-	RIGHT_ANY,  /* callers and operators */
-	RIGHT_OPERATOR
+/* Who may make a call. */
+enum access {
+	ACCESS_TEAM,    /* with a team's key */
+	ACCESS_ANY,     /* with any key */
+	ACCESS_OPERATOR /* with an operator's key */
 };
 
 /* One row for each call.  If path ends in '/', the rest of the call's path is
@@ -842,28 +845,28 @@
 struct call_row {
 	const char *method;
 	const char *path;
-	enum right right;
+	enum access access;
 	call_fn fn;   /* for calls that are forwarded or queued, or NULL */
 	ogl_op_fn op; /* for calls that are answered here, or NULL */
 };
 
 static const struct call_row call_table[] = {
-    {"POST", "/v1/requests", RIGHT_TEAM, do_request, NULL},
-    {"POST", "/v1/jobs", RIGHT_TEAM, do_submit, NULL},
-    {"GET", "/v1/jobs", RIGHT_ANY, do_gather, NULL},
-    {"GET", "/v1/jobs/", RIGHT_ANY, do_job, NULL},
-    {"DELETE", "/v1/jobs/", RIGHT_ANY, do_job, NULL},
-    {"GET", "/v1/shards", RIGHT_OPERATOR, do_gather, NULL},
-    {"GET", "/v1/queues", RIGHT_OPERATOR, do_gather, NULL},
-    {"GET", "/v1/workers", RIGHT_OPERATOR, do_gather, NULL},
-    {"GET", "/v1/settings", RIGHT_OPERATOR, NULL, ogl_op_settings_get},
-    {"POST", "/v1/settings", RIGHT_OPERATOR, NULL, ogl_op_settings_edit},
-    {"POST", "/v1/keys", RIGHT_OPERATOR, NULL, ogl_op_key_create},
-    {"DELETE", "/v1/keys/", RIGHT_OPERATOR, NULL, ogl_op_key_withdraw},
-    {"GET", "/v1/audit", RIGHT_OPERATOR, NULL, ogl_op_audit},
-    {"GET", "/v1/hosts", RIGHT_OPERATOR, NULL, ogl_op_hosts},
-    {"GET", "/v1/members", RIGHT_OPERATOR, NULL, ogl_op_members},
-    {"GET", "/v1/status", RIGHT_OPERATOR, NULL, ogl_op_status},
+    {"POST", "/v1/requests", ACCESS_TEAM, do_request, NULL},
+    {"POST", "/v1/jobs", ACCESS_TEAM, do_submit, NULL},
+    {"GET", "/v1/jobs", ACCESS_ANY, do_gather, NULL},
+    {"GET", "/v1/jobs/", ACCESS_ANY, do_job, NULL},
+    {"DELETE", "/v1/jobs/", ACCESS_ANY, do_job, NULL},
+    {"GET", "/v1/shards", ACCESS_OPERATOR, do_gather, NULL},
+    {"GET", "/v1/queues", ACCESS_OPERATOR, do_gather, NULL},
+    {"GET", "/v1/workers", ACCESS_OPERATOR, do_gather, NULL},
+    {"GET", "/v1/settings", ACCESS_OPERATOR, NULL, ogl_op_settings_get},
+    {"POST", "/v1/settings", ACCESS_OPERATOR, NULL, ogl_op_settings_edit},
+    {"POST", "/v1/keys", ACCESS_OPERATOR, NULL, ogl_op_key_create},
+    {"DELETE", "/v1/keys/", ACCESS_OPERATOR, NULL, ogl_op_key_withdraw},
+    {"GET", "/v1/audit", ACCESS_OPERATOR, NULL, ogl_op_audit},
+    {"GET", "/v1/hosts", ACCESS_OPERATOR, NULL, ogl_op_hosts},
+    {"GET", "/v1/members", ACCESS_OPERATOR, NULL, ogl_op_members},
+    {"GET", "/v1/status", ACCESS_OPERATOR, NULL, ogl_op_status},
 };
 
 static bool
@@ -900,6 +903,8 @@
 	return NULL;
 }
 
+/* Whether this is the first operator's key, whose hash is in the node's
+ * configuration and not in the settings. */
 static bool
 is_first_operator(const struct ogl_node *n, struct ogl_str key)
 {
@@ -912,7 +917,7 @@
 /* Checks the key and stores its team, "" for an operator.  Replies and returns
  * false if the call is refused. */
 static bool
-check_key(struct ogl_node *n, const struct ogl_event *ev, enum right right,
+check_key(struct ogl_node *n, const struct ogl_event *ev, enum access access,
     char team[TEAM_MAX_BYTES])
 {
 	struct ogl_key_view view = {0};
@@ -929,11 +934,12 @@
 		    "the key is unknown or withdrawn");
 		return false;
 	}
-	if ((right == RIGHT_OPERATOR && !op) || (right == RIGHT_TEAM && op)) {
+	if ((access == ACCESS_OPERATOR && !op) ||
+	    (access == ACCESS_TEAM && op)) {
 		n->counters.denied++;
 		reply_error(n, ev->token, 403, OGL_NOT_RUN, 0,
-		    right == RIGHT_TEAM ? "this needs a team's key"
-					: "this needs an operator's key");
+		    access == ACCESS_TEAM ? "this needs a team's key"
+					  : "this needs an operator's key");
 		return false;
 	}
 	if (!op)
@@ -985,16 +991,18 @@
 	const struct call_row *row;
 	char team[TEAM_MAX_BYTES];
 	const char *arg;
-	bool other;
+	bool other_method;
 
 	n->counters.calls++;
 	if (query != NULL)
 		*query = '\0';
-	row = find_row(ev->u.call.method, path, &arg, &other);
+	row = find_row(ev->u.call.method, path, &arg, &other_method);
 	if (row == NULL) {
 		n->counters.bad_input++;
-		reply_error(n, ev->token, other ? 405 : 404, OGL_NOT_RUN, 0,
-		    other ? "the path has no such method" : "unknown path");
+		reply_error(n, ev->token, other_method ? 405 : 404, OGL_NOT_RUN,
+		    0,
+		    other_method ? "the path has no such method"
+				 : "unknown path");
 		goto out;
 	}
 	if (n->stopping) {
@@ -1009,7 +1017,7 @@
 		    "the settings can't be confirmed, so no key counts");
 		goto out;
 	}
-	if (!check_key(n, ev, row->right, team) || !check_id(n, ev))
+	if (!check_key(n, ev, row->access, team) || !check_id(n, ev))
 		goto out;
 	if (row->fn != NULL)
 		row->fn(n, ev, team, path, arg);
@@ -1077,7 +1085,7 @@
 call_tick(struct ogl_node *n, struct call *c)
 {
 	if (c->kind == CALL_REQUEST)
-		return; /* the requests module keeps its deadline */
+		return; /* the requests module checks its deadline */
 	if (n->now >= c->deadline) {
 		call_timeout(n, c);
 		return;
@@ -1085,9 +1093,9 @@
 	if (n->now < c->next_send)
 		return;
 	if (c->kind == CALL_SHARD)
-		send_shard(n, c);
+		send_to_shard(n, c);
 	else if (c->kind == CALL_GATHER)
-		send_gather(n, c);
+		send_to_all_shards(n, c);
 }
 
 static gboolean
@@ -1107,7 +1115,7 @@
 
 	if (n->now < cs->next_tick)
 		return;
-	cs->next_tick = n->now + 50 * OGL_MS;
+	cs->next_tick = n->now + TICK_MS * OGL_MS;
 	due = g_ptr_array_new();
 	g_hash_table_iter_init(&it, cs->live);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
