--- a/src/node.c
+++ b/src/node.c
@@ -16,8 +16,8 @@
 	TOKEN_PART = 4, /* top byte of the tokens of host list fetches */
 	HOSTS_INTERVAL_MS = 1000, /* between fetches of the host list */
 	HOSTS_TIMEOUT_MS = 1500,
-	UNLISTED_KEEP_S = 600,   /* to keep workers that left the list */
-	LOG_APPENDS_PER_S = 240, /* by the shards of a cell together */
+	UNLISTED_KEEP_S = 600,   /* for workers missing from the list */
+	LOG_APPENDS_PER_S = 240, /* by all shards of a cell together */
 	FULL_TICK_MS = 50,       /* between ticks of all parts */
 	SHUTDOWN_TIMEOUT_S = 10, /* for other nodes to claim our shards */
 	LEFT_SENDS = 3
@@ -74,7 +74,7 @@
 /* ---- functions that the parts call ------------------------------------ */
 
 static void
-op_reply(void *ctx, uint32_t shard, uint64_t waiter, uint32_t status,
+shard_reply(void *ctx, uint32_t shard, uint64_t waiter, uint32_t status,
     enum ogl_verdict v, uint64_t retry_after_ms, GBytes *body)
 {
 	ogl_calls_answer_waiter(
@@ -82,7 +82,7 @@
 }
 
 static void
-op_dispatch(void *ctx, uint32_t shard, const char *id, const char *team,
+shard_dispatch(void *ctx, uint32_t shard, const char *id, const char *team,
     const char *work_kind, GBytes *body, uint64_t budget_ms, ogl_time now)
 {
 	(void)now;
@@ -93,7 +93,7 @@
  * message is queued until all shards are ticked, so that no part is re-entered;
  * otherwise it goes to the owner's node, if one is known. */
 static void
-op_send(void *ctx, uint32_t shard, Ogl__PeerMsg *msg)
+shard_send(void *ctx, uint32_t shard, Ogl__PeerMsg *msg)
 {
 	struct ogl_node *n = ctx;
 	const struct ogl_owner *o = &n->owners[shard];
@@ -118,7 +118,8 @@
 		ogl_member_send(n->member, p->fact->addr, msg, n->out);
 }
 
-static const struct ogl_shard_ops shard_ops = {op_reply, op_dispatch, op_send};
+static const struct ogl_shard_ops shard_ops = {
+    shard_reply, shard_dispatch, shard_send};
 
 static void
 follow_changed(void *ctx, ogl_time now)
@@ -253,14 +254,14 @@
 void
 ogl_node_end(struct ogl_node *n)
 {
-	struct ogl_actions none;
+	struct ogl_actions dropped;
 
 	if (n == NULL)
 		return;
 	/* Parts may still emit actions while they end; these are dropped. */
-	ogl_actions_init(&none);
-	n->out = &none;
-	n->env.out = &none;
+	ogl_actions_init(&dropped);
+	n->out = &dropped;
+	n->env.out = &dropped;
 	for (uint32_t i = 0; i < n->cfg.shards; i++) {
 		ogl_shard_end(n->shards[i]);
 		g_free(n->owners[i].name);
@@ -275,7 +276,7 @@
 	g_hash_table_destroy(n->hosts);
 	g_queue_free_full(n->local_msgs, local_msg_free);
 	g_hash_table_destroy(n->key_texts);
-	ogl_actions_clear(&none);
+	ogl_actions_clear(&dropped);
 	g_free(n->name);
 	g_free(n->addr);
 	g_free(n->zone);
@@ -335,9 +336,9 @@
 		    n->reqs, h->name, h->addr, h->zone, h->leaving, n->now);
 }
 
-/* Tells whether a host that is missing from the newest list is to be removed.
- * An executor gets no more requests.  A worker is kept for a while, since
- * tasks may still hold leases there. */
+/* Returns whether a host is to be removed because the newest list lacks it.  An
+ * executor gets no more requests from then on.  A worker is kept for a while,
+ * since tasks may still hold leases there. */
 static gboolean
 remove_unlisted(gpointer key, gpointer value, gpointer ctx)
 {
@@ -408,7 +409,7 @@
 	}
 }
 
-/* Finds each shard's owner in the members' facts: the highest epoch counts. */
+/* Finds each shard's owner, the member that reports the highest epoch. */
 static void
 find_owners(struct ogl_node *n)
 {
@@ -672,7 +673,7 @@
 	fetch_hosts(n);
 }
 
-/* Counts appends and peer messages of this step, whose actions begin at a. */
+/* Counts the appends and peer messages in the list of actions from a on. */
 static void
 count_actions(struct ogl_node *n, const struct ogl_action *a)
 {
@@ -699,6 +700,7 @@
 	full_tick(n);
 	ogl_follow_tick(n->follow, n->now, out);
 	apply_settings(n);
+	/* In the step of a full tick, all shards are ticked. */
 	for (uint32_t i = 0; i < n->cfg.shards; i++) {
 		if (n->next_full_tick == n->now + FULL_TICK_MS * OGL_MS ||
 		    ogl_shard_next(n->shards[i]) <= n->now)
--- a/src/node_impl.h
+++ b/src/node_impl.h
@@ -37,8 +37,8 @@
 	GHashTable *hosts; /* name -> struct ogl_host */
 	struct ogl_random rnd;
 	ogl_time started;
-	ogl_time now;            /* of the present step */
-	struct ogl_actions *out; /* of the present step */
+	ogl_time now;            /* time of the present step */
+	struct ogl_actions *out; /* receives the present step's actions */
 	ogl_time next_hosts_fetch;
 	uint64_t hosts_fetch_token; /* 0: no fetch is under way */
 	ogl_time hosts_fetch_sent;
@@ -55,9 +55,9 @@
 void ogl_node_log(struct ogl_node *n, const char *part,
     enum ogl_log_level level, const char *fmt, ...) G_GNUC_PRINTF(4, 5);
 bool ogl_node_settings_stale(const struct ogl_node *n, ogl_time now);
-/* Whether the settings were last known to be current over stale_ms ago. */
+/* Whether the settings were last known to be current more than stale_ms ago. */
 
-/* ---- calls.c: callers' and forwarded calls ---------------------------- */
+/* ---- calls.c: calls from callers and from other nodes ----------------- */
 
 struct ogl_calls *ogl_calls_init(struct ogl_node *n);
 void ogl_calls_end(struct ogl_calls *c);
@@ -70,7 +70,8 @@
 void ogl_calls_answer_waiter(struct ogl_node *n, uint32_t shard,
     uint64_t waiter, uint32_t status, enum ogl_verdict v,
     uint64_t retry_after_ms, GBytes *body);
-/* A local shard answers the call that waits as waiter. */
+/* Passes a local shard's answer on to the call, or to the peer whose call it
+ * is, that has this waiter number. */
 void ogl_calls_forward(
     struct ogl_node *n, const struct ogl_peer *from, const Ogl__Forward *f);
 void ogl_calls_forward_reply(struct ogl_node *n, const struct ogl_peer *from,
@@ -113,6 +114,7 @@
 void ogl_op_status(struct ogl_node *n, const struct ogl_event *ev,
     const char *arg, uint64_t waiter, struct ogl_op_reply *r);
 char *ogl_op_take_key_text(struct ogl_node *n, uint64_t waiter);
-/* The key made for this waiter, returned once; NULL if it made none; g_free. */
+/* Returns the key made for this waiter and forgets it; NULL if there is none.
+ * The caller frees it with g_free. */
 
 #endif
--- a/src/opcalls.c
+++ b/src/opcalls.c
@@ -20,8 +20,8 @@
 	r->body = ogl_error_text(error, OGL_NOT_RUN, retry_ms, faults);
 }
 
-/* The value of a parameter of the call's query, NULL if it is absent.  The
- * result is freed with g_free. */
+/* Returns the value of a parameter of the call's query, NULL if it is absent.
+ * The caller frees it with g_free. */
 static char *
 query_value(const struct ogl_event *ev, const char *name)
 {
@@ -86,7 +86,8 @@
 	ogl_faults_free(f);
 }
 
-/* Sets whom the audit trail names: the id of the caller's key. */
+/* Sets the author of the edit for the audit trail: the id of the caller's
+ * key. */
 static void
 set_who(struct ogl_node *n, const struct ogl_event *ev, Ogl__Edit *e)
 {
@@ -120,8 +121,8 @@
 
 /* ---- keys ------------------------------------------------------------- */
 
-/* The "team" of a body like {"team":"x"}.  On error returns NULL and fills in
- * r. */
+/* Returns the team of a body like {"team":"x"}; on error fills in r and
+ * returns NULL. */
 static char *
 team_of_body(const struct ogl_event *ev, struct ogl_op_reply *r)
 {
