--- a/src/claim.c
+++ b/src/claim.c
@@ -14,8 +14,8 @@
 
 enum {
 	RECENT_WRITE_MS = 30000, /* an owner that wrote within this is alive */
-	CLOCK_SKEW_MS = 500,     /* between the clocks of two hosts */
-	GOSSIP_WAIT_MS = 3000,   /* for gossip to confirm the log's owner */
+	CLOCK_SKEW_MS = 500,     /* largest assumed between two hosts */
+	GOSSIP_WAIT_MS = 3000,   /* time for gossip to confirm the owner */
 };
 
 void
@@ -128,7 +128,7 @@
 		ogl_shard_start_reading(sh, now);
 }
 
-/* Whether the owner wrote to the log recently and after this node took it for
+/* Whether the owner wrote to the log recently, after this node marked it as
  * dead.  It is then alive and only unreachable from here.  If this node claimed
  * the shard, the owner would claim it back, and the shard would change owners
  * without doing any work for as long as the two cannot reach each other. */
@@ -137,13 +137,14 @@
     const struct ogl_shard *sh, const struct ogl_peer *p, ogl_time now)
 {
 	/* The time in a record is set by its writer and may have any value. */
-	uint64_t wrote = sh->state->owner_ms;
-	uint64_t at = (uint64_t)(now / OGL_MS);
-	uint64_t died = (uint64_t)(p->changed / OGL_MS);
+	uint64_t wrote_ms = sh->state->owner_ms;
+	uint64_t now_ms = (uint64_t)(now / OGL_MS);
+	uint64_t died_ms = (uint64_t)(p->changed / OGL_MS);
 
 	return p->fact->state == OGL__MEMBER_FACT__STATE__dead &&
-	       wrote > died + CLOCK_SKEW_MS && wrote < at + RECENT_WRITE_MS &&
-	       at < wrote + RECENT_WRITE_MS;
+	       wrote_ms > died_ms + CLOCK_SKEW_MS &&
+	       wrote_ms < now_ms + RECENT_WRITE_MS &&
+	       now_ms < wrote_ms + RECENT_WRITE_MS;
 }
 
 /* Whether the owner named by the log may be alive although gossip does not
