--- a/src/escrow.c
+++ b/src/escrow.c
@@ -2,11 +2,11 @@
  * Team limits across shards without a message for each start.
  *
  * A team's upper limit is split into parts, in millionths (ppm), one for each
- * shard; the parts never add up to more than a million.  An owner starts tasks
- * of the team only within its part of the limit in force, so the fleet as a
- * whole stays within the limit however many owners start at once.  As parts
- * are fractions, a changed limit changes every holder's allowance without any
- * message.
+ * shard; the parts never add up to more than a million.  The owner of a shard
+ * is the holder of its part.  It starts tasks of the team only within that part
+ * of the limit in force, so all shards together stay within the limit however
+ * many holders start tasks at once.  As parts are fractions, a changed limit
+ * changes what every holder may start without any message.
  *
  * The owner of one shard, chosen by a hash of the team's name, is the team's
  * coordinator.  A holder that could use more asks it.  The coordinator grants
@@ -34,10 +34,10 @@
 	 * doubles while no more is granted. */
 	ASK_INTERVAL_MIN_MS = 200,
 	ASK_INTERVAL_MAX_MS = 1600,
-	START_RETRY_MS = 1000,                /* after an ask */
-	RECLAIM_INTERVAL_MS = 400,            /* per team */
-	WANT_TIMEOUT_MS = 4 * START_RETRY_MS, /* unless the want is repeated */
-	TURN_MAX_MS = 10000, /* how long the oldest want is served first */
+	START_RETRY_MS = 1000,     /* to try a start again after an ask */
+	RECLAIM_INTERVAL_MS = 400, /* between reclaims for one team */
+	WANT_TIMEOUT_MS = 4 * START_RETRY_MS, /* if it is not repeated */
+	TURN_MAX_MS = 10000, /* the oldest want is served first for so long */
 	TICK_MS = 100
 };
 
@@ -46,11 +46,11 @@
 	char *team;
 	bool known; /* the coordinator has sent the part */
 	uint32_t ppm;
-	uint64_t want; /* tasks it could use, 0 if it has enough */
+	uint64_t want; /* tasks it could use in total, 0: no more than now */
 	ogl_time next_ask;
 	uint32_t ask_interval_ms;
-	ogl_time retry_at;          /* 0: nothing asked for */
-	uint64_t coordinator_epoch; /* of the newest answer, with its seq */
+	ogl_time retry_at;          /* when to try a start again, 0: never */
+	uint64_t coordinator_epoch; /* of the newest message, with its seq */
 	uint64_t coordinator_seq;
 };
 
@@ -59,13 +59,13 @@
 struct split {
 	char *team;
 	uint32_t *ppm;         /* in effect now */
-	uint32_t *want_ppm;    /* as last asked */
-	ogl_time *want_since;  /* start of the want's turn, 0 without a want */
-	ogl_time *wanted_at;   /* when it last asked */
-	uint64_t *owner_epoch; /* newest owner heard from */
+	uint32_t *want_ppm;    /* part last asked for, 0 for none */
+	ogl_time *want_since;  /* when the want's turn began, 0 for none */
+	ogl_time *wanted_at;   /* when the holder last asked */
+	uint64_t *owner_epoch; /* epoch of the newest owner that asked */
 	uint64_t *reclaim_seq; /* of the unanswered reclaim, 0 for none */
 	bool recording;        /* a new split is being appended to the log */
-	bool dirty;            /* ppm differs from what is being appended */
+	bool dirty;            /* ppm differs from the split being appended */
 	ogl_time next_reclaim;
 };
 
@@ -139,7 +139,7 @@
 	return v.exists ? v.limit_tasks : UINT64_MAX;
 }
 
-/* The smallest part, in ppm, that allows so many tasks of the limit. */
+/* Returns the smallest part, in ppm, of the limit that allows so many tasks. */
 static uint32_t
 ppm_for(uint64_t tasks, uint64_t limit)
 {
@@ -215,10 +215,10 @@
 	sh->env->ops->send(sh->env->ctx, coordinator_of(sh, h->team), &msg);
 }
 
-/* An ask, the reclaim that follows from it or the answer may be lost, or the
- * coordinator may be replaced and forget the ask.  Nothing else may ever try
- * to start the waiting work again, so this does; if the part is still too
- * small, that leads to a new ask. */
+/* Tries to start the waiting work again a while after an ask.  The ask, the
+ * reclaim that follows from it or the answer may be lost, or a new coordinator
+ * may not know of the ask, and nothing else might ever try.  If the part is
+ * still too small, the failed start leads to a new ask. */
 static void
 retry_start(struct ogl_shard *sh, struct holding *h, ogl_time now)
 {
@@ -270,10 +270,10 @@
 
 	h = holding_get(sh, g->team);
 	if (g->epoch != sh->state->epoch) {
-		/* The coordinator addresses an earlier owner, or knows none.
-		 * An owner with nothing to start never asks, and the
-		 * coordinator could never reclaim the part that it does not
-		 * use.  So it tells the coordinator its epoch. */
+		/* The coordinator knows an earlier owner, or none.  An owner
+		 * with nothing to start never asks by itself, so it tells the
+		 * coordinator its epoch here.  Otherwise the coordinator could
+		 * never reclaim the part that this owner does not use. */
 		if (g->reclaim && g->epoch < sh->state->epoch)
 			send_ask(sh, h, 0);
 		return;
@@ -326,7 +326,8 @@
 	return s;
 }
 
-/* A shard's part according to the log; no more may be sent to the holder. */
+/* Returns a shard's part according to the log, which is the most that may be
+ * sent to its holder. */
 static uint32_t
 durable_ppm(const struct ogl_shard *sh, const struct split *s, uint32_t i)
 {
@@ -353,8 +354,8 @@
 	g.bank = sh->index;
 	g.reclaim = reclaim;
 	/* A part sent after a reclaim undoes the shrinking, so the answer to
-	 * that reclaim no longer counts.  Otherwise the same part would be
-	 * with the holder and free to be granted to others. */
+	 * that reclaim no longer counts.  Otherwise the holder would keep what
+	 * is also granted to others. */
 	s->reclaim_seq[shard] = reclaim ? g.seq : 0;
 	msg.body_case = OGL__PEER_MSG__BODY_ALLOT_GIVE;
 	msg.allot_give = &g;
@@ -434,8 +435,8 @@
 }
 
 /* Asks the other holders to give up what they don't use, except those that
- * want more themselves and come before the asker.  Otherwise two gangs that
- * both wait would take the same part from each other for ever. */
+ * want more themselves and whose turn is before the asker's.  Otherwise two
+ * waiting gangs would take the same part from each other forever. */
 static void
 reclaim(struct ogl_shard *sh, struct split *s, uint32_t asker, uint32_t need,
     ogl_time now)
@@ -446,12 +447,12 @@
 		return;
 	s->next_reclaim = now + RECLAIM_INTERVAL_MS * OGL_MS;
 	for (uint32_t i = 0; i < n; i++) {
-		uint32_t part = need / (n - 1) + 1;
+		uint32_t reduction = need / (n - 1) + 1;
 
 		if (i == asker || s->ppm[i] == 0 || goes_before(s, i, asker))
 			continue;
-		send_give(
-		    sh, s, i, s->ppm[i] > part ? s->ppm[i] - part : 0, true);
+		send_give(sh, s, i,
+		    s->ppm[i] > reduction ? s->ppm[i] - reduction : 0, true);
 	}
 }
 
@@ -466,7 +467,8 @@
 	s->wanted_at[i] = now;
 }
 
-/* Grants a shard as much of its want as is free and reclaims the rest. */
+/* Grants a shard as much of its want as is free, and reclaims the rest from
+ * other holders. */
 static void
 grant_want(struct ogl_shard *sh, struct split *s, uint32_t shard, ogl_time now)
 {
@@ -486,10 +488,10 @@
 		reclaim(sh, s, shard, need - grant, now);
 }
 
-/* Drops wants that were not repeated: a holder does not report that it has
- * started the work, or no longer has it, and with its want kept would be
- * granted again and again what it had just given back.  Also ends the turn of
- * a want that can't be met, so that it does not block the others for ever. */
+/* Drops wants that were not repeated.  A holder does not report that its work
+ * has started or is gone; if its want were kept, it would be granted again and
+ * again what it had just given back.  Also ends the turn of a want that can't
+ * be met, so that it does not block the others forever. */
 static void
 review_wants(const struct ogl_shard *sh, struct split *s, ogl_time now)
 {
--- a/src/shard_impl.h
+++ b/src/shard_impl.h
@@ -144,7 +144,7 @@
 void ogl_sched_init(struct ogl_shard *sh);
 void ogl_sched_end(struct ogl_shard *sh);
 void ogl_sched_place(struct ogl_shard *sh, ogl_time now);
-/* Starts queued work that fits on a worker and within the limits. */
+/* Places queued work that fits on a worker and within the limits. */
 void ogl_sched_enqueue(struct ogl_shard *sh, struct ogl_job *j, ogl_time now);
 /* Queues the job's waiting tasks that are not queued yet. */
 void ogl_sched_dequeue(struct ogl_shard *sh, struct ogl_job *j);
@@ -200,7 +200,8 @@
 /* Returns how many tasks of the team, its subteams included, this shard may
  * have placed now; UINT64_MAX without a limit. */
 void ogl_escrow_want(struct ogl_shard *sh, const char *team, uint64_t tasks);
-/* Notes that the team could use so many tasks more than it is allowed. */
+/* Notes that this shard could place so many tasks of the team in total, which
+ * is more than it is allowed. */
 void ogl_escrow_recorded(
     struct ogl_shard *sh, const Ogl__Allot *a, ogl_time now);
 void ogl_escrow_msg(
@@ -217,7 +218,7 @@
 
 /* ---- claim.c ---------------------------------------------------------- */
 
-#define OGL_MAX_SUCCESSORS 2 /* named by a claim */
+#define OGL_MAX_SUCCESSORS 2 /* most successors that a claim names */
 
 /* Search for the highest-ranked node other than this one. */
 struct ogl_candidate {
@@ -234,8 +235,8 @@
  * there is none. */
 size_t ogl_claim_successors(
     const struct ogl_shard *sh, char *names[OGL_MAX_SUCCESSORS]);
-/* Stores the highest-ranked of the other live nodes in names and returns
- * their number.  The caller frees each name. */
+/* Stores the names of the highest-ranked other live nodes and returns their
+ * number.  The caller frees each name. */
 void ogl_claim_none_tick(struct ogl_shard *sh, ogl_time now);
 void ogl_claim_reader_tick(struct ogl_shard *sh, ogl_time now);
 
