--- a/src/shard.c
+++ b/src/shard.c
@@ -19,8 +19,8 @@
  * tell this from a loss of its own connection.  It may act beyond right_ms as
  * long as every named successor promises not to claim, yet never longer than
  * late_claim_ms after its last log contact.  A claimant that is not a named
- * successor therefore waits late_claim_ms instead of right_ms before it takes
- * the leases of silent workers for ended.
+ * successor therefore waits late_claim_ms instead of right_ms before it
+ * considers the leases of silent workers ended.
  */
 
 #include <stdarg.h>
@@ -162,8 +162,8 @@
 	ogl_stream_add(sh->stream, r, now);
 }
 
-/* Reports a task's end to the placer, if the task ended by itself; only then
- * does the end say something about the worker. */
+/* Reports a task's end to the placer if the task succeeded or failed.  Other
+ * ends say nothing about the worker. */
 static void
 report_to_placer(struct ogl_shard *sh, const struct ogl_job *j,
     const struct ogl_task *t, Ogl__TaskState state, ogl_time now)
@@ -435,7 +435,8 @@
 	ogl_state_apply(sh->state, r, offset, &hooks, sh, now);
 }
 
-/* Log retention dropped records that had not been read. */
+/* Discards the state after log retention dropped records before they were
+ * read. */
 static void
 on_gap(void *ctx, uint64_t first)
 {
@@ -461,7 +462,7 @@
 /* ---- owning ----------------------------------------------------------- */
 
 /* Ends the tasks whose start was recorded but which no worker reports and no
- * silent worker can still run.  Such a task ended unseen or was never sent.
+ * silent worker can still run.  Such a task ended unreported or was never sent.
  * It must not run twice, so its verdict says that it may have run. */
 static void
 lapse_unknown_starts(struct ogl_shard *sh, struct ogl_job *j, ogl_time now)
@@ -479,13 +480,13 @@
 static void
 end_recovery(struct ogl_shard *sh, ogl_time now)
 {
-	ogl_time right = sh->claimed_at + sh->env->cfg->right_ms * OGL_MS;
+	ogl_time right_end = sh->claimed_at + sh->env->cfg->right_ms * OGL_MS;
 	GHashTableIter it;
 	void *v;
 
 	/* A worker that restarts forgets the new epoch and would obey the old
 	 * owner again, so the old owner's right to act must have ended too. */
-	if (now < right ||
+	if (now < right_end ||
 	    (now < sh->recovery_until && ogl_sessions_any_unreported(sh)))
 		return;
 	sh->recovering = false;
--- a/src/shard.h
+++ b/src/shard.h
@@ -121,7 +121,8 @@
 
 void ogl_shard_outcome(struct ogl_shard *sh, const char *id, enum ogl_verdict v,
     uint32_t status, uint64_t retry_after_ms, GBytes *body, ogl_time now);
-/* Takes the outcome of a request sent through ops->dispatch. */
+/* Records the outcome of a request sent through ops->dispatch and answers its
+ * waiters. */
 
 void ogl_shard_promise(struct ogl_shard *sh, const char *from,
     const Ogl__Promise *p, ogl_time now);
--- a/src/shardcall.c
+++ b/src/shardcall.c
@@ -27,12 +27,12 @@
 
 enum {
 	MAX_JOB_TASKS = 10000,
-	MAX_QUEUED_WORK = 200000, /* length of a shard's queue */
+	MAX_QUEUED_WORK = 200000, /* longest queue of a shard */
 	RETRY_OWNER_MS = 300,     /* the shard may have a ready owner by then */
 	RETRY_LOG_MS = 1000,      /* the log may be up again by then */
 	RETRY_FULL_MS = 5000,     /* the queue may be shorter by then */
 	INFEASIBLE_MIN_S = 60, /* a job infeasible for so long is cancelled */
-	UNRESPONSIVE_FAILS = 3 /* failed syncs: don't wait for the worker */
+	UNRESPONSIVE_FAILS = 3 /* syncs; the worker is not waited for then */
 };
 
 #define REFUSED_ERROR "it can never run: its shard refused it for good"
