--- a/src/follow.c
+++ b/src/follow.c
@@ -1,15 +1,16 @@
 /*
- * Following the settings.
+ * Keeps a node's copy of the settings up to date, writes its edits, and tells
+ * how current the copy is.
  *
  * Every node tails the stream `settings`.  Of two edits made from one version,
  * the first in log order takes effect.  One append carries one record, so that
  * an append's offset + 1 is the version its edit makes.
  *
- * How current the tree is.  A read that reached the end of the stream shows
- * that the tree is current as of the time the read was sent.  A node without
- * log contact learns it from its peers: the answer to its probe contains the
- * peer's version and how long ago that was current.  If the version is newer
- * than its own, the node asks that peer for a snapshot.
+ * A read that reached the end of the stream shows that the tree is current as
+ * of the time the read was sent.  A node without log contact learns it from its
+ * peers: the answer to its probe contains the peer's version and how long ago
+ * that was current.  If the version is newer than its own, the node asks that
+ * peer for a snapshot.
  *
  * When the log is down for all members, none can have accepted an edit.  A node
  * knows this only if every member says so, each in answer to the node's probe;
@@ -32,7 +33,7 @@
 	TOKEN_PART = 2,     /* top byte of this module's tokens */
 	POLL_MAX_MS = 250,  /* longest time between two reads */
 	LOG_DOWN_MS = 1000, /* the log is down if it is silent for so long */
-	SNAPSHOT_REQUEST_EVERY_MS = 300, /* at most */
+	SNAPSHOT_REQUEST_EVERY_MS = 300, /* least time between two */
 	EVICT_EVERY_MS = 1000,
 	EVICT_MIN_CONTACT_MS = 3000, /* time for live nodes to answer probes */
 	READMIT_MIN_S = 2,           /* an evicted node must be alive so long */
@@ -52,18 +53,18 @@
 	bool complete;       /* the tree has every edit up to last_change */
 	GPtrArray *deferred; /* Ogl__Record, read before any snapshot */
 	GArray *deferred_offsets; /* their offsets */
-	GQueue *waiters;     /* uint64_t *, of this node's edits in order */
-	GHashTable *evicted; /* set of "name/boot" */
+	GQueue *waiters;          /* uint64_t *, one per own edit, in order */
+	GHashTable *evicted;      /* set of "name/boot" */
 	bool self_evicted;
 	uint64_t last_change; /* offset + 1 of the last edit or eviction */
 	ogl_time last_contact;
 	ogl_time contact_since; /* start of log contact without a gap */
-	ogl_time
-	    fresh_by_peers; /* as ogl_follow_fresh_as_of, known from peers */
+	/* As ogl_follow_fresh_as_of, but as known from peers. */
+	ogl_time fresh_by_peers;
 	ogl_time next_request;
 	ogl_time next_evict;
 	ogl_time snapshot_at;
-	uint32_t edits_since;
+	uint32_t edits_since_snapshot;
 };
 
 static void
@@ -121,7 +122,7 @@
 		ogl_settings_apply(
 		    f->settings, offset + 1, r->edit, r->at_ms, &error);
 	if (error == NULL) {
-		f->edits_since++;
+		f->edits_since_snapshot++;
 		f->counters->edits++;
 		f->ops->changed(f->ctx, now);
 	}
@@ -177,9 +178,9 @@
 
 /*
  * Applies an edit or an eviction, unless a snapshot already covers it.  The set
- * of evicted nodes may have changed since such a record was written, so its
- * writer might now be judged differently, and this node's tree would differ
- * from that of all other nodes permanently.
+ * of evicted nodes may have changed since a covered record was written.  If it
+ * were applied again, its writer could count as evicted now, or no longer, and
+ * this node's tree would permanently differ from that of all other nodes.
  */
 static void
 apply_change(
@@ -266,7 +267,7 @@
 		/* Its time of writing counts, not that of reading.
 		 * Otherwise nodes that restart often would delay the next
 		 * snapshot until retention has dropped the last one. */
-		f->edits_since = 0;
+		f->edits_since_snapshot = 0;
 		f->snapshot_at = MIN(now, (ogl_time)(r->at_ms * OGL_MS));
 		if (!f->complete)
 			load_snapshot(f, r->settings_snap, now);
@@ -426,12 +427,12 @@
 
 struct rank_ctx {
 	const struct ogl_follow *f;
-	uint64_t own;
-	bool best;
+	uint64_t own_rank;
+	bool own_is_highest;
 };
 
 static void
-rank_one(void *ctx, const struct ogl_peer *p)
+compare_rank(void *ctx, const struct ogl_peer *p)
 {
 	struct rank_ctx *c = ctx;
 
@@ -439,8 +440,8 @@
 	    p->fact->log_age_ms == 0 &&
 	    !is_evicted(c->f, p->fact->name, p->fact->boot) &&
 	    ogl_member_rank(c->f->member, p->fact->name, SETTINGS_RANK_SHARD) >
-		c->own)
-		c->best = false;
+		c->own_rank)
+		c->own_is_highest = false;
 }
 
 /* Whether this node maintains the settings stream, that is, writes snapshots
@@ -453,8 +454,8 @@
 	    ogl_member_rank(f->member, f->cfg->name, SETTINGS_RANK_SHARD),
 	    true};
 
-	ogl_member_each(f->member, rank_one, &c);
-	return c.best && !f->self_evicted;
+	ogl_member_each(f->member, compare_rank, &c);
+	return c.own_is_highest && !f->self_evicted;
 }
 
 static void
@@ -463,7 +464,7 @@
 	Ogl__Record *r;
 
 	if (!f->complete || ogl_settings_version(f->settings) == 0 ||
-	    (f->edits_since < SNAPSHOT_EDITS &&
+	    (f->edits_since_snapshot < SNAPSHOT_EDITS &&
 		now - f->snapshot_at < f->cfg->snapshot_ms * OGL_MS) ||
 	    log_down(f, now) || !ogl_stream_idle(f->stream) ||
 	    !is_maintainer(f))
@@ -490,10 +491,10 @@
 
 	bool evicted = is_evicted(c->f, p->fact->name, p->fact->boot);
 	bool dead = p->fact->state == OGL__MEMBER_FACT__STATE__dead;
-	bool lives = p->fact->state == OGL__MEMBER_FACT__STATE__alive &&
-		     c->now - p->changed >= READMIT_MIN_S * OGL_SEC;
+	bool readmissible = p->fact->state == OGL__MEMBER_FACT__STATE__alive &&
+			    c->now - p->changed >= READMIT_MIN_S * OGL_SEC;
 
-	if (!(evicted ? lives : dead))
+	if (!(evicted ? readmissible : dead))
 		return;
 	r = malloc(sizeof *r);
 	ogl__record__init(r);
@@ -512,8 +513,8 @@
 {
 	struct evict_ctx c = {f, now};
 
-	/* A node that was cut off holds the others for dead when it reaches
-	 * the log again.  It waits until it has had time to hear from them. */
+	/* A node that was cut off considers the others dead when it reaches
+	 * the log again, so it waits until they had time to answer probes. */
 	if (now < f->next_evict || !f->complete || log_down(f, now) ||
 	    now - f->contact_since < EVICT_MIN_CONTACT_MS * OGL_MS ||
 	    ogl_stream_pending(f->stream) > 0 || !is_maintainer(f))
@@ -527,7 +528,7 @@
 struct peer_check {
 	struct ogl_follow *f;
 	ogl_time now;
-	ogl_time all_down_at;         /* as of then, all report a log outage */
+	ogl_time all_down_at;         /* all report a log outage as of then */
 	const struct ogl_peer *ahead; /* a peer with a newer version */
 	bool newer_found;
 };
@@ -617,7 +618,7 @@
 	return MAX(ogl_stream_current_at(f->stream), f->fresh_by_peers);
 }
 
-/* Fills in the settings and log fields of this node's own fact. */
+/* Sets the settings and log fields in the fact on this node. */
 static void
 fill_fact(struct ogl_follow *f, ogl_time now)
 {
--- a/src/follow.h
+++ b/src/follow.h
@@ -12,8 +12,9 @@
 struct ogl_follow_ops {
 	/* The tree may have changed. */
 	void (*changed)(void *ctx, ogl_time now);
-	/* An edit of ogl_follow_edit took effect as this version; or it had no
-	 * effect, for example because another edit came first: error is set. */
+	/* Reports the outcome of an edit passed to ogl_follow_edit.  It took
+	 * effect as this version; or error is set and it had no effect, for
+	 * example because another edit came first. */
 	void (*edited)(void *ctx, uint64_t waiter, uint64_t version,
 	    const GError *error, ogl_time now);
 };
@@ -41,7 +42,7 @@
  * Returns false when this node may not write now. */
 
 ogl_time ogl_follow_fresh_as_of(const struct ogl_follow *f, ogl_time now);
-/* Returns a time before which no accepted edit is missing in the tree. */
+/* Returns a time such that the tree has all edits accepted before it. */
 
 ogl_time ogl_follow_log_contact(const struct ogl_follow *f);
 /* Returns when the log last answered. */
