--- a/src/member.c
+++ b/src/member.c
@@ -8,14 +8,15 @@
  * becomes a suspect, and after suspect_ms it is dead.  A suspect that learns
  * of the suspicion raises its incarnation, which overrules the suspicion.
  *
+ * A fact describes one node: its address, state, settings version and shards.
  * Facts are piggybacked on messages.  A changed fact is sent a number of times
  * that grows with the logarithm of the cell's size; the sender's own fact is
  * in every message.  Of two facts on one node that with the larger boot wins,
  * then that with the larger incarnation, the worse state and the larger beat.
  * A report of death does not make a live node dead at once, though, only
  * suspect, which leaves it time to refute the report.  The reporter may have
- * been cut off itself and hold the whole cell for dead.  When such reports
- * were accepted at once, all shards were claimed again and all nodes evicted.
+ * been cut off itself and consider the whole cell dead.  If such reports were
+ * accepted at once, all shards would be claimed again and all nodes evicted.
  *
  * What a member reports on its log contact counts only in an answer to a probe
  * of this node, and as of the time at which the probe was sent.  A message may
@@ -29,7 +30,7 @@
 #include "random.h"
 
 enum {
-	MAX_EXTRA_FACTS = 8,    /* piggybacked on one message */
+	MAX_EXTRA_FACTS = 8,    /* facts on other nodes in one message */
 	INDIRECT_PROBES = 3,    /* members asked to repeat a probe */
 	SEED_EVERY_PERIODS = 4, /* probe periods between probes of the seeds */
 	MAX_SENDS = 1000,       /* above any result of retransmit_count() */
@@ -43,7 +44,7 @@
 	GHashTable *peers; /* name -> struct ogl_peer */
 	GPtrArray *round;  /* names not yet probed in this round */
 	GPtrArray *sorted; /* struct ogl_peer by name */
-	ogl_time next;
+	ogl_time next_tick;
 	uint64_t seq;
 	uint32_t period_count;
 	bool probe_all;
@@ -75,7 +76,7 @@
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, peer_free);
 	m->round = g_ptr_array_new_with_free_func(g_free);
 	m->sorted = g_ptr_array_new();
-	m->next = now;
+	m->next_tick = now;
 	return m;
 }
 
@@ -148,11 +149,11 @@
 static uint32_t
 retransmit_count(const struct ogl_member *m)
 {
-	uint32_t lg = 1;
+	uint32_t log2_size = 1;
 
 	for (guint n = m->sorted->len; n > 0; n >>= 1)
-		lg++;
-	return 3 * lg;
+		log2_size++;
+	return 3 * log2_size;
 }
 
 /* ---- sending ---------------------------------------------------------- */
@@ -168,7 +169,7 @@
 	return strcmp(pa->fact->name, pb->fact->name);
 }
 
-/* Returns the facts that still have to be sent, those sent least first. */
+/* Returns facts that still have to be sent, those sent fewest times first. */
 static GPtrArray *
 facts_to_send(struct ogl_member *m)
 {
@@ -359,26 +360,28 @@
 /* Updates a node's fact from a message of that node itself.  Load and ages in
  * it change all the time and are not worth spreading through other nodes. */
 static void
-update_from_itself(struct ogl_peer *p, const Ogl__MemberFact *said)
+update_from_itself(struct ogl_peer *p, const Ogl__MemberFact *sender_fact)
 {
-	if (fact_cmp(said, p->fact) != 0)
+	if (fact_cmp(sender_fact, p->fact) != 0)
 		return;
 	ogl__member_fact__free_unpacked(p->fact, NULL);
-	p->fact = ogl_message_copy(&said->base);
+	p->fact = ogl_message_copy(&sender_fact->base);
 }
 
 static void
-handle_ack(struct ogl_peer *p, const Ogl__MemberFact *said, uint64_t seq)
+handle_ack(struct ogl_peer *p, const Ogl__MemberFact *sender_fact, uint64_t seq)
 {
 	if (p->probe_sent == 0 || seq != p->probe_seq)
 		return;
 	p->acked_probe_sent = p->probe_sent;
 	p->probe_sent = 0;
-	p->current_at = p->acked_probe_sent - said->settings_age_ms * OGL_MS;
-	p->current_version = said->settings_version;
-	p->down_since = said->log_age_ms == 0
-			    ? 0
-			    : p->acked_probe_sent - said->log_age_ms * OGL_MS;
+	p->current_at =
+	    p->acked_probe_sent - sender_fact->settings_age_ms * OGL_MS;
+	p->current_version = sender_fact->settings_version;
+	p->down_since =
+	    sender_fact->log_age_ms == 0
+		? 0
+		: p->acked_probe_sent - sender_fact->log_age_ms * OGL_MS;
 }
 
 /* Answers a probe, or forwards an indirect probe to its target. */
@@ -397,8 +400,9 @@
 		send_probe(m, t->fact->addr, pr->seq, "", false, out);
 }
 
-/* Tells a node that sent a message although it is suspect or dead here, so
- * that it can refute this.  Its fact is put first in the message. */
+/* Tells a node that just sent a message that it is suspect or dead here, so
+ * that it can refute this.  While sends_left is raised, the fact on that node
+ * is put first in the message. */
 static void
 notify_presumed_dead(
     struct ogl_member *m, struct ogl_peer *p, struct ogl_actions *out)
@@ -413,15 +417,15 @@
     struct ogl_actions *out)
 {
 	struct ogl_peer *from = NULL;
-	const Ogl__MemberFact *said = NULL;
+	const Ogl__MemberFact *sender_fact = NULL;
 
 	for (size_t i = 0; i < msg->n_facts; i++) {
 		struct ogl_peer *p = merge_fact(m, msg->facts[i], now);
 
 		if (i == 0 && p != NULL) {
 			from = p;
-			said = msg->facts[0];
-			update_from_itself(p, said);
+			sender_fact = msg->facts[0];
+			update_from_itself(p, sender_fact);
 		}
 	}
 	if (from == NULL || from->fact->boot != msg->boot)
@@ -432,7 +436,7 @@
 		notify_presumed_dead(m, from, out);
 	if (msg->body_case == OGL__PEER_MSG__BODY_PROBE) {
 		if (msg->probe->ack)
-			handle_ack(from, said, msg->probe->seq);
+			handle_ack(from, sender_fact, msg->probe->seq);
 		else
 			handle_probe(m, from, msg->probe, out);
 	}
@@ -527,8 +531,9 @@
 	send_probe(m, p->fact->addr, p->probe_seq, "", false, out);
 }
 
-/* Probes the seeds.  It is repeated forever, so that the two sides of a network
- * partition find each other again although each holds the other for dead. */
+/* Probes the seeds.  This is repeated forever, so that the two sides of a
+ * network partition find each other again although each considers the other
+ * dead. */
 static void
 probe_seeds(struct ogl_member *m, struct ogl_actions *out)
 {
@@ -557,9 +562,9 @@
 void
 ogl_member_tick(struct ogl_member *m, ogl_time now, struct ogl_actions *out)
 {
-	if (now < m->next)
+	if (now < m->next_tick)
 		return;
-	m->next = now + m->cfg->probe_ms * OGL_MS;
+	m->next_tick = now + m->cfg->probe_ms * OGL_MS;
 	for (guint i = 0; i < m->sorted->len; i++)
 		check_pending(m, g_ptr_array_index(m->sorted, i), now, out);
 	if (!m->probe_all)
@@ -574,5 +579,5 @@
 ogl_time
 ogl_member_next(const struct ogl_member *m)
 {
-	return m->next;
+	return m->next_tick;
 }
--- a/src/member.h
+++ b/src/member.h
@@ -18,8 +18,8 @@
 	ogl_time current_at;      /* its settings were current then */
 	uint64_t current_version; /* version of those settings */
 
-	uint32_t sends_left; /* messages still to carry the fact */
-	ogl_time probe_sent; /* pending probe, 0 for none */
+	uint32_t sends_left; /* messages that are still to carry the fact */
+	ogl_time probe_sent; /* when the pending probe was sent, 0: none */
 	uint64_t probe_seq;
 	bool indirect_sent; /* indirect probes were sent too */
 };
@@ -37,13 +37,13 @@
 
 struct ogl_peer *ogl_member_receive(struct ogl_member *m,
     const Ogl__PeerMsg *msg, ogl_time now, struct ogl_actions *out);
-/* Handles the facts and the probe, if any, of a message.  Returns the sender's
- * entry, or NULL for a message of an earlier boot of a known node. */
+/* Handles the facts in a message, and its probe if it has one.  Returns the
+ * sender's entry, or NULL for a message of an earlier boot of a known node. */
 
 void ogl_member_send(struct ogl_member *m, const char *addr, Ogl__PeerMsg *msg,
     struct ogl_actions *out);
 /* Adds this node's name and the facts to be spread to msg, packs and sends it.
- * The caller keeps the message and its body. */
+ * The caller still owns the message and its body. */
 
 Ogl__MemberFact *ogl_member_own_fact(struct ogl_member *m);
 /* Returns the fact on this node, which the caller may fill in.
