--- a/src/lend.c
+++ b/src/lend.c
@@ -1,38 +1,39 @@
 /*
- * Preemption of tasks that run on lent room.
+ * Preemption of tasks that run on lent capacity.
  *
- * Entitlements.  The room that is in use on the schedulable workers, but at
- * least nine tenths of all their room, is distributed down the tree of teams by
+ * Entitlements.  The capacity in use on the schedulable workers, but at least
+ * nine tenths of all their capacity, is distributed down the tree of teams by
  * weight; no team gets more than what it holds plus what it waits for.  All
  * amounts are dominant shares: the largest part, over the resources, of the
- * schedulable workers' room.  A team above its entitlement holds lent room.
+ * schedulable workers' capacity.  What a team holds above its entitlement is
+ * lent to it.
  *
  * Preemption.  A piece of waiting work preempts others if it has waited longer
  * than a bound, its turn in the queue has come, and its team has been well
  * below its entitlement for a while.  If it fits into room that is free or
- * about to be freed, nothing is preempted.  Otherwise, on each worker, tasks
- * of teams above their entitlement are considered from the cheapest, newest
- * first, until the work fits, and those that turn out not to be needed are
- * left out again.  The worker on which least work is lost is chosen.  A gang
- * is preempted as a whole, on all its workers.  Tasks of services come last,
- * one per service and round, so that the others keep serving while the
- * replacement is placed.
+ * about to be freed, nothing is preempted.  Otherwise tasks of teams above
+ * their entitlement are selected on each worker, the cheapest first, until the
+ * work fits; those that turn out not to be needed are left out again.  The less
+ * a task has run, the cheaper it is.  The worker on which least work is lost is
+ * chosen.  A gang is preempted as a whole, on all its workers.  Tasks of
+ * services come last, one per service and round, so that the others keep
+ * serving while the replacement is placed.
  *
  * Invariants.  The team that preempts does not get above its entitlement.  A
  * team that is preempted was above its own, and afterwards lacks at most half
  * the part of its entitlement that the preempting team lacked before.  If it
- * were not allowed to lack anything, a team could never get room between
- * tasks larger than what each of the other teams has above its entitlement.
- * So the least part that any team has of its entitlement rises with each
- * preemption, and at constant demands teams cannot preempt each other in turn.
- * As demands do change, a team that was preempted may not preempt for a while,
- * and a preempted task is protected for a time that doubles with each
+ * had to keep its whole entitlement, tasks larger than what their team holds
+ * above its entitlement could never be preempted, and other teams might never
+ * get room.  So the least part that any team has of its entitlement rises with
+ * each preemption, and at constant demands teams cannot preempt each other in
+ * turn.  As demands do change, a team that was preempted may not preempt for a
+ * while, and a preempted task is protected for a time that doubles with each
  * preemption, so that the newest task is not preempted over and over.
  *
- * Modes.  Tasks are checkpointed first.  One that still holds its room long
- * after is stopped.  Throttling is not used: a throttled task keeps its memory
- * and, in placement, all its room, so nothing could start in its place.  A
- * task that may not be restarted is never preempted.
+ * Modes.  Tasks are checkpointed first.  One that still holds its room after
+ * CHECKPOINT_TIMEOUT_MS is stopped.  Throttling is not used: a throttled task
+ * keeps its memory and, in placement, all its room, so nothing could start in
+ * its place.  A task that may not be restarted is never preempted.
  */
 
 #include <string.h>
@@ -40,27 +41,27 @@
 #include "lend.h"
 
 #define ROUND_INTERVAL_MS 1000
-#define DISTRIBUTED_MIN 0.9 /* part of all room that is distributed at least */
-/* Parts of its entitlement: a team that lacks more than the first for long
- * enough starts to preempt, and stops when it lacks the second or less. */
+#define DISTRIBUTED_MIN 0.9 /* least part of the capacity distributed */
+/* Parts of its entitlement: a team that lacks more than LACK_START for
+ * LACK_MIN_MS starts to preempt, and stops when it lacks LACK_STOP or less. */
 #define LACK_START 0.2
 #define LACK_STOP 0.05
-#define LACK_MIN_MS 10000 /* lack before a team preempts */
+#define LACK_MIN_MS 10000
 /* A team that regains this part of its lack by itself preempts nothing. */
 #define LACK_REGAINED 0.5
-#define ROUND_SHARE_MAX 0.1     /* part of all room preempted in one round */
+#define ROUND_SHARE_MAX 0.1     /* part of the capacity preempted per round */
 #define ROUND_STEPS_MAX 1000000 /* tasks and workers examined in one round */
-#define ROUND_FAILURES_MAX 8    /* pieces of one team that get no room */
-#define ROUND_GAP_MAX_MS 3000   /* after a longer gap observations restart */
-#define PASSED_OVER_LIMIT 1     /* pieces that may not preempt, see below */
-#define START_COST_S 5.0        /* cost of a restart: favours fewer tasks */
-#define SERVICE_COST_S 1.0e6    /* makes services the last choice */
-#define PREEMPTED_TEAM_WAIT_MS 30000 /* before it may preempt */
-#define CHECKPOINT_TIMEOUT_MS 15000  /* the task is stopped after it */
-#define PROTECTION_MS 120000         /* of a task preempted once */
+#define ROUND_FAILURES_MAX 8    /* then a team's other work is skipped */
+#define ROUND_GAP_MAX_MS 3000 /* after a longer gap, lacks are observed anew */
+#define PASSED_OVER_LIMIT 1   /* see select_pending */
+#define START_COST_S 5.0      /* cost of a restart: favours fewer tasks */
+#define SERVICE_COST_S 1.0e6  /* makes services the last choice */
+#define PREEMPTED_TEAM_WAIT_MS 30000 /* until a preempted team may preempt */
+#define CHECKPOINT_TIMEOUT_MS 15000  /* then the task is stopped */
+#define PROTECTION_MS 120000         /* for a task preempted once */
 #define PROTECTION_DOUBLINGS_MAX 4
-#define PREEMPTED_EXPIRY_MS 3600000 /* of the record of a preemption */
-#define EPS 1e-9
+#define PREEMPTED_EXPIRY_MS 3600000 /* then a preemption is forgotten */
+#define ROUNDING_TOLERANCE 1e-9
 
 enum {
 	CPU,
@@ -73,10 +74,11 @@
 	double r[DIMS];
 };
 
-struct node {
+/* A team in the tree of teams, or the leaf for the work of a team itself. */
+struct team_node {
 	char *name;
-	struct node *own_leaf; /* counts the team's own work */
-	GPtrArray *children;   /* struct node */
+	struct team_node *own_leaf; /* counts the team's own work */
+	GPtrArray *children;        /* struct team_node */
 	double weight;
 	ogl_time preempted_at;  /* last time, 0 for never */
 	ogl_time lacking_since; /* 0 while it lacks less than LACK_START */
@@ -90,30 +92,30 @@
 	double demand;       /* dominant share of wanted */
 	double entitlement;
 	bool unsatisfied;  /* during the distribution */
-	uint32_t failures; /* pieces that no room could be made for */
+	uint32_t failures; /* pending work that no room was made for */
 };
 
 /* What is preempted together: a task or a gang. */
 struct unit {
-	struct node *leaf;
+	struct team_node *leaf;
 	struct sum res;
 	double size;  /* dominant share */
-	double cost;  /* share by seconds of run time lost, and fixed costs */
+	double cost;  /* share times lost run time in s, plus fixed costs */
 	size_t first; /* its tasks, a list through next */
 	bool preemptible;
-	bool released; /* preempted, or on trial */
+	bool released; /* its room counts as free: preempted, or on trial */
 };
 
 struct task {
 	struct ogl_lend_task t;
 	size_t unit;
 	size_t next;       /* of the same unit, SIZE_MAX at the end */
-	double cost_ratio; /* cost of its unit by the share freed here */
+	double cost_ratio; /* cost of its unit per share that it frees */
 };
 
 struct pending {
 	struct ogl_lend_pending w;
-	struct node *leaf;
+	struct team_node *leaf;
 };
 
 struct worker {
@@ -130,8 +132,8 @@
 };
 
 struct ogl_lend {
-	struct node *root;
-	GHashTable *leaves;    /* team path -> struct node */
+	struct team_node *root;
+	GHashTable *leaves;    /* team path -> struct team_node */
 	GHashTable *preempted; /* id -> struct preempted */
 	ogl_time next_round;
 	ogl_time last_round;
@@ -148,7 +150,7 @@
 	GHashTable *gangs;    /* job -> unit + 1 */
 	GHashTable *services; /* jobs of services with a preempted task */
 	double round_share;   /* preempted so far */
-	double floor;         /* part of its entitlement that a team keeps */
+	double min_kept;      /* part of its entitlement that a team keeps */
 	size_t steps;         /* tasks and workers examined so far */
 };
 
@@ -173,7 +175,7 @@
 sum_fits(const struct sum *need, const struct sum *room)
 {
 	for (int i = 0; i < DIMS; i++) {
-		if (need->r[i] > room->r[i] + EPS)
+		if (need->r[i] > room->r[i] + ROUNDING_TOLERANCE)
 			return false;
 	}
 	return true;
@@ -193,10 +195,10 @@
 
 /* ---- teams ------------------------------------------------------------ */
 
-static struct node *
-node_new(struct node *parent, const char *name, size_t n)
+static struct team_node *
+node_new(struct team_node *parent, const char *name, size_t n)
 {
-	struct node *c = g_new0(struct node, 1);
+	struct team_node *c = g_new0(struct team_node, 1);
 
 	c->name = g_strndup(name, n);
 	c->children = g_ptr_array_new();
@@ -207,7 +209,7 @@
 }
 
 static void
-node_free(struct node *n)
+node_free(struct team_node *n)
 {
 	for (guint i = 0; i < n->children->len; i++)
 		node_free(g_ptr_array_index(n->children, i));
@@ -216,11 +218,11 @@
 	g_free(n);
 }
 
-static struct node *
-child(struct node *n, const char *name, size_t len)
+static struct team_node *
+child(struct team_node *n, const char *name, size_t len)
 {
 	for (guint i = 0; i < n->children->len; i++) {
-		struct node *c = g_ptr_array_index(n->children, i);
+		struct team_node *c = g_ptr_array_index(n->children, i);
 
 		if (strncmp(c->name, name, len) == 0 && c->name[len] == '\0')
 			return c;
@@ -228,10 +230,10 @@
 	return node_new(n, name, len);
 }
 
-static struct node *
+static struct team_node *
 node_of(struct ogl_lend *l, const char *team)
 {
-	struct node *n = l->root;
+	struct team_node *n = l->root;
 
 	while (*team != '\0') {
 		size_t len = strcspn(team, "/");
@@ -245,11 +247,11 @@
 	return n;
 }
 
-static struct node *
+static struct team_node *
 leaf_of(struct ogl_lend *l, const char *team)
 {
-	struct node *leaf = g_hash_table_lookup(l->leaves, team);
-	struct node *n;
+	struct team_node *leaf = g_hash_table_lookup(l->leaves, team);
+	struct team_node *n;
 
 	if (leaf != NULL)
 		return leaf;
@@ -268,7 +270,7 @@
 }
 
 static void
-node_reset(struct node *n)
+node_reset(struct team_node *n)
 {
 	struct sum none = {{0}};
 
@@ -278,16 +280,17 @@
 		node_reset(g_ptr_array_index(n->children, i));
 }
 
-/* Sums up the tree.  Returns the total of the shares that its leaves hold. */
+/* Sums up the tree from its leaves.  Returns the total of the shares that the
+ * leaves hold. */
 static double
-gather(const struct ogl_lend *l, struct node *n)
+sum_tree(const struct ogl_lend *l, struct team_node *n)
 {
 	double all = 0;
 
 	for (guint i = 0; i < n->children->len; i++) {
-		struct node *c = g_ptr_array_index(n->children, i);
+		struct team_node *c = g_ptr_array_index(n->children, i);
 
-		all += gather(l, c);
+		all += sum_tree(l, c);
 		sum_add(&n->held, &c->held, 1);
 		sum_add(&n->wanted, &c->wanted, 1);
 	}
@@ -301,13 +304,13 @@
 /* One pass of max-min fair distribution: children whose demand is within
  * their part of what is left get all of it.  Returns whether there were any. */
 static bool
-satisfy_demands(struct node *n, double *left, double *weight)
+satisfy_demands(struct team_node *n, double *left, double *weight)
 {
 	double part = *weight > 0 ? *left / *weight : 0;
 	bool any = false;
 
 	for (guint i = 0; i < n->children->len; i++) {
-		struct node *c = g_ptr_array_index(n->children, i);
+		struct team_node *c = g_ptr_array_index(n->children, i);
 
 		if (!c->unsatisfied || c->demand > part * c->weight)
 			continue;
@@ -321,14 +324,14 @@
 }
 
 static void
-distribute(struct node *n, double amount)
+distribute(struct team_node *n, double amount)
 {
 	double left = amount;
 	double weight = 0;
 
 	n->entitlement = amount;
 	for (guint i = 0; i < n->children->len; i++) {
-		struct node *c = g_ptr_array_index(n->children, i);
+		struct team_node *c = g_ptr_array_index(n->children, i);
 
 		c->unsatisfied = true;
 		weight += c->weight;
@@ -336,7 +339,7 @@
 	while (satisfy_demands(n, &left, &weight))
 		continue;
 	for (guint i = 0; i < n->children->len; i++) {
-		struct node *c = g_ptr_array_index(n->children, i);
+		struct team_node *c = g_ptr_array_index(n->children, i);
 
 		distribute(c, c->unsatisfied ? left * c->weight / weight
 					     : c->entitlement);
@@ -445,7 +448,7 @@
 void
 ogl_lend_add_task(struct ogl_lend *l, const struct ogl_lend_task *t)
 {
-	struct node *leaf = leaf_of(l, t->team);
+	struct team_node *leaf = leaf_of(l, t->team);
 	struct task k = {.t = *t, .next = SIZE_MAX};
 	struct sum res = sum_of(&t->res);
 
@@ -524,7 +527,7 @@
 	struct task *k = task_at(l, i);
 	struct sum res = sum_of(&k->t.res);
 	double size = dominant(l, &res);
-	double sec = (double)MAX(now - k->t.since, 0) / OGL_SEC;
+	double run_s = (double)MAX(now - k->t.since, 0) / OGL_SEC;
 	struct unit *u;
 
 	k->unit = unit_of(l, &k->t);
@@ -533,7 +536,7 @@
 	u->first = i;
 	sum_add(&u->res, &res, 1);
 	u->size = dominant(l, &u->res);
-	u->cost += size * (sec + START_COST_S);
+	u->cost += size * (run_s + START_COST_S);
 	if (k->t.kind == OGL__KIND__service)
 		u->cost += size * SERVICE_COST_S;
 	u->preemptible = u->preemptible && k->t.restartable && !k->t.stopping &&
@@ -605,18 +608,19 @@
 	u->released = sign > 0;
 }
 
-/* Only a team above its entitlement is preempted, and the last preemption may
- * leave it no less than the part l->floor of it, see preempt_for. */
+/* Only a team above its entitlement is preempted, and it keeps at least the
+ * part l->min_kept of its entitlement, see preempt_for. */
 static bool
 may_be_preempted(const struct ogl_lend *l, const struct unit *u)
 {
 	struct sum rest = u->leaf->held;
 
 	if (!u->preemptible || u->released ||
-	    u->leaf->held_share <= u->leaf->entitlement + EPS)
+	    u->leaf->held_share <= u->leaf->entitlement + ROUNDING_TOLERANCE)
 		return false;
 	sum_add(&rest, &u->res, -1);
-	return dominant(l, &rest) >= u->leaf->entitlement * l->floor - EPS;
+	return dominant(l, &rest) >=
+	       u->leaf->entitlement * l->min_kept - ROUNDING_TOLERANCE;
 }
 
 static bool
@@ -803,9 +807,10 @@
 
 	sum_add(&after, &need, k->w.tasks);
 	if (k->leaf->failures >= ROUND_FAILURES_MAX ||
-	    dominant(l, &after) > k->leaf->entitlement + EPS)
+	    dominant(l, &after) > k->leaf->entitlement + ROUNDING_TOLERANCE)
 		goto out;
-	l->floor = (1 + k->leaf->held_share / k->leaf->entitlement) / 2;
+	/* A preempted team may lack half the part that this team lacks. */
+	l->min_kept = (1 + k->leaf->held_share / k->leaf->entitlement) / 2;
 	for (uint32_t i = 0; ok && i < k->w.tasks; i++)
 		ok = make_room(l, &need, plan);
 	if (ok && l->round_share > 0 && plan->len > 0)
@@ -828,10 +833,10 @@
 
 /* A team that lacks a good part of its entitlement preempts until it has
  * nearly all; a team that regains it by itself soon enough preempts nothing.
- * As tasks end at random, most preemptions would otherwise only smooth the
- * variation of teams that get their share on average over half a minute. */
+ * Tasks end at random, so most preemptions would otherwise be for teams that
+ * get their share anyway on average over half a minute. */
 static void
-update_lack(struct node *n, ogl_time now)
+update_lack(struct team_node *n, ogl_time now)
 {
 	double regained_part = (n->held_share - n->lacking_share) /
 			       (n->entitlement - n->lacking_share);
@@ -860,7 +865,7 @@
 
 	g_hash_table_iter_init(&it, l->leaves);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		struct node *n = v;
+		struct team_node *n = v;
 
 		if (paused) {
 			n->lacking_since = 0;
@@ -874,7 +879,7 @@
 static bool
 may_preempt_for(const struct pending *k, ogl_time now)
 {
-	const struct node *leaf = k->leaf;
+	const struct team_node *leaf = k->leaf;
 
 	return leaf->preempting &&
 	       now - k->w.since > OGL_LEND_MIN_WAIT_MS * OGL_MS &&
@@ -892,7 +897,7 @@
 		   : x->w.queue_position > y->w.queue_position;
 }
 
-/* Leaves only the work that may preempt, in queue order.  Freed room
+/* Keeps only the pending work that may preempt, in queue order.  Freed room
  * goes to the work whose turn comes first.  So work behind PASSED_OVER_LIMIT
  * pieces that may not preempt is left out: it would free room for them. */
 static void
@@ -921,7 +926,8 @@
 	g_array_set_size(l->pending, kept);
 }
 
-/* A worker that does not act on a checkpoint would keep the room for ever. */
+/* Stops tasks whose worker did not act on a checkpoint; they would hold their
+ * room forever. */
 static void
 stop_overdue(struct ogl_lend *l, ogl_time now)
 {
@@ -943,7 +949,7 @@
 ogl_lend_decide(struct ogl_lend *l, ogl_time now,
     const struct ogl_lend_preemption **preemptions)
 {
-	double all = gather(l, l->root);
+	double all = sum_tree(l, l->root);
 
 	distribute(l->root, MAX(all, DISTRIBUTED_MIN));
 	update_lacks(l, now);
--- a/src/lend.h
+++ b/src/lend.h
@@ -1,6 +1,6 @@
 /*
- * Preemption of tasks that run on lent room: chooses which running tasks make
- * way for the waiting work of a team that holds less than it is entitled to.
+ * Preemption of tasks that run on lent capacity: chooses which running tasks to
+ * stop for the waiting work of a team that holds less than it is entitled to.
  *
  * A round starts with ogl_lend_begin, continues with one call for every
  * schedulable worker, every placed task and every piece of waiting work, and
@@ -15,7 +15,7 @@
 #include "orioleglade.h"
 
 #define OGL_LEND_NO_WORKER UINT32_MAX
-#define OGL_LEND_MIN_WAIT_MS 5000 /* waiting time before others are preempted */
+#define OGL_LEND_MIN_WAIT_MS 5000 /* work waits longer before it preempts */
 
 struct ogl_lend;
 
@@ -42,7 +42,7 @@
 };
 
 struct ogl_lend_preemption {
-	size_t task; /* index in the order added in this round, from 0 */
+	size_t task; /* index in the order of ogl_lend_add_task, from 0 */
 	Ogl__StopMode mode;
 	/* Run time so far; 0 if preempted in an earlier round. */
 	ogl_time lost_run_time;
@@ -71,6 +71,7 @@
  * the next round begins. */
 
 bool ogl_lend_was_preempted(const struct ogl_lend *l, uint64_t id);
-/* Whether the task was preempted lately and is to be placed first. */
+/* Whether the task was preempted lately, so that it is to be placed before
+ * others. */
 
 #endif
