--- a/src/session.c
+++ b/src/session.c
@@ -29,7 +29,7 @@
 #define DRIFT_DIVISOR 10 /* a tenth of the lease covers clock drift */
 
 static void
-tref_free(void *v)
+task_ref_free(void *v)
 {
 	g_free(v);
 }
@@ -103,7 +103,7 @@
 	s->zone = g_strdup("");
 	s->rack = g_strdup("");
 	s->number = sh->sessions->len;
-	s->tasks = g_ptr_array_new_with_free_func(tref_free);
+	s->tasks = g_ptr_array_new_with_free_func(task_ref_free);
 	s->stops = g_ptr_array_new_with_free_func(stop_free);
 	s->acks = g_ptr_array_new_with_free_func(ack_free);
 	s->next_sync = now;
@@ -193,7 +193,7 @@
 	return sh->env->cfg->lease_ms * OGL_MS / DRIFT_DIVISOR;
 }
 
-/* The time when the worker, if it answers no more, has certainly stopped all
+/* Returns when the worker, if it answers no more, has certainly stopped all
  * tasks that we or an earlier owner started there; 0 if there are none. */
 static ogl_time
 leases_over_at(const struct ogl_shard *sh, const struct ogl_session *s)
@@ -225,8 +225,8 @@
 	}
 }
 
-/* The worker does not answer and its leases have expired: it runs none of our
- * tasks any more. */
+/* Ends the tasks of a worker that does not answer and whose leases have
+ * expired: it runs none of them any more. */
 static void
 mark_lost(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
 {
@@ -557,31 +557,32 @@
     struct ogl_job *j, uint32_t i, ogl_time now)
 {
 	struct ogl_task *t = j != NULL ? &j->tasks[i] : NULL;
-	bool orphan;
+	bool adoptable;
 
 	drop_stop(s, r->task, r->attempt);
 	/* An end of the task is being appended; its ack follows.  If this is
 	 * a later attempt, found on another worker, the worker will report it
-	 * again.  It must not be bound now: its own end would be dropped since
-	 * one is pending, and the pending one would be ignored as that of an
-	 * older attempt, so that the task would never end. */
+	 * again.  If it were bound now, the task would never end: this end
+	 * would be dropped since one is pending, and the pending one ignored
+	 * as that of an older attempt. */
 	if (t != NULL && t->end_pending)
 		return;
-	orphan = t != NULL && t->phase == OGL_TASK_WAITING && sh->recovering &&
-		 (r->attempt > t->attempt ||
-		     (r->attempt == t->attempt && t->intent_recorded));
-	if (t == NULL || !(orphan || bound_here(s, t, r->attempt))) {
+	adoptable = t != NULL && t->phase == OGL_TASK_WAITING &&
+		    sh->recovering &&
+		    (r->attempt > t->attempt ||
+			(r->attempt == t->attempt && t->intent_recorded));
+	if (t == NULL || !(adoptable || bound_here(s, t, r->attempt))) {
 		push_ack(s, r->task, r->attempt);
 		return;
 	}
 	if (r->state == OGL__TASK_STATE__refused) {
-		if (orphan)
+		if (adoptable)
 			push_ack(s, r->task, r->attempt);
 		else
 			on_refused(sh, s, r, j, i, now);
 		return;
 	}
-	if (orphan && !ogl_sched_bind(sh, s, j, i, r->attempt, now))
+	if (adoptable && !ogl_sched_bind(sh, s, j, i, r->attempt, now))
 		return;
 	ogl_shard_task_end(sh, j, i, r->state, r->reason, now);
 }
@@ -609,8 +610,9 @@
 	    "its worker started anew", now);
 }
 
-/* A start did not arrive, and then the task was to be stopped or the worker
- * began to leave: the worker does not have it and will report no end. */
+/* Unbinds a task whose start did not arrive before the task was to be stopped
+ * or the worker began to leave.  The worker does not have the task and will
+ * report no end. */
 static void
 undo_start(struct ogl_shard *sh, struct ogl_session *s,
     const struct ogl_task_ref *ref, const char *name, ogl_time now)
@@ -621,9 +623,9 @@
 }
 
 /* Handles bound tasks that a full report lacks: they are lost, unless their
- * start has yet to arrive there.  A restarted worker has forgotten all tasks:
- * one whose start was sent before may have run although that was never
- * reported, so its start must not be sent again. */
+ * start has not arrived there yet.  A restarted worker has forgotten all tasks.
+ * One whose start was sent before the restart may have run although that was
+ * never reported, so its start must not be sent again. */
 static void
 handle_unreported(struct ogl_shard *sh, struct ogl_session *s,
     const Ogl__WorkerReport *r, bool restarted, ogl_time now)
@@ -761,14 +763,14 @@
 static void
 on_no_answer(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
 {
-	uint32_t wait = sh->env->cfg->sync_ms;
+	uint32_t wait_ms = sh->env->cfg->sync_ms;
 
 	sh->env->counters->sync_fails++;
 	s->fails++;
 	/* The first retries come well within the lease, so that it survives a
 	 * lost message; a worker that stays silent is tried less often. */
-	wait = s->fails < 5 ? wait / 4 : wait * 2;
-	s->next_sync = now + wait * OGL_MS;
+	wait_ms = s->fails < 5 ? wait_ms / 4 : wait_ms * 2;
+	s->next_sync = now + wait_ms * OGL_MS;
 }
 
 void
@@ -808,8 +810,8 @@
 
 /* ---- ticks ------------------------------------------------------------ */
 
-/* Unbinds tasks that were bound before the worker was known to leave and whose
- * start was not sent: they must not go there any more and are queued again. */
+/* Unbinds tasks whose start was not sent before the worker was known to leave,
+ * and queues them again, since they must not start there any more. */
 static void
 unbind_unsent(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
 {
@@ -861,7 +863,7 @@
 	on_no_answer(sh, s, now);
 }
 
-/* The time when the session has something to do next. */
+/* Returns the time when the session has something to do next. */
 static ogl_time
 session_due(
     const struct ogl_shard *sh, const struct ogl_session *s, ogl_time now)
