--- a/src/state.c
+++ b/src/state.c
@@ -25,7 +25,7 @@
 	HTTP_STATUS_MIN = 100,
 	HTTP_STATUS_MAX = 999,
 	JOB_TASKS_MAX = 10000,   /* a record with more is damaged */
-	MAX_FAILURES = 3,        /* of a restartable task; then it has failed */
+	MAX_FAILURES = 3,        /* a restartable task then has failed */
 	SNAP_PART_ENTRIES = 500, /* jobs and ids in one part of a snapshot */
 	ENDED_JOB_KEEP_S = 3600, /* ended jobs can be queried for so long */
 	REFERRAL_KEEP_S = 86400, /* callers may repeat an id for so long */
@@ -47,7 +47,7 @@
 }
 
 static void
-idrec_free(void *v)
+request_id_free(void *v)
 {
 	struct ogl_request_id *r = v;
 
@@ -82,8 +82,8 @@
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	st->referred =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, referred_free);
-	st->ids =
-	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, idrec_free);
+	st->ids = g_hash_table_new_full(
+	    g_str_hash, g_str_equal, NULL, request_id_free);
 	st->workers =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	st->allots =
@@ -215,7 +215,8 @@
 	}
 }
 
-/* From here on the task may have run, until its end is recorded. */
+/* Notes that a task is about to be started.  From now on it may have run, until
+ * its end is recorded. */
 static void
 apply_intent(struct ogl_state *st, const Ogl__TaskIntent *t,
     const struct ogl_state_hooks *hooks, void *ctx, ogl_time now)
@@ -320,7 +321,7 @@
 /* ---- request ids ------------------------------------------------------ */
 
 static struct ogl_request_id *
-idrec_get_or_add(struct ogl_state *st, const char *id)
+request_id_get_or_add(struct ogl_state *st, const char *id)
 {
 	struct ogl_request_id *r = g_hash_table_lookup(st->ids, id);
 
@@ -339,7 +340,7 @@
 }
 
 static void
-idrec_outcome(struct ogl_request_id *r, const Ogl__IdOutcome *o)
+request_id_set_outcome(struct ogl_request_id *r, const Ogl__IdOutcome *o)
 {
 	if (r->has_outcome || !ogl_http_status_is_valid(o->status) ||
 	    o->verdict > OGL__VERDICT__may_have_run)
@@ -437,11 +438,12 @@
 	for (size_t i = 0; i < s->n_jobs; i++)
 		load_snapshot_job(st, s->jobs[i]);
 	for (size_t i = 0; i < s->n_ids; i++) {
-		struct ogl_request_id *r = idrec_get_or_add(st, s->ids[i]->id);
+		struct ogl_request_id *r =
+		    request_id_get_or_add(st, s->ids[i]->id);
 
 		r->at_ms = s->ids[i]->at_ms;
 		if (s->ids[i]->has_outcome && s->ids[i]->outcome != NULL)
-			idrec_outcome(r, s->ids[i]->outcome);
+			request_id_set_outcome(r, s->ids[i]->outcome);
 	}
 	for (size_t i = 0; i < s->n_workers; i++)
 		apply_worker(st, s->workers[i]->worker, s->workers[i]->addr,
@@ -465,33 +467,33 @@
 static void
 add_snapshot_part(struct ogl_state *st, const Ogl__ShardSnap *s)
 {
-	struct ogl_state *b;
+	struct ogl_state *partial;
 
 	if (s->part == 0) {
 		ogl_state_free(st->partial_snapshot);
 		st->partial_snapshot = ogl_state_new();
-		st->building_number = s->snap;
-		st->building_next_part = 0;
+		st->partial_number = s->snap;
+		st->partial_next_part = 0;
 	}
-	b = st->partial_snapshot;
-	if (b == NULL || s->snap != st->building_number ||
-	    s->part != st->building_next_part)
+	partial = st->partial_snapshot;
+	if (partial == NULL || s->snap != st->partial_number ||
+	    s->part != st->partial_next_part)
 		return;
-	load_snapshot_part(b, s);
-	st->building_next_part++;
-	if (st->building_next_part < s->parts)
+	load_snapshot_part(partial, s);
+	st->partial_next_part++;
+	if (st->partial_next_part < s->parts)
 		return;
 	st->partial_snapshot = NULL;
-	if (b->epoch < st->least_epoch) {
-		ogl_state_free(b);
+	if (partial->epoch < st->least_epoch) {
+		ogl_state_free(partial);
 		return;
 	}
 	/* The complete snapshot replaces the empty state. */
 	struct ogl_state old = *st;
-	*st = *b;
-	*b = old;
-	b->partial_snapshot = NULL;
-	ogl_state_free(b);
+	*st = *partial;
+	*partial = old;
+	partial->partial_snapshot = NULL;
+	ogl_state_free(partial);
 	st->complete = true;
 }
 
@@ -624,7 +626,8 @@
 		    ogl_message_copy(&((Ogl__Allot *)v)->base);
 }
 
-/* The part to add one more job or id to; begins a new one if it is full. */
+/* Returns the part to add one more job or id to; begins a new one if the last
+ * one is full. */
 static Ogl__ShardSnap *
 part_with_space(struct snapshot_writer *c)
 {
@@ -781,17 +784,17 @@
 		apply_referred(st, r->job_referred, hooks, ctx, now);
 		break;
 	case OGL__RECORD__BODY_ID_INTENT:
-		id = idrec_get_or_add(st, r->id_intent->id);
+		id = request_id_get_or_add(st, r->id_intent->id);
 		id->at_ms = r->id_intent->at_ms;
 		if (hooks != NULL)
 			hooks->id_changed(ctx, id, now);
 		break;
 	case OGL__RECORD__BODY_ID_OUTCOME:
-		id = idrec_get_or_add(st, r->id_outcome->id);
-		idrec_outcome(id, r->id_outcome);
+		id = request_id_get_or_add(st, r->id_outcome->id);
+		request_id_set_outcome(id, r->id_outcome);
 		if (hooks != NULL)
 			hooks->id_changed(ctx, id, now);
-		/* What certainly did not run may be requested again. */
+		/* A request that certainly did not run may be repeated. */
 		if (id->verdict == OGL__VERDICT__not_run)
 			g_hash_table_remove(st->ids, id->id);
 		break;
@@ -833,7 +836,7 @@
  * A reader that begins in mid-stream looks for the first complete snapshot.
  * An owner that is suspended while its snapshot is being appended may be
  * superseded before the snapshot is stored.  A reader that accepted it would
- * take all claims since then as invalid and its own claim, made from the old
+ * treat all claims since then as invalid and its own claim, made from the old
  * epoch, as valid, and the shard would have two owners permanently.  So the
  * records before the snapshot give the least epoch that it must have.
  */
--- a/src/state.h
+++ b/src/state.h
@@ -10,7 +10,7 @@
 enum ogl_task_phase {
 	OGL_TASK_WAITING, /* to be started */
 	OGL_TASK_PLACED,  /* bound to a worker by the owner */
-	OGL_TASK_ENDED    /* never to be started again; see end */
+	OGL_TASK_ENDED    /* never to be started again; see end_state */
 };
 
 struct ogl_task {
@@ -44,11 +44,11 @@
 	uint32_t nplaced; /* owner: tasks bound to workers */
 	bool cancelled;
 	Ogl__Verdict cancel_verdict;
-	char *cancel_reason;       /* by the owner; NULL: by a caller */
+	char *cancel_reason;       /* why the owner did; NULL: a caller did */
 	ogl_time infeasible_since; /* owner: since when no worker can hold it */
 	bool cancel_pending;       /* owner: the cancel is being appended */
 	bool inherited;            /* owner: accepted by an earlier owner */
-	uint64_t number;           /* owner: for placement and spreading */
+	uint64_t number;           /* owner: names the job in place.c, lend.c */
 };
 
 /* A request id and the answer to its request. */
@@ -76,8 +76,8 @@
 	GHashTable *allots;     /* team -> Ogl__Allot */
 	/* The snapshot that is being read, NULL: none. */
 	struct ogl_state *partial_snapshot;
-	uint64_t building_number; /* its Ogl__ShardSnap.snap */
-	uint32_t building_next_part;
+	uint64_t partial_number; /* its number, Ogl__ShardSnap.snap */
+	uint32_t partial_next_part;
 	uint64_t records; /* applied since the last snapshot */
 	/* While incomplete: learned from records before the snapshot. */
 	uint64_t least_epoch;  /* the epoch in force is at least this */
@@ -117,12 +117,12 @@
  * it was written, so that st follows an owner that is superseded. */
 
 struct ogl_state *ogl_state_new_after(const Ogl__Record *r);
-/* An empty, incomplete state to replace one that r proved to be stale. */
+/* Returns an empty, incomplete state to replace one that r proved stale. */
 
 void ogl_state_prune(
     struct ogl_state *st, uint64_t now_ms, uint32_t id_keep_ms);
-/* Removes jobs that ended an hour ago, request ids older than id_keep_ms and
- * referrals older than a day. */
+/* Removes jobs that ended more than an hour ago, request ids older than
+ * id_keep_ms and referrals older than a day. */
 
 void ogl_state_keep_newest(struct ogl_state *st, const char *team,
     uint32_t max_jobs, uint64_t before_ms);
@@ -130,7 +130,8 @@
  * left; jobs that ended at before_ms or later are kept. */
 
 GPtrArray *ogl_state_snapshot(const struct ogl_state *st, uint64_t now_ms);
-/* The whole state as new Ogl__Records, to be passed to ogl_stream_add. */
+/* Returns the whole state as new Ogl__Records, the parts of one snapshot in
+ * order, to be appended to the stream.  now_ms becomes its number. */
 
 bool ogl_job_ended(const struct ogl_job *j);
 void ogl_job_view(const struct ogl_job *j, Ogl__JobView *v);
@@ -140,7 +141,8 @@
 /* Whether it can be an HTTP status; a damaged message may hold any number. */
 
 char *ogl_request_key(const char *team, const char *request_id);
-/* A caller's request id as a name unique in the cell; g_free. */
+/* Returns a caller's request id as a name unique in the cell.  The caller frees
+ * it with g_free. */
 
 Ogl__Submit *ogl_submit_copy(const Ogl__Submit *s);
 
