--- a/src/stream.c
+++ b/src/stream.c
@@ -1,5 +1,6 @@
 /*
- * One stream of the log: group commit of our records, and following of all.
+ * One stream of the log: appends this node's records in groups, and reads and
+ * applies the records of all nodes.
  *
  * Records wait up to commit_ms and are sent in one append; one append is
  * under way at a time.  A record takes effect when it is applied in log
@@ -21,7 +22,7 @@
 
 enum {
 	MAX_BATCH_RECORDS = 4096,     /* in one append */
-	MAX_BATCH_BYTES = 512 * 1024, /* plus the last record */
+	MAX_BATCH_BYTES = 512 * 1024, /* may be exceeded by one record */
 	IO_TIMEOUT_MS = 1500,         /* for one append or read */
 	BACKOFF_MIN_MS = 40,          /* after a failed append or read */
 	BACKOFF_MAX_MS = 1000
@@ -42,7 +43,7 @@
 	void *ctx;
 	GHashTable *last_applied; /* writer -> struct last_applied */
 	uint64_t offset;          /* next to apply */
-	ogl_time current;
+	ogl_time current_at;      /* see ogl_stream_current_at */
 
 	ogl_time poll_interval; /* 0: not following */
 	ogl_time read_due;
@@ -126,7 +127,7 @@
 ogl_time
 ogl_stream_current_at(const struct ogl_stream *s)
 {
-	return s->current;
+	return s->current_at;
 }
 
 uint64_t
@@ -218,7 +219,7 @@
 	    ogl__batch__unpack(NULL, data.n, (const uint8_t *)data.p);
 
 	if (b == NULL)
-		return; /* no node wrote it: it holds no records */
+		return; /* not a batch, so no node wrote it */
 	for (size_t i = 0; i < b->n_records; i++) {
 		if (mark_applied(s, b->records[i]))
 			s->ops->record(s->ctx, b->records[i], offset, now);
@@ -298,7 +299,7 @@
 		s->read_due = now;
 		return;
 	}
-	s->current = MAX(s->current, s->read_sent);
+	s->current_at = MAX(s->current_at, s->read_sent);
 	if (s->outcome_unknown && s->read_sent >= s->outcome_unknown_since)
 		s->outcome_unknown = false; /* not there: send it again */
 	s->read_due = MIN(s->read_due, now + interval);
@@ -364,7 +365,7 @@
 		data.p = g_bytes_get_data(s->batch, &data.n);
 		apply_batch(s, data, now);
 		remove_applied(s);
-		s->current = MAX(s->current, s->append_sent);
+		s->current_at = MAX(s->current_at, s->append_sent);
 		s->append_due = now + s->cfg->commit_ms * OGL_MS;
 		return;
 	}
--- a/src/stream.h
+++ b/src/stream.h
@@ -47,7 +47,7 @@
  * been applied. */
 
 size_t ogl_stream_pending(const struct ogl_stream *s);
-/* Records that are queued or sent and have not been applied. */
+/* Returns the number of records that are queued or sent and not yet applied. */
 
 void ogl_stream_drop(struct ogl_stream *s);
 /* Drops queued records, and no longer retries those sent. */
@@ -61,12 +61,13 @@
 /* Handles the answer to one of the stream's actions; ignores others. */
 
 ogl_time ogl_stream_current_at(const struct ogl_stream *s);
-/* All records appended before this time have been applied; 0: none yet. */
+/* Returns a time such that all records appended before it have been applied,
+ * or 0 if none is known yet. */
 
 uint64_t ogl_stream_offset(const struct ogl_stream *s);
-/* The offset that will be applied next. */
+/* Returns the offset that will be applied next. */
 
 uint64_t ogl_stream_appends(const struct ogl_stream *s);
-/* Appends sent so far. */
+/* Returns the number of appends sent so far. */
 
 #endif
