--- a/src/route.c
+++ b/src/route.c
@@ -55,7 +55,7 @@
 
 struct in_flight {
 	uint64_t request;
-	ogl_time since;
+	ogl_time sent_at;
 };
 
 struct target {
@@ -310,7 +310,7 @@
 {
 	double service_time = current_service_time(r, k, now);
 	double age =
-	    k->n_in_flight > 0 ? (double)(now - k->in_flight[0].since) : 0;
+	    k->n_in_flight > 0 ? (double)(now - k->in_flight[0].sent_at) : 0;
 	double others =
 	    k->others_in_flight * decay(k->refused_at, OTHERS_EXPIRY, now);
 	double load = k->n_in_flight + others + 1;
@@ -397,7 +397,7 @@
 		    struct in_flight, k->in_flight, k->in_flight_capacity);
 	}
 	k->in_flight[k->n_in_flight].request = request;
-	k->in_flight[k->n_in_flight++].since = now;
+	k->in_flight[k->n_in_flight++].sent_at = now;
 }
 
 bool
@@ -418,7 +418,7 @@
 
 /* Removes a request from those in flight on a target; false if not found. */
 static bool
-remove_in_flight(struct target *k, uint64_t request, ogl_time *since)
+remove_in_flight(struct target *k, uint64_t request, ogl_time *sent_at)
 {
 	uint32_t i;
 
@@ -427,7 +427,7 @@
 		;
 	if (i == k->n_in_flight)
 		return false;
-	*since = k->in_flight[i].since;
+	*sent_at = k->in_flight[i].sent_at;
 	k->n_in_flight--;
 	memmove(&k->in_flight[i], &k->in_flight[i + 1],
 	    (k->n_in_flight - i) * sizeof(*k->in_flight));
@@ -444,10 +444,10 @@
 }
 
 static void
-answered(struct ogl_route *r, uint32_t t, ogl_time since, ogl_time now)
+answered(struct ogl_route *r, uint32_t t, ogl_time sent_at, ogl_time now)
 {
 	struct target *k = &r->targets[t];
-	double took_us = MAX((double)(now - since), 1);
+	double took_us = MAX((double)(now - sent_at), 1);
 
 	update_average(&k->service_time_us, took_us);
 	update_average(&r->service_time_us, took_us);
@@ -531,14 +531,15 @@
 ogl_route_request_done(struct ogl_route *r, uint32_t t, uint64_t request,
     enum ogl_io_result io, uint32_t http_status, ogl_time now)
 {
-	ogl_time since;
+	ogl_time sent_at;
 
-	if (!known(r, t) || !remove_in_flight(&r->targets[t], request, &since))
+	if (!known(r, t) ||
+	    !remove_in_flight(&r->targets[t], request, &sent_at))
 		return;
 	if (io == OGL_IO_OK)
 		ogl_drain_note_completed(&r->drain, now);
 	if (io == OGL_IO_OK && http_status < 500)
-		answered(r, t, since, now);
+		answered(r, t, sent_at, now);
 	else if (io == OGL_IO_REFUSED)
 		refused(r, t, now);
 	else
