--- a/src/claim.c
+++ b/src/claim.c
@@ -14,7 +14,7 @@
 
 enum {
 	RECENT_WRITE_MS = 30000, /* an owner that wrote within this is alive */
-	CLOCK_SKEW_MS = 500,     /* largest assumed between two hosts */
+	CLOCK_SKEW_MS = 500,     /* most that two hosts' clocks differ */
 	GOSSIP_WAIT_MS = 3000,   /* time for gossip to confirm the owner */
 };
 
