--- a/src/escrow.c
+++ b/src/escrow.c
@@ -36,7 +36,7 @@
 	ASK_INTERVAL_MAX_MS = 1600,
 	START_RETRY_MS = 1000,     /* to try a start again after an ask */
 	RECLAIM_INTERVAL_MS = 400, /* between reclaims for one team */
-	WANT_TIMEOUT_MS = 4 * START_RETRY_MS, /* if it is not repeated */
+	WANT_TIMEOUT_MS = 4 * START_RETRY_MS, /* then an old want is dropped */
 	TURN_MAX_MS = 10000, /* the oldest want is served first for so long */
 	TICK_MS = 100
 };
