--- a/src/follow.c
+++ b/src/follow.c
@@ -33,8 +33,8 @@
 	TOKEN_PART = 2,     /* top byte of this module's tokens */
 	POLL_MAX_MS = 250,  /* longest time between two reads */
 	LOG_DOWN_MS = 1000, /* the log is down if it is silent for so long */
-	SNAPSHOT_REQUEST_EVERY_MS = 300, /* least time between two */
-	EVICT_EVERY_MS = 1000,
+	SNAPSHOT_REQUEST_EVERY_MS = 300, /* least time between requests */
+	EVICT_EVERY_MS = 1000, /* least time between updates of evictions */
 	EVICT_MIN_CONTACT_MS = 3000, /* time for live nodes to answer probes */
 	READMIT_MIN_S = 2,           /* an evicted node must be alive so long */
 	SNAPSHOT_EDITS = 500,        /* most edits between two snapshots */
