--- a/src/lend.c
+++ b/src/lend.c
@@ -51,7 +51,7 @@
 #define LACK_REGAINED 0.5
 #define ROUND_SHARE_MAX 0.1     /* part of the capacity preempted per round */
 #define ROUND_STEPS_MAX 1000000 /* tasks and workers examined in one round */
-#define ROUND_FAILURES_MAX 8    /* then a team's other work is skipped */
+#define ROUND_FAILURES_MAX 8    /* of a team, which is then skipped */
 #define ROUND_GAP_MAX_MS 3000 /* after a longer gap, lacks are observed anew */
 #define PASSED_OVER_LIMIT 1   /* see select_pending */
 #define START_COST_S 5.0      /* cost of a restart: favours fewer tasks */
