--- a/src/node.c
+++ b/src/node.c
@@ -16,10 +16,10 @@
 	TOKEN_PART = 4, /* top byte of the tokens of host list fetches */
 	HOSTS_INTERVAL_MS = 1000, /* between fetches of the host list */
 	HOSTS_TIMEOUT_MS = 1500,
-	UNLISTED_KEEP_S = 600,   /* for workers missing from the list */
-	LOG_APPENDS_PER_S = 240, /* by all shards of a cell together */
+	UNLISTED_KEEP_S = 600,   /* how long to keep unlisted workers */
+	LOG_APPENDS_PER_S = 240, /* most of all shards of a cell together */
 	FULL_TICK_MS = 50,       /* between ticks of all parts */
-	SHUTDOWN_TIMEOUT_S = 10, /* for other nodes to claim our shards */
+	SHUTDOWN_TIMEOUT_S = 10, /* time for others to claim our shards */
 	LEFT_SENDS = 3
 };
 
