--- a/src/right.c
+++ b/src/right.c
@@ -14,7 +14,7 @@
 
 enum {
 	PROMISE_EVERY_MS = 500, /* between two requests for promises */
-	PROMISE_AFTER_MS = 700, /* without log contact, before the first */
+	PROMISE_AFTER_MS = 700, /* from log contact to the first of them */
 	LOG_UP_MS = 1500        /* the log is up if it answered within this */
 };
 
