--- a/src/state.c
+++ b/src/state.c
@@ -25,7 +25,7 @@
 	HTTP_STATUS_MIN = 100,
 	HTTP_STATUS_MAX = 999,
 	JOB_TASKS_MAX = 10000,   /* a record with more is damaged */
-	MAX_FAILURES = 3,        /* a restartable task then has failed */
+	MAX_FAILURES = 3,        /* failed attempts of a restartable task */
 	SNAP_PART_ENTRIES = 500, /* jobs and ids in one part of a snapshot */
 	ENDED_JOB_KEEP_S = 3600, /* ended jobs can be queried for so long */
 	REFERRAL_KEEP_S = 86400, /* callers may repeat an id for so long */
