--- a/src/shardcall.c
+++ b/src/shardcall.c
@@ -32,7 +32,8 @@
 	RETRY_LOG_MS = 1000,      /* the log may be up again by then */
 	RETRY_FULL_MS = 5000,     /* the queue may be shorter by then */
 	INFEASIBLE_MIN_S = 60, /* a job infeasible for so long is cancelled */
-	UNRESPONSIVE_FAILS = 3 /* syncs; the worker is not waited for then */
+	/* After so many failed syncs a worker's report is not waited for. */
+	UNRESPONSIVE_FAILS = 3
 };
 
 #define REFUSED_ERROR "it can never run: its shard refused it for good"
