--- a/src/session.c
+++ b/src/session.c
@@ -118,10 +118,10 @@
 static bool
 host_is_ours(const struct ogl_shard *sh, const struct ogl_host *h)
 {
-	uint64_t x = ogl_random_hash(h->name, strlen(h->name));
+	uint64_t hash = ogl_random_hash(h->name, strlen(h->name));
 
 	return h->role == OGL__HOST_ROLE__worker &&
-	       x % sh->env->cfg->shards == sh->index;
+	       hash % sh->env->cfg->shards == sh->index;
 }
 
 static void
--- a/src/shard_impl.h
+++ b/src/shard_impl.h
@@ -129,6 +129,7 @@
     struct ogl_shard *sh, const struct ogl_event *ev, ogl_time now);
 void ogl_session_wake(
     struct ogl_shard *sh, struct ogl_session *s, ogl_time now);
+/* Brings the next sync forward, unless the last one was not answered. */
 void ogl_session_stop_task(struct ogl_shard *sh, struct ogl_session *s,
     const char *job, uint32_t index, uint32_t attempt, Ogl__StopMode mode,
     ogl_time now);
