--- a/cell/advice.c
+++ b/cell/advice.c
@@ -173,7 +173,7 @@
 }
 
 bool
-cell_advice_lane_free(struct cell_advice *a, uint32_t rank, ogl_time now)
+cell_advice_has_free_lane(struct cell_advice *a, uint32_t rank, ogl_time now)
 {
 	return pick_lane(a, rank, now) != NULL;
 }
@@ -249,7 +249,7 @@
 	g_free(approval->ticket);
 	approval->ticket = g_strdup(ticket);
 	approval->expires = expires;
-	approval->born_ms = w->incarnation;
+	approval->incarnation = w->incarnation;
 }
 
 /*
@@ -351,7 +351,7 @@
 	const struct cell_approval *approval =
 	    cell_stage_approval(s, w->serial);
 
-	if (approval == NULL || approval->born_ms != w->incarnation)
+	if (approval == NULL || approval->incarnation != w->incarnation)
 		return NULL;
 	return approval;
 }
--- a/cell/advice.h
+++ b/cell/advice.h
@@ -44,7 +44,8 @@
  * least once a second. */
 void cell_advice_remove_node(struct cell_advice *a, const char *addr);
 
-bool cell_advice_lane_free(struct cell_advice *a, uint32_t rank, ogl_time now);
+bool cell_advice_has_free_lane(
+    struct cell_advice *a, uint32_t rank, ogl_time now);
 /* Whether a lane is free now for a question of that rank (queue priority). */
 
 bool cell_advice_ask(struct cell_advice *a, struct cell_stage *s,
--- a/cell/escrow.c
+++ b/cell/escrow.c
@@ -206,7 +206,7 @@
 }
 
 void
-cell_escrow_want(
+cell_escrow_request(
     struct cell_escrow *e, const char *team, uint32_t part, ogl_time now)
 {
 	struct team *t;
--- a/cell/escrow.h
+++ b/cell/escrow.h
@@ -36,7 +36,7 @@
 /* Result: millionths of the team's limit that this shard may use; the whole
  * limit in a cell with one shard. */
 
-void cell_escrow_want(
+void cell_escrow_request(
     struct cell_escrow *e, const char *team, uint32_t part, ogl_time now);
 /* Asks for a part of that many millionths, with which waiting tasks could
  * start. */
--- a/cell/fleet.c
+++ b/cell/fleet.c
@@ -228,11 +228,11 @@
 		w->lease_end_ms = 0;
 		w->listed = false;
 		w->expected = false;
-		w->recorded = false;
+		w->open_in_record = false;
 		w->tasks_recorded = false;
-		w->recorded_min = 0;
+		w->open_from_record = 0;
 		w->addr_unrecorded = false;
-		w->recorded_silent = false;
+		w->silent_in_record = false;
 		w->gone = false;
 		w->conn_refusals = 0;
 		w->ends_acked = 0;
@@ -318,7 +318,7 @@
 {
 	w->addr_unrecorded = w->addr != NULL;
 	if (w->addr_unrecorded) {
-		w->recorded = false;
+		w->open_in_record = false;
 		w->gone = false;
 		w->conn_refusals = 0;
 		w->next_hold_at = now;
@@ -328,7 +328,7 @@
 }
 
 void
-cell_fleet_entry(struct cell_fleet *f, const char *id,
+cell_fleet_update_entry(struct cell_fleet *f, const char *id,
     const struct cell_worker_entry *e, ogl_time now)
 {
 	struct cell_worker *w;
@@ -379,7 +379,8 @@
 }
 
 void
-cell_fleet_zones(struct cell_fleet *f, const struct cell_zones *z, ogl_time now)
+cell_fleet_set_zones(
+    struct cell_fleet *f, const struct cell_zones *z, ogl_time now)
 {
 	unsigned evacuated = 0;
 	unsigned running = 0;
@@ -411,7 +412,7 @@
 
 	w->expected = true;
 	w->tasks_recorded = k->closed;
-	w->recorded = !k->closed;
+	w->open_in_record = !k->closed;
 	if (w->addr != NULL)
 		return;
 	set_string(&w->addr, k->addr);
@@ -433,10 +434,10 @@
 {
 	struct cell_worker *w = g_hash_table_lookup(f->workers, id);
 
-	if (w == NULL || w->recorded || w->addr_unrecorded ||
-	    record < w->recorded_min)
+	if (w == NULL || w->open_in_record || w->addr_unrecorded ||
+	    record < w->open_from_record)
 		return;
-	w->recorded = true;
+	w->open_in_record = true;
 	f->events.room_freed(f->events.arg, f->opened_at);
 }
 
@@ -513,9 +514,10 @@
 bool
 cell_worker_schedulable(const struct cell_worker *w, ogl_time now)
 {
-	return w->listed && w->recorded && !w->draining && !w->evacuated &&
-	       w->fenced && w->failures == 0 && w->norphans == 0 &&
-	       now >= w->cooldown_until && !hold_overdue(w, now);
+	return w->listed && w->open_in_record && !w->draining &&
+	       !w->evacuated && w->fenced && w->failures == 0 &&
+	       w->norphans == 0 && now >= w->cooldown_until &&
+	       !hold_overdue(w, now);
 }
 
 /*
@@ -523,7 +525,7 @@
  * row count against a worker.
  */
 void
-cell_worker_result(
+cell_worker_count_result(
     struct cell_worker *w, const char *job, bool ok, ogl_time now)
 {
 	if (ok) {
@@ -933,7 +935,7 @@
 
 	if (w->failures > 0)
 		log_worker(f, w, "worker_regained");
-	f->record_outdated |= w->recorded_silent;
+	f->record_outdated |= w->silent_in_record;
 	if (w->gone && w->incarnation == a->born_ms)
 		log_worker(f, w, "worker_was_not_gone");
 	w->gone = false;
@@ -1102,7 +1104,7 @@
 		h->timeout_ms =
 		    MIN(FIRST_HOLD_TIMEOUT_MS << MIN(w->failures, 4),
 			ORDER_TIMEOUT_MS);
-	} else if (!renew || w->hold_immediate) {
+	} else if (!renew || w->next_hold_no_wait) {
 		h->timeout_ms =
 		    lossy ? LOSSY_HOLD_TIMEOUT_MS : ORDER_TIMEOUT_MS;
 	} else {
@@ -1132,7 +1134,7 @@
 	w->calls_pending++;
 	w->hold_pending = true;
 	w->hold_sent_at = now;
-	w->hold_immediate = false;
+	w->next_hold_no_wait = false;
 	f->ops->count(f->ops->ctx, "holds", 1);
 	f->ops->hold(f->ops->backend_ctx, &h, on_hold, c);
 }
@@ -1152,7 +1154,7 @@
 	if (w->ends_reported > w->ends_stored &&
 	    now - w->hold_sent_at < LEASE_RENEW_AFTER)
 		return false;
-	return g_hash_table_size(w->runs) > 0 || w->hold_immediate;
+	return g_hash_table_size(w->runs) > 0 || w->next_hold_no_wait;
 }
 
 void
@@ -1165,7 +1167,7 @@
 	if (number <= w->ends_stored || number > w->ends_reported)
 		return;
 	w->ends_stored = number;
-	w->hold_immediate = g_hash_table_size(w->runs) == 0;
+	w->next_hold_no_wait = g_hash_table_size(w->runs) == 0;
 }
 
 /* ---- orders ----------------------------------------------------------- */
@@ -1318,7 +1320,7 @@
 		 * tells the state of the run. */
 		r->start_unanswered = false;
 		run_started(f, r, now);
-		r->worker->hold_immediate = true;
+		r->worker->next_hold_no_wait = true;
 		return;
 	default:
 		break;
@@ -1339,7 +1341,7 @@
 	}
 	if (io == OGL_IO_NOT_SENT && !r->start_unanswered &&
 	    r->state == CELL_RUN_STARTING) {
-		r->worker->hold_immediate = true;
+		r->worker->next_hold_no_wait = true;
 		count_failure(r->worker, now);
 		r->worker->next_hold_at = now;
 		run_refused(f, r, CELL_REFUSED_BUSY, now);
@@ -1412,7 +1414,7 @@
 	if (a->io == OGL_IO_OK) {
 		r->stop_answered = true;
 		r->stop_answered_at = now;
-		r->worker->hold_immediate = true;
+		r->worker->next_hold_no_wait = true;
 		return;
 	}
 	if (a->why == CELL_REFUSED_FENCE) {
@@ -1527,7 +1529,7 @@
 		log_worker(f, w, "worker_lapsed");
 		lose_runs(f, w, NULL, now, now);
 	}
-	if (w->recorded && cell_worker_silent(w, now))
+	if (w->open_in_record && cell_worker_silent(w, now))
 		f->record_outdated = true;
 	if (wants_hold(w, now))
 		send_hold(f, w, now);
--- a/cell/fleet.h
+++ b/cell/fleet.h
@@ -80,11 +80,11 @@
 	uint64_t clock_ms;     /* its clock as last read */
 	ogl_time clock_at;     /* when clock_ms was read */
 	uint64_t lease_end_ms; /* latest lease end asked of this incarnation */
-	bool recorded;         /* a stored record allows new runs there */
-	uint64_t recorded_min; /* first record to allow new runs, 0 any */
-	bool addr_unrecorded;  /* no record holds its address yet */
-	bool recorded_silent;  /* the last record calls it silent */
-	ogl_time silent_since; /* valid while failures > 0 */
+	bool open_in_record;   /* a stored record allows new runs there */
+	uint64_t open_from_record; /* first record to allow new runs, 0 any */
+	bool addr_unrecorded;      /* no record holds its address yet */
+	bool silent_in_record;     /* the last record calls it silent */
+	ogl_time silent_since;     /* valid while failures > 0 */
 	/* The record lists every task that may run there, so a new owner does
 	 * not wait for its answer. */
 	bool tasks_recorded;
@@ -102,13 +102,13 @@
 	uint32_t conn_refusals;  /* connections refused in a row */
 	ogl_time conn_refused_since; /* time of the first of these */
 	bool gone;                   /* its process has ended */
-	bool hold_immediate; /* the next hold is answered without waiting */
+	bool next_hold_no_wait; /* the next hold is answered without waiting */
 
 	GArray *unanswered_starts; /* struct cell_unanswered_start */
 	GHashTable *runs;          /* set of struct cell_run */
-	uint64_t open_pass; /* the scheduler's last pass that may use it */
+	uint64_t schedulable_pass; /* scheduler's last pass that may use it */
 	/* Rank + 1 of the gang that it is kept for in that pass, 0 none. */
-	uint32_t reserved;
+	uint32_t reserved_rank_plus_1;
 	uint32_t calls_pending;  /* unanswered calls; not freed while > 0 */
 	uint32_t norphans;       /* runs that are orphans */
 	uint32_t failure_streak; /* failed ends in a row, of different jobs */
@@ -157,12 +157,12 @@
 void cell_fleet_close(struct cell_fleet *f);
 /* Sends no more calls and forgets all runs. */
 
-void cell_fleet_entry(struct cell_fleet *f, const char *id,
+void cell_fleet_update_entry(struct cell_fleet *f, const char *id,
     const struct cell_worker_entry *e, ogl_time now);
 /* Takes a worker's entry on the platform's list; e is NULL if the worker is no
  * longer listed. */
 
-void cell_fleet_zones(
+void cell_fleet_set_zones(
     struct cell_fleet *f, const struct cell_zones *z, ogl_time now);
 /* Sets the evacuated zones, which are borrowed; to be called again whenever
  * they change. */
@@ -248,7 +248,7 @@
 bool cell_worker_fits(const struct cell_worker *w, const struct ogl_res *need);
 /* Whether the worker's free capacity covers the need. */
 
-void cell_worker_result(
+void cell_worker_count_result(
     struct cell_worker *w, const char *job, bool ok, ogl_time now);
 /* Counts an end of a run of the job; a worker that fails several jobs in a row
  * gets no work for a while. */
--- a/cell/held.c
+++ b/cell/held.c
@@ -59,7 +59,7 @@
 	st = h->find_stage(h->arg, &name);
 	if (st == NULL)
 		return;
-	cell_stage_hold(st, name.index, until);
+	cell_stage_delay_start(st, name.index, until);
 	g_array_append_val(tasks, name);
 }
 
@@ -91,7 +91,7 @@
 		struct cell_stage *st = h->find_stage(h->arg, name);
 
 		if (st != NULL)
-			cell_stage_release(st, name->index, now);
+			cell_stage_end_delay(st, name->index, now);
 	}
 	g_hash_table_remove(h->workers, worker);
 }
--- a/cell/job.c
+++ b/cell/job.c
@@ -312,20 +312,20 @@
 }
 
 void
-cell_stage_hold(struct cell_stage *s, uint32_t index, ogl_time until)
+cell_stage_delay_start(struct cell_stage *s, uint32_t index, ogl_time until)
 {
 	struct cell_task *t = cell_stage_shared_task(s, index);
 
 	t->not_before = MAX(t->not_before, until);
-	t->holds++;
+	t->silent_workers++;
 }
 
 void
-cell_stage_release(struct cell_stage *s, uint32_t index, ogl_time now)
+cell_stage_end_delay(struct cell_stage *s, uint32_t index, ogl_time now)
 {
 	struct cell_task *t = cell_stage_shared_task(s, index);
 
-	if (t->holds > 0 && --t->holds == 0)
+	if (t->silent_workers > 0 && --t->silent_workers == 0)
 		t->not_before = MIN(t->not_before, now);
 }
 
--- a/cell/job.h
+++ b/cell/job.h
@@ -29,16 +29,16 @@
 	bool assumed_running;    /* may run on a worker that has not answered */
 	char *avoid_worker;      /* worker of the last failed run; NULL none */
 	ogl_time not_before;     /* earliest start */
-	uint32_t holds;          /* silent workers on which it may run */
-	uint32_t moves;          /* times it was stopped to run elsewhere */
+	uint32_t silent_workers; /* silent workers on which it may run */
+	uint32_t move_count;     /* times it was stopped to run elsewhere */
 };
 
 /* The policy's approval of a worker for a stage. */
 struct cell_approval {
 	uint32_t worker; /* serial number */
 	char *ticket;
-	ogl_time expires; /* the ticket counts as expired from then on */
-	uint64_t born_ms; /* worker's incarnation for which it is valid */
+	ogl_time expires;     /* the ticket counts as expired from then on */
+	uint64_t incarnation; /* worker's incarnation for which it is valid */
 };
 
 /* Why tasks of a stage that is ready are not running. */
@@ -139,11 +139,12 @@
 /* Resources that one task uses.  A step with `fills` uses only processor time
  * that others leave unused, so its tasks count with none. */
 
-void cell_stage_hold(struct cell_stage *s, uint32_t index, ogl_time until);
+void cell_stage_delay_start(
+    struct cell_stage *s, uint32_t index, ogl_time until);
 /* The task may be running on a silent worker, so it is not started before
- * `until`.  A gang is held as a whole. */
-void cell_stage_release(struct cell_stage *s, uint32_t index, ogl_time now);
-/* Ends one hold; after the last one the task may be started. */
+ * `until`.  A gang is delayed as a whole. */
+void cell_stage_end_delay(struct cell_stage *s, uint32_t index, ogl_time now);
+/* Ends one delay; after the last one the task may be started. */
 
 struct cell_approval *cell_stage_approval(
     const struct cell_stage *s, uint32_t worker);
--- a/cell/known.c
+++ b/cell/known.c
@@ -7,9 +7,9 @@
  * there, and only these wait for it.
  *
  * The list stays complete only if the worker gets no other work.  Hence it is
- * closed to new work (recorded is cleared) before the record that calls it
- * silent is sent, and opened only once a later record, which does not call it
- * silent, is stored.
+ * closed to new work (open_in_record is cleared) before the record that calls
+ * it silent is sent, and opened only once a later record, which does not call
+ * it silent, is stored.
  */
 
 #include <string.h>
@@ -62,13 +62,13 @@
 	k->addr = g_strdup(w->addr);
 	k->service = g_strdup(w->service);
 	if (w->addr_unrecorded)
-		w->recorded_min = number;
+		w->open_from_record = number;
 	w->addr_unrecorded = false;
-	w->recorded_silent = cell_worker_silent(w, now);
-	if (w->recorded_silent || w->draining) {
+	w->silent_in_record = cell_worker_silent(w, now);
+	if (w->silent_in_record || w->draining) {
 		k->closed = true;
-		w->recorded = false;
-		w->recorded_min = number;
+		w->open_in_record = false;
+		w->open_from_record = number;
 		add_tasks(k, w);
 	}
 	return k;
--- a/cell/lead.c
+++ b/cell/lead.c
@@ -1028,7 +1028,7 @@
 }
 
 void
-cell_lead_hint_dead(struct cell_lead *l, uint32_t shard, ogl_time now)
+cell_lead_report_unreachable(struct cell_lead *l, uint32_t shard, ogl_time now)
 {
 	l->by_shard[shard].dead_hint_at = now;
 }
--- a/cell/lead.h
+++ b/cell/lead.h
@@ -80,7 +80,8 @@
     struct cell_lead *l, uint32_t shard, uint64_t epoch, ogl_time now);
 /* The owner of that epoch has reported that it reaches the store. */
 
-void cell_lead_hint_dead(struct cell_lead *l, uint32_t shard, ogl_time now);
+void cell_lead_report_unreachable(
+    struct cell_lead *l, uint32_t shard, ogl_time now);
 /* The owner's address refuses connections, or the owner does not answer pings.
  * A shorter heartbeat timeout applies for a while. */
 
--- a/cell/node.c
+++ b/cell/node.c
@@ -272,8 +272,9 @@
     const Ogl__CellAsk *a)
 {
 	struct advice_call *call = g_new(struct advice_call, 1);
-	struct cell_ask ask = {a->step, (const char *const *)(void *)a->workers,
-	    a->n_workers, a->timeout_ms};
+	struct cell_advice_query ask = {a->step,
+	    (const char *const *)(void *)a->workers, a->n_workers,
+	    a->timeout_ms};
 
 	call->node = n;
 	call->shard = shard;
@@ -826,7 +827,7 @@
 		return;
 	if (n->ops->peer_refused(n->ops->ctx, owner) ||
 	    now - s->pong_at > OWNER_SUSPECT_TIMEOUT)
-		cell_lead_hint_dead(n->lead, s->shard, now);
+		cell_lead_report_unreachable(n->lead, s->shard, now);
 	cell_front_delay(
 	    n->front, s->shard, now - s->pong_at - PING_INTERVAL, now);
 	if (now - s->pong_at > RECONNECT_TIMEOUT) {
--- a/cell/ops.h
+++ b/cell/ops.h
@@ -211,7 +211,7 @@
 
 /* ---- advice ----------------------------------------------------------- */
 
-struct cell_ask {
+struct cell_advice_query {
 	const char *step;           /* name of the step */
 	const char *const *workers; /* ids */
 	size_t n;
@@ -303,8 +303,8 @@
 	    void *arg);
 	void (*pace)(void *ctx, const struct cell_order *o, cell_order_fn *done,
 	    void *arg);
-	void (*ask)(
-	    void *ctx, const struct cell_ask *a, cell_ask_fn *done, void *arg);
+	void (*ask)(void *ctx, const struct cell_advice_query *a,
+	    cell_ask_fn *done, void *arg);
 
 	struct cell_config *(*decode_config)(void *ctx, struct ogl_str value);
 	/* Decodes the operator's record; NULL if it is malformed. */
--- a/cell/owner.c
+++ b/cell/owner.c
@@ -355,7 +355,7 @@
 	j->state = state;
 	j->ended_ms = (uint64_t)(o->wall / OGL_MS);
 	j->drop_def = true;
-	cell_relay_forget(o->relay, j->id);
+	cell_relay_job_ended(o->relay, j->id);
 	job_changed(o, j, true, now);
 	call_after_store(o, j->id, on_end_stored, 0);
 }
@@ -488,14 +488,14 @@
 	    cell_stage_shared_task(st, index), checkpoint);
 	job_changed(o, j, true, now);
 	if (how == CELL_END_DONE && !st->def->lasting) {
-		cell_worker_result(w, j->id, true, now);
+		cell_worker_count_result(w, j->id, true, now);
 		task_done(st, t);
 		if (st->def->gang)
 			gang_done(st);
 		else
 			stop_other_run(o, st, t, now);
 	} else if (how == CELL_END_FAILED) {
-		cell_worker_result(w, j->id, false, now);
+		cell_worker_count_result(w, j->id, false, now);
 		task_failed(o, st, index, run, w->id, now);
 	}
 	if (!cell_job_state_ended(j->state))
@@ -1029,7 +1029,7 @@
 
 	if (e == NULL || cell_shard_of_worker(e->rack, id, o->params.shards) ==
 			     o->params.shard)
-		cell_fleet_entry(o->fleet, id, e, now);
+		cell_fleet_update_entry(o->fleet, id, e, now);
 }
 
 /* Workers that are not on the complete list have been removed from it. */
@@ -1042,7 +1042,7 @@
 
 	for (at = ids; at != NULL; at = at->next) {
 		if (!g_hash_table_contains(listed, at->data))
-			cell_fleet_entry(o->fleet, at->data, NULL, now);
+			cell_fleet_update_entry(o->fleet, at->data, NULL, now);
 	}
 	g_list_free(ids);
 }
@@ -1184,7 +1184,7 @@
 cell_owner_set_zones(
     struct cell_owner *o, const struct cell_zones *z, ogl_time now)
 {
-	cell_fleet_zones(o->fleet, z, now);
+	cell_fleet_set_zones(o->fleet, z, now);
 	o->pass_needed = true;
 }
 
@@ -1261,7 +1261,7 @@
 	for (i = 0; i < j->occurrences->len; i++)
 		drop_occurrence(o, j, j->occurrences->pdata[i], now);
 	cell_journal_unmark(o->journal, j);
-	cell_relay_forget(o->relay, j->id);
+	cell_relay_job_ended(o->relay, j->id);
 	g_hash_table_remove(o->jobs, j->id);
 }
 
--- a/cell/relay.c
+++ b/cell/relay.c
@@ -270,7 +270,7 @@
 }
 
 void
-cell_relay_forget(struct cell_relay *r, const char *job)
+cell_relay_job_ended(struct cell_relay *r, const char *job)
 {
 	g_hash_table_remove(r->spec_nodes, job);
 }
--- a/cell/relay.h
+++ b/cell/relay.h
@@ -45,7 +45,7 @@
 void cell_relay_note_spec(
     struct cell_relay *r, const char *job, const char *addr);
 /* The node at addr has the job's spec, because it forwarded the job. */
-void cell_relay_forget(struct cell_relay *r, const char *job);
+void cell_relay_job_ended(struct cell_relay *r, const char *job);
 /* No more tasks of the job will be started. */
 
 void cell_relay_answer(
--- a/cell/schedule.c
+++ b/cell/schedule.c
@@ -364,7 +364,8 @@
 static bool
 reserved_against(const struct cell_worker *w, uint32_t rank)
 {
-	return w->reserved != 0 && rank + 1 >= w->reserved;
+	return w->reserved_rank_plus_1 != 0 &&
+	       rank + 1 >= w->reserved_rank_plus_1;
 }
 
 /* Tasks of the stage on a worker, including those chosen in this pass. */
@@ -419,7 +420,7 @@
 		struct cell_worker *w =
 		    cell_fleet_by_serial(s->parts.fleet, approval->worker);
 
-		if (w == NULL || w->open_pass != s->pass ||
+		if (w == NULL || w->schedulable_pass != s->pass ||
 		    reserved_against(w, rank) || !cell_worker_fits(w, &need))
 			continue;
 		/* Not listed, as the stage could not use a new ticket. */
@@ -427,7 +428,7 @@
 			s->some_at_worker_max = true;
 			continue;
 		}
-		if (approval->born_ms == w->incarnation &&
+		if (approval->incarnation == w->incarnation &&
 		    approval->expires > now)
 			g_ptr_array_add(s->candidates, w);
 		else
@@ -608,7 +609,7 @@
 	if (want_ppm > CELL_PART_WHOLE_PPM)
 		want_ppm = ppm_needed_for_tasks(t, used, &need, tasks, share);
 	if (want_ppm <= CELL_PART_WHOLE_PPM)
-		cell_escrow_want(
+		cell_escrow_request(
 		    s->parts.escrow, t->name, (uint32_t)want_ppm + 1, now);
 }
 
@@ -827,7 +828,7 @@
 	const struct cell_policy *p = &q->policy;
 
 	if (!p->needed || st->asking ||
-	    !cell_advice_lane_free(s->parts.advice, rank_of(s, st), now))
+	    !cell_advice_has_free_lane(s->parts.advice, rank_of(s, st), now))
 		return;
 	if (g_hash_table_size(st->asked) == 0) {
 		ask_new(s, st, q, now);
@@ -1016,7 +1017,7 @@
 		    (policy && cell_advice_approval(st, w) == NULL))
 			continue;
 		n += tasks_that_fit(&w->capacity, &need);
-		w->reserved = rank + 1;
+		w->reserved_rank_plus_1 = rank + 1;
 	}
 	s->reserving_gangs++;
 }
@@ -1215,8 +1216,8 @@
 
 		if (!cell_worker_schedulable(w, now))
 			continue;
-		w->open_pass = s->pass;
-		w->reserved = 0;
+		w->schedulable_pass = s->pass;
+		w->reserved_rank_plus_1 = 0;
 		s->free_cpu_milli += room_of(w).cpu_milli;
 		g_ptr_array_add(s->schedulable, w);
 	}
--- a/cell/straggler.c
+++ b/cell/straggler.c
@@ -43,7 +43,7 @@
 	return st != NULL && r->state == CELL_RUN_RUNNING &&
 	       !r->order_pending && !st->def->gang && !st->def->lasting &&
 	       !st->def->fills && st->def->estimate_ms > 0 &&
-	       st->tasks[r->name.index].moves < MOVES_PER_TASK_MAX;
+	       st->tasks[r->name.index].move_count < MOVES_PER_TASK_MAX;
 }
 
 static bool
@@ -83,7 +83,7 @@
 	if (!worth_restarting(r, pace, stalled) ||
 	    !cell_sched_has_room(s, r->stage, w, now))
 		return;
-	r->stage->tasks[r->name.index].moves++;
+	r->stage->tasks[r->name.index].move_count++;
 	cell_fleet_move(f, r, stalled ? "still" : "slow", now);
 }
 
--- a/test/fake_cell.c
+++ b/test/fake_cell.c
@@ -1898,7 +1898,8 @@
 }
 
 static void
-on_ask(void *ctx, const struct cell_ask *a, cell_ask_fn *done, void *arg)
+on_ask(
+    void *ctx, const struct cell_advice_query *a, cell_ask_fn *done, void *arg)
 {
 	struct node *n = ctx;
 	struct fake_cell *f = n->cell;
--- a/test/test_cell_escrow.cc
+++ b/test/test_cell_escrow.cc
@@ -102,7 +102,7 @@
 	void want(uint32_t shard, uint32_t part)
 	{
 		now_ += 100 * kMs;
-		cell_escrow_want(holders_[shard].e, "team", part, now_);
+		cell_escrow_request(holders_[shard].e, "team", part, now_);
 	}
 
 	void advance(int ms, uint32_t isolated = kShards)
@@ -202,7 +202,7 @@
 	want(shard_a_, 300000);
 	ASSERT_EQ(1U, in_flight_.size());
 	now_ += 50 * kMs;
-	cell_escrow_want(holders_[shard_a_].e, "team", 500000, now_);
+	cell_escrow_request(holders_[shard_a_].e, "team", 500000, now_);
 	EXPECT_EQ(1U, in_flight_.size());
 	deliver_all();
 	EXPECT_GE(part(shard_a_), 300000U);
--- a/test/test_cell_fleet.cc
+++ b/test/test_cell_fleet.cc
@@ -97,7 +97,7 @@
 		entry.zone = zone;
 		entry.rack = none;
 		entry.capacity.cpu_milli = 16000;
-		cell_fleet_entry(fleet_, "w", &entry, now_);
+		cell_fleet_update_entry(fleet_, "w", &entry, now_);
 	}
 
 	/* Answers every pending call, also after the end of ownership. */
@@ -163,7 +163,7 @@
 	void evacuate(bool on)
 	{
 		cell_zones_record(zones_, "z", on, ++records_);
-		cell_fleet_zones(fleet_, zones_, now_);
+		cell_fleet_set_zones(fleet_, zones_, now_);
 	}
 
 	/* Starts a task on the worker and answers the start with io. */
--- a/test/test_cell_schedule.cc
+++ b/test/test_cell_schedule.cc
@@ -124,7 +124,7 @@
 			e.zone = none;
 			e.rack = none;
 			e.capacity.cpu_milli = 16000;
-			cell_fleet_entry(fleet_, id.c_str(), &e, now_);
+			cell_fleet_update_entry(fleet_, id.c_str(), &e, now_);
 		}
 		cell_fleet_step(fleet_, now_);
 		a.io = OGL_IO_OK;
