--- a/cell/node.c
+++ b/cell/node.c
@@ -23,8 +23,8 @@
 #define STRONGER_TIME (2500 * OGL_MS)
 /* Orders read within this time after a pause may have been queued during it. */
 #define STALE_ORDERS_TIME (300 * OGL_MS)
-/* A link below this rate slows a takeover: half a megabyte of jobs takes a
- * second over it. */
+/* A link below this rate slows the reading of jobs at a takeover: half a
+ * megabyte takes at least 80 ms over it. */
 #define SLOW_LINK_KBPS 50000
 #define PING_INTERVAL (250 * OGL_MS)
 /* No pong for this time, so two pings are unanswered: the owner's machine may
