--- a/bench/bench_place.c
+++ b/bench/bench_place.c
@@ -119,28 +119,28 @@
 measure_gangs(struct mix *m, struct ogl_place *p, uint32_t workers)
 {
 	const uint32_t n = 400;
-	struct ogl_demand ask = {OGL__KIND__gang, {2000, 8192, 0}, 1};
+	struct ogl_demand demand = {OGL__KIND__gang, {2000, 8192, 0}, 1};
 	uint32_t *w = g_new(uint32_t, workers * 8), size, i, j, count = 0;
 	double us[400], start, refuse;
 
 	for (i = 0; i < n; i++) {
 		size = (uint32_t)mix_pareto(m, 4, 64, 1.0);
 		start = mix_now_ns();
-		if (!ogl_place_gang(p, &ask, size, 1, w))
+		if (!ogl_place_gang(p, &demand, size, 1, w))
 			continue;
 		us[count++] = (mix_now_ns() - start) / 1000;
 		for (j = 0; j < size; j++)
-			ogl_place_free(p, w[j], &ask);
+			ogl_place_free(p, w[j], &demand);
 	}
 	qsort(us, count, sizeof(*us), mix_compare_double);
 	start = mix_now_ns();
-	ogl_place_gang(p, &ask, workers * 8, 1, w);
+	ogl_place_gang(p, &demand, workers * 8, 1, w);
 	refuse = (mix_now_ns() - start) / 1000;
 	if (count > 0)
 		printf("place_gang_us_%u %.1f us\n", workers, us[count / 2]);
 	printf("place_gang_refuse_us_%u %.1f us\n", workers, refuse);
 	start = mix_now_ns();
-	ogl_place_reserve(p, 1, &ask, workers, 3, 2);
+	ogl_place_reserve(p, 1, &demand, workers, 3, 2);
 	printf("place_reserve_us_%u %.1f us\n", workers,
 	    (mix_now_ns() - start) / 1000);
 	ogl_place_unreserve(p, 1);
@@ -240,7 +240,7 @@
 	GArray *backlog = g_array_new(FALSE, FALSE, sizeof(struct ogl_demand));
 	struct ogl_res total, used;
 	double cpu = 0, mem = 0, cpu_part, mem_part;
-	struct ogl_demand ask;
+	struct ogl_demand demand;
 	uint32_t w;
 
 	mix_cell(&m, p, workers, 4);
@@ -248,11 +248,11 @@
 	/* Each task is offered once: no task ends, so a refused task never
 	 * fits later. */
 	while (cpu < BACKLOG_CELLS || mem < BACKLOG_CELLS) {
-		mix_task(&m, &ask, cpu_min_milli);
-		g_array_append_val(backlog, ask);
-		cpu += (double)ask.res.cpu_milli / total.cpu_milli;
-		mem += (double)ask.res.mem_mb / total.mem_mb;
-		ogl_place_task(p, &ask, 1, &w);
+		mix_task(&m, &demand, cpu_min_milli);
+		g_array_append_val(backlog, demand);
+		cpu += (double)demand.res.cpu_milli / total.cpu_milli;
+		mem += (double)demand.res.mem_mb / total.mem_mb;
+		ogl_place_task(p, &demand, 1, &w);
 	}
 	ogl_place_totals(p, &total, &used);
 	cpu_part = (double)used.cpu_milli / total.cpu_milli;
--- a/bench/lib_mix.c
+++ b/bench/lib_mix.c
@@ -41,21 +41,21 @@
 }
 
 void
-mix_task(struct mix *m, struct ogl_demand *ask, uint32_t cpu_min_milli)
+mix_task(struct mix *m, struct ogl_demand *demand, uint32_t cpu_min_milli)
 {
 	double mem_ratio;
 
-	ask->kind =
+	demand->kind =
 	    mix_uniform(m) < 0.2 ? OGL__KIND__service : OGL__KIND__batch;
-	ask->job = (uint64_t)(mix_uniform(m) * 20000);
-	ask->res.cpu_milli =
+	demand->job = (uint64_t)(mix_uniform(m) * 20000);
+	demand->res.cpu_milli =
 	    (uint32_t)mix_pareto(m, cpu_min_milli, WORKER_CPU_MILLI, 0.8);
 	/* Memory per processor is 1/3 to 3 times the mean, log-uniform. */
 	mem_ratio = exp((mix_uniform(m) * 2 - 1) * log(3));
-	ask->res.mem_mb =
-	    (uint32_t)MIN(WORKER_MEM_MB, ask->res.cpu_milli * 0.9 * mem_ratio *
-					     WORKER_MEM_MB / WORKER_CPU_MILLI);
-	ask->res.accel = mix_uniform(m) < 0.02 ? 1 : 0;
+	demand->res.mem_mb = (uint32_t)MIN(
+	    WORKER_MEM_MB, demand->res.cpu_milli * 0.9 * mem_ratio *
+			       WORKER_MEM_MB / WORKER_CPU_MILLI);
+	demand->res.accel = mix_uniform(m) < 0.02 ? 1 : 0;
 }
 
 uint32_t
--- a/bench/lib_mix.h
+++ b/bench/lib_mix.h
@@ -21,7 +21,7 @@
 double mix_exponential(struct mix *m, double mean);
 /* Exponential distribution. */
 
-void mix_task(struct mix *m, struct ogl_demand *ask, uint32_t cpu_min_milli);
+void mix_task(struct mix *m, struct ogl_demand *demand, uint32_t cpu_min_milli);
 /* Draws a task: one in five is a service, one in fifty needs an accelerator.
  * Processors are bounded Pareto from cpu_min_milli to a whole worker. */
 
--- a/orioleglade.h
+++ b/orioleglade.h
@@ -278,33 +278,33 @@
 void ogl_place_set_state(
     struct ogl_place *p, uint32_t w, enum ogl_place_state st);
 
-bool ogl_place_task(struct ogl_place *p, const struct ogl_demand *ask,
+bool ogl_place_task(struct ogl_place *p, const struct ogl_demand *demand,
     ogl_time now, uint32_t *w);
 /* Picks a worker by the policy for the kind of task and holds the resources
  * there.  Returns false when no worker has room now. */
 
-bool ogl_place_gang(struct ogl_place *p, const struct ogl_demand *ask,
+bool ogl_place_gang(struct ogl_place *p, const struct ogl_demand *demand,
     uint32_t n, ogl_time now, uint32_t *w);
 /* Holds resources for n tasks at once and stores their workers in w[0..n).
  * Returns false and holds nothing when not all of them fit. */
 
 bool ogl_place_hold(
-    struct ogl_place *p, uint32_t w, const struct ogl_demand *ask);
+    struct ogl_place *p, uint32_t w, const struct ogl_demand *demand);
 /* Holds resources at a given worker, e.g. for a task found running there, also
  * when the worker gets no new tasks.  Returns false when the capacity would be
  * exceeded. */
 
 void ogl_place_free(
-    struct ogl_place *p, uint32_t w, const struct ogl_demand *ask);
+    struct ogl_place *p, uint32_t w, const struct ogl_demand *demand);
 /* Releases what one task held.  The demand must equal that of the hold. */
 
 enum ogl_feasibility ogl_place_feasibility(
-    const struct ogl_place *p, const struct ogl_demand *ask, uint32_t n);
+    const struct ogl_place *p, const struct ogl_demand *demand, uint32_t n);
 /* Whether n such tasks could ever run at once on the workers known, in whatever
  * state these are. */
 
 bool ogl_place_reserve(struct ogl_place *p, uint64_t job,
-    const struct ogl_demand *ask, uint32_t n, ogl_time until, ogl_time now);
+    const struct ogl_demand *demand, uint32_t n, ogl_time until, ogl_time now);
 /* Reserves resources on chosen workers for a waiting gang as they become free,
  * until the time `until`; shorter tasks may be backfilled.  Only one gang can
  * have a reservation: returns false when another one has it. */
--- a/src/claim.c
+++ b/src/claim.c
@@ -41,7 +41,7 @@
 		return;
 	b->name = p->fact->name;
 	b->rank = r;
-	b->changed = p->changed;
+	b->state_changed_at = p->state_changed_at;
 }
 
 struct ogl_candidate
@@ -139,7 +139,7 @@
 	/* The time in a record is set by its writer and may have any value. */
 	uint64_t wrote_ms = sh->state->owner_ms;
 	uint64_t now_ms = (uint64_t)(now / OGL_MS);
-	uint64_t died_ms = (uint64_t)(p->changed / OGL_MS);
+	uint64_t died_ms = (uint64_t)(p->state_changed_at / OGL_MS);
 
 	return p->fact->state == OGL__MEMBER_FACT__STATE__dead &&
 	       wrote_ms > died_ms + CLOCK_SKEW_MS &&
--- a/src/follow.c
+++ b/src/follow.c
@@ -331,7 +331,7 @@
 }
 
 bool
-ogl_follow_token(uint64_t token)
+ogl_follow_is_token(uint64_t token)
 {
 	return token >> 56 == TOKEN_PART;
 }
@@ -491,8 +491,9 @@
 
 	bool evicted = is_evicted(c->f, p->fact->name, p->fact->boot);
 	bool dead = p->fact->state == OGL__MEMBER_FACT__STATE__dead;
-	bool readmissible = p->fact->state == OGL__MEMBER_FACT__STATE__alive &&
-			    c->now - p->changed >= READMIT_MIN_S * OGL_SEC;
+	bool readmissible =
+	    p->fact->state == OGL__MEMBER_FACT__STATE__alive &&
+	    c->now - p->state_changed_at >= READMIT_MIN_S * OGL_SEC;
 
 	if (!(evicted ? readmissible : dead))
 		return;
--- a/src/follow.h
+++ b/src/follow.h
@@ -28,7 +28,7 @@
     struct ogl_follow *f, ogl_time now, struct ogl_actions *out);
 ogl_time ogl_follow_next(const struct ogl_follow *f);
 
-bool ogl_follow_token(uint64_t token);
+bool ogl_follow_is_token(uint64_t token);
 /* Whether an action with this token was made by this module. */
 void ogl_follow_event(
     struct ogl_follow *f, const struct ogl_event *ev, ogl_time now);
--- a/src/member.c
+++ b/src/member.c
@@ -247,7 +247,7 @@
     ogl_time now)
 {
 	p->fact->state = st;
-	p->changed = now;
+	p->state_changed_at = now;
 	p->sends_left = retransmit_count(m);
 }
 
@@ -282,7 +282,7 @@
 
 	p->fact = ogl_message_copy(&f->base);
 	p->heard = now;
-	p->changed = now;
+	p->state_changed_at = now;
 	g_hash_table_insert(m->peers, g_strdup(f->name), p);
 	g_ptr_array_add(m->sorted, p);
 	g_ptr_array_sort(m->sorted, by_name);
@@ -295,7 +295,7 @@
     ogl_time now)
 {
 	if (p->fact->state != f->state || p->fact->boot != f->boot)
-		p->changed = now;
+		p->state_changed_at = now;
 	if (p->fact->boot != f->boot) {
 		p->acked_probe_sent = 0;
 		p->probe_sent = 0;
@@ -331,7 +331,7 @@
 		return false;
 	return p->fact->state == OGL__MEMBER_FACT__STATE__alive ||
 	       (p->fact->state == OGL__MEMBER_FACT__STATE__suspect &&
-		   now - p->changed < m->cfg->suspect_ms * OGL_MS / 2);
+		   now - p->state_changed_at < m->cfg->suspect_ms * OGL_MS / 2);
 }
 
 static struct ogl_peer *
@@ -470,7 +470,7 @@
 	ogl_time period = m->cfg->probe_ms * OGL_MS;
 
 	if (p->fact->state == OGL__MEMBER_FACT__STATE__suspect) {
-		if (now - p->changed >= m->cfg->suspect_ms * OGL_MS)
+		if (now - p->state_changed_at >= m->cfg->suspect_ms * OGL_MS)
 			set_state(m, p, OGL__MEMBER_FACT__STATE__dead, now);
 		return;
 	}
@@ -552,7 +552,7 @@
 		struct ogl_peer *p = g_ptr_array_index(m->sorted, i - 1);
 
 		if (state_alive(p->fact->state) ||
-		    now - p->changed < FORGET_DEAD_S * OGL_SEC)
+		    now - p->state_changed_at < FORGET_DEAD_S * OGL_SEC)
 			continue;
 		g_ptr_array_remove_index(m->sorted, i - 1);
 		g_hash_table_remove(m->peers, p->fact->name);
--- a/src/member.h
+++ b/src/member.h
@@ -11,7 +11,7 @@
 struct ogl_peer {
 	Ogl__MemberFact *fact;     /* newest received */
 	ogl_time heard;            /* time of the newest fact or message */
-	ogl_time changed;          /* time of the last change of its state */
+	ogl_time state_changed_at; /* time of the last change of its state */
 	ogl_time acked_probe_sent; /* send time of the last answered probe */
 	/* Its last answer to a probe: */
 	ogl_time down_since;      /* start of its log outage, 0 for none */
--- a/src/node.c
+++ b/src/node.c
@@ -639,7 +639,7 @@
 		shard = ogl_shard_of_token(ev->token);
 		if (shard >= 0 && shard < n->cfg.shards)
 			ogl_shard_event(n->shards[shard], ev, n->now);
-		else if (ogl_follow_token(ev->token))
+		else if (ogl_follow_is_token(ev->token))
 			ogl_follow_event(n->follow, ev, n->now);
 		break;
 	case OGL_EV_STOP:
--- a/src/place.c
+++ b/src/place.c
@@ -84,29 +84,29 @@
 }
 
 void
-ogl_place_take(struct ogl_place *p, uint32_t w, const struct ogl_demand *ask)
+ogl_place_take(struct ogl_place *p, uint32_t w, const struct ogl_demand *demand)
 {
 	struct ogl_place_worker *k = &p->workers[w];
 	struct ogl_res room = ogl_place_free_room(k);
 
 	/* Invariant: no worker gets more than its capacity. */
 	g_assert(ogl_res_fits(&k->held, &k->capacity));
-	g_assert(ogl_res_fits(&ask->res, &room));
-	ogl_res_add(&k->held, &ask->res);
+	g_assert(ogl_res_fits(&demand->res, &room));
+	ogl_res_add(&k->held, &demand->res);
 	if (k->in_totals) {
-		p->held_cpu += ask->res.cpu_milli;
-		p->held_mem += ask->res.mem_mb;
-		p->held_accel += ask->res.accel;
+		p->held_cpu += demand->res.cpu_milli;
+		p->held_mem += demand->res.mem_mb;
+		p->held_accel += demand->res.accel;
 	}
-	if (ogl_place_policy(ask->kind)->spreads) {
-		ogl_res_add(&k->held_by_services, &ask->res);
-		job_add(p, w, ask->job);
+	if (ogl_place_policy(demand->kind)->spreads) {
+		ogl_res_add(&k->held_by_services, &demand->res);
+		job_add(p, w, demand->job);
 	}
 	ogl_place_reindex(p, w);
 }
 
 bool
-ogl_place_hold(struct ogl_place *p, uint32_t w, const struct ogl_demand *ask)
+ogl_place_hold(struct ogl_place *p, uint32_t w, const struct ogl_demand *demand)
 {
 	struct ogl_res room;
 
@@ -115,29 +115,29 @@
 	if (!ogl_res_fits(&p->workers[w].held, &p->workers[w].capacity))
 		return false;
 	room = ogl_place_free_room(&p->workers[w]);
-	if (!ogl_res_fits(&ask->res, &room))
+	if (!ogl_res_fits(&demand->res, &room))
 		return false;
-	ogl_place_take(p, w, ask);
+	ogl_place_take(p, w, demand);
 	return true;
 }
 
 void
-ogl_place_free(struct ogl_place *p, uint32_t w, const struct ogl_demand *ask)
+ogl_place_free(struct ogl_place *p, uint32_t w, const struct ogl_demand *demand)
 {
 	struct ogl_place_worker *k;
 
 	g_return_if_fail(ogl_place_known(p, w));
 	k = &p->workers[w];
-	g_return_if_fail(ogl_res_fits(&ask->res, &k->held));
+	g_return_if_fail(ogl_res_fits(&demand->res, &k->held));
 	if (k->in_totals) {
-		p->held_cpu -= ask->res.cpu_milli;
-		p->held_mem -= ask->res.mem_mb;
-		p->held_accel -= ask->res.accel;
+		p->held_cpu -= demand->res.cpu_milli;
+		p->held_mem -= demand->res.mem_mb;
+		p->held_accel -= demand->res.accel;
 	}
-	ogl_res_sub(&k->held, &ask->res);
-	if (ogl_place_policy(ask->kind)->spreads) {
-		ogl_res_sub(&k->held_by_services, &ask->res);
-		job_sub(p, w, ask->job);
+	ogl_res_sub(&k->held, &demand->res);
+	if (ogl_place_policy(demand->kind)->spreads) {
+		ogl_res_sub(&k->held_by_services, &demand->res);
+		job_sub(p, w, demand->job);
 	}
 	ogl_place_reindex(p, w);
 }
@@ -145,20 +145,20 @@
 /* ---- one task --------------------------------------------------------- */
 
 bool
-ogl_place_task(struct ogl_place *p, const struct ogl_demand *ask, ogl_time now,
-    uint32_t *w)
+ogl_place_task(struct ogl_place *p, const struct ogl_demand *demand,
+    ogl_time now, uint32_t *w)
 {
 	ogl_place_expire_reservation(p, now);
 	ogl_place_update_quarantine(p, now);
-	if (!ogl_place_pick_probe(p, ask, now, w)) {
-		if (ogl_place_known_no_fit(p, &ask->res))
+	if (!ogl_place_pick_probe(p, demand, now, w)) {
+		if (ogl_place_known_no_fit(p, &demand->res))
 			return false;
-		if (!ogl_place_policy(ask->kind)->pick(p, ask, w)) {
-			ogl_place_note_no_fit(p, &ask->res);
+		if (!ogl_place_policy(demand->kind)->pick(p, demand, w)) {
+			ogl_place_note_no_fit(p, &demand->res);
 			return false;
 		}
 	}
-	ogl_place_take(p, *w, ask);
+	ogl_place_take(p, *w, demand);
 	return true;
 }
 
@@ -368,7 +368,7 @@
 
 enum ogl_feasibility
 ogl_place_feasibility(
-    const struct ogl_place *p, const struct ogl_demand *ask, uint32_t n)
+    const struct ogl_place *p, const struct ogl_demand *demand, uint32_t n)
 {
 	GHashTableIter it;
 	gpointer capacity, count;
@@ -376,7 +376,7 @@
 
 	g_hash_table_iter_init(&it, p->capacity_counts);
 	while (g_hash_table_iter_next(&it, &capacity, &count)) {
-		sum += (uint64_t)ogl_place_tasks_fit(&ask->res, capacity) *
+		sum += (uint64_t)ogl_place_tasks_fit(&demand->res, capacity) *
 		       GPOINTER_TO_UINT(count);
 		if (sum > 0 && sum >= n)
 			return OGL_FEASIBLE;
--- a/src/place.h
+++ b/src/place.h
@@ -249,7 +249,7 @@
 uint32_t ogl_place_random(struct ogl_place *p);
 
 void ogl_place_take(
-    struct ogl_place *p, uint32_t w, const struct ogl_demand *ask);
+    struct ogl_place *p, uint32_t w, const struct ogl_demand *demand);
 /* Holds room for a task on worker w; the caller knows that it fits. */
 
 size_t ogl_place_bytes(const struct ogl_place *p);
@@ -299,7 +299,7 @@
 
 struct ogl_place_policy {
 	bool (*pick)(
-	    struct ogl_place *p, const struct ogl_demand *ask, uint32_t *w);
+	    struct ogl_place *p, const struct ogl_demand *demand, uint32_t *w);
 	bool spreads; /* its jobs' tasks are counted by zone and rack */
 };
 
@@ -319,7 +319,7 @@
 /* Makes a probe due where a cooldown is over, and ends the quarantine where a
  * probe task has run for long enough. */
 
-bool ogl_place_pick_probe(struct ogl_place *p, const struct ogl_demand *ask,
+bool ogl_place_pick_probe(struct ogl_place *p, const struct ogl_demand *demand,
     ogl_time now, uint32_t *w);
 /* Picks a worker that has its probe due and room for the task, and marks it
  * as probing; false when there is none. */
--- a/src/place_aside.c
+++ b/src/place_aside.c
@@ -75,14 +75,14 @@
 
 /* Gangs are not used as probes: one failed task would cost the whole gang. */
 bool
-ogl_place_pick_probe(struct ogl_place *p, const struct ogl_demand *ask,
+ogl_place_pick_probe(struct ogl_place *p, const struct ogl_demand *demand,
     ogl_time now, uint32_t *w)
 {
 	struct ogl_place_worker *k;
 	struct ogl_res room;
 	uint32_t i, start;
 
-	if (p->probes_due == 0 || ask->kind == OGL__KIND__gang)
+	if (p->probes_due == 0 || demand->kind == OGL__KIND__gang)
 		return false;
 	start = ogl_place_random(p);
 	for (i = 0; i < MIN(PROBE_CANDIDATES, p->quarantined->len); i++) {
@@ -92,7 +92,7 @@
 		room = ogl_place_free_room(k);
 		if (k->quarantine_state != OGL_QUARANTINE_PROBE_DUE ||
 		    !k->schedulable || !ogl_res_fits(&k->held, &k->capacity) ||
-		    !ogl_res_fits(&ask->res, &room))
+		    !ogl_res_fits(&demand->res, &room))
 			continue;
 		k->quarantine_state = OGL_QUARANTINE_PROBING;
 		k->quarantine_until = now + PROBE_SUCCESS_AFTER;
--- a/src/place_gang.c
+++ b/src/place_gang.c
@@ -352,7 +352,7 @@
 
 bool
 ogl_place_reserve(struct ogl_place *p, uint64_t job,
-    const struct ogl_demand *ask, uint32_t n, ogl_time until, ogl_time now)
+    const struct ogl_demand *demand, uint32_t n, ogl_time until, ogl_time now)
 {
 	ogl_place_expire_reservation(p, now);
 	if (p->reserved.active && p->reserved.ask.job != job)
@@ -361,7 +361,7 @@
 		return false;
 	apply_reservation(p, false);
 	p->reserved.active = true;
-	p->reserved.ask = *ask;
+	p->reserved.ask = *demand;
 	p->reserved.ask.job = job;
 	p->reserved.n = n;
 	p->reserved.until = until;
@@ -405,21 +405,21 @@
 }
 
 bool
-ogl_place_gang(struct ogl_place *p, const struct ogl_demand *ask, uint32_t n,
+ogl_place_gang(struct ogl_place *p, const struct ogl_demand *demand, uint32_t n,
     ogl_time now, uint32_t *w)
 {
-	struct plan k = {.p = p, .ask = ask, .n = n, .w = w};
+	struct plan k = {.p = p, .ask = demand, .n = n, .w = w};
 	uint32_t i;
 	bool own, ok;
 
 	ogl_place_expire_reservation(p, now);
-	own = p->reserved.active && p->reserved.ask.job == ask->job;
+	own = p->reserved.active && p->reserved.ask.job == demand->job;
 	ok = own ? plan_reserved(p, &k, now) : plan_gang(&k);
 	if (!ok)
 		return false;
 	if (own)
-		ogl_place_unreserve(p, ask->job);
+		ogl_place_unreserve(p, demand->job);
 	for (i = 0; i < n; i++)
-		ogl_place_take(p, w[i], ask);
+		ogl_place_take(p, w[i], demand);
 	return true;
 }
--- a/src/place_pick.c
+++ b/src/place_pick.c
@@ -97,18 +97,19 @@
 }
 
 static bool
-batch_pick(struct ogl_place *p, const struct ogl_demand *ask, uint32_t *w)
+batch_pick(struct ogl_place *p, const struct ogl_demand *demand, uint32_t *w)
 {
-	struct pack k = {
-	    .entries = p->entries, .need = &ask->res, .best = OGL_PLACE_NONE};
+	struct pack k = {.entries = p->entries,
+	    .need = &demand->res,
+	    .best = OGL_PLACE_NONE};
 	unsigned accel_group;
 	bool skipped;
 
 	k.cpu_scale = p->n / (p->total_cpu + 1.0);
 	k.mem_scale = p->n / (p->total_mem + 1.0);
-	k.by_mem =
-	    ask->res.mem_mb * k.mem_scale > ask->res.cpu_milli * k.cpu_scale;
-	for (accel_group = ogl_place_first_accel_group(&ask->res);
+	k.by_mem = demand->res.mem_mb * k.mem_scale >
+		   demand->res.cpu_milli * k.cpu_scale;
+	for (accel_group = ogl_place_first_accel_group(&demand->res);
 	     accel_group < OGL_ACCEL_GROUPS; accel_group++) {
 		skipped = false;
 		pack_accel_group(
@@ -162,11 +163,11 @@
 
 /* Searches one group of workers in a zone from a random size class on. */
 static void
-spread_walk(struct ogl_place *p, const struct ogl_demand *ask, struct spread *k,
-    const struct ogl_grid *g, uint32_t misses, bool *skipped)
+spread_walk(struct ogl_place *p, const struct ogl_demand *demand,
+    struct spread *k, const struct ogl_grid *g, uint32_t misses, bool *skipped)
 {
 	struct ogl_grid_walk walk = {
-	    .need = &ask->res,
+	    .need = &demand->res,
 	    .from_class = ogl_place_random(p) % OGL_GRID_CLASSES,
 	    .offers_left = MAX_OFFERS,
 	    .misses_left = misses,
@@ -179,18 +180,18 @@
 }
 
 static bool
-spread_in_zone(struct ogl_place *p, const struct ogl_demand *ask, uint32_t z,
+spread_in_zone(struct ogl_place *p, const struct ogl_demand *demand, uint32_t z,
     unsigned accel_group, uint32_t *w)
 {
 	struct ogl_grid *g = &ogl_place_zone_at(p, z)->grid[accel_group];
-	struct spread k = {.p = p, .job = ask->job, .best = OGL_PLACE_NONE};
+	struct spread k = {.p = p, .job = demand->job, .best = OGL_PLACE_NONE};
 	bool skipped = false;
 
 	if (g->rows == 0)
 		return false;
-	spread_walk(p, ask, &k, g, MAX_MISSES_PER_ZONE, &skipped);
+	spread_walk(p, demand, &k, g, MAX_MISSES_PER_ZONE, &skipped);
 	if (k.best == OGL_PLACE_NONE && skipped)
-		spread_walk(p, ask, &k, g, UINT32_MAX, &skipped);
+		spread_walk(p, demand, &k, g, UINT32_MAX, &skipped);
 	*w = k.best;
 	return k.best != OGL_PLACE_NONE;
 }
@@ -223,17 +224,17 @@
 }
 
 static bool
-service_pick(struct ogl_place *p, const struct ogl_demand *ask, uint32_t *w)
+service_pick(struct ogl_place *p, const struct ogl_demand *demand, uint32_t *w)
 {
 	unsigned accel_group;
 	uint32_t z = 0;
 
-	for (accel_group = ogl_place_first_accel_group(&ask->res);
+	for (accel_group = ogl_place_first_accel_group(&demand->res);
 	     accel_group < OGL_ACCEL_GROUPS; accel_group++) {
 		uint8_t tried[UINT8_MAX + 1] = {0};
 
-		while (next_zone(p, ask->job, tried, &z)) {
-			if (spread_in_zone(p, ask, z, accel_group, w))
+		while (next_zone(p, demand->job, tried, &z)) {
+			if (spread_in_zone(p, demand, z, accel_group, w))
 				return true;
 		}
 	}
--- a/src/sched.c
+++ b/src/sched.c
@@ -253,7 +253,7 @@
 /* ---- waiting ---------------------------------------------------------- */
 
 void
-ogl_sched_ask_of(const struct ogl_job *j, struct ogl_demand *a)
+ogl_sched_demand_of(const struct ogl_job *j, struct ogl_demand *a)
 {
 	const Ogl__Res *r = j->spec->res;
 
@@ -290,10 +290,10 @@
 {
 	struct ogl_work_ref *ref = g_new0(struct ogl_work_ref, 1);
 	struct ogl_work w = {0};
-	struct ogl_demand ask;
+	struct ogl_demand demand;
 	int64_t *key = g_new(int64_t, 1);
 
-	ogl_sched_ask_of(j, &ask);
+	ogl_sched_demand_of(j, &demand);
 	ref->job = j;
 	ref->index = index;
 	w.id = ++sh->next_work;
@@ -301,7 +301,7 @@
 	w.label = j->spec->payload;
 	w.kind = j->spec->kind;
 	w.tasks = tasks;
-	w.res = ask.res;
+	w.res = demand.res;
 	w.declared_ms = j->spec->run_ms;
 	w.preempted = ogl_sched_was_preempted(sh, j, index);
 	w.waiting_since = now;
@@ -429,12 +429,13 @@
 ogl_sched_bind(struct ogl_shard *sh, struct ogl_session *s, struct ogl_job *j,
     uint32_t i, uint32_t attempt, ogl_time now)
 {
-	struct ogl_demand ask;
+	struct ogl_demand demand;
 
 	if (j->number == 0)
 		j->number = ++sh->job_number;
-	ogl_sched_ask_of(j, &ask);
-	if (!s->in_placer || !ogl_place_hold(sh->placer, s->placer_index, &ask))
+	ogl_sched_demand_of(j, &demand);
+	if (!s->in_placer ||
+	    !ogl_place_hold(sh->placer, s->placer_index, &demand))
 		return false;
 	bind(sh, s, j, i, attempt, now);
 	return true;
@@ -459,16 +460,16 @@
 {
 	struct ogl_task *t = &j->tasks[i];
 	struct ogl_session *s;
-	struct ogl_demand ask;
+	struct ogl_demand demand;
 	uint64_t work = t->work_number;
 
 	if (t->phase != OGL_TASK_PLACED)
 		return;
 	s = g_ptr_array_index(sh->sessions, t->worker);
 	remove_task_ref(s, j, i);
-	ogl_sched_ask_of(j, &ask);
+	ogl_sched_demand_of(j, &demand);
 	if (s->in_placer)
-		ogl_place_free(sh->placer, s->placer_index, &ask);
+		ogl_place_free(sh->placer, s->placer_index, &demand);
 	t->phase = OGL_TASK_WAITING;
 	t->running = false;
 	t->awaits_intent = false;
@@ -552,14 +553,14 @@
     ogl_time now)
 {
 	uint32_t *placer_indexes = g_new(uint32_t, w->tasks);
-	struct ogl_demand ask;
+	struct ogl_demand demand;
 	uint32_t k = 0;
 	bool ok;
 
-	ogl_sched_ask_of(j, &ask);
-	ok = ogl_place_gang(sh->placer, &ask, w->tasks, now, placer_indexes);
+	ogl_sched_demand_of(j, &demand);
+	ok = ogl_place_gang(sh->placer, &demand, w->tasks, now, placer_indexes);
 	if (!ok) {
-		ogl_place_reserve(sh->placer, j->number, &ask, w->tasks,
+		ogl_place_reserve(sh->placer, j->number, &demand, w->tasks,
 		    now + GANG_RESERVE_S * OGL_SEC, now);
 		g_free(placer_indexes);
 		return false;
@@ -579,7 +580,7 @@
 {
 	int64_t key = (int64_t)w->id;
 	struct ogl_work_ref *ref = g_hash_table_lookup(sh->queue_refs, &key);
-	struct ogl_demand ask;
+	struct ogl_demand demand;
 	uint32_t placer_index;
 	bool ok;
 
@@ -590,8 +591,8 @@
 	if (ref->job->spec->kind == OGL__KIND__gang) {
 		ok = start_gang(sh, ref->job, w, now);
 	} else {
-		ogl_sched_ask_of(ref->job, &ask);
-		ok = ogl_place_task(sh->placer, &ask, now, &placer_index);
+		ogl_sched_demand_of(ref->job, &demand);
+		ok = ogl_place_task(sh->placer, &demand, now, &placer_index);
 		if (ok)
 			start_on(
 			    sh, ref->job, ref->index, placer_index, w->id, now);
--- a/src/sched_lend.c
+++ b/src/sched_lend.c
@@ -72,14 +72,14 @@
 	const struct ogl_job *j = ref->job;
 	const struct ogl_task *t = &j->tasks[ref->index];
 	struct ogl_lend_task lend_task = {0};
-	struct ogl_demand ask;
+	struct ogl_demand demand;
 
-	ogl_sched_ask_of(j, &ask);
+	ogl_sched_demand_of(j, &demand);
 	lend_task.id = task_id(j, ref->index);
 	lend_task.job = j->number;
 	lend_task.team = j->team;
 	lend_task.kind = j->spec->kind;
-	lend_task.res = ask.res;
+	lend_task.res = demand.res;
 	lend_task.worker = worker;
 	lend_task.since = t->bound_at;
 	lend_task.restartable = j->spec->restartable;
@@ -142,7 +142,7 @@
 {
 	const struct ogl_job *j = ref->job;
 	struct ogl_lend_pending w = {.team = j->team, .tasks = 1};
-	struct ogl_demand ask;
+	struct ogl_demand demand;
 
 	if (j->spec->kind == OGL__KIND__gang) {
 		w.tasks = 0;
@@ -153,8 +153,8 @@
 	if (!within_limits(sh, added, j->team, w.tasks, false))
 		return;
 	within_limits(sh, added, j->team, w.tasks, true);
-	ogl_sched_ask_of(j, &ask);
-	w.res = ask.res;
+	ogl_sched_demand_of(j, &demand);
+	w.res = demand.res;
 	w.queue_position = queue_position;
 	w.since = now;
 	/* A damaged log may give a future time, which could overflow. */
--- a/src/session.c
+++ b/src/session.c
@@ -801,7 +801,7 @@
 		return;
 	}
 	s->fails = 0;
-	s->heard = now;
+	s->answered_at = now;
 	s->next_sync = now + sh->env->cfg->sync_ms * OGL_MS;
 	apply_report(sh, s, ev->u.worker, now);
 	if (has_more_to_send(s))
--- a/src/shard.c
+++ b/src/shard.c
@@ -593,7 +593,7 @@
 	bool outranked =
 	    b.name != NULL &&
 	    b.rank > ogl_member_rank(b.m, sh->env->cfg->name, sh->index) &&
-	    now - b.changed >= OUTRANKED_MIN_S * OGL_SEC;
+	    now - b.state_changed_at >= OUTRANKED_MIN_S * OGL_SEC;
 	bool before = sh->outranked_since != 0;
 
 	if (outranked != before) {
--- a/src/shard_impl.h
+++ b/src/shard_impl.h
@@ -37,10 +37,10 @@
 	bool says_leaving; /* according to its newest report */
 	bool gone;         /* not in the host list, and no task left */
 	uint64_t boot;
-	uint64_t clock_ms;  /* the worker's clock as last reported */
-	ogl_time clock_at;  /* when clock_ms was received */
-	ogl_time lease_end; /* latest end of its leases by our clock */
-	ogl_time heard;     /* time of its last answer */
+	uint64_t clock_ms;    /* the worker's clock as last reported */
+	ogl_time clock_at;    /* when clock_ms was received */
+	ogl_time lease_end;   /* latest end of its leases by our clock */
+	ogl_time answered_at; /* time of its last answer */
 	ogl_time next_sync;
 	ogl_time sent_at;
 	uint64_t token; /* of the sync in progress, 0 for none */
@@ -166,7 +166,7 @@
 uint64_t ogl_sched_placed_count(const struct ogl_shard *sh, const char *team);
 void ogl_sched_stop_task(struct ogl_shard *sh, struct ogl_job *j, uint32_t i,
     Ogl__StopMode mode, ogl_time now);
-void ogl_sched_ask_of(const struct ogl_job *j, struct ogl_demand *a);
+void ogl_sched_demand_of(const struct ogl_job *j, struct ogl_demand *a);
 
 /* ---- sched_lend.c ----------------------------------------------------- */
 
@@ -228,7 +228,7 @@
 	const char *skip; /* node to leave out, NULL for none */
 	const char *name; /* highest-ranked node so far, NULL for none */
 	uint64_t rank;
-	ogl_time changed; /* when its membership state last changed */
+	ogl_time state_changed_at; /* when its membership state last changed */
 };
 
 struct ogl_candidate ogl_claim_top_candidate(const struct ogl_shard *sh);
--- a/src/shardcall.c
+++ b/src/shardcall.c
@@ -258,15 +258,15 @@
 static const char *
 infeasible_reason(struct ogl_shard *sh, const Ogl__Submit *s)
 {
-	struct ogl_demand ask = {.kind = s->kind};
+	struct ogl_demand demand = {.kind = s->kind};
 	uint32_t tasks_at_once = s->kind == OGL__KIND__gang ? s->tasks : 1;
 
 	if (s->res != NULL) {
-		ask.res.cpu_milli = s->res->cpu_milli;
-		ask.res.mem_mb = s->res->mem_mb;
-		ask.res.accel = s->res->accel;
+		demand.res.cpu_milli = s->res->cpu_milli;
+		demand.res.mem_mb = s->res->mem_mb;
+		demand.res.accel = s->res->accel;
 	}
-	switch (ogl_place_feasibility(sh->placer, &ask, tasks_at_once)) {
+	switch (ogl_place_feasibility(sh->placer, &demand, tasks_at_once)) {
 	case OGL_INFEASIBLE_NO_WORKER:
 		return "it can never run: no worker is large enough for "
 		       "one task";
--- a/src/shardview.c
+++ b/src/shardview.c
@@ -50,8 +50,9 @@
 			"rack", s->rack, "shard", (int)sh->index, "known",
 			s->reported, "in_use", s->in_use, "leaving", s->leaving,
 			"tasks", (int)s->tasks->len, "heard_ms_ago",
-			(json_int_t)(s->heard > 0 ? (now - s->heard) / OGL_MS
-						  : -1)));
+			(json_int_t)(s->answered_at > 0
+					 ? (now - s->answered_at) / OGL_MS
+					 : -1)));
 	}
 }
 
