--- a/src/place_gang.c
+++ b/src/place_gang.c
@@ -261,7 +261,7 @@
 	struct ogl_reserved_worker r;
 	uint32_t fit;
 
-	for (r.w = 0; r.w<p->n && * left> 0; r.w++) {
+	for (r.w = 0; (r.w < p->n) && *left > 0; r.w++) {
 		fit = fit_after_end(p, r.w, fraction, use_accel_workers);
 		r.tasks = MIN(fit, *left);
 		if (r.tasks == 0)
