--- a/src/stream.c
+++ b/src/stream.c
@@ -1,18 +1,19 @@
 /*
- * One stream of the log: appends this node's records in groups, and reads and
+ * One stream of the log: appends this node's records in batches, and reads and
  * applies the records of all nodes.
  *
- * Records wait up to commit_ms and are sent in one append; one append is
- * under way at a time.  A record takes effect when it is applied in log
- * order, not when it is sent.  If the answer to an append gives the offset
- * that we expect next, no other writer appended in between and the batch is
- * applied at once; otherwise the stream is read up to it.
+ * Records wait up to commit_ms and are sent as one batch in one append; one
+ * append is under way at a time.  A record takes effect when it is applied in
+ * log order, not when it is sent.  If the answer to an append gives the offset
+ * after the last one applied, no other writer appended since then, and the
+ * batch is applied at once; otherwise it is applied when the stream is read.
  *
  * An append whose answer is lost may have taken effect, or may take effect
  * later.  To find out, the stream is read up to its end; if the batch is not
  * there, it is sent again with the same sequence numbers.  If both copies
- * arrive, followers apply the first and ignore the second, since its numbers
- * are not above the last applied of that writer's boot.
+ * arrive, followers apply the first and ignore the second: a record whose
+ * sequence number is not above the last one applied from the same boot of its
+ * writer is ignored.
  */
 
 #include <stdlib.h>
@@ -21,14 +22,14 @@
 #include "stream.h"
 
 enum {
-	MAX_BATCH_RECORDS = 4096,     /* in one append */
-	MAX_BATCH_BYTES = 512 * 1024, /* may be exceeded by one record */
-	IO_TIMEOUT_MS = 1500,         /* for one append or read */
-	BACKOFF_MIN_MS = 40,          /* after a failed append or read */
+	MAX_BATCH_RECORDS = 4096,
+	MAX_BATCH_BYTES = 512 * 1024, /* the last record may exceed it */
+	IO_TIMEOUT_MS = 1500,         /* timeout of an append or a read */
+	BACKOFF_MIN_MS = 40, /* first delay after a failure, then doubled */
 	BACKOFF_MAX_MS = 1000
 };
 
-/* The last record applied of one writer. */
+/* Identifies the last record applied from a writer. */
 struct last_applied {
 	uint64_t boot;
 	uint64_t seq;
@@ -42,27 +43,27 @@
 	const struct ogl_stream_ops *ops;
 	void *ctx;
 	GHashTable *last_applied; /* writer -> struct last_applied */
-	uint64_t offset;          /* next to apply */
+	uint64_t offset;          /* of the next append to apply */
 	ogl_time current_at;      /* see ogl_stream_current_at */
 
 	ogl_time poll_interval; /* 0: not following */
 	ogl_time read_due;
 	uint64_t read_token; /* 0: no read is under way */
 	ogl_time read_sent;
-	uint32_t read_backoff;
+	uint32_t read_backoff_ms;
 
 	GQueue *waiting; /* Ogl__Record, not sent yet */
-	GPtrArray *sent; /* Ogl__Record, in batch and not applied yet */
+	GPtrArray *sent; /* Ogl__Record, sent in `batch`, not applied yet */
 	GBytes *batch;   /* the sent records, packed */
-	uint64_t seq;
-	uint32_t max_records; /* in one append */
+	uint64_t seq;    /* last sequence number assigned */
+	uint32_t max_records; /* limit for each append */
 	ogl_time append_due;
 	uint64_t append_token; /* 0: no append is under way */
 	ogl_time append_sent;
-	uint32_t append_backoff;
+	uint32_t append_backoff_ms;
 	bool outcome_unknown; /* read to the end before sending again */
 	ogl_time outcome_unknown_since;
-	uint64_t appends;
+	uint64_t appends; /* number sent so far */
 };
 
 static void
@@ -197,17 +198,19 @@
 static bool
 mark_applied(struct ogl_stream *s, const Ogl__Record *r)
 {
-	struct last_applied *w =
+	struct last_applied *applied =
 	    g_hash_table_lookup(s->last_applied, r->writer);
 
-	if (w == NULL) {
-		w = g_new0(struct last_applied, 1);
-		g_hash_table_insert(s->last_applied, g_strdup(r->writer), w);
+	if (applied == NULL) {
+		applied = g_new0(struct last_applied, 1);
+		g_hash_table_insert(
+		    s->last_applied, g_strdup(r->writer), applied);
 	}
-	if (r->boot < w->boot || (r->boot == w->boot && r->seq <= w->seq))
+	if (r->boot < applied->boot ||
+	    (r->boot == applied->boot && r->seq <= applied->seq))
 		return false;
-	w->boot = r->boot;
-	w->seq = r->seq;
+	applied->boot = r->boot;
+	applied->seq = r->seq;
 	return true;
 }
 
@@ -219,7 +222,7 @@
 	    ogl__batch__unpack(NULL, data.n, (const uint8_t *)data.p);
 
 	if (b == NULL)
-		return; /* not a batch, so no node wrote it */
+		return; /* ignored: nodes write only valid batches */
 	for (size_t i = 0; i < b->n_records; i++) {
 		if (mark_applied(s, b->records[i]))
 			s->ops->record(s->ctx, b->records[i], offset, now);
@@ -231,14 +234,15 @@
 static void
 remove_applied(struct ogl_stream *s)
 {
-	const struct last_applied *w =
+	const struct last_applied *applied =
 	    g_hash_table_lookup(s->last_applied, s->cfg->name);
 	const Ogl__Record *last;
 
-	if (s->sent->len == 0 || w == NULL || w->boot != s->cfg->boot)
+	if (s->sent->len == 0 || applied == NULL ||
+	    applied->boot != s->cfg->boot)
 		return;
 	last = g_ptr_array_index(s->sent, s->sent->len - 1);
-	if (w->seq < last->seq)
+	if (applied->seq < last->seq)
 		return;
 	g_ptr_array_set_size(s->sent, 0);
 	g_clear_pointer(&s->batch, g_bytes_unref);
@@ -248,7 +252,7 @@
 /* ---- reading ---------------------------------------------------------- */
 
 static uint32_t
-backoff(uint32_t *ms)
+increase_backoff(uint32_t *ms)
 {
 	*ms = *ms == 0 ? BACKOFF_MIN_MS : MIN(*ms * 2, BACKOFF_MAX_MS);
 	return *ms;
@@ -289,10 +293,11 @@
 
 	s->read_token = 0;
 	if (ev->io != OGL_IO_OK) {
-		s->read_due = now + backoff(&s->read_backoff) * OGL_MS;
+		s->read_due =
+		    now + increase_backoff(&s->read_backoff_ms) * OGL_MS;
 		return;
 	}
-	s->read_backoff = 0;
+	s->read_backoff_ms = 0;
 	apply_entries(s, ev, now);
 	remove_applied(s);
 	if (s->offset < ev->u.read.next) {
@@ -301,7 +306,7 @@
 	}
 	s->current_at = MAX(s->current_at, s->read_sent);
 	if (s->outcome_unknown && s->read_sent >= s->outcome_unknown_since)
-		s->outcome_unknown = false; /* not there: send it again */
+		s->outcome_unknown = false; /* batch not found: resend it */
 	s->read_due = MIN(s->read_due, now + interval);
 }
 
@@ -361,7 +366,7 @@
 	s->append_token = 0;
 	if (ev->io == OGL_IO_OK && ev->u.appended.offset == s->offset &&
 	    s->batch != NULL) {
-		s->append_backoff = 0;
+		s->append_backoff_ms = 0;
 		data.p = g_bytes_get_data(s->batch, &data.n);
 		apply_batch(s, data, now);
 		remove_applied(s);
@@ -377,7 +382,8 @@
 	if (ev->io == OGL_IO_OK)
 		s->append_due = now + s->cfg->commit_ms * OGL_MS;
 	else
-		s->append_due = now + backoff(&s->append_backoff) * OGL_MS;
+		s->append_due =
+		    now + increase_backoff(&s->append_backoff_ms) * OGL_MS;
 }
 
 void
@@ -390,7 +396,7 @@
 		on_appended(s, ev, now);
 }
 
-/* If the platform's adapter never answers, the append or read counts as lost,
+/* If the platform's adapter does not answer, the append or read counts as lost,
  * so that the stream does not stop permanently. */
 static void
 time_out(struct ogl_stream *s, ogl_time now)
