--- a/src/route.c
+++ b/src/route.c
@@ -2,14 +2,17 @@
  * Routing of short requests to executors.
  *
  * A request goes to the target with the least expected completion time among
- * a few chosen at random.  Random choice keeps stale views harmless: nodes
- * that see the same idle target do not all send there at once.  The expected
- * time is the learned service time (a moving average over answers, or the age
- * of the oldest request there if that is longer) times the load per slot,
- * which counts own requests in flight and an estimate of those of other
- * nodes.  The estimate comes from refusals, which show that the target was
- * full, and decays.  A target in another zone is chosen only if its expected
- * time is clearly shorter.
+ * a few chosen at random.  A node knows the load of a target only as of some
+ * time ago; because of the random choice, nodes that see the same idle target
+ * do not all send there at once.
+ *
+ * The expected time is the target's service time, multiplied by one plus its
+ * load per slot.  The service time is a moving average over answers, or the age
+ * of the oldest request in flight there if that is longer.  The load counts
+ * this node's requests in flight and an estimate of those of other nodes.  Each
+ * refusal sets the estimate, since it shows that the target was full; after
+ * that the estimate decays.  A target in another zone is chosen only if its
+ * expected time is clearly shorter.
  *
  * The limit of own requests in flight on a target is found by additive
  * increase and by multiplicative decrease on refusals.  It never exceeds the
@@ -17,10 +20,10 @@
  *
  * Circuit breaker: consecutive failures open a target's breaker for a delay
  * that doubles each time, then one request probes the target.  At most half
- * of the breakers are open, since a failure of all targets has a common cause
- * that no choice of target avoids.  route_blame.c decides whether a failure
- * is the target's fault; route_drain.c measures the rate at which requests
- * complete.
+ * of the breakers are open: if all targets fail, they have a common cause, and
+ * choosing another target does not help.  route_blame.c decides whether a
+ * failure is the target's fault; route_drain.c measures the rate at which
+ * requests complete.
  */
 
 #include <string.h>
@@ -31,19 +34,21 @@
 #define CANDIDATES 4                    /* targets compared for each request */
 #define SERVICE_TIME_WEIGHT 0.1         /* weight of the newest answer */
 #define SERVICE_TIME_INITIAL_US 20000.0 /* until the first answer */
+/* Without an answer for this long, a target's own average has no weight. */
 #define SERVICE_TIME_EXPIRY (10 * OGL_SEC)
 #define OTHER_ZONE_PENALTY 1.15 /* factor on the expected time */
 #define OTHERS_DECAY 0.95       /* factor on others_in_flight per answer */
+/* The estimate of others_in_flight decays to 0 in this time. */
 #define OTHERS_EXPIRY (2 * OGL_SEC)
 #define LIMIT_DECREASE 0.9 /* factor on the limit for each refusal */
 #define LIMIT_MIN 2.0      /* refusals do not lower it further */
-#define FAILURES_TO_OPEN 5 /* consecutive failures */
-/* The penalty for failures decays to nothing in this time. */
+#define FAILURES_TO_OPEN 5 /* consecutive failures that open a breaker */
+/* Failures raise a target's expected time, less and less during this time. */
 #define FAILURES_EXPIRY (5 * OGL_SEC)
-#define REFUSALS_TO_OPEN 8 /* consecutive refusals */
+#define REFUSALS_TO_OPEN 8 /* consecutive refusals that open a breaker */
 #define OPEN_DELAY_MIN (1 * OGL_SEC)
 #define OPEN_DELAY_DOUBLINGS_MAX 6
-#define WAIT_NO_TARGET_MS 2000 /* without an active target or a probe */
+#define WAIT_NO_TARGET_MS 2000 /* if no target is active or to be probed */
 #define WAIT_MAX_MS 60000
 #define WAIT_MIN_MS 20
 
@@ -67,16 +72,17 @@
 	double service_time_us; /* moving average, 0 before any answer */
 	ogl_time answered_at;
 	ogl_time failed_at;
-	double others_in_flight; /* of other nodes, estimated at refused_at */
+	/* Requests of other nodes, estimated at refused_at. */
+	double others_in_flight;
 	ogl_time refused_at;
-	ogl_time probe_at;     /* when its open breaker may be probed */
-	uint32_t active_index; /* in the list of active, while in it */
+	ogl_time probe_at;     /* an open breaker may be probed from then on */
+	uint32_t active_index; /* index in ogl_route.active, if active */
 	uint8_t breaker;       /* enum breaker */
-	uint8_t failures;      /* consecutive */
-	uint8_t refusals;      /* consecutive */
-	uint8_t openings;      /* of the breaker since the last answer */
-	bool known;
-	bool leaving;
+	uint8_t failures;      /* consecutive failures */
+	uint8_t refusals;      /* consecutive refusals */
+	uint8_t openings; /* times the breaker opened since the last answer */
+	bool in_use;      /* false if the target was removed */
+	bool leaving;     /* gets no new requests */
 	bool in_own_zone;
 };
 
@@ -97,6 +103,7 @@
 	uint64_t random_state;
 };
 
+/* SplitMix64 without its last step. */
 static uint32_t
 next_random(struct ogl_route *r)
 {
@@ -109,9 +116,9 @@
 }
 
 static bool
-known(const struct ogl_route *r, uint32_t t)
+is_in_use(const struct ogl_route *r, uint32_t t)
 {
-	return t < r->ntargets && r->targets[t].known;
+	return t < r->ntargets && r->targets[t].in_use;
 }
 
 /* ---- active targets and breakers -------------------------------------- */
@@ -135,40 +142,42 @@
 }
 
 static bool
-is_active(const struct target *k)
+is_active(const struct target *target)
 {
-	return k->known && !k->leaving && k->breaker == BREAKER_CLOSED;
+	return target->in_use && !target->leaving &&
+	       target->breaker == BREAKER_CLOSED;
 }
 
 static void
 find_next_probe(struct ogl_route *r)
 {
-	const struct target *k;
+	const struct target *target;
 	uint32_t i;
 
 	r->next_probe = OGL_NEVER;
 	for (i = 0; i < r->ntargets; i++) {
-		k = &r->targets[i];
-		if (k->known && !k->leaving && k->breaker == BREAKER_OPEN)
-			r->next_probe = MIN(r->next_probe, k->probe_at);
+		target = &r->targets[i];
+		if (target->in_use && !target->leaving &&
+		    target->breaker == BREAKER_OPEN)
+			r->next_probe = MIN(r->next_probe, target->probe_at);
 	}
 }
 
 static void
 set_state(struct ogl_route *r, uint32_t t, enum breaker breaker, bool leaving)
 {
-	struct target *k = &r->targets[t];
-	bool was_active = is_active(k);
+	struct target *target = &r->targets[t];
+	bool was_active = is_active(target);
 
-	if (k->breaker == breaker && k->leaving == leaving)
+	if (target->breaker == breaker && target->leaving == leaving)
 		return;
-	r->n_tripped -= !k->leaving && k->breaker != BREAKER_CLOSED;
-	k->breaker = (uint8_t)breaker;
-	k->leaving = leaving;
-	r->n_tripped += !k->leaving && k->breaker != BREAKER_CLOSED;
-	if (was_active && !is_active(k))
+	r->n_tripped -= !target->leaving && target->breaker != BREAKER_CLOSED;
+	target->breaker = (uint8_t)breaker;
+	target->leaving = leaving;
+	r->n_tripped += !target->leaving && target->breaker != BREAKER_CLOSED;
+	if (was_active && !is_active(target))
 		deactivate(r, t);
-	else if (!was_active && is_active(k))
+	else if (!was_active && is_active(target))
 		activate(r, t);
 	find_next_probe(r);
 }
@@ -176,13 +185,13 @@
 static void
 open_breaker(struct ogl_route *r, uint32_t t, ogl_time now)
 {
-	struct target *k = &r->targets[t];
-	unsigned doublings = MIN(k->openings, OPEN_DELAY_DOUBLINGS_MAX);
+	struct target *target = &r->targets[t];
+	unsigned doublings = MIN(target->openings, OPEN_DELAY_DOUBLINGS_MAX);
 
-	if (k->openings <= OPEN_DELAY_DOUBLINGS_MAX)
-		k->openings++;
-	k->probe_at = now + OPEN_DELAY_MIN * ((ogl_time)1 << doublings);
-	set_state(r, t, BREAKER_OPEN, k->leaving);
+	if (target->openings <= OPEN_DELAY_DOUBLINGS_MAX)
+		target->openings++;
+	target->probe_at = now + OPEN_DELAY_MIN * ((ogl_time)1 << doublings);
+	set_state(r, t, BREAKER_OPEN, target->leaving);
 }
 
 /* At most half of the breakers are open. */
@@ -217,12 +226,12 @@
 new_target(struct ogl_route *r, const char *name)
 {
 	uint32_t t = new_number(r);
-	struct target *k = &r->targets[t];
+	struct target *target = &r->targets[t];
 
-	memset(k, 0, sizeof(*k));
-	k->name = g_strdup(name);
-	k->known = true;
-	g_hash_table_insert(r->by_name, k->name, GUINT_TO_POINTER(t));
+	memset(target, 0, sizeof(*target));
+	target->name = g_strdup(name);
+	target->in_use = true;
+	g_hash_table_insert(r->by_name, target->name, GUINT_TO_POINTER(t));
 	activate(r, t);
 	return t;
 }
@@ -231,7 +240,7 @@
 ogl_route_set_target(struct ogl_route *r, const char *name, const char *zone,
     uint32_t slots, bool leaving, ogl_time now)
 {
-	struct target *k;
+	struct target *target;
 	gpointer v;
 	uint32_t t;
 
@@ -240,44 +249,46 @@
 		t = GPOINTER_TO_UINT(v);
 	else
 		t = new_target(r, name);
-	k = &r->targets[t];
-	k->in_own_zone = strcmp(zone != NULL ? zone : "", r->own_zone) == 0;
+	target = &r->targets[t];
+	target->in_own_zone =
+	    strcmp(zone != NULL ? zone : "", r->own_zone) == 0;
 	slots = MAX(slots, 1);
-	if (k->slots != slots) {
-		k->slots = slots;
-		k->limit = slots;
+	if (target->slots != slots) {
+		target->slots = slots;
+		target->limit = slots;
 	}
-	set_state(r, t, k->breaker, leaving);
+	set_state(r, t, target->breaker, leaving);
 	return t;
 }
 
 void
 ogl_route_remove_target(struct ogl_route *r, uint32_t t)
 {
-	struct target *k;
+	struct target *target;
 
-	if (!known(r, t))
+	if (!is_in_use(r, t))
 		return;
-	k = &r->targets[t];
+	target = &r->targets[t];
 	set_state(r, t, BREAKER_CLOSED, true);
-	g_hash_table_remove(r->by_name, k->name);
-	g_free(k->name);
-	g_free(k->in_flight);
-	memset(k, 0, sizeof(*k));
+	g_hash_table_remove(r->by_name, target->name);
+	g_free(target->name);
+	g_free(target->in_flight);
+	memset(target, 0, sizeof(*target));
 	g_array_append_val(r->free_numbers, t);
 }
 
 /* ---- selection -------------------------------------------------------- */
 
 static uint32_t
-free_slots(const struct target *k)
+free_slots(const struct target *target)
 {
-	uint32_t limit = (uint32_t)k->limit;
+	uint32_t limit = (uint32_t)target->limit;
 
-	return limit > k->n_in_flight ? limit - k->n_in_flight : 0;
+	return limit > target->n_in_flight ? limit - target->n_in_flight : 0;
 }
 
-/* Weight of a value noted at `since`: falls from 1 to 0 until it expires. */
+/* Weight of a value measured at `since`: falls linearly from 1 to 0 within
+ * `expiry`. */
 static double
 decay(ogl_time since, ogl_time expiry, ogl_time now)
 {
@@ -287,39 +298,42 @@
 }
 
 /*
- * Learned service time.  A target that is not chosen gives no new answers, so
- * its average decays to the average over all targets.  Otherwise a target
+ * Service time expected now.  A target that is not chosen gives no new answers,
+ * so its average decays to the average over all targets.  Otherwise a target
  * that was slow once would never be chosen again.
  */
 static double
-current_service_time(
-    const struct ogl_route *r, const struct target *k, ogl_time now)
+current_service_time_us(
+    const struct ogl_route *r, const struct target *target, ogl_time now)
 {
-	double all = r->service_time_us > 0 ? r->service_time_us
-					    : SERVICE_TIME_INITIAL_US;
+	double overall_us = r->service_time_us > 0 ? r->service_time_us
+						   : SERVICE_TIME_INITIAL_US;
 
-	if (k->service_time_us <= 0)
-		return all;
-	return all + (k->service_time_us - all) *
-			 decay(k->answered_at, SERVICE_TIME_EXPIRY, now);
+	if (target->service_time_us <= 0)
+		return overall_us;
+	return overall_us +
+	       (target->service_time_us - overall_us) *
+		   decay(target->answered_at, SERVICE_TIME_EXPIRY, now);
 }
 
 /* Expected time until one more request to the target completes. */
 static double
-expected_time(const struct ogl_route *r, const struct target *k, ogl_time now)
+expected_time_us(
+    const struct ogl_route *r, const struct target *target, ogl_time now)
 {
-	double service_time = current_service_time(r, k, now);
-	double age =
-	    k->n_in_flight > 0 ? (double)(now - k->in_flight[0].sent_at) : 0;
-	double others =
-	    k->others_in_flight * decay(k->refused_at, OTHERS_EXPIRY, now);
-	double load = k->n_in_flight + others + 1;
+	double service_time_us = current_service_time_us(r, target, now);
+	double age_us = target->n_in_flight > 0
+			    ? (double)(now - target->in_flight[0].sent_at)
+			    : 0;
+	double others = target->others_in_flight *
+			decay(target->refused_at, OTHERS_EXPIRY, now);
+	double load = target->n_in_flight + others + 1;
 
-	service_time = MAX(service_time, age);
-	service_time *=
-	    1 + k->failures * decay(k->failed_at, FAILURES_EXPIRY, now);
-	return service_time * (1 + load / k->slots) *
-	       (k->in_own_zone ? 1 : OTHER_ZONE_PENALTY);
+	service_time_us = MAX(service_time_us, age_us);
+	service_time_us *= 1 + target->failures * decay(target->failed_at,
+						      FAILURES_EXPIRY, now);
+	return service_time_us * (1 + load / target->slots) *
+	       (target->in_own_zone ? 1 : OTHER_ZONE_PENALTY);
 }
 
 static bool
@@ -341,7 +355,7 @@
     ogl_time now, uint32_t *best)
 {
 	uint32_t n = r->active->len, ncandidates = 0, i, j, t;
-	double score, least = 0;
+	double time_us, least_us = 0;
 
 	/* A partial Fisher-Yates shuffle: no target is considered twice. */
 	for (i = 0; i < n && ncandidates < CANDIDATES; i++) {
@@ -356,9 +370,9 @@
 		if (free_slots(&r->targets[t]) == 0 ||
 		    was_tried(tried, ntried, t))
 			continue;
-		score = expected_time(r, &r->targets[t], now);
-		if (ncandidates == 0 || score < least) {
-			least = score;
+		time_us = expected_time_us(r, &r->targets[t], now);
+		if (ncandidates == 0 || time_us < least_us) {
+			least_us = time_us;
 			*best = t;
 		}
 		ncandidates++;
@@ -366,21 +380,23 @@
 	return ncandidates > 0;
 }
 
-/* Finds an open breaker whose delay is over and that the request may probe. */
+/* Finds a target to probe: its breaker is open, the breaker's delay is over and
+ * the request was not sent there before. */
 static bool
 find_probe(struct ogl_route *r, const uint32_t *tried, size_t ntried,
     ogl_time now, uint32_t *t)
 {
-	const struct target *k;
+	const struct target *target;
 	uint32_t i;
 
 	if (now < r->next_probe)
 		return false;
 	for (i = 0; i < r->ntargets; i++) {
-		k = &r->targets[i];
-		if (!k->known || k->leaving || k->breaker != BREAKER_OPEN)
+		target = &r->targets[i];
+		if (!target->in_use || target->leaving ||
+		    target->breaker != BREAKER_OPEN)
 			continue;
-		if (now < k->probe_at || was_tried(tried, ntried, i))
+		if (now < target->probe_at || was_tried(tried, ntried, i))
 			continue;
 		*t = i;
 		return true;
@@ -389,15 +405,15 @@
 }
 
 static void
-add_in_flight(struct target *k, uint64_t request, ogl_time now)
+add_in_flight(struct target *target, uint64_t request, ogl_time now)
 {
-	if (k->n_in_flight == k->in_flight_capacity) {
-		k->in_flight_capacity = k->in_flight_capacity * 2 + 4;
-		k->in_flight = g_renew(
-		    struct in_flight, k->in_flight, k->in_flight_capacity);
+	if (target->n_in_flight == target->in_flight_capacity) {
+		target->in_flight_capacity = target->in_flight_capacity * 2 + 4;
+		target->in_flight = g_renew(struct in_flight, target->in_flight,
+		    target->in_flight_capacity);
 	}
-	k->in_flight[k->n_in_flight].request = request;
-	k->in_flight[k->n_in_flight++].sent_at = now;
+	target->in_flight[target->n_in_flight].request = request;
+	target->in_flight[target->n_in_flight++].sent_at = now;
 }
 
 bool
@@ -418,19 +434,20 @@
 
 /* Removes a request from those in flight on a target; false if not found. */
 static bool
-remove_in_flight(struct target *k, uint64_t request, ogl_time *sent_at)
+remove_in_flight(struct target *target, uint64_t request, ogl_time *sent_at)
 {
 	uint32_t i;
 
-	for (i = 0; i < k->n_in_flight && k->in_flight[i].request != request;
+	for (i = 0;
+	     i < target->n_in_flight && target->in_flight[i].request != request;
 	     i++)
 		;
-	if (i == k->n_in_flight)
+	if (i == target->n_in_flight)
 		return false;
-	*sent_at = k->in_flight[i].sent_at;
-	k->n_in_flight--;
-	memmove(&k->in_flight[i], &k->in_flight[i + 1],
-	    (k->n_in_flight - i) * sizeof(*k->in_flight));
+	*sent_at = target->in_flight[i].sent_at;
+	target->n_in_flight--;
+	memmove(&target->in_flight[i], &target->in_flight[i + 1],
+	    (target->n_in_flight - i) * sizeof(*target->in_flight));
 	return true;
 }
 
@@ -446,64 +463,71 @@
 static void
 answered(struct ogl_route *r, uint32_t t, ogl_time sent_at, ogl_time now)
 {
-	struct target *k = &r->targets[t];
+	struct target *target = &r->targets[t];
 	double took_us = MAX((double)(now - sent_at), 1);
 
-	update_average(&k->service_time_us, took_us);
+	update_average(&target->service_time_us, took_us);
 	update_average(&r->service_time_us, took_us);
-	k->answered_at = now;
-	if (k->n_in_flight + 1 >= (uint32_t)k->limit)
-		k->limit = MIN(k->limit + 1 / k->limit, k->slots);
-	k->others_in_flight *= OTHERS_DECAY;
-	k->failures = 0;
-	k->refusals = 0;
-	k->openings = 0;
+	target->answered_at = now;
+	/* Only a limit that was reached grows.  The answered request is no
+	 * longer counted in n_in_flight. */
+	if (target->n_in_flight + 1 >= (uint32_t)target->limit)
+		target->limit =
+		    MIN(target->limit + 1 / target->limit, target->slots);
+	target->others_in_flight *= OTHERS_DECAY;
+	target->failures = 0;
+	target->refusals = 0;
+	target->openings = 0;
 	ogl_budget_success(&r->budget);
-	if (k->breaker == BREAKER_HALF_OPEN) {
-		/* The limit starts at one and grows with the answers. */
-		k->limit = 1;
-		set_state(r, t, BREAKER_CLOSED, k->leaving);
+	if (target->breaker == BREAKER_HALF_OPEN) {
+		/* The limit starts again at 1 and grows with the answers. */
+		target->limit = 1;
+		set_state(r, t, BREAKER_CLOSED, target->leaving);
 	}
 }
 
 static void
 refused(struct ogl_route *r, uint32_t t, ogl_time now)
 {
-	struct target *k = &r->targets[t];
-
-	k->limit = MIN(k->limit, k->n_in_flight + 1) * LIMIT_DECREASE;
-	k->limit = MIN(MAX(k->limit, LIMIT_MIN), k->slots);
-	k->others_in_flight =
-	    k->slots > k->n_in_flight ? k->slots - k->n_in_flight : 0;
-	k->refused_at = now;
-	if (k->refusals < UINT8_MAX)
-		k->refusals++;
-	if (k->breaker == BREAKER_HALF_OPEN ||
-	    (k->breaker == BREAKER_CLOSED && k->n_in_flight == 0 &&
-		k->refusals >= REFUSALS_TO_OPEN && may_open_breaker(r)))
+	struct target *target = &r->targets[t];
+
+	/* The refused request is no longer counted in n_in_flight. */
+	target->limit =
+	    MIN(target->limit, target->n_in_flight + 1) * LIMIT_DECREASE;
+	target->limit = MIN(MAX(target->limit, LIMIT_MIN), target->slots);
+	target->others_in_flight = target->slots > target->n_in_flight
+				       ? target->slots - target->n_in_flight
+				       : 0;
+	target->refused_at = now;
+	if (target->refusals < UINT8_MAX)
+		target->refusals++;
+	if (target->breaker == BREAKER_HALF_OPEN ||
+	    (target->breaker == BREAKER_CLOSED && target->n_in_flight == 0 &&
+		target->refusals >= REFUSALS_TO_OPEN && may_open_breaker(r)))
 		open_breaker(r, t, now);
 }
 
-/* Removes a failure counted against t, since the request was at fault. */
+/* Subtracts a failure counted against t, since the request was at fault. */
 static void
 take_back_failure(struct ogl_route *r, uint32_t t)
 {
-	struct target *k = &r->targets[t];
+	struct target *target = &r->targets[t];
 
-	if (!known(r, t) || k->failures == 0)
+	if (!is_in_use(r, t) || target->failures == 0)
 		return;
-	k->failures--;
-	if (k->breaker != BREAKER_OPEN || k->failures >= FAILURES_TO_OPEN)
+	target->failures--;
+	if (target->breaker != BREAKER_OPEN ||
+	    target->failures >= FAILURES_TO_OPEN)
 		return;
-	k->openings -= k->openings > 0;
-	set_state(r, t, BREAKER_CLOSED, k->leaving);
+	target->openings -= target->openings > 0;
+	set_state(r, t, BREAKER_CLOSED, target->leaving);
 }
 
 static void
 failed(struct ogl_route *r, uint32_t t, uint64_t request, bool not_sent,
     ogl_time now)
 {
-	struct target *k = &r->targets[t];
+	struct target *target = &r->targets[t];
 	bool blamed = true;
 	uint32_t cleared;
 
@@ -513,17 +537,17 @@
 			take_back_failure(r, cleared);
 		blamed = ogl_blame_record(&r->blame, request, t, now);
 	}
-	if (k->breaker == BREAKER_HALF_OPEN) {
+	if (target->breaker == BREAKER_HALF_OPEN) {
 		open_breaker(r, t, now);
 		return;
 	}
 	if (!blamed)
 		return;
-	if (k->failures < UINT8_MAX)
-		k->failures++;
-	k->failed_at = now;
-	if (k->breaker == BREAKER_CLOSED && k->failures >= FAILURES_TO_OPEN &&
-	    may_open_breaker(r))
+	if (target->failures < UINT8_MAX)
+		target->failures++;
+	target->failed_at = now;
+	if (target->breaker == BREAKER_CLOSED &&
+	    target->failures >= FAILURES_TO_OPEN && may_open_breaker(r))
 		open_breaker(r, t, now);
 }
 
@@ -533,7 +557,7 @@
 {
 	ogl_time sent_at;
 
-	if (!known(r, t) ||
+	if (!is_in_use(r, t) ||
 	    !remove_in_flight(&r->targets[t], request, &sent_at))
 		return;
 	if (io == OGL_IO_OK)
@@ -562,13 +586,14 @@
 static double
 total_rate(const struct ogl_route *r, ogl_time now)
 {
-	const struct target *k;
+	const struct target *target;
 	double sum = 0;
 	uint32_t i;
 
 	for (i = 0; i < r->active->len; i++) {
-		k = &r->targets[g_array_index(r->active, uint32_t, i)];
-		sum += k->limit * OGL_SEC / current_service_time(r, k, now);
+		target = &r->targets[g_array_index(r->active, uint32_t, i)];
+		sum += target->limit * OGL_SEC /
+		       current_service_time_us(r, target, now);
 	}
 	return sum;
 }
@@ -589,17 +614,17 @@
 uint64_t
 ogl_route_wait_ms(const struct ogl_route *r, size_t ahead, ogl_time now)
 {
-	uint32_t free = ogl_route_free_slots(r, now);
+	uint32_t n_free = ogl_route_free_slots(r, now);
 	double rate, ms;
 
-	if (ahead < free)
+	if (ahead < n_free)
 		return 0;
 	if (r->active->len == 0)
 		return wait_for_probe(r, now);
 	rate = ogl_drain_rate(&r->drain, now);
 	if (rate <= 0)
 		rate = total_rate(r, now);
-	ms = (double)(ahead - free + 1) * 1000 / rate;
+	ms = (double)(ahead - n_free + 1) * 1000 / rate;
 	return ms < WAIT_MAX_MS ? (uint64_t)ms + 1 : WAIT_MAX_MS;
 }
 
@@ -641,7 +666,7 @@
 	if (r == NULL)
 		return;
 	for (i = 0; i < r->ntargets; i++) {
-		if (!r->targets[i].known)
+		if (!r->targets[i].in_use)
 			continue;
 		g_free(r->targets[i].name);
 		g_free(r->targets[i].in_flight);
