--- a/src/route.h
+++ b/src/route.h
@@ -1,6 +1,6 @@
 /*
  * Parts of the router: which failures are the target's fault, the rate at which
- * requests complete while targets are full, and memory use.
+ * requests complete while all targets are full, and memory use.
  */
 
 #ifndef OGL_ROUTE_H
@@ -10,7 +10,7 @@
 
 /* ---- blame ------------------------------------------------------------ */
 
-#define OGL_BLAME_ENTRIES 64 /* failed requests remembered */
+#define OGL_BLAME_ENTRIES 64 /* number of recent failures that are kept */
 
 /* A request that failed on a target. */
 struct ogl_blame_entry {
@@ -22,7 +22,7 @@
 
 struct ogl_blame {
 	struct ogl_blame_entry entries[OGL_BLAME_ENTRIES];
-	uint32_t next;
+	uint32_t next; /* entry to overwrite next, modulo OGL_BLAME_ENTRIES */
 };
 
 bool ogl_blame_record(
@@ -32,15 +32,16 @@
 
 bool ogl_blame_clear(struct ogl_blame *b, uint64_t request, uint32_t target,
     ogl_time now, uint32_t *cleared);
-/* Finds one other target that was blamed for the same request, clears that
- * blame and stores the target in *cleared.  Returns false if there is none. */
+/* If a failure of the same request was counted as another target's fault,
+ * clears that blame, stores the other target in *cleared and returns true.
+ * Clears one target per call; returns false if there is none left. */
 
 /* ---- drain rate ------------------------------------------------------- */
 
 struct ogl_drain {
-	ogl_time window_start;
-	uint32_t completed; /* requests completed in the window */
-	/* Requests completed per second while targets were full, 0 if
+	ogl_time window_start; /* 0 before the first completed request */
+	uint32_t completed;    /* requests completed in the window */
+	/* Requests completed per second while all targets were full, 0 if
 	 * unknown. */
 	double rate;
 	ogl_time full_at; /* when a request last found all targets full */
@@ -55,8 +56,8 @@
 /* Counts a completed request. */
 
 double ogl_drain_rate(const struct ogl_drain *d, ogl_time now);
-/* Returns the requests completed per second, or 0 for unknown if no request
- * found all targets full lately. */
+/* Returns the requests completed per second.  Returns 0 (unknown) if no request
+ * found all targets full recently (RATE_EXPIRY in route_drain.c). */
 
 /* ---- memory use ------------------------------------------------------- */
 
--- a/src/route_drain.c
+++ b/src/route_drain.c
@@ -12,7 +12,7 @@
 
 #define WINDOW_LENGTH (500 * OGL_MS)
 #define WINDOW_WEIGHT 0.4 /* weight of the newest window in the average */
-/* The rate is unknown this long after a request last found all targets full. */
+/* If no request found all targets full for this long, the rate is unknown. */
 #define RATE_EXPIRY (2 * OGL_SEC)
 
 void
@@ -33,18 +33,18 @@
 void
 ogl_drain_note_completed(struct ogl_drain *d, ogl_time now)
 {
-	ogl_time length = now - d->window_start;
-	double rate;
+	ogl_time window_length = now - d->window_start;
+	double window_rate;
 
 	d->completed++;
-	if (length < WINDOW_LENGTH)
+	if (window_length < WINDOW_LENGTH)
 		return;
-	rate = (double)d->completed * OGL_SEC / (double)length;
+	window_rate = (double)d->completed * OGL_SEC / (double)window_length;
 	if (d->window_start > 0 && d->full_at >= d->window_start) {
 		if (d->rate > 0)
-			d->rate += WINDOW_WEIGHT * (rate - d->rate);
+			d->rate += WINDOW_WEIGHT * (window_rate - d->rate);
 		else
-			d->rate = rate;
+			d->rate = window_rate;
 	}
 	d->window_start = now;
 	d->completed = 0;
