--- a/src/follow.c
+++ b/src/follow.c
@@ -1,25 +1,28 @@
 /*
- * Keeps a node's copy of the settings up to date, writes its edits, and tells
- * how current the copy is.
+ * Keeps a node's copy of the settings tree up to date, appends the node's edits
+ * to the log, and tells how current the copy is.
  *
- * Every node tails the stream `settings`.  Of two edits made from one version,
- * the first in log order takes effect.  One append carries one record, so that
- * an append's offset + 1 is the version its edit makes.
+ * Every node follows the stream `settings`.  If two edits are based on the same
+ * version, only the first in log order takes effect.  Each append carries one
+ * record, and an edit creates the version that is its append's offset plus 1.
  *
- * A read that reached the end of the stream shows that the tree is current as
- * of the time the read was sent.  A node without log contact learns it from its
- * peers: the answer to its probe contains the peer's version and how long ago
- * that was current.  If the version is newer than its own, the node asks that
- * peer for a snapshot.
+ * A read that reached the end of the stream shows that the tree was current
+ * when the read was sent.  A node that cannot reach the log relies on its
+ * peers: a peer's answer to a probe contains its version and how long ago that
+ * version was current.  If the version is newer than its own, the node asks
+ * that peer for a snapshot.
  *
- * When the log is down for all members, none can have accepted an edit.  A node
- * knows this only if every member says so, each in answer to the node's probe;
- * a member that does not answer may still reach the log.  A member that died
- * while the log was up is evicted by a record.  Its later edits then have no
- * effect anywhere, so its answer is not needed.  A member that was only cut off
- * is readmitted by a record of another node, never by its own.  So a member
- * that reached the log after the eviction knows of the readmission, and a node
- * that relies on that member's report of a log outage sees its newer version.
+ * While the log is down for all members, none of them can accept an edit, so
+ * the newest version that they have is current.  A node assumes this only if
+ * every member reported the outage in answer to the node's own probe; a member
+ * that does not answer may still reach the log.
+ *
+ * A member that died while the log was up is evicted by a record in the stream.
+ * Its later edits have no effect on any node, so its answer is not needed.  If
+ * it was only cut off, it is readmitted by a record that another node writes,
+ * never by one of its own.  So a member that reached the log after the eviction
+ * knows of the readmission, and a node that relies on that member's report of a
+ * log outage sees the member's newer version.
  */
 
 #include <stdlib.h>
@@ -32,13 +35,13 @@
 enum {
 	TOKEN_PART = 2,     /* top byte of this module's tokens */
 	POLL_MAX_MS = 250,  /* longest time between two reads */
-	LOG_DOWN_MS = 1000, /* the log is down if it is silent for so long */
-	SNAPSHOT_REQUEST_EVERY_MS = 300, /* least time between requests */
-	EVICT_EVERY_MS = 1000, /* least time between updates of evictions */
-	EVICT_MIN_CONTACT_MS = 3000, /* time for live nodes to answer probes */
-	READMIT_MIN_S = 2,           /* an evicted node must be alive so long */
+	LOG_DOWN_MS = 1000, /* the log is down after this time without answer */
+	SNAPSHOT_REQUEST_EVERY_MS = 300, /* minimum time between requests */
+	EVICT_EVERY_MS = 1000,       /* minimum time between eviction updates */
+	EVICT_MIN_CONTACT_MS = 3000, /* log contact needed before an eviction */
+	READMIT_MIN_S = 2,           /* time alive before a readmission */
 	SNAPSHOT_EDITS = 500,        /* most edits between two snapshots */
-	/* Shard number that ranks nodes for the upkeep of the stream. */
+	/* Shard number used to rank nodes; the highest maintains the stream. */
 	SETTINGS_RANK_SHARD = 0xfffffffe
 };
 
@@ -51,19 +54,19 @@
 	void *ctx;
 	struct ogl_stream *stream;
 	bool complete;       /* the tree has every edit up to last_change */
-	GPtrArray *deferred; /* Ogl__Record, read before any snapshot */
-	GArray *deferred_offsets; /* their offsets */
-	GQueue *waiters;          /* uint64_t *, one per own edit, in order */
-	GHashTable *evicted;      /* set of "name/boot" */
+	GPtrArray *deferred; /* Ogl__Record, read while not complete */
+	GArray *deferred_offsets; /* offsets of the deferred records */
+	GQueue *waiters;     /* uint64_t *, one per own edit, oldest first */
+	GHashTable *evicted; /* set of "name/boot" */
 	bool self_evicted;
-	uint64_t last_change; /* offset + 1 of the last edit or eviction */
-	ogl_time last_contact;
-	ogl_time contact_since; /* start of log contact without a gap */
-	/* As ogl_follow_fresh_as_of, but as known from peers. */
+	uint64_t last_change;   /* offset + 1 of the last edit or eviction */
+	ogl_time last_contact;  /* when the log last answered */
+	ogl_time contact_since; /* first answer since the log was last down */
+	/* Like ogl_follow_fresh_as_of, but learned from peers. */
 	ogl_time fresh_by_peers;
 	ogl_time next_request;
 	ogl_time next_evict;
-	ogl_time snapshot_at;
+	ogl_time snapshot_at; /* when the last snapshot was written */
 	uint32_t edits_since_snapshot;
 };
 
@@ -83,10 +86,10 @@
 is_evicted(const struct ogl_follow *f, const char *name, uint64_t boot)
 {
 	char *id = eviction_key(name, boot);
-	bool yes = g_hash_table_contains(f->evicted, id);
+	bool found = g_hash_table_contains(f->evicted, id);
 
 	g_free(id);
-	return yes;
+	return found;
 }
 
 /* ---- records ---------------------------------------------------------- */
@@ -147,22 +150,22 @@
 	}
 }
 
-/* Whether the edit that makes this version is in the audit trail, that is,
- * took effect. */
+/* Whether the edit with this version took effect; if so, it is in the audit
+ * trail. */
 static bool
 edit_took_effect(const struct ogl_follow *f, uint64_t version)
 {
 	char *trail = ogl_settings_audit(f->settings, version);
 	char *version_field =
 	    g_strdup_printf("\"version\":%" G_GUINT64_FORMAT ",", version);
-	bool yes = trail != NULL && strstr(trail, version_field) != NULL;
+	bool found = trail != NULL && strstr(trail, version_field) != NULL;
 
 	g_free(version_field);
 	g_free(trail);
-	return yes;
+	return found;
 }
 
-/* Answers the waiter of this node's edit that a snapshot already covers. */
+/* Answers the waiter of an own edit whose record a snapshot already covers. */
 static void
 answer_covered_edit(struct ogl_follow *f, uint64_t version, ogl_time now)
 {
@@ -178,9 +181,10 @@
 
 /*
  * Applies an edit or an eviction, unless a snapshot already covers it.  The set
- * of evicted nodes may have changed since a covered record was written.  If it
- * were applied again, its writer could count as evicted now, or no longer, and
- * this node's tree would permanently differ from that of all other nodes.
+ * of evicted nodes may have changed since a covered record was written.  If the
+ * record were applied again, its writer could have been evicted or readmitted
+ * since, and this node's tree would permanently differ from that of all other
+ * nodes.
  */
 static void
 apply_change(
@@ -216,11 +220,11 @@
 /* Replaces the tree and the evictions by those of a snapshot.  Returns whether
  * that succeeded. */
 static bool
-replace_by(struct ogl_follow *f, const Ogl__SettingsSnap *s)
+load_tree_and_evictions(struct ogl_follow *f, const Ogl__SettingsSnap *s)
 {
 	struct ogl_str tree = {(const char *)s->tree.data, s->tree.len};
 
-	/* Only a newer tree is loaded. */
+	/* With the same version, at most the evictions differ. */
 	if (s->version > ogl_settings_version(f->settings) &&
 	    !ogl_settings_load(f->settings, tree, NULL))
 		return false;
@@ -236,9 +240,9 @@
 load_snapshot(struct ogl_follow *f, const Ogl__SettingsSnap *s, ogl_time now)
 {
 	/* After a gap, the log's snapshot may be older than one received from
-	 * a peer.  It then only closes the gap: the tree already has what the
-	 * snapshot lacks, and newer edits come in the records after it. */
-	if (s->change >= f->last_change && !replace_by(f, s))
+	 * a peer.  It is then not loaded but ends the gap: the tree already
+	 * has its edits, and newer ones come in the records after it. */
+	if (s->change >= f->last_change && !load_tree_and_evictions(f, s))
 		return;
 	f->complete = true;
 	apply_deferred(f, now);
@@ -264,9 +268,9 @@
 		}
 		break;
 	case OGL__RECORD__BODY_SETTINGS_SNAP:
-		/* Its time of writing counts, not that of reading.
+		/* The snapshot counts from when it was written, not read.
 		 * Otherwise nodes that restart often would delay the next
-		 * snapshot until retention has dropped the last one. */
+		 * snapshot until log retention has deleted the last one. */
 		f->edits_since_snapshot = 0;
 		f->snapshot_at = MIN(now, (ogl_time)(r->at_ms * OGL_MS));
 		if (!f->complete)
@@ -277,8 +281,8 @@
 	}
 }
 
-/* Handles edits that log retention dropped unread.  The tree stays old until
- * the next snapshot; it is never replaced by an older one. */
+/* Handles records that log retention deleted before this node read them.  The
+ * tree is kept until the next snapshot; an older one never replaces it. */
 static void
 on_gap(void *ctx, uint64_t first)
 {
@@ -528,7 +532,9 @@
 struct peer_check {
 	struct ogl_follow *f;
 	ogl_time now;
-	ogl_time all_down_at;         /* all report a log outage as of then */
+	/* Send time of the oldest probe that a member answered with a log
+	 * outage; 0 if any member did not report one. */
+	ogl_time all_down_at;
 	const struct ogl_peer *ahead; /* a peer with a newer version */
 	bool newer_found;
 };
@@ -538,7 +544,7 @@
 {
 	struct peer_check *c = ctx;
 	struct ogl_follow *f = c->f;
-	uint64_t ours = f->last_change;
+	uint64_t own_change = f->last_change;
 
 	if (p->fact->state == OGL__MEMBER_FACT__STATE__left ||
 	    (p->fact->state == OGL__MEMBER_FACT__STATE__dead &&
@@ -546,7 +552,7 @@
 		return;
 	c->all_down_at =
 	    MIN(c->all_down_at, p->down_since != 0 ? p->acked_probe_sent : 0);
-	if (MAX(p->fact->settings_version, p->current_version) > ours)
+	if (MAX(p->fact->settings_version, p->current_version) > own_change)
 		c->ahead = p;
 	else if (p->acked_probe_sent > 0 && p->current_at > f->fresh_by_peers)
 		f->fresh_by_peers = p->current_at;
