--- a/src/lend.c
+++ b/src/lend.c
@@ -20,14 +20,14 @@
  * serving while the replacement is placed.
  *
  * Invariants.  The team that preempts does not get above its entitlement.  A
- * team that is preempted was above its own, and afterwards lacks at most half
- * the part of its entitlement that the preempting team lacked before.  If it
- * had to keep its whole entitlement, tasks larger than what their team holds
- * above its entitlement could never be preempted, and other teams might never
- * get room.  So the least part that any team has of its entitlement rises with
- * each preemption, and at constant demands teams cannot preempt each other in
- * turn.  As demands do change, a team that was preempted may not preempt for a
- * while, and a preempted task is protected for a time that doubles with each
+ * team that is preempted was above its own.  Afterwards it lacks a part of its
+ * entitlement that is at most half the part the preempting team lacked before.
+ * If it had to keep its whole entitlement, tasks larger than what their team
+ * holds above its entitlement could never be preempted, and other teams might
+ * never get room.  So the least part that any team has of its entitlement rises
+ * with each preemption, and at constant demands teams cannot preempt each other
+ * in turn.  As demands do change, a team that was preempted may not preempt for
+ * a while, and a preempted task is protected for a time that doubles with each
  * preemption, so that the newest task is not preempted over and over.
  *
  * Modes.  Tasks are checkpointed first.  One that still holds its room after
@@ -41,7 +41,7 @@
 #include "lend.h"
 
 #define ROUND_INTERVAL_MS 1000
-#define DISTRIBUTED_MIN 0.9 /* least part of the capacity distributed */
+#define DISTRIBUTED_MIN 0.9 /* minimum part of the capacity to distribute */
 /* Parts of its entitlement: a team that lacks more than LACK_START for
  * LACK_MIN_MS starts to preempt, and stops when it lacks LACK_STOP or less. */
 #define LACK_START 0.2
@@ -51,16 +51,17 @@
 #define LACK_REGAINED 0.5
 #define ROUND_SHARE_MAX 0.1     /* part of the capacity preempted per round */
 #define ROUND_STEPS_MAX 1000000 /* tasks and workers examined in one round */
-#define ROUND_FAILURES_MAX 8    /* of a team, which is then skipped */
+#define ROUND_FAILURES_MAX 8    /* failed attempts, then a team is skipped */
 #define ROUND_GAP_MAX_MS 3000 /* after a longer gap, lacks are observed anew */
-#define PASSED_OVER_LIMIT 1   /* see select_pending */
+#define PASSED_OVER_LIMIT 1   /* pieces of work, see select_pending */
 #define START_COST_S 5.0      /* cost of a restart: favours fewer tasks */
 #define SERVICE_COST_S 1.0e6  /* makes services the last choice */
-#define PREEMPTED_TEAM_WAIT_MS 30000 /* until a preempted team may preempt */
-#define CHECKPOINT_TIMEOUT_MS 15000  /* then the task is stopped */
-#define PROTECTION_MS 120000         /* for a task preempted once */
+/* A team that was preempted does not preempt others for this time. */
+#define PREEMPTED_TEAM_WAIT_MS 30000
+#define CHECKPOINT_TIMEOUT_MS 15000 /* after this, the task is stopped */
+#define PROTECTION_MS 120000 /* a task preempted once is protected this long */
 #define PROTECTION_DOUBLINGS_MAX 4
-#define PREEMPTED_EXPIRY_MS 3600000 /* then a preemption is forgotten */
+#define PREEMPTED_EXPIRY_MS 3600000 /* after this, a preemption is forgotten */
 #define ROUNDING_TOLERANCE 1e-9
 
 enum {
@@ -86,13 +87,13 @@
 	bool preempting;
 	/* In this round: */
 	struct sum held;     /* without the tasks that are stopping */
-	struct sum all_held; /* with them */
+	struct sum all_held; /* with the tasks that are stopping */
 	struct sum wanted;   /* all_held and the waiting work */
 	double held_share;   /* dominant share of held */
 	double demand;       /* dominant share of wanted */
 	double entitlement;
-	bool unsatisfied;  /* during the distribution */
-	uint32_t failures; /* pending work that no room was made for */
+	bool unsatisfied;  /* used while the capacity is distributed */
+	uint32_t failures; /* pieces of work for which no room was made */
 };
 
 /* What is preempted together: a task or a gang. */
@@ -101,15 +102,15 @@
 	struct sum res;
 	double size;  /* dominant share */
 	double cost;  /* share times lost run time in s, plus fixed costs */
-	size_t first; /* its tasks, a list through next */
+	size_t first; /* index of its first task, then task.next */
 	bool preemptible;
-	bool released; /* its room counts as free: preempted, or on trial */
+	bool released; /* its room counts as free: preempted, or being tried */
 };
 
 struct task {
 	struct ogl_lend_task t;
-	size_t unit;
-	size_t next;       /* of the same unit, SIZE_MAX at the end */
+	size_t unit;       /* index of its unit */
+	size_t next;       /* next task of the unit, SIZE_MAX at the end */
 	double cost_ratio; /* cost of its unit per share that it frees */
 };
 
@@ -150,8 +151,9 @@
 	GHashTable *gangs;    /* job -> unit + 1 */
 	GHashTable *services; /* jobs of services with a preempted task */
 	double round_share;   /* preempted so far */
-	double min_kept;      /* part of its entitlement that a team keeps */
-	size_t steps;         /* tasks and workers examined so far */
+	/* Part of its entitlement that a preempted team keeps. */
+	double min_kept;
+	size_t steps; /* tasks and workers examined so far */
 };
 
 /* ---- sums ------------------------------------------------------------- */
@@ -182,15 +184,15 @@
 }
 
 static double
-dominant(const struct ogl_lend *l, const struct sum *s)
+dominant_share(const struct ogl_lend *l, const struct sum *s)
 {
-	double most = 0;
+	double max_share = 0;
 
 	for (int i = 0; i < DIMS; i++) {
 		if (l->total.r[i] > 0)
-			most = MAX(most, s->r[i] / l->total.r[i]);
+			max_share = MAX(max_share, s->r[i] / l->total.r[i]);
 	}
-	return most;
+	return max_share;
 }
 
 /* ---- teams ------------------------------------------------------------ */
@@ -219,7 +221,7 @@
 }
 
 static struct team_node *
-child(struct team_node *n, const char *name, size_t len)
+find_or_add_child(struct team_node *n, const char *name, size_t len)
 {
 	for (guint i = 0; i < n->children->len; i++) {
 		struct team_node *c = g_ptr_array_index(n->children, i);
@@ -239,7 +241,7 @@
 		size_t len = strcspn(team, "/");
 
 		if (len != 0)
-			n = child(n, team, len);
+			n = find_or_add_child(n, team, len);
 		team += len;
 		if (*team == '/')
 			team++;
@@ -280,8 +282,8 @@
 		node_reset(g_ptr_array_index(n->children, i));
 }
 
-/* Sums up the tree from its leaves.  Returns the total of the shares that the
- * leaves hold. */
+/* Sums up the tree from its leaves.  Returns the sum of the shares that all
+ * leaves hold, including tasks that are stopping. */
 static double
 sum_tree(const struct ogl_lend *l, struct team_node *n)
 {
@@ -295,24 +297,25 @@
 		sum_add(&n->wanted, &c->wanted, 1);
 	}
 	if (n->children->len == 0)
-		all = dominant(l, &n->all_held);
-	n->held_share = dominant(l, &n->held);
-	n->demand = dominant(l, &n->wanted);
+		all = dominant_share(l, &n->all_held);
+	n->held_share = dominant_share(l, &n->held);
+	n->demand = dominant_share(l, &n->wanted);
 	return all;
 }
 
 /* One pass of max-min fair distribution: children whose demand is within
- * their part of what is left get all of it.  Returns whether there were any. */
+ * their part of what is left get their whole demand.  Returns whether there
+ * were any. */
 static bool
 satisfy_demands(struct team_node *n, double *left, double *weight)
 {
-	double part = *weight > 0 ? *left / *weight : 0;
+	double share_per_weight = *weight > 0 ? *left / *weight : 0;
 	bool any = false;
 
 	for (guint i = 0; i < n->children->len; i++) {
 		struct team_node *c = g_ptr_array_index(n->children, i);
 
-		if (!c->unsatisfied || c->demand > part * c->weight)
+		if (!c->unsatisfied || c->demand > share_per_weight * c->weight)
 			continue;
 		c->unsatisfied = false;
 		c->entitlement = c->demand;
@@ -449,7 +452,7 @@
 ogl_lend_add_task(struct ogl_lend *l, const struct ogl_lend_task *t)
 {
 	struct team_node *leaf = leaf_of(l, t->team);
-	struct task k = {.t = *t, .next = SIZE_MAX};
+	struct task task = {.t = *t, .next = SIZE_MAX};
 	struct sum res = sum_of(&t->res);
 
 	sum_add(&leaf->all_held, &res, 1);
@@ -460,17 +463,17 @@
 		sum_add(
 		    &g_array_index(l->workers, struct worker, t->worker).room,
 		    &res, 1);
-	g_array_append_val(l->tasks, k);
+	g_array_append_val(l->tasks, task);
 }
 
 void
 ogl_lend_add_pending(struct ogl_lend *l, const struct ogl_lend_pending *w)
 {
-	struct pending k = {.w = *w, .leaf = leaf_of(l, w->team)};
+	struct pending pending = {.w = *w, .leaf = leaf_of(l, w->team)};
 	struct sum res = sum_of(&w->res);
 
-	sum_add(&k.leaf->wanted, &res, w->tasks);
-	g_array_append_val(l->pending, k);
+	sum_add(&pending.leaf->wanted, &res, w->tasks);
+	g_array_append_val(l->pending, pending);
 }
 
 /* ---- units ------------------------------------------------------------ */
@@ -491,12 +494,13 @@
 is_protected(
     const struct ogl_lend *l, const struct ogl_lend_task *t, ogl_time now)
 {
-	const struct preempted *k = g_hash_table_lookup(l->preempted, &t->id);
+	const struct preempted *preempted =
+	    g_hash_table_lookup(l->preempted, &t->id);
 	uint32_t doublings;
 
-	if (k == NULL)
+	if (preempted == NULL)
 		return false;
-	doublings = MIN(k->count - 1, PROTECTION_DOUBLINGS_MAX);
+	doublings = MIN(preempted->count - 1, PROTECTION_DOUBLINGS_MAX);
 	return now - t->since < (PROTECTION_MS << doublings) * OGL_MS;
 }
 
@@ -505,13 +509,13 @@
 {
 	struct unit u = {.first = SIZE_MAX, .preemptible = true};
 	size_t at = l->units->len;
-	gpointer known;
+	gpointer found;
 	int64_t *key;
 
 	if (t->kind == OGL__KIND__gang) {
-		known = g_hash_table_lookup(l->gangs, &t->job);
-		if (known != NULL)
-			return GPOINTER_TO_SIZE(known) - 1;
+		found = g_hash_table_lookup(l->gangs, &t->job);
+		if (found != NULL)
+			return GPOINTER_TO_SIZE(found) - 1;
 		key = g_new(int64_t, 1);
 		*key = (int64_t)t->job;
 		g_hash_table_insert(l->gangs, key, GSIZE_TO_POINTER(at + 1));
@@ -524,24 +528,25 @@
 static void
 join_unit(struct ogl_lend *l, size_t i, ogl_time now)
 {
-	struct task *k = task_at(l, i);
-	struct sum res = sum_of(&k->t.res);
-	double size = dominant(l, &res);
-	double run_s = (double)MAX(now - k->t.since, 0) / OGL_SEC;
+	struct task *task = task_at(l, i);
+	struct sum res = sum_of(&task->t.res);
+	double size = dominant_share(l, &res);
+	double run_s = (double)MAX(now - task->t.since, 0) / OGL_SEC;
 	struct unit *u;
 
-	k->unit = unit_of(l, &k->t);
-	u = unit_at(l, k->unit);
-	k->next = u->first;
+	task->unit = unit_of(l, &task->t);
+	u = unit_at(l, task->unit);
+	task->next = u->first;
 	u->first = i;
 	sum_add(&u->res, &res, 1);
-	u->size = dominant(l, &u->res);
+	u->size = dominant_share(l, &u->res);
 	u->cost += size * (run_s + START_COST_S);
-	if (k->t.kind == OGL__KIND__service)
+	if (task->t.kind == OGL__KIND__service)
 		u->cost += size * SERVICE_COST_S;
-	u->preemptible = u->preemptible && k->t.restartable && !k->t.stopping &&
-			 size > 0 && k->t.worker != OGL_LEND_NO_WORKER &&
-			 !is_protected(l, &k->t, now);
+	u->preemptible = u->preemptible && task->t.restartable &&
+			 !task->t.stopping && size > 0 &&
+			 task->t.worker != OGL_LEND_NO_WORKER &&
+			 !is_protected(l, &task->t, now);
 }
 
 static gint
@@ -565,14 +570,14 @@
 	for (size_t i = 0; i < l->tasks->len; i++)
 		join_unit(l, i, now);
 	for (size_t i = 0; i < l->tasks->len; i++) {
-		struct task *k = task_at(l, i);
-		struct sum res = sum_of(&k->t.res);
-		const struct unit *u = unit_at(l, k->unit);
+		struct task *task = task_at(l, i);
+		struct sum res = sum_of(&task->t.res);
+		const struct unit *u = unit_at(l, task->unit);
 
 		if (!u->preemptible ||
 		    u->leaf->held_share <= u->leaf->entitlement)
 			continue;
-		k->cost_ratio = u->cost / dominant(l, &res);
+		task->cost_ratio = u->cost / dominant_share(l, &res);
 		g_array_append_val(l->candidates, i);
 	}
 	g_array_sort_with_data(l->candidates, by_worker, l);
@@ -604,7 +609,7 @@
 		    &res, sign);
 	}
 	sum_add(&u->leaf->held, &u->res, -sign);
-	u->leaf->held_share = dominant(l, &u->leaf->held);
+	u->leaf->held_share = dominant_share(l, &u->leaf->held);
 	u->released = sign > 0;
 }
 
@@ -619,7 +624,7 @@
 	    u->leaf->held_share <= u->leaf->entitlement + ROUNDING_TOLERANCE)
 		return false;
 	sum_add(&rest, &u->res, -1);
-	return dominant(l, &rest) >=
+	return dominant_share(l, &rest) >=
 	       u->leaf->entitlement * l->min_kept - ROUNDING_TOLERANCE;
 }
 
@@ -703,17 +708,17 @@
 cheapest_worker(struct ogl_lend *l, const struct sum *need)
 {
 	struct worker *best = NULL;
-	double least = 0;
+	double least_cost = 0;
 
 	for (guint i = 0; i < l->workers->len; i++) {
 		struct worker *w = &g_array_index(l->workers, struct worker, i);
 		double cost = w->begin < w->end ? try_worker(l, w, need) : -1;
 		GArray *swap = l->best_trial;
 
-		if (cost < 0 || (best != NULL && cost >= least))
+		if (cost < 0 || (best != NULL && cost >= least_cost))
 			continue;
 		best = w;
-		least = cost;
+		least_cost = cost;
 		l->best_trial = l->trial;
 		l->trial = swap;
 	}
@@ -750,16 +755,16 @@
 static void
 record_preemption(struct ogl_lend *l, uint64_t id, ogl_time now)
 {
-	struct preempted *k = g_hash_table_lookup(l->preempted, &id);
+	struct preempted *preempted = g_hash_table_lookup(l->preempted, &id);
 
-	if (k == NULL) {
-		k = g_new0(struct preempted, 1);
-		k->id = id;
-		g_hash_table_insert(l->preempted, &k->id, k);
+	if (preempted == NULL) {
+		preempted = g_new0(struct preempted, 1);
+		preempted->id = id;
+		g_hash_table_insert(l->preempted, &preempted->id, preempted);
 	}
-	k->preempted_at = now;
-	k->count++;
-	k->stopped = false;
+	preempted->preempted_at = now;
+	preempted->count++;
+	preempted->stopped = false;
 }
 
 static void
@@ -772,10 +777,10 @@
 	l->round_share += u->size;
 	for (size_t i = u->first; i != SIZE_MAX; i = task_at(l, i)->next) {
 		const struct ogl_lend_task *t = &task_at(l, i)->t;
-		struct ogl_lend_preemption k = {
+		struct ogl_lend_preemption preemption = {
 		    i, OGL__STOP_MODE__checkpoint, MAX(now - t->since, 0)};
 
-		g_array_append_val(l->preemptions, k);
+		g_array_append_val(l->preemptions, preemption);
 		record_preemption(l, t->id, now);
 		if (t->kind != OGL__KIND__service)
 			continue;
@@ -797,44 +802,46 @@
 
 /* Makes room for one piece of work: for all its tasks or for none. */
 static void
-preempt_for(struct ogl_lend *l, const struct pending *k, ogl_time now)
+preempt_for(struct ogl_lend *l, const struct pending *pending, ogl_time now)
 {
-	GArray *room = g_array_copy(l->workers);
+	GArray *saved_workers = g_array_copy(l->workers);
 	GArray *plan = g_array_new(FALSE, FALSE, sizeof(size_t));
-	struct sum need = sum_of(&k->w.res);
-	struct sum after = k->leaf->held;
+	struct sum need = sum_of(&pending->w.res);
+	struct sum after = pending->leaf->held;
 	bool ok = true;
 
-	sum_add(&after, &need, k->w.tasks);
-	if (k->leaf->failures >= ROUND_FAILURES_MAX ||
-	    dominant(l, &after) > k->leaf->entitlement + ROUNDING_TOLERANCE)
+	sum_add(&after, &need, pending->w.tasks);
+	if (pending->leaf->failures >= ROUND_FAILURES_MAX ||
+	    dominant_share(l, &after) >
+		pending->leaf->entitlement + ROUNDING_TOLERANCE)
 		goto out;
 	/* A preempted team may lack half the part that this team lacks. */
-	l->min_kept = (1 + k->leaf->held_share / k->leaf->entitlement) / 2;
-	for (uint32_t i = 0; ok && i < k->w.tasks; i++)
+	l->min_kept =
+	    (1 + pending->leaf->held_share / pending->leaf->entitlement) / 2;
+	for (uint32_t i = 0; ok && i < pending->w.tasks; i++)
 		ok = make_room(l, &need, plan);
 	if (ok && l->round_share > 0 && plan->len > 0)
 		ok = l->round_share + plan_size(l, plan) <= ROUND_SHARE_MAX;
 	if (!ok) {
 		undo_release(l, plan);
-		memcpy(l->workers->data, room->data,
-		    room->len * sizeof(struct worker));
-		k->leaf->failures++;
+		memcpy(l->workers->data, saved_workers->data,
+		    saved_workers->len * sizeof(struct worker));
+		pending->leaf->failures++;
 		goto out;
 	}
 	for (guint i = 0; i < plan->len; i++)
 		preempt_unit(l, g_array_index(plan, size_t, i), now);
-	k->leaf->held = after;
-	k->leaf->held_share = dominant(l, &after);
+	pending->leaf->held = after;
+	pending->leaf->held_share = dominant_share(l, &after);
 out:
 	g_array_free(plan, TRUE);
-	g_array_free(room, TRUE);
+	g_array_free(saved_workers, TRUE);
 }
 
 /* A team that lacks a good part of its entitlement preempts until it has
  * nearly all; a team that regains it by itself soon enough preempts nothing.
- * Tasks end at random, so most preemptions would otherwise be for teams that
- * get their share anyway on average over half a minute. */
+ * Tasks end at random.  Without this rule, most preemptions would be for teams
+ * that get their share anyway, on average over half a minute. */
 static void
 update_lack(struct team_node *n, ogl_time now)
 {
@@ -877,12 +884,12 @@
 }
 
 static bool
-may_preempt_for(const struct pending *k, ogl_time now)
+may_preempt_for(const struct pending *pending, ogl_time now)
 {
-	const struct team_node *leaf = k->leaf;
+	const struct team_node *leaf = pending->leaf;
 
 	return leaf->preempting &&
-	       now - k->w.since > OGL_LEND_MIN_WAIT_MS * OGL_MS &&
+	       now - pending->w.since > OGL_LEND_MIN_WAIT_MS * OGL_MS &&
 	       (leaf->preempted_at == 0 ||
 		   now - leaf->preempted_at > PREEMPTED_TEAM_WAIT_MS * OGL_MS);
 }
@@ -899,27 +906,30 @@
 
 /* Keeps only the pending work that may preempt, in queue order.  Freed room
  * goes to the work whose turn comes first.  So work behind PASSED_OVER_LIMIT
- * pieces that may not preempt is left out: it would free room for them. */
+ * pieces that may not preempt is left out: the room it frees would go to those
+ * pieces. */
 static void
 select_pending(struct ogl_lend *l, ogl_time now)
 {
 	guint n = 0, kept = 0, passed_over = 0;
 
 	for (guint i = 0; i < l->pending->len; i++) {
-		struct pending *k =
+		struct pending *pending =
 		    &g_array_index(l->pending, struct pending, i);
 
-		if (k->w.queue_position != 0)
-			g_array_index(l->pending, struct pending, n++) = *k;
+		if (pending->w.queue_position != 0)
+			g_array_index(l->pending, struct pending, n++) =
+			    *pending;
 	}
 	g_array_set_size(l->pending, n);
 	g_array_sort(l->pending, by_turn);
 	for (guint i = 0; i < n && passed_over < PASSED_OVER_LIMIT; i++) {
-		struct pending *k =
+		struct pending *pending =
 		    &g_array_index(l->pending, struct pending, i);
 
-		if (may_preempt_for(k, now))
-			g_array_index(l->pending, struct pending, kept++) = *k;
+		if (may_preempt_for(pending, now))
+			g_array_index(l->pending, struct pending, kept++) =
+			    *pending;
 		else
 			passed_over++;
 	}
@@ -933,14 +943,16 @@
 {
 	for (size_t i = 0; i < l->tasks->len; i++) {
 		const struct ogl_lend_task *t = &task_at(l, i)->t;
-		struct preempted *k = g_hash_table_lookup(l->preempted, &t->id);
+		struct preempted *preempted =
+		    g_hash_table_lookup(l->preempted, &t->id);
 		struct ogl_lend_preemption stop = {i, OGL__STOP_MODE__stop, 0};
 
-		if (k == NULL || !t->stopping || k->stopped ||
-		    now - k->preempted_at < CHECKPOINT_TIMEOUT_MS * OGL_MS ||
-		    t->since > k->preempted_at)
+		if (preempted == NULL || !t->stopping || preempted->stopped ||
+		    now - preempted->preempted_at <
+			CHECKPOINT_TIMEOUT_MS * OGL_MS ||
+		    t->since > preempted->preempted_at)
 			continue;
-		k->stopped = true;
+		preempted->stopped = true;
 		g_array_append_val(l->preemptions, stop);
 	}
 }
