--- a/src/calls.c
+++ b/src/calls.c
@@ -2,11 +2,11 @@
  * Calls: what callers and operators ask of a node, and what nodes forward to
  * each other.
  *
- * First the caller's key is checked; it gives the team.  Then a table says, by
- * method and path, whether the call is answered here (operators' views), by
- * the executors (short requests), by the owner of one shard (jobs, short
- * requests with an id) or by the owners of all shards (lists).  In the last
- * two cases the call is forwarded.  Every forwarded call may be repeated
+ * First the caller's key is checked; it determines the team.  Then a table
+ * says, by method and path, whether the call is answered here (operators'
+ * views), by the executors (short requests), by the owner of one shard (jobs,
+ * short requests with an id) or by the owners of all shards (lists).  In the
+ * last two cases the call is forwarded.  Every forwarded call may be repeated
  * without harm, since submissions carry an id (the caller's or one made here).
  * So after a lost message or a change of owner the call is sent again until
  * its deadline.
@@ -18,15 +18,15 @@
 #include "node_impl.h"
 
 enum {
-	CALL_TIMEOUT_MS = 10000,  /* longest and default time for a call */
-	RESEND_MS = 700,          /* between sends of an unanswered call */
-	NO_OWNER_RETRY_MS = 100,  /* between lookups of an unknown owner */
-	GATHER_TIMEOUT_MS = 2000, /* a list then omits missing shards */
-	STALE_RETRY_MS = 1000,    /* told to callers while settings are stale */
-	STOP_RETRY_MS = 100,      /* told to callers while shutting down */
-	TICK_MS = 50,             /* between checks for due calls */
+	CALL_TIMEOUT_MS = 10000,  /* maximum and default time for a call */
+	RESEND_MS = 700,          /* time between sends of an unanswered call */
+	NO_OWNER_RETRY_MS = 100,  /* time between lookups of an unknown owner */
+	GATHER_TIMEOUT_MS = 2000, /* after this, a list omits missing shards */
+	STALE_RETRY_MS = 1000,    /* retry delay while settings are stale */
+	STOP_RETRY_MS = 100,      /* retry delay while shutting down */
+	TICK_MS = 50,             /* time between checks for due calls */
 	TEAM_MAX_BYTES = 128,
-	ID_MAX_BYTES = 128 /* of a request id */
+	REQUEST_ID_MAX_BYTES = 128
 };
 
 #define ID_ALLOWED "at most 128 bytes of UTF-8 without '|'"
@@ -65,7 +65,7 @@
 	bool waits_locally;  /* a shard of this node holds it as a waiter */
 	ogl_time deadline;
 	ogl_time next_send;
-	json_t *rows;         /* of the shards that answered so far */
+	json_t *rows;         /* rows of the shards that answered so far */
 	GByteArray *answered; /* by shard: 1 if it has answered */
 	uint32_t nmissing;    /* shards that have not answered */
 };
@@ -358,7 +358,7 @@
 		finish_gather(n, c);
 }
 
-/* ---- which shard ------------------------------------------------------ */
+/* ---- shard selection -------------------------------------------------- */
 
 static uint32_t
 shard_of_id(const struct ogl_node *n, const char *team, const char *id)
@@ -375,14 +375,14 @@
 shard_of_job(const struct ogl_node *n, const char *id, uint32_t *shard)
 {
 	char *end;
-	guint64 k;
+	guint64 number;
 
 	if (id[0] != 's')
 		return false;
-	k = g_ascii_strtoull(id + 1, &end, 10);
-	if (end == id + 1 || *end != '-' || k >= n->cfg.shards)
+	number = g_ascii_strtoull(id + 1, &end, 10);
+	if (end == id + 1 || *end != '-' || number >= n->cfg.shards)
 		return false;
-	*shard = (uint32_t)k;
+	*shard = (uint32_t)number;
 	return true;
 }
 
@@ -458,8 +458,8 @@
 }
 
 /* Whether one copy of the call was refused while another, sent before or after
- * it, has no answer yet.  That one may still reach an owner that runs it, so
- * "not run" would be wrong. */
+ * it, has no answer yet.  The other copy may still reach an owner that runs it,
+ * so "not run" would be wrong. */
 static bool
 copy_is_unanswered(const struct call *c, uint32_t status, enum ogl_verdict v)
 {
@@ -469,8 +469,8 @@
 
 /* Handles a shard's answer to a call of this node.  A call that failed because
  * the shard has no owner is sent again, as every forwarded call may be
- * repeated.  A job that one shard can never run is sent to another.  Anything
- * else is the reply to the caller. */
+ * repeated.  A job that one shard can never run is sent to another.  Any other
+ * answer is passed on to the caller. */
 static void
 handle_answer(struct ogl_node *n, struct call *c, uint32_t shard,
     uint32_t status, enum ogl_verdict v, uint64_t retry_ms, GBytes *body)
@@ -712,7 +712,8 @@
 {
 	if (id.n == 0)
 		return true;
-	return id.n <= ID_MAX_BYTES && memchr(id.p, '|', id.n) == NULL &&
+	return id.n <= REQUEST_ID_MAX_BYTES &&
+	       memchr(id.p, '|', id.n) == NULL &&
 	       g_utf8_validate(id.p, (gssize)id.n, NULL);
 }
 
