--- a/src/session.c
+++ b/src/session.c
@@ -193,8 +193,9 @@
 	return sh->env->cfg->lease_ms * OGL_MS / DRIFT_DIVISOR;
 }
 
-/* Returns when the worker, if it answers no more, has certainly stopped all
- * tasks that we or an earlier owner started there; 0 if there are none. */
+/* Returns the time by which a worker that no longer answers has certainly
+ * stopped all tasks that this or an earlier owner started there; 0 if there are
+ * none. */
 static ogl_time
 leases_over_at(const struct ogl_shard *sh, const struct ogl_session *s)
 {
@@ -344,7 +345,7 @@
 	g_ptr_array_set_free_func(s->acks, ack_free);
 }
 
-/* Whether a task is to be stopped that was never reported as running: only a
+/* Whether a task that was never reported as running is to be stopped.  Only a
  * full report tells whether the worker has it. */
 static bool
 stopping_unreported(const struct ogl_session *s)
@@ -560,11 +561,11 @@
 	bool adoptable;
 
 	drop_stop(s, r->task, r->attempt);
-	/* An end of the task is being appended; its ack follows.  If this is
-	 * a later attempt, found on another worker, the worker will report it
-	 * again.  If it were bound now, the task would never end: this end
-	 * would be dropped since one is pending, and the pending one ignored
-	 * as that of an older attempt. */
+	/* An end of the task is being appended; its ack follows.  If this
+	 * report is of a later attempt, on another worker, that worker will
+	 * report it again.  If the later attempt were bound now, the task would
+	 * never end: its end would be dropped since one is pending, and the
+	 * pending one ignored as that of an older attempt. */
 	if (t != NULL && t->end_pending)
 		return;
 	adoptable = t != NULL && t->phase == OGL_TASK_WAITING &&
@@ -719,7 +720,7 @@
 	bool restarted = s->boot != 0 && r->boot != s->boot;
 
 	if (was_known && r->boot != s->boot && !r->full) {
-		/* It restarted: a report of changes only is not enough. */
+		/* The worker restarted, so a full report is needed. */
 		s->needs_full_report = true;
 		update_schedulable(sh, s);
 		s->next_sync = now;
@@ -836,8 +837,8 @@
 		mark_lost(sh, s, now);
 	if (!s->in_use && !s->reported && s->leaving && s->tasks->len == 0) {
 		s->gone = true;
-		/* If the list shows it as staying later on, its old report
-		 * must not keep it from being contacted again. */
+		/* If the host list later shows the worker as staying, its old
+		 * report must not prevent that it is contacted again. */
 		s->says_leaving = false;
 	}
 	if (s->leaving)
