--- a/src/state.c
+++ b/src/state.c
@@ -24,11 +24,11 @@
 enum {
 	HTTP_STATUS_MIN = 100,
 	HTTP_STATUS_MAX = 999,
-	JOB_TASKS_MAX = 10000,   /* a record with more is damaged */
-	MAX_FAILURES = 3,        /* failed attempts of a restartable task */
+	JOB_TASKS_MAX = 10000,   /* a record with more tasks is damaged */
+	MAX_FAILURES = 3,        /* then a restartable task is not retried */
 	SNAP_PART_ENTRIES = 500, /* jobs and ids in one part of a snapshot */
-	ENDED_JOB_KEEP_S = 3600, /* ended jobs can be queried for so long */
-	REFERRAL_KEEP_S = 86400, /* callers may repeat an id for so long */
+	ENDED_JOB_KEEP_S = 3600, /* ended jobs can be queried this long */
+	REFERRAL_KEEP_S = 86400, /* callers may repeat an id this long */
 };
 
 static void
@@ -844,21 +844,21 @@
 apply_while_incomplete(
     struct ogl_state *st, const Ogl__Record *r, uint64_t offset)
 {
-	uint64_t known = writers_epoch(r);
+	uint64_t writer_epoch = writers_epoch(r);
 
 	if (r->body_case == OGL__RECORD__BODY_CLAIM) {
-		st->least_epoch = MAX(st->least_epoch, known + 1);
-		if (known >= st->likely_epoch)
+		st->least_epoch = MAX(st->least_epoch, writer_epoch + 1);
+		if (writer_epoch >= st->likely_epoch)
 			st->likely_epoch = offset + 1;
 		return;
 	}
 	if (r->body_case == OGL__RECORD__BODY_SHARD_SNAP &&
-	    known >= st->least_epoch)
+	    writer_epoch >= st->least_epoch)
 		add_snapshot_part(st, r->shard_snap);
 	if (st->complete)
 		return;
-	st->least_epoch = MAX(st->least_epoch, known);
-	st->likely_epoch = MAX(st->likely_epoch, known);
+	st->least_epoch = MAX(st->least_epoch, writer_epoch);
+	st->likely_epoch = MAX(st->likely_epoch, writer_epoch);
 }
 
 bool
