--- a/src/shardcall.c
+++ b/src/shardcall.c
@@ -31,8 +31,8 @@
 	RETRY_OWNER_MS = 300,     /* the shard may have a ready owner by then */
 	RETRY_LOG_MS = 1000,      /* the log may be up again by then */
 	RETRY_FULL_MS = 5000,     /* the queue may be shorter by then */
-	INFEASIBLE_MIN_S = 60, /* a job infeasible for so long is cancelled */
-	/* After so many failed syncs a worker's report is not waited for. */
+	INFEASIBLE_MIN_S = 60,    /* a job infeasible this long is cancelled */
+	/* After this many failed syncs, a worker's report is not awaited. */
 	UNRESPONSIVE_FAILS = 3
 };
 
@@ -318,8 +318,8 @@
 		g_free(id);
 }
 
-/* Returns whether the id has a job, or one that is not on the log yet, and if
- * so answers the waiter, now or with the other submitters. */
+/* Returns whether the id has a job, or one whose record is not on the log yet.
+ * If so, the waiter is answered, now or together with the other submitters. */
 static bool
 known_request(struct ogl_shard *sh, const char *team, const char *request_id,
     uint64_t waiter)
@@ -425,7 +425,7 @@
 {
 	const Ogl__JobReferred *r;
 	char *key;
-	bool yes = true;
+	bool handled = true;
 
 	if (!c->referred)
 		return false;
@@ -436,9 +436,9 @@
 	else if (r != NULL && r->refused)
 		refuse(sh, c->waiter, 422, OGL_NOT_RUN, 0, REFUSED_ERROR);
 	else
-		yes = false;
+		handled = false;
 	g_free(key);
-	return yes;
+	return handled;
 }
 
 /* Records a permanent refusal.  The waiter is answered once it is on the
@@ -546,9 +546,9 @@
 call_list(struct ogl_shard *sh, const struct ogl_owner_call *c)
 {
 	Ogl__JobList list = OGL__JOB_LIST__INIT;
-	guint most = g_hash_table_size(sh->state->jobs);
-	Ogl__JobView *views = g_new0(Ogl__JobView, most + 1);
-	Ogl__JobView **ptrs = g_new0(Ogl__JobView *, most + 1);
+	guint max_jobs = g_hash_table_size(sh->state->jobs);
+	Ogl__JobView *views = g_new0(Ogl__JobView, max_jobs + 1);
+	Ogl__JobView **ptrs = g_new0(Ogl__JobView *, max_jobs + 1);
 	GHashTableIter it;
 	void *v;
 	size_t n;
