--- a/src/node.c
+++ b/src/node.c
@@ -14,11 +14,11 @@
 
 enum {
 	TOKEN_PART = 4, /* top byte of the tokens of host list fetches */
-	HOSTS_INTERVAL_MS = 1000, /* between fetches of the host list */
+	HOSTS_INTERVAL_MS = 1000, /* time between fetches of the host list */
 	HOSTS_TIMEOUT_MS = 1500,
 	UNLISTED_KEEP_S = 600,   /* how long to keep unlisted workers */
-	LOG_APPENDS_PER_S = 240, /* most of all shards of a cell together */
-	FULL_TICK_MS = 50,       /* between ticks of all parts */
+	LOG_APPENDS_PER_S = 240, /* limit for all shards of a cell together */
+	FULL_TICK_MS = 50,       /* time between ticks of all parts */
 	SHUTDOWN_TIMEOUT_S = 10, /* time for others to claim our shards */
 	LEFT_SENDS = 3
 };
@@ -673,7 +673,7 @@
 	fetch_hosts(n);
 }
 
-/* Counts the appends and peer messages in the list of actions from a on. */
+/* Counts the appends and peer messages in the action list that begins at a. */
 static void
 count_actions(struct ogl_node *n, const struct ogl_action *a)
 {
