--- a/src/shard.c
+++ b/src/shard.c
@@ -35,9 +35,10 @@
 	OWNER_POLL_MS = 300,  /* by an owner, to find rival claims */
 	OFFER_POLL_MS = 50,   /* by an owner that offers the shard */
 	READER_POLL_MS = 100, /* by a claimant */
-	OUTRANKED_MIN_S = 10, /* a higher-ranked node must be alive so long */
-	INFEASIBLE_EVERY_MS = 10000, /* between searches for infeasible jobs */
-	MAINTENANCE_EVERY_MS = 250,  /* limits, successors, rank, snapshot */
+	OUTRANKED_MIN_S = 10, /* time that a higher-ranked node must be alive */
+	INFEASIBLE_EVERY_MS = 10000, /* time between searches for such jobs */
+	/* Time between checks of limits, successors, rank and snapshot. */
+	MAINTENANCE_EVERY_MS = 250,
 };
 
 void
@@ -408,18 +409,18 @@
 };
 
 /* Handles a state that later records can't be applied to.  A reader replaces
- * it by `with`; an owner loses its ownership. */
+ * it by `new_state`; an owner loses its ownership. */
 static void
-reset_state(struct ogl_shard *sh, struct ogl_state *with)
+reset_state(struct ogl_shard *sh, struct ogl_state *new_state)
 {
 	if (sh->role == OGL_ROLE_OWNER) {
 		g_free(sh->state->owner);
 		sh->state->owner = g_strdup("");
-		ogl_state_free(with);
+		ogl_state_free(new_state);
 		return;
 	}
 	ogl_state_free(sh->state);
-	sh->state = with;
+	sh->state = new_state;
 }
 
 static void
