--- a/src/escrow.c
+++ b/src/escrow.c
@@ -34,10 +34,11 @@
 	 * doubles while no more is granted. */
 	ASK_INTERVAL_MIN_MS = 200,
 	ASK_INTERVAL_MAX_MS = 1600,
-	START_RETRY_MS = 1000,     /* to try a start again after an ask */
-	RECLAIM_INTERVAL_MS = 400, /* between reclaims for one team */
-	WANT_TIMEOUT_MS = 4 * START_RETRY_MS, /* then an old want is dropped */
-	TURN_MAX_MS = 10000, /* the oldest want is served first for so long */
+	START_RETRY_MS = 1000, /* time from an ask to the next try of a start */
+	RECLAIM_INTERVAL_MS = 400, /* time between reclaims for one team */
+	/* A want that is not repeated within this time is dropped. */
+	WANT_TIMEOUT_MS = 4 * START_RETRY_MS,
+	TURN_MAX_MS = 10000, /* the oldest want is served first this long */
 	TICK_MS = 100
 };
 
@@ -50,8 +51,8 @@
 	ogl_time next_ask;
 	uint32_t ask_interval_ms;
 	ogl_time retry_at;          /* when to try a start again, 0: never */
-	uint64_t coordinator_epoch; /* of the newest message, with its seq */
-	uint64_t coordinator_seq;
+	uint64_t coordinator_epoch; /* epoch in the newest message */
+	uint64_t coordinator_seq;   /* seq in the newest message */
 };
 
 /* The split of a team's limit as its coordinator knows it.  Arrays are indexed
@@ -63,7 +64,7 @@
 	ogl_time *want_since;  /* when the want's turn began, 0 for none */
 	ogl_time *wanted_at;   /* when the holder last asked */
 	uint64_t *owner_epoch; /* epoch of the newest owner that asked */
-	uint64_t *reclaim_seq; /* of the unanswered reclaim, 0 for none */
+	uint64_t *reclaim_seq; /* seq of the unanswered reclaim, 0 for none */
 	bool recording;        /* a new split is being appended to the log */
 	bool dirty;            /* ppm differs from the split being appended */
 	ogl_time next_reclaim;
