--- a/src/sched.c
+++ b/src/sched.c
@@ -18,8 +18,8 @@
 	STEP_PLACEMENTS_MAX = 2000,  /* units of work placed in one step */
 	CONSECUTIVE_MISSES_MAX = 64, /* failed starts that end a step */
 	GANG_RESERVE_S = 60,         /* how long room is reserved for a gang */
-	ATTEMPT_BITS = 12,    /* of an attempt number, below the claim count */
-	TEAM_PATH_BYTES = 128 /* with the terminating zero */
+	ATTEMPT_BITS = 12, /* low bits of an attempt, below the claim count */
+	TEAM_PATH_BYTES = 128 /* including the terminating zero */
 };
 
 void
