--- a/src/member.c
+++ b/src/member.c
@@ -34,7 +34,7 @@
 	INDIRECT_PROBES = 3,    /* members asked to repeat a probe */
 	SEED_EVERY_PERIODS = 4, /* probe periods between probes of the seeds */
 	MAX_SENDS = 1000,       /* above any result of retransmit_count() */
-	FORGET_DEAD_S = 3600    /* a dead or left member is forgotten then */
+	FORGET_DEAD_S = 3600 /* a dead or left member is forgotten after this */
 };
 
 struct ogl_member {
