--- a/src/settings_edit.c
+++ b/src/settings_edit.c
@@ -24,7 +24,7 @@
 #include "json.h"
 #include "settings.h"
 
-#define CHANGES_MAX 256      /* in one edit */
+#define CHANGES_MAX 256      /* limit for one edit */
 #define VALUE_MAX_BYTES 1024 /* JSON text of one value */
 #define WHO_MAX_BYTES 128
 /* Both are checked against the tree before the edit, so one edit that adds
