--- a/src/route.c
+++ b/src/route.c
@@ -103,7 +103,7 @@
 	uint64_t random_state;
 };
 
-/* SplitMix64 without its last step. */
+/* splitmix64 without its last step. */
 static uint32_t
 next_random(struct ogl_route *r)
 {
