--- a/src/learn.c
+++ b/src/learn.c
@@ -37,13 +37,13 @@
 #define BUCKETS 32
 #define WAYS 4
 #define RUN_WEIGHT 0.125           /* newest run time's weight in log_run */
-#define NEW_CLASS_WEIGHT 0.002     /* newest class's in new_class_run */
+#define NEW_CLASS_WEIGHT 0.002     /* newest class's weight in new_class_run */
 #define NEW_ESTIMATE (20 * OGL_MS) /* for a new class that has a token */
 #define NEW_TOKENS_MAX 16.0        /* token bucket for new classes */
 #define NEW_TOKEN_INTERVAL (4 * OGL_SEC)
 #define AWAITED_GAP_MAX (30 * OGL_SEC) /* from an end to the next push */
-#define AWAITED_WEIGHT 0.0625          /* newest item's in sequential_part */
-#define AWAITED_FRACTION 0.5           /* a class is awaited above this */
+#define AWAITED_WEIGHT 0.0625 /* newest item's weight in sequential_part */
+#define AWAITED_FRACTION 0.5  /* a class is awaited above this */
 #define ESTIMATE_MIN (1 * OGL_MS)
 #define SIZE_CLASS_BASE_MILLI 1000
 
@@ -57,8 +57,8 @@
 	uint32_t running;
 	uint32_t waiting;
 	ogl_time last_end;
-	float sequential_part; /* decayed, of items that came one by one */
-	bool without_token;    /* none was left when the class was new */
+	float sequential_part; /* decayed part of items that came one by one */
+	bool without_token;    /* no token was left when the class was new */
 };
 
 struct ogl_learn {
--- a/src/place_aside.c
+++ b/src/place_aside.c
@@ -9,8 +9,8 @@
 
 #include "place.h"
 
-#define WORKERS_PER_QUARANTINE 10           /* at most one in so many */
-#define QUARANTINE_MIN_WORKERS 3            /* no quarantine in smaller cells */
+#define WORKERS_PER_QUARANTINE 10 /* at most one worker in this many */
+#define QUARANTINE_MIN_WORKERS 3  /* no quarantine in smaller cells */
 #define PROBE_SUCCESS_AFTER (120 * OGL_SEC) /* run time counted as success */
 #define PROBE_CANDIDATES 4 /* quarantined workers examined for a task */
 
--- a/src/place_health.c
+++ b/src/place_health.c
@@ -32,7 +32,7 @@
 #define MIN_SURPRISAL_BITS 0.5   /* a failure below this adds nothing */
 #define SUSPECT_BITS 20.0        /* least sum for a suspect worker */
 #define SUSPECT_MIN_JOBS 3       /* least number of jobs in that sum */
-#define REPEAT_SUSPECT_BITS 10.0 /* same, if quarantined before */
+#define REPEAT_SUSPECT_BITS 10.0 /* least sum if quarantined before */
 #define REPEAT_SUSPECT_MIN_JOBS 2
 #define MIN_COOLDOWN (30 * OGL_SEC)
 #define MAX_COOLDOWN_DOUBLINGS 6
@@ -46,8 +46,8 @@
 };
 
 struct worker_record {
-	uint64_t jobs[MAX_FAILED_JOBS];    /* that failed here lately */
-	uint8_t failures[MAX_FAILED_JOBS]; /* of each of them */
+	uint64_t jobs[MAX_FAILED_JOBS];    /* jobs that failed here recently */
+	uint8_t failures[MAX_FAILED_JOBS]; /* failures of each of these jobs */
 	uint8_t njobs, next;
 	uint8_t quarantines; /* since the record was made */
 	uint8_t successes;   /* since the last quarantine */
--- a/src/right.c
+++ b/src/right.c
@@ -13,8 +13,8 @@
 #include "shard_impl.h"
 
 enum {
-	PROMISE_EVERY_MS = 500, /* between two requests for promises */
-	PROMISE_AFTER_MS = 700, /* from log contact to the first of them */
+	PROMISE_EVERY_MS = 500, /* time between requests for promises */
+	PROMISE_AFTER_MS = 700, /* time from log contact to the first request */
 	LOG_UP_MS = 1500        /* the log is up if it answered within this */
 };
 
