--- a/src/settings.h
+++ b/src/settings.h
@@ -23,8 +23,8 @@
 #include "orioleglade.h"
 #include "settings_table.h"
 
-#define OGL_PATH_BYTES 256         /* of a path, with the terminating NUL */
-#define OGL_TEAM_PATH_BYTES 128    /* of a team's path, with the NUL */
+#define OGL_PATH_BYTES 256         /* size of a path with its NUL */
+#define OGL_TEAM_PATH_BYTES 128    /* size of a team's path with its NUL */
 #define OGL_TEAM_NAME_MAX_BYTES 32 /* without the NUL */
 #define OGL_TEAM_MAX_DEPTH 4
 #define OGL_KEY_ID_BYTES 32 /* with the terminating NUL */
--- a/src/stream.h
+++ b/src/stream.h
@@ -7,7 +7,8 @@
 
 struct ogl_stream;
 
-/* Called for what is read from the stream or applied from an own append. */
+/* Called for records that are read from the stream, or applied from an append
+ * of this node. */
 struct ogl_stream_ops {
 	/* One record, in log order; each seq of a writer's boot comes once.
 	 * `offset` is that of the append which held the record. */
