--- a/ctl/cmd_explain.c
+++ b/ctl/cmd_explain.c
@@ -19,6 +19,7 @@
 #define CONTEXT_BEFORE_S 3.0
 #define CONTEXT_AFTER_S 0.5
 
+/* A log line. */
 struct entry {
 	double ts;   /* seconds since the epoch */
 	char *text;  /* the whole line */
@@ -27,12 +28,13 @@
 	bool of_job; /* the line names the job */
 };
 
+/* All lines read, and the period of those that name the job. */
 struct timeline {
 	const char *id;
-	GPtrArray *entries; /* struct entry */
-	double first_ts;    /* of the lines that name the job */
-	double last_ts;
-	unsigned gaps; /* lines that report lines left out by a node */
+	GPtrArray *entries;       /* of struct entry */
+	double first_ts;          /* first line that names the job */
+	double last_ts;           /* last line that names the job */
+	unsigned left_out_events; /* reports of a node that it left out lines */
 };
 
 static void
@@ -59,7 +61,7 @@
 static void
 add_line(void *arg, const char *line)
 {
-	struct timeline *s = arg;
+	struct timeline *t = arg;
 	char *ts = ctl_field(line, "ts");
 	char *part = ctl_field(line, "part");
 	char *event = ctl_field(line, "event");
@@ -71,8 +73,8 @@
 		e->text = g_strchomp(g_strdup(line));
 		e->event = g_strdup_printf("%s.%s", part, event);
 		e->worker = ctl_field(line, "worker");
-		e->of_job = names_job(line, s->id);
-		g_ptr_array_add(s->entries, e);
+		e->of_job = names_job(line, t->id);
+		g_ptr_array_add(t->entries, e);
 	}
 	g_free(ts);
 	g_free(part);
@@ -91,19 +93,19 @@
 /* Returns the set of workers in the lines that name the job, and sets the time
  * range of these lines. */
 static GHashTable *
-collect_workers(struct timeline *s)
+collect_workers(struct timeline *t)
 {
 	GHashTable *set = g_hash_table_new(g_str_hash, g_str_equal);
 	guint i;
 
-	s->first_ts = G_MAXDOUBLE;
-	for (i = 0; i < s->entries->len; i++) {
-		struct entry *e = s->entries->pdata[i];
+	t->first_ts = G_MAXDOUBLE;
+	for (i = 0; i < t->entries->len; i++) {
+		struct entry *e = t->entries->pdata[i];
 
 		if (!e->of_job)
 			continue;
-		s->first_ts = MIN(s->first_ts, e->ts);
-		s->last_ts = MAX(s->last_ts, e->ts);
+		t->first_ts = MIN(t->first_ts, e->ts);
+		t->last_ts = MAX(t->last_ts, e->ts);
 		if (e->worker != NULL)
 			g_hash_table_add(set, e->worker);
 	}
@@ -113,7 +115,7 @@
 /* Whether a line names the job or may explain what happened to it. */
 static bool
 is_relevant(
-    const struct timeline *s, const struct entry *e, GHashTable *workers)
+    const struct timeline *t, const struct entry *e, GHashTable *workers)
 {
 	static const char *const cell_events[] = {"lead.ownership_won",
 	    "lead.ownership_lost", "lead.owner_unable", "owner.cell_taken_over",
@@ -125,8 +127,8 @@
 
 	if (e->of_job)
 		return true;
-	if (e->ts < s->first_ts - CONTEXT_BEFORE_S ||
-	    e->ts > s->last_ts + CONTEXT_AFTER_S)
+	if (e->ts < t->first_ts - CONTEXT_BEFORE_S ||
+	    e->ts > t->last_ts + CONTEXT_AFTER_S)
 		return false;
 	if (e->worker != NULL && g_str_has_prefix(e->event, "fleet."))
 		return g_hash_table_contains(workers, e->worker);
@@ -139,13 +141,14 @@
 
 /* ---- the cause -------------------------------------------------------- */
 
+/* Events that show the cause of the job's end; NULL if not found. */
 struct cause {
 	const struct entry *accepted;
-	const struct entry *started;
+	const struct entry *started; /* first start of a run */
 	const struct entry *ended;
 	const struct entry *refused;
-	const struct entry *given_up;
-	unsigned takeovers; /* of the cell, since the first line of the job */
+	const struct entry *given_up; /* the entry gave up the call */
+	unsigned takeovers; /* changes of the cell's owner since first_ts */
 	unsigned failed_runs;
 	unsigned lost_runs; /* the lease or the worker was lost */
 	GString *failed_workers;
@@ -170,13 +173,13 @@
 }
 
 static void
-record_event(struct timeline *s, struct cause *c, const struct entry *e)
+record_event(struct timeline *t, struct cause *c, const struct entry *e)
 {
 	if (strcmp(e->event, "owner.cell_taken_over") == 0 &&
-	    e->ts >= s->first_ts)
+	    e->ts >= t->first_ts)
 		c->takeovers++;
 	if (strcmp(e->event, "log.lines_left_out") == 0)
-		s->gaps++;
+		t->left_out_events++;
 	if (!e->of_job)
 		return;
 	if (strcmp(e->event, "owner.job_accepted") == 0)
@@ -247,7 +250,7 @@
 }
 
 static void
-print_cause(const struct timeline *s, const struct cause *c)
+print_cause(const struct timeline *t, const struct cause *c)
 {
 	char *why;
 
@@ -268,37 +271,37 @@
 		puts("cause: not to be told from these lines");
 	}
 	print_details(c);
-	if (s->gaps > 0)
+	if (t->left_out_events > 0)
 		puts("  nodes left lines out meanwhile: some may be "
 		     "missing here");
 }
 
 static enum ctl_exit
-print_timeline(struct timeline *s)
+print_timeline(struct timeline *t)
 {
-	GHashTable *workers = collect_workers(s);
+	GHashTable *workers = collect_workers(t);
 	struct cause c = {0};
 	unsigned job_lines = 0;
 	guint i;
 
 	c.failed_workers = g_string_new(NULL);
 	c.lost_workers = g_string_new(NULL);
-	g_ptr_array_sort(s->entries, by_time);
-	for (i = 0; i < s->entries->len; i++) {
-		struct entry *e = s->entries->pdata[i];
+	g_ptr_array_sort(t->entries, by_time);
+	for (i = 0; i < t->entries->len; i++) {
+		struct entry *e = t->entries->pdata[i];
 
-		if (!is_relevant(s, e, workers))
+		if (!is_relevant(t, e, workers))
 			continue;
 		job_lines += e->of_job;
-		record_event(s, &c, e);
-		if (s->first_ts < G_MAXDOUBLE)
-			printf("%+9.3f %c %s\n", e->ts - s->first_ts,
+		record_event(t, &c, e);
+		if (t->first_ts < G_MAXDOUBLE)
+			printf("%+9.3f %c %s\n", e->ts - t->first_ts,
 			    e->of_job ? '*' : ' ', strchr(e->text, ' ') + 1);
 	}
 	if (job_lines > 0)
-		print_cause(s, &c);
+		print_cause(t, &c);
 	else
-		fprintf(stderr, "oriolectl: no line names job %s\n", s->id);
+		fprintf(stderr, "oriolectl: no line names job %s\n", t->id);
 	g_string_free(c.failed_workers, TRUE);
 	g_string_free(c.lost_workers, TRUE);
 	g_hash_table_unref(workers);
@@ -308,21 +311,21 @@
 static enum ctl_exit
 explain(struct ctl *c, char **words, size_t n)
 {
-	struct timeline s = {.id = words[0]};
+	struct timeline t = {.id = words[0]};
 	enum ctl_exit rc = CTL_OK;
 	size_t i;
 
 	(void)c;
-	s.entries = g_ptr_array_new_with_free_func(entry_free);
+	t.entries = g_ptr_array_new_with_free_func(entry_free);
 	for (i = 1; i < n && rc == CTL_OK; i++) {
-		if (!ctl_read_lines(words[i], add_line, &s))
+		if (!ctl_read_lines(words[i], add_line, &t))
 			rc = CTL_USAGE;
 	}
 	if (n == 1)
-		ctl_read_lines("-", add_line, &s);
+		ctl_read_lines("-", add_line, &t);
 	if (rc == CTL_OK)
-		rc = print_timeline(&s);
-	g_ptr_array_unref(s.entries);
+		rc = print_timeline(&t);
+	g_ptr_array_unref(t.entries);
 	return rc;
 }
 
