--- a/ctl/cmd_losses.c
+++ b/ctl/cmd_losses.c
@@ -25,7 +25,7 @@
 #define TOO_LATE_OBJECTIVES 3
 #define INTERVAL_S 10.0 /* late jobs are counted per interval */
 
-/* Those before FAILED_RUNS are the reasons in stage_waits. */
+/* The ones before FAILED_RUNS are the reasons that stage_waits lines give. */
 enum reason {
 	STORE,
 	SETTLE,
@@ -64,10 +64,10 @@
 
 struct job {
 	char *queue;
-	double accepted_s; /* received by the owner, not yet stored */
+	double accepted_s; /* when the owner received it, before storing */
 	double objective_ms;
 	double chain_ms; /* longest chain of run times, declared or measured */
-	bool over_rate;
+	bool over_rate;  /* the team was beyond its rate */
 	double ended_s;
 	char *state;       /* NULL until the end is read */
 	GHashTable *waits; /* step -> struct step_wait */
@@ -82,7 +82,7 @@
 	unsigned beyond_rate;
 	unsigned late_jobs[REASONS]; /* by the main reason */
 	double lost_ms[REASONS];     /* of the late jobs */
-	GHashTable *intervals; /* index -> unsigned[REASONS], as late_jobs */
+	GHashTable *intervals; /* index -> unsigned[REASONS], like late_jobs */
 };
 
 struct report {
@@ -137,41 +137,42 @@
 }
 
 static void
-end_wait(struct job *j, const char *task, double ts)
+end_wait(struct job *j, const char *step, double ts)
 {
-	struct step_wait *w = g_hash_table_lookup(j->waits, task);
+	struct step_wait *w = g_hash_table_lookup(j->waits, step);
 
 	if (w != NULL)
 		j->lost_ms[w->reason] += MAX(ts - w->since_s, 0) * 1e3;
-	g_hash_table_remove(j->waits, task);
+	g_hash_table_remove(j->waits, step);
 }
 
+/* The task in a stage_waits line has no index, so it names a step. */
 static void
 record_wait(struct job *j, const char *line)
 {
 	double ts = ctl_field_number(line, "ts");
-	char *task = ctl_field(line, "task");
+	char *step = ctl_field(line, "task");
 	char *why = ctl_field(line, "why");
 	struct step_wait *w;
 	int r;
 
-	if (task != NULL && why != NULL) {
-		end_wait(j, task, ts);
+	if (step != NULL && why != NULL) {
+		end_wait(j, step, ts);
 		for (r = 0; r < FAILED_RUNS; r++) {
 			if (strcmp(why, reason_names[r]) != 0)
 				continue;
 			w = g_new(struct step_wait, 1);
 			w->reason = (enum reason)r;
 			w->since_s = ts;
-			g_hash_table_insert(j->waits, g_strdup(task), w);
+			g_hash_table_insert(j->waits, g_strdup(step), w);
 		}
 	}
-	g_free(task);
+	g_free(step);
 	g_free(why);
 }
 
-/* The task's name is OCCURRENCE.STEP.INDEX; without the index it names the
- * step. */
+/* A task's name is OCCURRENCE.STEP.INDEX, and that of its step is
+ * OCCURRENCE.STEP. */
 static void
 record_successful_run(struct job *j, const char *line)
 {
@@ -312,8 +313,9 @@
 	return counts;
 }
 
-/* Run time beyond the declared one.  The sum is too high if steps run at the
- * same time, so it is limited to the time that has no other reason. */
+/* Returns the run time beyond the declared one.  The sum over the steps is too
+ * high if steps run at the same time, so it is limited to the time that has no
+ * other reason. */
 static double
 long_runs_ms(const struct job *j, double limit_ms)
 {
