--- a/ctl/cmd_settings.c
+++ b/ctl/cmd_settings.c
@@ -15,7 +15,7 @@
 
 /* ---- edits ------------------------------------------------------------ */
 
-/* Gets a small part of the settings: every answer contains the version. */
+/* Reads a small part of the settings; every answer contains the version. */
 static enum ctl_exit
 read_version(struct ctl *c, uint64_t *version)
 {
@@ -47,8 +47,8 @@
 	return CTL_OK;
 }
 
-/* Sends the changes as one edit.  Its base version is that of --base or the
- * current one. */
+/* Sends the changes as one edit.  Its base version is the value of --base or,
+ * without that option, the current version. */
 static enum ctl_exit
 send_edit(struct ctl *c, Ogl__Change **changes, size_t n)
 {
--- a/ctl/cmd_work.c
+++ b/ctl/cmd_work.c
@@ -10,7 +10,7 @@
 #include "ctl.h"
 #include "print.h"
 
-#define JOB_POLL_US 500000 /* between two reads of a job's state */
+#define JOB_POLL_US 500000 /* interval of reading a job's state */
 #define REQUEST_ID_BYTES 12
 #define JSON_TYPE "Content-Type: application/json"
 #define STDIN_MAX_BYTES ((size_t)64 * 1024 * 1024)
--- a/ctl/ctl.h
+++ b/ctl/ctl.h
@@ -79,7 +79,7 @@
  * ctl_answer_clear() in every case. */
 
 enum ctl_exit ctl_get(struct ctl *c, const char *path, struct ctl_answer *a);
-/* The same for GET. */
+/* Sends a GET request with ctl_call(). */
 
 enum ctl_exit ctl_get_json(struct ctl *c, const char *path, json_t **v);
 /* Sets *v to the parsed answer of a GET, to be released with json_decref().
--- a/ctl/http.h
+++ b/ctl/http.h
@@ -17,12 +17,12 @@
 	const char *method;
 	const char *path; /* escaped, with the query */
 	struct ogl_str body;
-	const char *headers[8]; /* "Name: value", NULL-ended */
+	const char *headers[8]; /* "Name: value", ends with NULL */
 	bool repeatable;        /* safe to send again */
 };
 
 struct ctl_answer {
-	enum ogl_io_result io; /* status to retry_after_ms need OGL_IO_OK */
+	enum ogl_io_result io; /* OGL_IO_OK: status to retry_after_ms are set */
 	long status;
 	GString *body;
 	char *verdict;           /* Ogl-Verdict, "" if absent */
--- a/ctl/logline.c
+++ b/ctl/logline.c
@@ -32,7 +32,7 @@
 }
 
 bool
-ctl_read_lines(const char *path, ctl_line_fn *each, void *arg)
+ctl_read_lines(const char *path, ctl_line_fn *on_line, void *arg)
 {
 	FILE *f = strcmp(path, "-") == 0 ? stdin : fopen(path, "r");
 	char *line = NULL;
@@ -43,7 +43,7 @@
 		return false;
 	}
 	while (getline(&line, &cap, f) >= 0)
-		each(arg, line);
+		on_line(arg, line);
 	free(line);
 	if (f != stdin)
 		fclose(f);
--- a/ctl/logline.h
+++ b/ctl/logline.h
@@ -12,12 +12,12 @@
  * the key is missing.  The caller frees it with g_free(). */
 
 double ctl_field_number(const char *line, const char *key);
-/* The same as a number, 0 if the key is missing. */
+/* Returns the value of key as a number, 0 if the key is missing. */
 
 typedef void ctl_line_fn(void *arg, const char *line);
 
-bool ctl_read_lines(const char *path, ctl_line_fn *each, void *arg);
-/* Calls each for every line of a file, "-" being standard input.  Returns
+bool ctl_read_lines(const char *path, ctl_line_fn *on_line, void *arg);
+/* Calls on_line for every line of a file; "-" is standard input.  Returns
  * false, with a message on standard error, if the file cannot be opened. */
 
 #endif
