--- a/check/check_tasks.c
+++ b/check/check_tasks.c
@@ -20,11 +20,11 @@
     "processors", "memory", "accelerators"};
 
 static uint32_t
-resource_amount(const struct ogl_res *r, int d)
+resource_amount(const struct ogl_res *r, int resource)
 {
 	const uint32_t all[NRESOURCES] = {r->cpu_milli, r->mem_mb, r->accel};
 
-	return all[d];
+	return all[resource];
 }
 
 static const struct timeline_entry *
@@ -41,12 +41,12 @@
 }
 
 static gint
-compare_size(gconstpointer a, gconstpointer b, gpointer d)
+compare_size(gconstpointer a, gconstpointer b, gpointer resource)
 {
 	const event *x = *(const event *const *)a;
 	const event *y = *(const event *const *)b;
-	uint32_t n = resource_amount(&x->u.task.res, *(int *)d);
-	uint32_t m = resource_amount(&y->u.task.res, *(int *)d);
+	uint32_t n = resource_amount(&x->u.task.res, *(int *)resource);
+	uint32_t m = resource_amount(&y->u.task.res, *(int *)resource);
 
 	return (n < m) - (n > m);
 }
@@ -55,11 +55,11 @@
  * other starts with which it does. */
 static GPtrArray *
 overfull_events(const struct ogl_check *c, const struct worker_load *load,
-    const event *start, int d)
+    const event *start, int resource)
 {
 	uint64_t capacity =
-	    resource_amount(&load->capacity->u.worker.capacity, d);
-	uint64_t sum = resource_amount(&start->u.task.res, d);
+	    resource_amount(&load->capacity->u.worker.capacity, resource);
+	uint64_t sum = resource_amount(&start->u.task.res, resource);
 	GPtrArray *events = check_event_list(load->capacity, start, NULL);
 	GPtrArray *others = g_ptr_array_new();
 
@@ -70,11 +70,11 @@
 		    strcmp(s->start->u.task.worker, start->u.task.worker) == 0)
 			g_ptr_array_add(others, (gpointer)s->start);
 	}
-	g_ptr_array_sort_with_data(others, compare_size, &d);
+	g_ptr_array_sort_with_data(others, compare_size, &resource);
 	for (guint i = 0; sum <= capacity && i < others->len; i++) {
 		const event *other = g_ptr_array_index(others, i);
 
-		sum += resource_amount(&other->u.task.res, d);
+		sum += resource_amount(&other->u.task.res, resource);
 		g_ptr_array_add(events, (gpointer)other);
 	}
 	g_ptr_array_free(others, TRUE);
@@ -92,13 +92,13 @@
 	if (load->capacity == NULL)
 		return;
 	capacity = &load->capacity->u.worker.capacity;
-	for (int d = 0; d < NRESOURCES; d++) {
-		if (resource_amount(&start->u.task.res, d) == 0 ||
-		    load->used[d] <= resource_amount(capacity, d))
+	for (int resource = 0; resource < NRESOURCES; resource++) {
+		if (resource_amount(&start->u.task.res, resource) == 0 ||
+		    load->used[resource] <= resource_amount(capacity, resource))
 			continue;
-		check_add_finding(c, overfull_events(c, load, start, d),
+		check_add_finding(c, overfull_events(c, load, start, resource),
 		    "%s is given more %s than it holds", start->u.task.worker,
-		    resource_names[d]);
+		    resource_names[resource]);
 		return;
 	}
 }
@@ -131,12 +131,14 @@
 		}
 		if (entry->span == NULL)
 			continue; /* not reached: other types have a span */
-		for (int d = 0; d < NRESOURCES; d++) {
-			uint32_t n =
-			    resource_amount(&entry->span->start->u.task.res, d);
-
-			load->used[d] += entry->type == TIMELINE_START ? n : 0;
-			load->used[d] -= entry->type == TIMELINE_END ? n : 0;
+		for (int resource = 0; resource < NRESOURCES; resource++) {
+			uint32_t n = resource_amount(
+			    &entry->span->start->u.task.res, resource);
+
+			load->used[resource] +=
+			    entry->type == TIMELINE_START ? n : 0;
+			load->used[resource] -=
+			    entry->type == TIMELINE_END ? n : 0;
 		}
 		if (entry->type == TIMELINE_START)
 			check_capacity(c, load, entry->ev);
--- a/check/history.c
+++ b/check/history.c
@@ -210,13 +210,13 @@
 char *
 ogl_history_print(const struct history_event *ev)
 {
-	const struct event_format *s = &event_formats[ev->type];
-	json_t *o =
-	    json_pack("{s:I, s:s}", "at", (json_int_t)ev->at, "event", s->name);
+	const struct event_format *format = &event_formats[ev->type];
+	json_t *o = json_pack(
+	    "{s:I, s:s}", "at", (json_int_t)ev->at, "event", format->name);
 	char *text;
 	char *line;
 
-	for (const struct field *f = s->fields; f->name != NULL; f++)
+	for (const struct field *f = format->fields; f->name != NULL; f++)
 		json_object_set_new(o, f->name, field_print(f, ev));
 	text = json_dumps(o, JSON_COMPACT);
 	line = g_strdup(text);
@@ -319,9 +319,9 @@
 }
 
 static const struct field *
-find_field(const struct event_format *s, const char *name)
+find_field(const struct event_format *format, const char *name)
 {
-	for (const struct field *f = s->fields; f->name != NULL; f++) {
+	for (const struct field *f = format->fields; f->name != NULL; f++) {
 		if (strcmp(f->name, name) == 0)
 			return f;
 	}
--- a/check/main.c
+++ b/check/main.c
@@ -21,7 +21,7 @@
 	OPT_LOWERED,
 	OPT_LEAVING,
 	OPT_IN_FORCE,
-	OPT_SETTLE
+	OPT_FAULT_ENDED
 };
 
 struct options {
@@ -39,7 +39,7 @@
 	0},
     {"in-force-ms", OPT_IN_FORCE, "N", 0,
 	"an accepted edit is in force after so long", 0},
-    {"settle-ms", OPT_SETTLE, "N", 0,
+    {"settle-ms", OPT_FAULT_ENDED, "N", 0,
 	"a fault that is over may break calls so long", 0},
     {0}};
 
@@ -58,7 +58,7 @@
 	case OPT_LOWERED:
 	case OPT_LEAVING:
 	case OPT_IN_FORCE:
-	case OPT_SETTLE:
+	case OPT_FAULT_ENDED:
 		*periods[key - OPT_WITHDRAWN] = strtol(arg, &end, 10) * OGL_MS;
 		if (end == arg || *end != '\0')
 			argp_error(state, "%s is no number", arg);
