--- a/check/check.c
+++ b/check/check.c
@@ -1,5 +1,5 @@
 /*
- * Checks the history of a run: the table of invariants, and the findings.
+ * Runs the checks of the table of invariants, and collects their findings.
  */
 
 #include <stdarg.h>
--- a/check/check.h
+++ b/check/check.h
@@ -13,7 +13,7 @@
 extern "C" {
 #endif
 
-/* Grace periods: how long after a change its effect may be missing. */
+/* Grace periods after a change, during which the following is no violation. */
 struct ogl_check_grace {
 	ogl_time key_withdrawn; /* a withdrawn key still works */
 	ogl_time limit_lowered; /* a team is above a lowered limit */
@@ -36,7 +36,7 @@
 struct ogl_check_finding {
 	const struct ogl_check_invariant *invariant;
 	char *text;
-	GPtrArray *events; /* of const struct history_event, by time */
+	GPtrArray *events; /* of const struct history_event, sorted by time */
 };
 
 void ogl_check_grace_default(struct ogl_check_grace *grace);
--- a/check/check_calls.c
+++ b/check/check_calls.c
@@ -1,5 +1,5 @@
 /*
- * Checks of what callers asked and were told, against what ran.
+ * Compares what callers sent and were answered with what ran.
  */
 
 #include <string.h>
--- a/check/check_index.h
+++ b/check/check_index.h
@@ -39,25 +39,26 @@
 	TIMELINE_LIMIT /* the grace period after an edit of a limit is over */
 };
 
-/* A change in what workers or teams have or may have. */
+/* A change of running tasks, of a worker's capacity or of a team's limit. */
 struct timeline_entry {
 	ogl_time at;
 	enum timeline_type type;
 	const struct span *span; /* for TIMELINE_START and _END, else NULL */
-	const event *ev;         /* that causes the change */
+	const event *ev;         /* cause of the change */
 };
 
 struct job {
 	const event *submit;       /* its HISTORY_CALL, NULL if unknown */
 	const event *first_report; /* first HISTORY_JOB with a known state */
 	const event *last_report;
-	const event *ended;   /* first report of an ended state */
-	const event *missing; /* unknown to nodes after acceptance, not ended */
-	const event *started; /* first start of one of its tasks */
+	const event *ended; /* first report of an ended state */
+	/* First HISTORY_JOB_UNKNOWN after first_report and before ended. */
+	const event *missing;
+	const event *started;   /* first start of one of its tasks */
 	const event *succeeded; /* first successful end of one of its tasks */
 };
 
-/* Calls may break during the types from OUTAGE_KILL on. */
+/* An outage of a type from OUTAGE_KILL on may break calls. */
 enum outage_type {
 	OUTAGE_NOT_STARTED, /* before the first start of the node */
 	OUTAGE_STOP,
@@ -69,8 +70,8 @@
 /* A period in which a node may fail to do what it should. */
 struct outage {
 	enum outage_type type;
-	const char *who; /* node, or node or target of a fault; "": all nodes */
-	const event *ev;
+	const char *who; /* node, or target of a fault; "": all nodes */
+	const event *ev; /* event that shows it */
 	ogl_time from;
 	ogl_time exited; /* of OUTAGE_STOP: when the process ended */
 	ogl_time to;
@@ -79,7 +80,7 @@
 struct ogl_check {
 	struct ogl_check_grace grace;
 	const struct ogl_history *history;
-	const event *events; /* of the history, sorted by time */
+	const event *events; /* all of the history, sorted by time */
 	size_t nevents;
 	ogl_time end_time;      /* time of the last event */
 	const event *load_over; /* HISTORY_OVER, NULL: incomplete history */
@@ -88,14 +89,14 @@
 	GHashTable *calls;      /* id -> struct call */
 	GHashTable *requests;   /* body -> struct request */
 	GHashTable *jobs;       /* id -> struct job */
-	GPtrArray *call_list;   /* these lists in order of first events */
+	GPtrArray *call_list;   /* the lists are in order of first events */
 	GPtrArray *job_list;
 	GPtrArray *request_list;
 	GPtrArray *spans; /* of struct span, by start */
 	GArray *timeline; /* of struct timeline_entry, by time */
 	GArray *outages;  /* of struct outage */
 	const struct ogl_check_invariant *invariant; /* being checked */
-	size_t nfindings;                            /* for this invariant */
+	size_t nfindings;                            /* of this invariant */
 	GArray *findings; /* of struct ogl_check_finding */
 };
 
@@ -115,6 +116,7 @@
 bool check_has_verdict(const struct call *k, enum history_verdict v);
 /* Whether the call is answered with the verdict. */
 
+/* The checks of ogl_check_invariants. */
 void check_overfull(struct ogl_check *c);
 void check_two_places(struct ogl_check *c);
 void check_key(struct ogl_check *c);
--- a/check/check_nodes.c
+++ b/check/check_nodes.c
@@ -1,6 +1,6 @@
 /*
- * Checks of the nodes: planned stops, and settings in force.  Neither reports
- * anything that an outage of the node explains: down, paused or cut off.
+ * Checks planned stops of nodes and the settings in force at them.  Nothing is
+ * reported that an outage of the node explains: it was down, paused or cut off.
  */
 
 #include <inttypes.h>
--- a/check/history.h
+++ b/check/history.h
@@ -86,8 +86,8 @@
 		 * No other request has that body. */
 		struct {
 			const char *call; /* unique in the history */
-			const char *node; /* it is sent to */
-			const char *team; /* of the key in the call */
+			const char *node; /* where it is sent */
+			const char *team; /* team of the key in the call */
 			const char *key;  /* id of that key, "" if unknown */
 			const char *request_id;
 			const char *kind; /* Ogl-Kind */
@@ -99,15 +99,15 @@
 		struct {
 			const char *call;
 			uint32_t verdict; /* enum history_verdict */
-			uint32_t status;  /* of HTTP; 0: not sent, or broken */
+			uint32_t status;  /* HTTP; 0: not sent or broken */
 			uint64_t retry_after_ms;
 			const char *body;
 		} answer;
 		struct {
-			const char *call; /* submits it; "" in later reports */
+			const char *call; /* its submission, else "" */
 			const char *job;
 			uint32_t state;   /* enum history_job */
-			uint32_t verdict; /* of a job that has ended */
+			uint32_t verdict; /* only of an ended job */
 		} job;
 		struct {
 			const char *exec;
