--- a/daemon/cell_host.c
+++ b/daemon/cell_host.c
@@ -1,7 +1,8 @@
 /*
- * Everything runs in one thread.  Before the loop waits, the node is stepped
- * and the I/O that it requested is started, so that everything that follows
- * from an event is sent in the same iteration of the loop.
+ * Runs a cell node in an event loop, all in one thread.  Before the loop
+ * waits, the node is stepped and the I/O that it requested is started, so that
+ * everything that follows from an event is sent in the same iteration of the
+ * loop.
  *
  * The node's clock is CLOCK_BOOTTIME.  CLOCK_MONOTONIC doesn't advance while a
  * machine is suspended, so that ownership, leases and the configuration would
@@ -23,12 +24,13 @@
 
 #define STEPS_PER_ITERATION_MAX 16
 #define BODY_MAX_BYTES ((size_t)256 * 1024) /* limit set by the operator */
-#define BODIES_MAX_BYTES ((size_t)24 * 1024 * 1024) /* held at once */
+#define BODIES_MAX_BYTES ((size_t)24 * 1024 * 1024) /* all in memory */
 #define HEADERS_MAX_BYTES (20 * 1024)
 /* The frontend accepts connections for this long after the node stops being
  * ready, until the load balancer has seen two failed readiness checks. */
 #define NOT_READY_WAIT_S 2.4
-#define STOP_MARGIN_S 0.5 /* before the platform kills the process */
+/* The process exits this long before the platform would kill it. */
+#define STOP_MARGIN_S 0.5
 #define SETTINGS_POLL_S 2.0
 /* On slower links it pays to spend processor time on sending fewer bytes. */
 #define COMPRESS_BELOW_KBPS 20000
@@ -37,7 +39,7 @@
 struct ogl_cell_host {
 	struct ev_loop *loop;
 	struct ogl_logger *log;
-	struct ogl_logline *lines;
+	struct ogl_logline *log_lines;
 	struct ogl_measures *measures;
 	struct ogl_http_client *http;
 	struct platform *platform;
@@ -48,7 +50,7 @@
 	struct cell_node *node;
 	struct cell_ops ops;
 	char *settings_path;
-	uint32_t grace_ms;
+	uint32_t grace_ms; /* time from SIGTERM until it is killed */
 	ev_prepare prepare;
 	ev_timer wake_timer;
 	ev_timer settings_poll;
@@ -124,7 +126,7 @@
 {
 	struct ogl_cell_host *h = ctx;
 
-	ogl_logline_put(h->lines, part, event, text, boot_time(NULL),
+	ogl_logline_put(h->log_lines, part, event, text, boot_time(NULL),
 	    read_clock(CLOCK_REALTIME));
 }
 
@@ -195,7 +197,9 @@
 	}
 }
 
-/* The internal ports serve nothing but readiness and metrics. */
+/* The internal ports serve nothing but readiness and metrics.  ctx is the
+ * address of the field that holds the server, since the server does not exist
+ * yet when its sink is made. */
 static void
 on_internal_call(void *ctx, const struct ogl_event *ev)
 {
@@ -289,9 +293,10 @@
 			break;
 	}
 	set_wake(h);
-	ogl_logline_flush(h->lines);
+	ogl_logline_flush(h->log_lines);
 }
 
+/* The timer only wakes the loop; on_prepare steps the node. */
 static void
 on_wake(struct ev_loop *loop, ev_timer *w, int events)
 {
@@ -374,6 +379,7 @@
 
 /* ---- start and end ---------------------------------------------------- */
 
+/* self is the address of the field that gets the result. */
 static struct ogl_http_in *
 listen_internal(struct ogl_cell_host *h, const char *addr,
     struct ogl_http_in **self, GError **error)
@@ -464,7 +470,7 @@
 	h->settings_path = g_strdup(settings_path);
 	h->grace_ms = s->grace_ms;
 	h->log = ogl_logger_init(stderr, OGL_LOG_WARN);
-	h->lines = ogl_logline_init(STDOUT_FILENO, s->name);
+	h->log_lines = ogl_logline_init(STDOUT_FILENO, s->name);
 	h->measures = ogl_measures_init();
 	h->http = ogl_http_client_init(loop);
 	make_node(h, s);
@@ -509,7 +515,7 @@
 	cell_node_end(h->node);
 	platform_end(h->platform);
 	ogl_measures_end(h->measures);
-	ogl_logline_end(h->lines);
+	ogl_logline_end(h->log_lines);
 	ogl_logger_end(h->log);
 	g_free(h->settings_path);
 	g_free(h);
