--- a/daemon/http_client.c
+++ b/daemon/http_client.c
@@ -1,6 +1,6 @@
 /*
- * Easy handles are kept in a pool and set up once; a request changes only the
- * address, headers, body and timeout.
+ * HTTP requests over libcurl.  Easy handles are kept in a pool and set up once;
+ * a request changes only the address, headers, body and timeout.
  *
  * Whether anything was sent is decided by CURLINFO_REQUEST_SIZE, which counts
  * the bytes passed to the kernel, and not by the error code: a timeout may
@@ -11,10 +11,10 @@
  * copy by then.  So the hook that libcurl calls right before each sending
  * refuses the second one, unless the request says that it may be sent twice.
  *
- * A hash of the address distributes the requests over several multi handles.
- * At the end of each transfer libcurl walks over all connections of its multi
- * handle, and the owner of a shard keeps some thousand connections to its
- * workers.
+ * A hash of the address distributes the requests over several multi handles,
+ * because libcurl walks over all connections of a multi handle at the end of
+ * each of its transfers, and the owner of a shard keeps some thousand
+ * connections to its workers.
  */
 
 #include <string.h>
@@ -36,7 +36,7 @@
 
 struct xfer {
 	struct ogl_http_client *client;
-	struct ogl_curl_loop *curl; /* that runs it */
+	struct ogl_curl_loop *curl; /* loop that runs the transfer */
 	CURL *easy;
 	ogl_http_done *done;
 	void *arg;
--- a/daemon/http_client.h
+++ b/daemon/http_client.h
@@ -36,7 +36,7 @@
 	const char *headers[OGL_HTTP_HEADERS_MAX]; /* "Name: value" */
 	size_t nheaders;
 	GBytes *body;        /* NULL: GET; else POST */
-	const char *kind;    /* to count its bytes by; a string literal */
+	const char *kind;    /* its traffic is counted under it; a literal */
 	uint32_t timeout_ms; /* for the whole request, connecting included */
 	bool resend_allowed; /* may be sent again if a reused connection ends */
 	ogl_http_done *done;
--- a/daemon/http_in.c
+++ b/daemon/http_in.c
@@ -1,12 +1,13 @@
 /*
- * libmicrohttpd runs without a thread: the loop watches its epoll descriptor,
- * and ogl_http_in_run runs it.
+ * HTTP server for callers and operators, over libmicrohttpd.  libmicrohttpd
+ * runs without a thread of its own: the event loop watches its epoll
+ * descriptor, and ogl_http_in_run runs it.
  *
- * A struct conn is a connection; a struct call is a request, from its first
- * line received until the last byte of its answer is sent.  A call has these
- * states:
+ * A struct conn is a connection; a struct call is a request, from the arrival
+ * of its first line until the last byte of its answer is sent.  A call has
+ * these states:
  *
- *	READING -> WAITING (suspended, its token known) -> ANSWERED
+ *	READING -> WAITING (suspended until the node replies) -> ANSWERED
  *	                  \-> ABANDONED (the caller disconnected)
  *
  * libmicrohttpd does not poll the socket of a suspended connection, so it would
@@ -38,9 +39,10 @@
 #define HANGUPS_PER_WAIT 64
 #define CONNECTIONS_MAX 4000
 #define LISTEN_BACKLOG 1024
-/* A body that is too large is read and discarded up to this many times its
- * limit. */
+/* Of a body that is too large, up to this many times body_max_bytes are read
+ * and discarded. */
 #define DISCARD_FACTOR 8
+/* A larger value of the budget header counts as malformed. */
 #define BUDGET_MAX_MS ((uint64_t)24 * 3600 * 1000)
 #define RETRY_AFTER_MS 1000
 #define BYTES_TYPE "application/octet-stream"
@@ -56,7 +58,7 @@
 struct conn {
 	int fd;
 	struct call *call;
-	/* When it was opened, its request began or its last reply ended. */
+	/* Time when it was opened or its latest request began or ended. */
 	ev_tstamp since;
 	bool peer_closed; /* the caller closed its side */
 	bool read_shut;   /* its reading side was shut down here */
@@ -74,7 +76,7 @@
 	uint64_t token;
 	char *path; /* with its query, as sent */
 	GByteArray *body;
-	size_t received; /* bytes of the body, with discarded ones */
+	size_t received; /* bytes of the body, including discarded ones */
 	struct MHD_Response *response;
 	unsigned status;
 };
@@ -92,9 +94,9 @@
 	ev_io hangup_io;
 	ev_timer mhd_timer;
 	ev_timer sweep;
-	bool mhd_due; /* libmicrohttpd may have something to do */
-	bool closing;
-	bool quiesced;
+	bool mhd_due;  /* libmicrohttpd may have something to do */
+	bool closing;  /* each reply closes its connection */
+	bool quiesced; /* requests that still arrive are refused */
 	uint64_t last_token;
 	GHashTable *waiting; /* token -> struct call */
 	GQueue conns;        /* struct conn */
--- a/daemon/http_in.h
+++ b/daemon/http_in.h
@@ -15,14 +15,14 @@
 /* Called to answer the readiness and metrics paths. */
 struct ogl_http_in_ops {
 	bool (*ready)(void *ctx);
-	char *(*metrics)(void *ctx); /* g_free */
+	char *(*metrics)(void *ctx); /* text, to be freed with g_free() */
 	void *ctx;
 };
 
 struct ogl_http_in_limits {
 	size_t body_max_bytes;        /* bytes of one request's body */
 	size_t body_total_max_bytes;  /* bytes of all bodies in memory */
-	unsigned connections_max;     /* open at a time */
+	unsigned connections_max;     /* open at the same time */
 	unsigned header_buffer_bytes; /* of each connection */
 	unsigned
 	    request_timeout_ms;    /* from a request's first byte to its last */
@@ -38,8 +38,8 @@
 	uint64_t calls;
 	uint64_t replies;
 	uint64_t gone;     /* callers that disconnected before the reply */
-	uint64_t too_big;  /* bodies larger than body_max */
-	uint64_t no_room;  /* bodies refused because of body_total_max */
+	uint64_t too_big;  /* bodies larger than body_max_bytes */
+	uint64_t no_room;  /* refused because of body_total_max_bytes */
 	uint64_t too_slow; /* requests not complete within their timeout */
 	uint64_t malformed;
 	uint64_t late_replies; /* to calls that are no longer open */
--- a/daemon/http_out.c
+++ b/daemon/http_out.c
@@ -1,10 +1,11 @@
 /*
- * Easy handles are kept in a pool and set up once; a request changes only the
- * address, headers, body and timeout.  The nodes of the header list are part of
- * struct xfer, so that no request allocates one.
+ * HTTP requests to the platform, workers and executors, over libcurl.  Easy
+ * handles are kept in a pool and set up once; a request changes only the
+ * address, headers, body and timeout.  The elements of the header list are part
+ * of struct xfer, so that no request allocates one.
  *
- * A struct request_kind for each kind of request tells how to handle its answer
- * and which event it becomes.
+ * Each kind of request has a struct request_kind, which defines how its answer
+ * is handled and which event it becomes.
  *
  * Whether anything was sent is decided by CURLINFO_REQUEST_SIZE, which counts
  * the bytes passed to the kernel, and not by the error code: a timeout may
@@ -41,7 +42,7 @@
 #define ANSWER_MAX_BYTES ((size_t)16 * 1024 * 1024)
 #define PAGE_MAX_RECORDS 256u
 #define READ_WAIT_MAX_MS 200
-/* A log read's wait ends this long before its timeout. */
+/* The platform ends the wait of a log read this long before its timeout. */
 #define READ_WAIT_MARGIN_MS 500
 #define DEFAULT_TIMEOUT_MS 5000
 #define STATUS_NO_CONTENT 204
@@ -65,7 +66,7 @@
 	uint64_t token;
 	GBytes *body;
 	char url[URL_BYTES];
-	char lines[HEADERS_MAX][HEADER_BYTES];
+	char header_lines[HEADERS_MAX][HEADER_BYTES];
 	struct curl_slist headers[HEADERS_MAX];
 	size_t nheaders;
 	unsigned send_attempts;
@@ -75,8 +76,8 @@
 	uint64_t echoed_token;
 	bool framed; /* has a Content-Length or a Transfer-Encoding */
 	bool not_run;
-	ProtobufCMessage *parsed; /* borrowed by the event */
-	struct ogl_logpage page;  /* the same, for a log read */
+	ProtobufCMessage *parsed; /* parsed answer, borrowed by the event */
+	struct ogl_logpage page;  /* parsed answer of a log read, likewise */
 	GList link;               /* in busy */
 };
 
@@ -495,8 +496,8 @@
 		if ((unsigned char)*p < ' ' || *p == 127)
 			return;
 	}
-	g_snprintf(x->lines[i], HEADER_BYTES, "%s: %s", name, value);
-	x->headers[i].data = x->lines[i];
+	g_snprintf(x->header_lines[i], HEADER_BYTES, "%s: %s", name, value);
+	x->headers[i].data = x->header_lines[i];
 	x->headers[i].next = NULL;
 	if (i > 0)
 		x->headers[i - 1].next = &x->headers[i];
@@ -567,7 +568,7 @@
  * the wait ends well before the request's timeout.  It is short, since an
  * answer shows the state of the log only as of the time when the read was sent:
  * with a wait of one second a node considered a healthy log to be down, refused
- * edits and let its owners' rights expire. */
+ * edits of the settings, and its owners' rights to start work expired. */
 static uint32_t
 read_wait_ms(const struct ogl_action *a)
 {
--- a/daemon/http_reply.c
+++ b/daemon/http_reply.c
@@ -1,7 +1,8 @@
 /*
- * Bodies are passed by reference, so that a reply of a megabyte is not copied.
- * Retry-After holds whole seconds only; it is rounded up, so that no caller
- * retries too early.  Ogl-Retry-After-Ms holds the exact time.
+ * Creates libmicrohttpd responses.  Bodies are passed by reference, so that a
+ * reply of a megabyte is not copied.  Retry-After holds whole seconds only; it
+ * is rounded up, so that no caller retries too early.  Ogl-Retry-After-Ms holds
+ * the exact time.
  */
 
 #include <microhttpd.h>
