--- a/daemon/peer.c
+++ b/daemon/peer.c
@@ -1,14 +1,15 @@
 /*
- * There is at most one outgoing connection per address (struct outbound); it
- * carries messages in one direction only.  Messages from peers arrive on the
- * connections that they opened (struct inbound).
+ * Sends messages to peers and receives theirs.  There is at most one outgoing
+ * connection per address (struct outbound); it carries messages in one
+ * direction only.  Messages from peers arrive on the connections that they
+ * opened (struct inbound).
  *
  * An outbound connection has a queue of messages.  When the queue is full, the
  * oldest message that is not partly written is dropped, since newer gossip
  * supersedes older.  A partly written message is never dropped while its
  * connection is open: the receiver would read the next message as the rest of
- * it.  When the connection breaks it is dropped, since its rest would not be a
- * frame on the next connection.
+ * it.  When the connection breaks, the partly written message is dropped, since
+ * its rest would not be a frame on the next connection.
  *
  * An outbound connection may carry a compressed stream, which begins with a
  * magic number.  Frames are compressed only when they are about to be sent, so
@@ -37,7 +38,7 @@
 #define READ_CHUNK_BYTES ((size_t)64 * 1024)
 #define READS_PER_EVENT 16
 #define FRAMES_PER_WRITE 32
-#define INBOUND_MAX 1024
+#define INBOUND_CONNECTIONS_MAX 1024
 /* Begins a compressed stream; no frame has this length. */
 #define COMPRESSED_MAGIC 0x4f474c5aU
 /* Only this much is compressed at a time, since compressed frames can no longer
@@ -87,8 +88,8 @@
 	struct ogl_peer *peer;
 	int fd;
 	ev_io io;
-	GByteArray *in;              /* received, without delivered frames */
-	bool format_known;           /* compressed or not */
+	GByteArray *in;              /* received and not yet delivered */
+	bool format_known;           /* the stream's first bytes have arrived */
 	struct ogl_inflate *inflate; /* NULL: not compressed */
 };
 
@@ -704,7 +705,7 @@
 	(void)events;
 	while ((fd = accept4(
 		    p->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0) {
-		if (g_hash_table_size(p->inbound) >= INBOUND_MAX) {
+		if (g_hash_table_size(p->inbound) >= INBOUND_CONNECTIONS_MAX) {
 			p->counts.refused++;
 			close(fd);
 			continue;
