--- a/daemon/addr.c
+++ b/daemon/addr.c
@@ -1,6 +1,7 @@
 /*
- * Addresses are parsed with inet_pton only.  No name is ever resolved, so a
- * slow or faulty name service can't block the loop.
+ * Parses ip:port and opens listening sockets.  Addresses are parsed with
+ * inet_pton only.  No name is ever resolved, so a slow or faulty name service
+ * can't block the loop.
  */
 
 #include <arpa/inet.h>
--- a/daemon/compress.c
+++ b/daemon/compress.c
@@ -1,6 +1,7 @@
 /*
- * The window is 4 KiB and the compression level is the lowest, since a node
- * has one stream for each of its peers and little memory and processor time.
+ * Compressed streams over zlib.  The window is 4 KiB and the compression
+ * level is the lowest, since a node has one stream for each of its peers and
+ * little memory and processor time.
  */
 
 #include <zlib.h>
--- a/daemon/config.c
+++ b/daemon/config.c
@@ -1,8 +1,8 @@
 /*
- * One table lists every field: its place in the file, its type, its range and
- * where its value is stored.  A second table lists the relations that timings
- * must satisfy.  The check always goes through both tables to the end, so that
- * an operator sees all faults of a file at once.
+ * Parses the settings file.  One table lists every field: its place in the
+ * file, its type, its range and where its value is stored.  A second one lists
+ * the relations that timings must satisfy.  Both tables are always checked to
+ * the end, so that an operator sees all faults of a file at once.
  */
 
 #include <jansson.h>
@@ -34,7 +34,7 @@
 	enum field_type type;
 	bool required;
 	size_t offset; /* in struct ogl_config */
-	uint32_t min;  /* of the number; of the port for addresses */
+	uint32_t min;  /* least number, or least port of an address */
 	uint32_t max;
 };
 
--- a/daemon/curl_loop.c
+++ b/daemon/curl_loop.c
@@ -1,8 +1,9 @@
 /*
- * libcurl tells which sockets to watch and when to call it.  Each socket has a
- * watcher of its own; all share one timer.  libcurl requests a timeout of 0 ms
- * whenever a transfer is added; ogl_curl_loop_run serves it, without a turn of
- * the event loop.
+ * Runs a libcurl multi handle on a libev loop.  libcurl's callbacks tell
+ * which sockets to watch and when to call it again.  Each socket has a watcher
+ * of its own; all share one timer.  libcurl requests a timeout of 0 ms whenever
+ * a transfer is added; ogl_curl_loop_run serves it, without a turn of the event
+ * loop.
  */
 
 #include <ev.h>
--- a/daemon/curl_loop.h
+++ b/daemon/curl_loop.h
@@ -9,9 +9,9 @@
 struct ogl_curl_loop;
 
 struct ogl_curl_loop_config {
-	long host_connections_max;   /* open to one address */
-	long cached_connections_max; /* kept open for reuse */
-	unsigned loops; /* that share the process's file descriptors */
+	long host_connections_max;   /* open connections to one address */
+	long cached_connections_max; /* idle ones kept open for reuse */
+	unsigned loops; /* number that share the process's descriptors */
 	/* Called when a transfer has ended; rc is libcurl's result.  The
 	 * function has to remove the handle. */
 	void (*ended)(void *ctx, CURL *easy, CURLcode rc);
--- a/daemon/dispatch.c
+++ b/daemon/dispatch.c
@@ -1,8 +1,9 @@
 /*
- * An event is passed to the node at once, since it borrows the data it points
- * to.  The resulting actions are queued until the loop is about to block, and
- * are then served until nothing is left to do.  So no part is ever called back
- * from within a call that it made itself.
+ * Passes events to the node and carries out its actions.  An event is passed
+ * on at once, since the data that it points to is borrowed.  The resulting
+ * actions are queued until the loop is about to block, and are then served
+ * until nothing is left to do.  So no part is ever called back from within a
+ * call that it made itself.
  *
  * The wall clock may be set back while the daemon runs, which would make leases
  * and timeouts last too long.  The node's time is therefore the wall clock at
@@ -15,9 +16,9 @@
 #include "dispatch.h"
 
 #define LOG_PREFIX "daemon"
-#define ROUNDS_MAX 16 /* before other watchers are served */
+#define ROUNDS_MAX 16 /* then other watchers are served first */
 #define STOP_TIMEOUT_S 30.
-/* For sending the last replies after the node's exit. */
+/* Time limit for sending the last replies after the node's exit. */
 #define DRAIN_TIMEOUT_S 3.
 #define DRAIN_POLL_INTERVAL_S 0.01
 
@@ -30,12 +31,12 @@
 	ogl_time start_monotonic;
 	ev_prepare prepare;
 	ev_timer node_timer;
-	ev_timer rerun_timer; /* work is left over from the last turn */
+	ev_timer rerun_timer; /* runs if work is left after ROUNDS_MAX */
 	ev_timer stop_timer;
 	ev_timer drain_timer;
 	bool stopping;
 	bool exiting;
-	bool complete; /* the shutdown */
+	bool complete; /* the shutdown has ended in time */
 	ev_tstamp exit_since;
 };
 
@@ -184,6 +185,7 @@
 	on_event(w->data, &ev);
 }
 
+/* The timer only wakes the loop; on_prepare does the work. */
 static void
 on_rerun_timer(struct ev_loop *loop, ev_timer *w, int events)
 {
--- a/daemon/logger.c
+++ b/daemon/logger.c
@@ -1,7 +1,7 @@
 /*
- * A line is assembled in a buffer and written with one call, so that lines of
- * several processes that share the stream do not mix.  Lines longer than the
- * buffer are cut off.
+ * Writes log lines to a stream.  A line is assembled in a buffer and written
+ * with one call, so that lines of several processes that share the stream do
+ * not mix.  Lines longer than the buffer are cut off.
  */
 
 #include <glib/gprintf.h>
--- a/daemon/logline.c
+++ b/daemon/logline.c
@@ -1,9 +1,10 @@
 /*
- * The lines per second of each event (part and name) are limited, so that a
- * burst of one event can't displace the rare lines that explain it.  Lines are
- * buffered and written once per iteration of the loop, in blocks that are small
- * enough for a pipe that polls as writable to take them whole.  If the reader
- * stops, lines that no longer fit in the buffer are left out.
+ * Writes structured log lines.  The lines per second of each event (part and
+ * name) are limited, so that a burst of one event can't displace the rare lines
+ * that explain it.  Lines are buffered and written once per iteration of the
+ * loop, in blocks that are small enough for a pipe that polls as writable to
+ * take them whole.  If the reader stops, lines that no longer fit in the buffer
+ * are left out.
  */
 
 #include <poll.h>
--- a/daemon/logpage.c
+++ b/daemon/logpage.c
@@ -1,6 +1,7 @@
 /*
- * All records are decoded into one byte array.  The array may move while it
- * grows, so the entries' pointers are set after the last record.
+ * Parses answers of the platform's log.  All records are decoded into one
+ * byte array.  The array may move while it grows, so the entries' pointers are
+ * set after the last record.
  */
 
 #include <jansson.h>
--- a/daemon/measures.c
+++ b/daemon/measures.c
@@ -1,5 +1,5 @@
-/* All histograms have the same buckets, so that those of several nodes can be
- * added up. */
+/* Counters and histograms in memory.  All histograms have the same buckets, so
+ * that those of several nodes can be added up. */
 
 #include "measures.h"
 
