--- a/daemon/cell_host.c
+++ b/daemon/cell_host.c
@@ -26,6 +26,10 @@
 #define BODY_MAX_BYTES ((size_t)256 * 1024) /* limit set by the operator */
 #define BODIES_MAX_BYTES ((size_t)24 * 1024 * 1024) /* all in memory */
 #define HEADERS_MAX_BYTES (20 * 1024)
+/* A caller that waits longer counts as waiting this long. */
+#define BUDGET_MAX_MS 600000
+/* Connections to one internal port. */
+#define INTERNAL_CONNECTIONS_MAX 64
 /* The frontend accepts connections for this long after the node stops being
  * ready, until the load balancer has seen two failed readiness checks. */
 #define NOT_READY_WAIT_S 2.4
@@ -183,7 +187,8 @@
 		r.path = without_query(ev->u.call.path);
 		r.key = ev->u.call.key;
 		r.body = ev->u.call.body;
-		r.budget_ms = (uint32_t)MIN(ev->u.call.budget_ms, 600000);
+		r.budget_ms =
+		    (uint32_t)MIN(ev->u.call.budget_ms, BUDGET_MAX_MS);
 		cell_node_call(h->node, ev->token, &r, boot_time(NULL));
 		break;
 	case OGL_EV_CALLER_GONE:
@@ -390,7 +395,7 @@
 
 	ogl_http_in_limits_default(&limits);
 	limits.ready_path = platform_ready_path;
-	limits.connections_max = 64;
+	limits.connections_max = INTERNAL_CONNECTIONS_MAX;
 	return ogl_http_in_init(
 	    h->loop, addr, &limits, sink, ops, h->log, error);
 }
