--- a/ctl/cmd_losses.c
+++ b/ctl/cmd_losses.c
@@ -37,10 +37,10 @@
 	FAILED_RUNS,
 	LONG_RUNS,
 	OTHER,
-	REASONS
+	NREASONS
 };
 
-static const char *const reason_names[REASONS] = {"store", "settle", "limit",
+static const char *const reason_names[NREASONS] = {"store", "settle", "limit",
     "advice", "ticket", "room", "apart", "failed-runs", "long-runs", "other"};
 
 enum outcome {
@@ -50,10 +50,10 @@
 	OPEN, /* the lines don't include its end */
 	FAILED,
 	CANCELLED,
-	OUTCOMES
+	NOUTCOMES
 };
 
-static const char *const outcome_names[OUTCOMES] = {
+static const char *const outcome_names[NOUTCOMES] = {
     "in-time", "late", "too-late", "open", "failed", "cancelled"};
 
 /* Why a step waits.  Times with suffix _s are seconds since the epoch. */
@@ -72,17 +72,17 @@
 	char *state;       /* NULL until the end is read */
 	GHashTable *waits; /* step -> struct step_wait */
 	GHashTable *runs; /* step -> double, its longest successful run in ms */
-	double lost_ms[REASONS];
+	double lost_ms[NREASONS];
 };
 
 /* Sums over the jobs of a queue.  Jobs beyond their team's rate are counted in
  * beyond_rate only. */
 struct queue {
-	unsigned jobs[OUTCOMES];
+	unsigned jobs[NOUTCOMES];
 	unsigned beyond_rate;
-	unsigned late_jobs[REASONS]; /* by the main reason */
-	double lost_ms[REASONS];     /* of the late jobs */
-	GHashTable *intervals; /* index -> unsigned[REASONS], like late_jobs */
+	unsigned late_jobs[NREASONS]; /* by the main reason */
+	double lost_ms[NREASONS];     /* of the late jobs */
+	GHashTable *intervals; /* index -> unsigned[NREASONS], like late_jobs */
 };
 
 struct report {
@@ -307,7 +307,7 @@
 	unsigned *counts = g_hash_table_lookup(q->intervals, key);
 
 	if (counts == NULL) {
-		counts = g_new0(unsigned, REASONS);
+		counts = g_new0(unsigned, NREASONS);
 		g_hash_table_insert(q->intervals, key, counts);
 	}
 	return counts;
@@ -341,7 +341,7 @@
 	other_ms = MAX(other_ms, 0);
 	j->lost_ms[LONG_RUNS] = long_runs_ms(j, other_ms);
 	j->lost_ms[OTHER] = other_ms - j->lost_ms[LONG_RUNS];
-	for (r = 0; r < REASONS; r++) {
+	for (r = 0; r < NREASONS; r++) {
 		q->lost_ms[r] += j->lost_ms[r];
 		if (j->lost_ms[r] > j->lost_ms[main_reason])
 			main_reason = r;
@@ -382,7 +382,7 @@
 	int r;
 
 	printf("%s", head);
-	for (r = 0; r < REASONS; r++) {
+	for (r = 0; r < NREASONS; r++) {
 		if (counts[r] > 0)
 			printf("  %s %u", reason_names[r], counts[r]);
 	}
@@ -419,7 +419,7 @@
 	int i;
 
 	printf("queue %s:", name);
-	for (i = 0; i < OUTCOMES; i++) {
+	for (i = 0; i < NOUTCOMES; i++) {
 		if (q->jobs[i] > 0)
 			printf("  %s %u", outcome_names[i], q->jobs[i]);
 	}
@@ -430,7 +430,7 @@
 		return;
 	print_reasons("  mostly for:", q->late_jobs);
 	printf("  ms a late job:");
-	for (i = 0; i < REASONS; i++) {
+	for (i = 0; i < NREASONS; i++) {
 		if (q->lost_ms[i] / late >= 1)
 			printf(
 			    "  %s %.0f", reason_names[i], q->lost_ms[i] / late);
--- a/ctl/http.c
+++ b/ctl/http.c
@@ -26,7 +26,7 @@
 };
 
 static bool
-node_valid(const char *addr)
+is_node_addr(const char *addr)
 {
 	const char *colon = strrchr(addr, ':');
 	uint64_t port;
@@ -42,7 +42,7 @@
 	struct ctl_http *h;
 
 	for (size_t i = 0; list[i] != NULL; i++) {
-		if (node_valid(list[i]))
+		if (is_node_addr(list[i]))
 			continue;
 		g_strfreev(list);
 		return NULL;
