--- a/check/check_calls.c
+++ b/check/check_calls.c
@@ -140,7 +140,7 @@
 /* Whether the answer belongs to the call and is whole.  Executors answer with
  * "team|kind|body"; with an unknown team only the end is compared. */
 static bool
-answer_is_own(const struct call *k)
+is_own_answer(const struct call *k)
 {
 	const char *team = k->sent->u.call.team;
 	char *expected = g_strdup_printf(
@@ -165,7 +165,7 @@
 		check_add_finding(c, check_event_list(k->answer, ev, NULL),
 		    "call %s is answered twice", ev->u.answer.call);
 	else if (!k->sent->u.call.job && ev->u.answer.status == 200 &&
-		 ev->u.answer.verdict == HISTORY_RAN && !answer_is_own(k))
+		 ev->u.answer.verdict == HISTORY_RAN && !is_own_answer(k))
 		check_add_finding(c, check_event_list(k->sent, ev, NULL),
 		    "call %s gets another's answer, or a part of one",
 		    ev->u.answer.call);
--- a/check/check_nodes.c
+++ b/check/check_nodes.c
@@ -14,7 +14,8 @@
 	return &g_array_index(c->outages, struct outage, i);
 }
 
-#define TIMEOUT_TOLERANCE (50 * OGL_MS) /* a timeout fires early or late */
+/* A timeout may fire this much early or late. */
+#define TIMEOUT_TOLERANCE (50 * OGL_MS)
 
 /* ---- planned stops ----------------------------------------------------- */
 
