--- a/daemon/cell_host.c
+++ b/daemon/cell_host.c
@@ -24,7 +24,8 @@
 
 #define STEPS_PER_ITERATION_MAX 16
 #define BODY_MAX_BYTES ((size_t)256 * 1024) /* limit set by the operator */
-#define BODIES_MAX_BYTES ((size_t)24 * 1024 * 1024) /* all in memory */
+/* Limit for all bodies in memory. */
+#define BODIES_MAX_BYTES ((size_t)24 * 1024 * 1024)
 #define HEADERS_MAX_BYTES (20 * 1024)
 /* A caller that waits longer counts as waiting this long. */
 #define BUDGET_MAX_MS 600000
