--- a/check/check_nodes.c
+++ b/check/check_nodes.c
@@ -1,6 +1,6 @@
 /*
- * Checks of the nodes: planned stops, and settings in force.  Neither reports
- * anything that an outage of the node explains: down, paused or cut off.
+ * Checks planned stops of nodes and the settings in force at them.  Nothing is
+ * reported that an outage of the node explains: it was down, paused or cut off.
  */
 
 #include <inttypes.h>
@@ -14,7 +14,8 @@
 	return &g_array_index(c->outages, struct outage, i);
 }
 
-#define TIMEOUT_TOLERANCE (50 * OGL_MS) /* a timeout fires early or late */
+/* A timeout may fire this much early or late. */
+#define TIMEOUT_TOLERANCE (50 * OGL_MS)
 
 /* ---- planned stops ----------------------------------------------------- */
 
--- a/ctl/cmd_losses.c
+++ b/ctl/cmd_losses.c
@@ -25,7 +25,7 @@
 #define TOO_LATE_OBJECTIVES 3
 #define INTERVAL_S 10.0 /* late jobs are counted per interval */
 
-/* Those before FAILED_RUNS are the reasons in stage_waits. */
+/* The ones before FAILED_RUNS are the reasons that stage_waits lines give. */
 enum reason {
 	STORE,
 	SETTLE,
@@ -37,10 +37,10 @@
 	FAILED_RUNS,
 	LONG_RUNS,
 	OTHER,
-	REASONS
+	NREASONS
 };
 
-static const char *const reason_names[REASONS] = {"store", "settle", "limit",
+static const char *const reason_names[NREASONS] = {"store", "settle", "limit",
     "advice", "ticket", "room", "apart", "failed-runs", "long-runs", "other"};
 
 enum outcome {
@@ -50,10 +50,10 @@
 	OPEN, /* the lines don't include its end */
 	FAILED,
 	CANCELLED,
-	OUTCOMES
+	NOUTCOMES
 };
 
-static const char *const outcome_names[OUTCOMES] = {
+static const char *const outcome_names[NOUTCOMES] = {
     "in-time", "late", "too-late", "open", "failed", "cancelled"};
 
 /* Why a step waits.  Times with suffix _s are seconds since the epoch. */
@@ -64,25 +64,25 @@
 
 struct job {
 	char *queue;
-	double accepted_s; /* received by the owner, not yet stored */
+	double accepted_s; /* when the owner received it, before storing */
 	double objective_ms;
 	double chain_ms; /* longest chain of run times, declared or measured */
-	bool over_rate;
+	bool over_rate;  /* the team was beyond its rate */
 	double ended_s;
 	char *state;       /* NULL until the end is read */
 	GHashTable *waits; /* step -> struct step_wait */
 	GHashTable *runs; /* step -> double, its longest successful run in ms */
-	double lost_ms[REASONS];
+	double lost_ms[NREASONS];
 };
 
 /* Sums over the jobs of a queue.  Jobs beyond their team's rate are counted in
  * beyond_rate only. */
 struct queue {
-	unsigned jobs[OUTCOMES];
+	unsigned jobs[NOUTCOMES];
 	unsigned beyond_rate;
-	unsigned late_jobs[REASONS]; /* by the main reason */
-	double lost_ms[REASONS];     /* of the late jobs */
-	GHashTable *intervals; /* index -> unsigned[REASONS], as late_jobs */
+	unsigned late_jobs[NREASONS]; /* by the main reason */
+	double lost_ms[NREASONS];     /* of the late jobs */
+	GHashTable *intervals; /* index -> unsigned[NREASONS], like late_jobs */
 };
 
 struct report {
@@ -137,41 +137,42 @@
 }
 
 static void
-end_wait(struct job *j, const char *task, double ts)
+end_wait(struct job *j, const char *step, double ts)
 {
-	struct step_wait *w = g_hash_table_lookup(j->waits, task);
+	struct step_wait *w = g_hash_table_lookup(j->waits, step);
 
 	if (w != NULL)
 		j->lost_ms[w->reason] += MAX(ts - w->since_s, 0) * 1e3;
-	g_hash_table_remove(j->waits, task);
+	g_hash_table_remove(j->waits, step);
 }
 
+/* The task in a stage_waits line has no index, so it names a step. */
 static void
 record_wait(struct job *j, const char *line)
 {
 	double ts = ctl_field_number(line, "ts");
-	char *task = ctl_field(line, "task");
+	char *step = ctl_field(line, "task");
 	char *why = ctl_field(line, "why");
 	struct step_wait *w;
 	int r;
 
-	if (task != NULL && why != NULL) {
-		end_wait(j, task, ts);
+	if (step != NULL && why != NULL) {
+		end_wait(j, step, ts);
 		for (r = 0; r < FAILED_RUNS; r++) {
 			if (strcmp(why, reason_names[r]) != 0)
 				continue;
 			w = g_new(struct step_wait, 1);
 			w->reason = (enum reason)r;
 			w->since_s = ts;
-			g_hash_table_insert(j->waits, g_strdup(task), w);
+			g_hash_table_insert(j->waits, g_strdup(step), w);
 		}
 	}
-	g_free(task);
+	g_free(step);
 	g_free(why);
 }
 
-/* The task's name is OCCURRENCE.STEP.INDEX; without the index it names the
- * step. */
+/* A task's name is OCCURRENCE.STEP.INDEX, and that of its step is
+ * OCCURRENCE.STEP. */
 static void
 record_successful_run(struct job *j, const char *line)
 {
@@ -306,14 +307,15 @@
 	unsigned *counts = g_hash_table_lookup(q->intervals, key);
 
 	if (counts == NULL) {
-		counts = g_new0(unsigned, REASONS);
+		counts = g_new0(unsigned, NREASONS);
 		g_hash_table_insert(q->intervals, key, counts);
 	}
 	return counts;
 }
 
-/* Run time beyond the declared one.  The sum is too high if steps run at the
- * same time, so it is limited to the time that has no other reason. */
+/* Returns the run time beyond the declared one.  The sum over the steps is too
+ * high if steps run at the same time, so it is limited to the time that has no
+ * other reason. */
 static double
 long_runs_ms(const struct job *j, double limit_ms)
 {
@@ -339,7 +341,7 @@
 	other_ms = MAX(other_ms, 0);
 	j->lost_ms[LONG_RUNS] = long_runs_ms(j, other_ms);
 	j->lost_ms[OTHER] = other_ms - j->lost_ms[LONG_RUNS];
-	for (r = 0; r < REASONS; r++) {
+	for (r = 0; r < NREASONS; r++) {
 		q->lost_ms[r] += j->lost_ms[r];
 		if (j->lost_ms[r] > j->lost_ms[main_reason])
 			main_reason = r;
@@ -380,7 +382,7 @@
 	int r;
 
 	printf("%s", head);
-	for (r = 0; r < REASONS; r++) {
+	for (r = 0; r < NREASONS; r++) {
 		if (counts[r] > 0)
 			printf("  %s %u", reason_names[r], counts[r]);
 	}
@@ -417,7 +419,7 @@
 	int i;
 
 	printf("queue %s:", name);
-	for (i = 0; i < OUTCOMES; i++) {
+	for (i = 0; i < NOUTCOMES; i++) {
 		if (q->jobs[i] > 0)
 			printf("  %s %u", outcome_names[i], q->jobs[i]);
 	}
@@ -428,7 +430,7 @@
 		return;
 	print_reasons("  mostly for:", q->late_jobs);
 	printf("  ms a late job:");
-	for (i = 0; i < REASONS; i++) {
+	for (i = 0; i < NREASONS; i++) {
 		if (q->lost_ms[i] / late >= 1)
 			printf(
 			    "  %s %.0f", reason_names[i], q->lost_ms[i] / late);
