--- a/cell/straggler.c
+++ b/cell/straggler.c
@@ -1,32 +1,41 @@
 /*
- * A worker may become slow, or make no more progress, while it still answers
- * the calls that renew its lease (holds), so its runs are not lost.  As a step
- * is done only when its slowest task is, the time that each run still takes at
- * the worker's pace is compared with the time of a restart on another worker:
+ * Stops runs on workers that have become slow or make no progress, if their
+ * tasks would complete sooner on another worker.
+ *
+ * Such a worker still answers holds, the calls that renew its lease, so its
+ * runs do not count as lost.  But a step is complete only when its slowest task
+ * is.  The remaining time of each run is therefore compared with the time of a
+ * restart on another worker:
  *
  *	remaining  (1 - done) x declared time x pace; infinite when the run is
  *		   stalled
  *	restart    declared time, or the rest of it when there is a checkpoint,
  *		   plus the time for a stop and a start
  *
+ * The pace is the time taken divided by the time declared, so a slow run has a
+ * high pace (see pace.h).
+ *
  * A run is stopped only while another allowed worker has room for it.  Gangs
- * are not moved, as moving one member restarts all of them.  Neither are
- * lasting tasks, which never complete.
+ * are not moved, as moving one member restarts all of them, nor are lasting
+ * tasks, as they never complete.  Tasks that use only spare capacity (`fills`)
+ * or have no declared time are not moved either.
  */
 
 #include "ablate.h"
 #include "straggler.h"
 
-/* A run with a lower pace may just have declared too little time. */
+/* Below this pace a run may seem slow only because its job declared too little
+ * time. */
 #define STRAGGLER_PACE_MIN 2.5
-/* Time for a stop, a question to the advice service and a start. */
+/* Time to stop a run, ask the advice service and start the task again. */
 #define MOVE_COST_MS 450.0
 /* Additional time to restore a checkpoint. */
 #define RESTORE_COST_MS 600.0
-/* The remaining time must exceed the restart time by this factor. */
+/* The remaining time must be more than this many times the restart time, plus
+ * MOVE_COST_MS. */
 #define GAIN_FACTOR_MIN 1.3
-/* A task that was moved this often stays where it is: the workers are not the
- * cause. */
+/* A task that is slow even after this many moves stays where it is: the workers
+ * are not the cause. */
 #define MOVES_PER_TASK_MAX 3
 
 bool
@@ -60,8 +69,8 @@
 }
 
 static void
-check_run(struct cell_fleet *f, struct cell_sched *s, struct cell_run *r,
-    ogl_time now)
+move_if_straggler(struct cell_fleet *f, struct cell_sched *s,
+    struct cell_run *r, ogl_time now)
 {
 	struct cell_worker *w = r->worker;
 	double pace, run_pace;
@@ -69,8 +78,9 @@
 
 	if (!may_move(r))
 		return;
-	/* Both the worker and the run itself have to be slow: the worker may
-	 * have recovered, or the job may have declared too little time. */
+	/* Both paces have to be high.  If only the worker's is, it may have
+	 * recovered; if only the run's is, its job may have declared too little
+	 * time. */
 	run_pace = cell_pace_of_run(
 	    &r->progress, w->clock_ms, r->stage->def->estimate_ms);
 	pace = MIN(cell_fleet_pace(f, w), run_pace);
@@ -88,14 +98,14 @@
 }
 
 static void
-check_worker(struct cell_fleet *f, struct cell_sched *s, struct cell_worker *w,
-    ogl_time now)
+move_stragglers_of(struct cell_fleet *f, struct cell_sched *s,
+    struct cell_worker *w, ogl_time now)
 {
 	GPtrArray *runs = cell_worker_runs(w);
 	guint i;
 
 	for (i = 0; i < runs->len; i++)
-		check_run(f, s, runs->pdata[i], now);
+		move_if_straggler(f, s, runs->pdata[i], now);
 	g_ptr_array_unref(runs);
 }
 
@@ -114,7 +124,9 @@
 
 		if (g_hash_table_size(w->runs) == 0)
 			cell_fleet_decay_pace(f, w);
+		/* Progress is reported in the answers to holds; such a worker
+		 * has answered the last one of this owner. */
 		else if (w->fenced && w->failures == 0)
-			check_worker(f, s, w, now);
+			move_stragglers_of(f, s, w, now);
 	}
 }
