--- a/cell/shards.c
+++ b/cell/shards.c
@@ -10,16 +10,18 @@
 
 /*
  * An owner on half a core handles about 1,500 task starts per second.  350
- * workers need 720 at their usual load and twice that in bursts.
+ * workers need 720 starts per second at their usual load and twice that in
+ * bursts.
  */
 #define WORKERS_PER_SHARD 400
 /* Racks are assigned by hash, so a shard may get none of a service's racks.
- * If a service has 12 racks of 8 workers for each shard, a given shard gets
- * none of its racks in one of 160,000 cells, whatever the number of shards. */
+ * With about 100 workers of the service per shard, in 12 racks of 8, a given
+ * shard gets none in one of 160,000 cells, whatever the number of shards. */
 #define SERVICE_WORKERS_PER_SHARD_MIN 100
 
-/* FNV-1a gives the same result on every machine and spreads short names
- * well. */
+/* FNV-1a gives the same result on every machine and spreads short names well.
+ * Its lowest bits depend only on the lowest bits of each character, so higher
+ * bits are mixed into them at the end. */
 #define FNV_OFFSET_BASIS 2166136261U
 #define FNV_PRIME 16777619U
 
@@ -34,11 +36,12 @@
 }
 
 uint32_t
-cell_shards_wanted(size_t workers, size_t smallest_service)
+cell_shards_wanted(size_t workers, size_t smallest_service_workers)
 {
 	size_t shards = (workers + WORKERS_PER_SHARD - 1) / WORKERS_PER_SHARD;
 
-	shards = MIN(shards, smallest_service / SERVICE_WORKERS_PER_SHARD_MIN);
+	shards = MIN(
+	    shards, smallest_service_workers / SERVICE_WORKERS_PER_SHARD_MIN);
 	return (uint32_t)CLAMP(shards, 1, CELL_SHARDS_MAX);
 }
 
