--- a/cell/window.c
+++ b/cell/window.c
@@ -10,22 +10,24 @@
  * and each answer enlarges the window by one, which doubles it in each round
  * trip.
  *
- * Long round trips show that messages wait for the owner's link or processor.
- * The duration of a call does not show it, because a call also waits for the
+ * A long round trip of a ping shows that messages wait for the owner's link or
+ * processor.  A long call does not show this, because a call also waits for the
  * store.
  */
 
 #include "window.h"
 
-#define WINDOW_MAX_CALLS 256
-/* Least size of the window once the owner has answered a call. */
-#define WINDOW_SERVED_CALLS 4
-/* Delay after an owner that has not answered any call yet refuses one. */
+#define WINDOW_CALLS_MAX 256
+/* Size of the window after the first answer of an owner. */
+#define FIRST_ANSWER_WINDOW_CALLS 4
+/* Delay before the next call when an owner that has not answered any call yet
+ * refuses one. */
 #define REFUSED_RETRY_DELAY (150 * OGL_MS)
-/* A normal round trip takes some milliseconds; a longer one shows a queue. */
+/* A normal round trip takes a few milliseconds; one that takes this long shows
+ * that messages wait for the owner. */
 #define ROUND_TRIP_MAX (200 * OGL_MS)
-/* Least time between two reductions, as the effect of one shows only after a
- * round trip. */
+/* Minimum time between two reductions of the window.  The effect of a reduction
+ * shows only after a round trip. */
 #define SHRINK_INTERVAL_MIN (200 * OGL_MS)
 
 void
@@ -59,9 +61,9 @@
 void
 cell_window_answered(struct cell_window *w)
 {
-	w->size = MIN(w->size + 1, WINDOW_MAX_CALLS);
+	w->size = MIN(w->size + 1, WINDOW_CALLS_MAX);
 	if (!w->has_served)
-		w->size = MAX(w->size, WINDOW_SERVED_CALLS);
+		w->size = MAX(w->size, FIRST_ANSWER_WINDOW_CALLS);
 	w->has_served = true;
 	w->closed_until = 0;
 }
