--- a/cell/held.h
+++ b/cell/held.h
@@ -1,6 +1,7 @@
 /*
  * Tasks that a new owner does not start yet, since they may be running on a
- * worker that had stopped answering before the takeover.
+ * worker that had stopped answering, or was draining, before the takeover.
+ * They are not related to the holds of fleet.h, which renew leases.
  */
 
 #ifndef OGL_CELL_HELD_H
@@ -19,15 +20,16 @@
 
 void cell_held_add(
     struct cell_held *h, const Ogl__CellKnown *k, ogl_time until);
-/* Holds back the tasks that the record lists for the worker, until `until` at
- * the latest. */
+/* Holds back the tasks listed in k, the worker's entry in the stored record of
+ * the workers (known.h).  They may be started from `until` on, even without a
+ * call of cell_held_release. */
 
 void cell_held_release(struct cell_held *h, const char *worker, ogl_time now);
-/* To be called once the worker has reported what it runs, or has ended: the
- * tasks held back for it may be started, unless they are held back for another
- * worker too. */
+/* To be called when the worker has reported what it runs, or when it has ended.
+ * The tasks held back for it may then be started, unless they are held back for
+ * another worker too. */
 
 void cell_held_clear(struct cell_held *h);
-/* Forgets all held tasks; their stages are not touched. */
+/* Forgets all held tasks without releasing them in their stages. */
 
 #endif
