--- a/cell/owner.c
+++ b/cell/owner.c
@@ -1,4 +1,7 @@
 /*
+ * Keeps the jobs of one shard: accepts and stores them, starts their tasks
+ * through the scheduler, applies the ends of runs and answers calls.
+ *
  * Jobs are read from the store when the shard is taken over (loader.c), and
  * workers from the platform's list (roster.c).
  *
@@ -33,7 +36,7 @@
  * promised. */
 #define ENDED_JOB_MARGIN_MS 20000
 #define SWEEP_INTERVAL (500 * OGL_MS)
-/* Run numbers reserved for each epoch, more than one task ever needs in it. */
+/* Run numbers reserved for each epoch; no task needs as many in one epoch. */
 #define RUNS_PER_EPOCH 1024
 /* A gang of which only some members run is stopped if it is still incomplete
  * after this time. */
@@ -42,12 +45,13 @@
 #define BUSY_RETRY_MS 500
 /* Ownership that the store confirmed longer ago may have ended since. */
 #define CONFIRMATION_AGE_MAX (1500 * OGL_MS)
-/* Jobs that a team may submit at once to one of several shards, in seconds of
- * its rate there.  Jobs fall on shards at random, so one shard may get more
- * than an even part for a while without the team exceeding its rate. */
+/* Number of jobs that a team may submit at once to one of several shards, given
+ * as seconds of the team's rate there.  Jobs are assigned to shards at random,
+ * so one shard may get more than an even share for a while although the team
+ * does not exceed its rate. */
 #define SHARD_BURST_SECONDS 2.0
 /* The refused fraction falls faster for the link than for the processor, as the
- * link's queue empties soon after nothing is added to it any more. */
+ * link's queue empties soon once nothing is added to it. */
 #define LINK_REFUSAL_FALL_PER_SECOND 0.4
 
 enum phase {
@@ -146,7 +150,7 @@
 
 /* The stage of a task, NULL if its job is over or not known. */
 static struct cell_stage *
-open_stage(void *arg, const struct cell_task_name *name)
+find_open_stage(void *arg, const struct cell_task_name *name)
 {
 	struct cell_owner *o = arg;
 	struct cell_job *j = job_of(o, name->id);
@@ -237,8 +241,8 @@
 
 /*
  * After a takeover, tasks may be running on workers that have not answered yet.
- * Until all have, such tasks count against their team's limit, which would
- * otherwise be exceeded by as much.
+ * Until all have answered, such tasks count against their team's limit.
+ * Otherwise the team could exceed its limit by these tasks.
  */
 static void
 assume_running(struct cell_owner *o, struct cell_stage *st)
@@ -435,7 +439,8 @@
 
 		task_done(st, t);
 		if (t->active != NULL) {
-			/* It has ended too, not reported by its worker yet. */
+			/* It has ended too, but its worker has not reported
+			 * that yet. */
 			t->active->stage = NULL;
 			t->active = NULL;
 			st->nactive--;
@@ -595,7 +600,7 @@
 static struct cell_stage *
 find_stage_for_run(struct cell_owner *o, const struct cell_run_row *row)
 {
-	struct cell_stage *st = open_stage(o, &row->task);
+	struct cell_stage *st = find_open_stage(o, &row->task);
 	struct cell_task *t;
 
 	if (st == NULL)
@@ -765,7 +770,7 @@
 	struct cell_task_name name = {.occurrence = occurrence, .step = step};
 
 	g_strlcpy(name.id, id, sizeof name.id);
-	return open_stage(arg, &name);
+	return find_open_stage(arg, &name);
 }
 
 static struct cell_worker *
@@ -803,7 +808,7 @@
 }
 
 static uint32_t
-team_part(void *arg, const char *team)
+team_used_ppm(void *arg, const char *team)
 {
 	struct cell_owner *o = arg;
 	const struct cell_team *t =
@@ -913,7 +918,7 @@
 /*
  * Stores for a successor which workers to call.  A worker is given no work
  * before it is in a stored record: a successor that does not know of the worker
- * would take its tasks for not running and start them elsewhere.
+ * would assume that its tasks are not running and start them elsewhere.
  */
 static void
 store_workers(struct cell_owner *o, ogl_time now)
@@ -949,8 +954,8 @@
 	}
 }
 
-/* Begins what is due, and finishes occurrences of which all tasks were done
- * already when the previous owner was lost. */
+/* Begins the occurrences that are due, and finishes those whose tasks were all
+ * done when the previous owner was lost. */
 static void
 resume_job(struct cell_owner *o, struct cell_job *j, ogl_time now)
 {
@@ -1075,7 +1080,7 @@
 	struct cell_roster_events roster_events = {
 	    on_worker_entry, on_list_read, o};
 	struct cell_escrow_events escrow_events = {
-	    send_part, team_part, on_part_granted, o};
+	    send_part, team_used_ppm, on_part_granted, o};
 	struct cell_relay_events relay_events = {send_orders, o};
 
 	o->ops = ops;
@@ -1092,7 +1097,7 @@
 	o->journal =
 	    cell_journal_init(ops, params->shard, on_ownership_lost, o);
 	o->fleet = cell_fleet_init(&o->worker_ops, limits, &fleet_events);
-	o->held = cell_held_init(open_stage, o);
+	o->held = cell_held_init(find_open_stage, o);
 	o->advice = cell_advice_init(ops, &advice_events);
 	o->loader = cell_loader_init(
 	    ops, params->shard, params->link_kbps, &loader_events);
@@ -1368,8 +1373,8 @@
 
 /*
  * Why a new job is refused, NULL if it is accepted.  *over is set to whether it
- * exceeds its team's rate.  Under load that is a reason to refuse it: otherwise
- * a team that submits ten times its rate would take the places of all others.
+ * exceeds its team's rate.  Under load such a job is refused: otherwise a team
+ * that submits ten times its rate would displace the jobs of all other teams.
  */
 static const char *
 why_refuse(struct cell_owner *o, const char *from, const Ogl__CellCall *c,
@@ -1396,8 +1401,8 @@
 	refuse(o, from, c->token, now);
 }
 
-/* Answers a submission that comes without its job and is not known here: the
- * front end asks whether to send the job. */
+/* Answers a submission of an unknown job that does not include the job: the
+ * front end asks whether to send it. */
 static void
 call_submit_query(struct cell_owner *o, const char *from,
     const Ogl__CellCall *c, ogl_time now)
@@ -1528,7 +1533,7 @@
     struct cell_owner *o, const char *from, Ogl__CellCall *c, ogl_time now)
 {
 	/* A call that was sent to the owner of another epoch is not accepted:
-	 * its front end may have got an answer of another owner since. */
+	 * its front end may have got an answer from another owner since. */
 	if (o->phase != PHASE_SERVING || c->epoch != o->epoch) {
 		reply(o, from, c->token, OGL__CELL_OUTCOME__cell_not_owner, 0);
 		return;
@@ -1633,8 +1638,8 @@
 	o->ops->log(o->ops->ctx, "owner", "settled", text);
 }
 
-/* Stops the rest of a gang of which only a part was found running, or which has
- * lost a member without the others noticing, so that all of it is started
+/* Stops the remaining members of a gang if only some were found running, or if
+ * one was lost without the others noticing, so that the whole gang is started
  * again. */
 static void
 repair_gang(struct cell_owner *o, struct cell_stage *st, ogl_time now)
@@ -1710,10 +1715,10 @@
 static void
 forget_ended(struct cell_owner *o, struct cell_job *j, ogl_time now)
 {
-	uint64_t keep = o->limits->status_ms + ENDED_JOB_MARGIN_MS;
+	uint64_t keep_ms = o->limits->status_ms + ENDED_JOB_MARGIN_MS;
 
 	if (j->drop_records ||
-	    j->ended_ms + keep > (uint64_t)(o->wall / OGL_MS))
+	    j->ended_ms + keep_ms > (uint64_t)(o->wall / OGL_MS))
 		return;
 	j->drop_records = true;
 	job_changed(o, j, false, now);
