--- a/cell/fleet.c
+++ b/cell/fleet.c
@@ -1,4 +1,7 @@
 /*
+ * Keeps track of the workers of a shard and of the runs on them, by means of
+ * holds, starts and stops.
+ *
  * One hold is kept in flight to each worker that has runs, that has not
  * answered yet, or whose ended runs are still to be acknowledged.  A hold
  * renews the lease of all runs there and acknowledges the ends that are stored;
@@ -68,8 +71,8 @@
 #define ORDER_TIMEOUT_MS 600
 #define ORDER_RETRY_DELAY (100 * OGL_MS)
 #define START_TRIES_MAX 3
-/* Intervals of the scans of all workers and of all runs.  An owner steps
- * hundreds of times a second, and what is due may wait that long. */
+/* Intervals of the scans of all workers and of all runs.  An owner is stepped
+ * hundreds of times a second, and calls that are due may wait this long. */
 #define SCAN_INTERVAL (8 * OGL_MS)
 #define RUN_SCAN_INTERVAL (40 * OGL_MS)
 /* A start without an answer is carried out within this time or never. */
@@ -308,10 +311,10 @@
 	log_worker_why(f, w, event, "");
 }
 
-/* A successor that knows only the old address would get no answer there, take
- * the worker for ended and start elsewhere what runs at the new address.  So a
- * worker that has moved gets no work until a record with its new address is
- * stored. */
+/* A successor that knows only the old address would get no answer there and
+ * conclude that the worker has ended.  It would then start elsewhere the tasks
+ * that run at the new address.  So a worker whose address has changed gets no
+ * work until a record with the new address is stored. */
 static void
 set_addr(
     struct cell_fleet *f, struct cell_worker *w, const char *addr, ogl_time now)
@@ -451,10 +454,10 @@
  * A restarted worker knows no epoch and accepts the calls of whichever owner
  * calls it first.  An owner that was suspended or cut off may have been
  * replaced without knowing it.  If it called the new incarnation before its
- * successor does, it would start there what already runs elsewhere.  So after
- * the first answer of a worker's incarnation, and after a suspension of this
- * process, nothing is started until the store has confirmed the ownership once
- * more.
+ * successor does, it would start tasks there that already run elsewhere.  So
+ * after the first answer of a worker's incarnation, and after a suspension of
+ * this process, nothing is started until the store has confirmed the ownership
+ * once more.
  */
 void
 cell_fleet_confirm(struct cell_fleet *f, ogl_time at)
@@ -653,24 +656,25 @@
 static uint64_t
 extend_lease(const struct cell_fleet *f, struct cell_worker *w, ogl_time now)
 {
-	uint64_t until;
+	uint64_t until_ms;
 
 	if (w->incarnation == 0)
 		return 0;
-	until = estimate_clock(w, now) + MIN(LEASE_MS, f->limits->lease_max_ms);
-	w->lease_end_ms = MAX(w->lease_end_ms, until);
-	return until;
+	until_ms =
+	    estimate_clock(w, now) + MIN(LEASE_MS, f->limits->lease_max_ms);
+	w->lease_end_ms = MAX(w->lease_end_ms, until_ms);
+	return until_ms;
 }
 
 /* Time at which the worker's lease has certainly expired if not renewed. */
 static ogl_time
 lease_expires_at(const struct cell_worker *w)
 {
-	double left = w->lease_end_ms > w->clock_ms
-			  ? (double)(w->lease_end_ms - w->clock_ms)
-			  : 0;
+	double left_ms = w->lease_end_ms > w->clock_ms
+			     ? (double)(w->lease_end_ms - w->clock_ms)
+			     : 0;
 
-	return w->clock_at + (ogl_time)(left * CLOCK_SLOW_FACTOR * OGL_MS) +
+	return w->clock_at + (ogl_time)(left_ms * CLOCK_SLOW_FACTOR * OGL_MS) +
 	       LEASE_END_MARGIN;
 }
 
@@ -748,12 +752,12 @@
 	g_array_append_val(a, start);
 }
 
-/* Ends the runs of the worker's last incarnation.  reborn_answer is the new
- * incarnation's answer to the hold that was sent at asked_at, or NULL.  Runs
+/* Ends the runs of the worker's last incarnation.  new_answer is the answer of
+ * the new incarnation to the hold that was sent at hold_sent_at, or NULL.  Runs
  * that it lists are kept: their start has reached the new incarnation. */
 static void
 lose_runs(struct cell_fleet *f, struct cell_worker *w,
-    const struct cell_hold_answer *reborn_answer, ogl_time asked_at,
+    const struct cell_hold_answer *new_answer, ogl_time hold_sent_at,
     ogl_time now)
 {
 	GPtrArray *a = cell_worker_runs(w);
@@ -762,20 +766,20 @@
 	for (i = 0; i < a->len; i++) {
 		struct cell_run *r = a->pdata[i];
 
-		if (answer_lists(reborn_answer, r))
+		if (answer_lists(new_answer, r))
 			continue;
 		/* A start in flight may reach the worker's next incarnation. */
-		if (reborn_answer == NULL && r->order_pending &&
+		if (new_answer == NULL && r->order_pending &&
 		    r->state == CELL_RUN_STARTING)
 			remember_unanswered_start(r, now);
 		/* A start without an answer may still reach the new incarnation
-		 * of a worker that kept its id.  As this knows no epoch and no
-		 * run yet, it would carry the start out unless it is sent a
-		 * stop first.  A start answered since the hold was sent may
-		 * have reached it after it listed its runs. */
-		if (reborn_answer != NULL &&
+		 * of a worker that kept its id.  A new incarnation knows no
+		 * epoch and no run yet, so it would carry out the start unless
+		 * it gets a stop first.  A start answered since the hold was
+		 * sent may have reached it after it listed its runs. */
+		if (new_answer != NULL &&
 		    (r->start_unanswered || r->order_pending ||
-			r->running_since > asked_at)) {
+			r->running_since > hold_sent_at)) {
 			r->stop_answered = false;
 			cell_fleet_stop(f, r, now);
 		} else {
@@ -810,8 +814,8 @@
 }
 
 static void
-worker_reborn(struct cell_fleet *f, struct cell_worker *w,
-    const struct cell_hold_answer *a, ogl_time asked_at, ogl_time now)
+worker_restarted(struct cell_fleet *f, struct cell_worker *w,
+    const struct cell_hold_answer *a, ogl_time hold_sent_at, ogl_time now)
 {
 	log_worker(f, w, "worker_reborn");
 	w->ends_acked = 0;
@@ -819,7 +823,7 @@
 	w->ends_reported = 0;
 	w->lease_end_ms = 0;
 	memset(&w->pace, 0, sizeof w->pace);
-	lose_runs(f, w, a, asked_at, now);
+	lose_runs(f, w, a, hold_sent_at, now);
 	stop_unanswered_starts(f, w, now);
 }
 
@@ -942,7 +946,7 @@
 	w->tasks_recorded = false;
 	w->last_answer_at = now;
 	if (w->incarnation != 0 && w->incarnation != a->born_ms)
-		worker_reborn(f, w, a, c->sent, now);
+		worker_restarted(f, w, a, c->sent, now);
 	read_clock(w, a->clock_ms, now);
 	if (w->incarnation != a->born_ms) {
 		ends_before = 0;
@@ -1028,8 +1032,8 @@
 		log_worker_why(f, w, "worker_silent", failure_name(a));
 	count_failure(w, now);
 	track_conn_refusals(f, w, a->no_listener, now);
-	/* Another incarnation answers: the one that we knew has ended, and the
-	 * new one refuses calls meant for it. */
+	/* Another incarnation answers: the last one has ended, and the new one
+	 * refuses calls meant for the last one. */
 	if (a->why != CELL_REFUSED_INCARNATION)
 		return;
 	if (w->gone)
@@ -1079,9 +1083,9 @@
 /*
  * Returns the number up to which ends are acknowledged, 0 for none.  When a
  * worker restarts under its id, its ends count from 1 again, so an old number
- * would acknowledge ends of the new incarnation that nobody has seen.  Hence a
- * number is sent only once, right after its ends were listed, and not while
- * answers are missing: the next answer will tell of a new incarnation.
+ * would acknowledge ends of the new incarnation that no owner has seen.  Hence
+ * a number is sent only once, right after its ends were listed, and not while
+ * answers are missing: the next answer may be that of a new incarnation.
  */
 static uint64_t
 ends_to_acknowledge(const struct cell_worker *w)
@@ -1093,7 +1097,7 @@
 
 /* Sets how long the worker may delay its answer and how long we wait for it. */
 static void
-hold_times(
+set_hold_times(
     const struct cell_worker *w, struct cell_hold *h, bool renew, ogl_time now)
 {
 	bool lossy = CELL_USES_LOSSY && now < w->lossy_until;
@@ -1122,7 +1126,7 @@
 	    .until_ms = renew && may_renew(w) ? extend_lease(f, w, now) : 0,
 	};
 
-	hold_times(w, &h, renew, now);
+	set_hold_times(w, &h, renew, now);
 	c->fleet = f;
 	c->worker = w;
 	c->generation = f->generation;
@@ -1148,7 +1152,8 @@
 	 * there; otherwise it would never get work again. */
 	if (!w->fenced || w->failures > 0)
 		return true;
-	/* Until its reported ends are stored, it would only list them again. */
+	/* Until the reported ends are stored, the worker would only list them
+	 * again. */
 	if (w->ends_reported > w->ends_stored &&
 	    now - w->hold_sent_at < LEASE_RENEW_AFTER)
 		return false;
@@ -1175,7 +1180,7 @@
 static void on_stop(void *arg, const struct cell_order_answer *a, ogl_time now);
 
 static struct call *
-order_call(struct cell_fleet *f, struct cell_run *r, ogl_time now)
+order_call_new(struct cell_fleet *f, struct cell_run *r, ogl_time now)
 {
 	struct call *c = g_new0(struct call, 1);
 
@@ -1207,7 +1212,8 @@
 	r->tries++;
 	r->start_sent = true;
 	f->ops->count(f->ops->ctx, "starts", 1);
-	f->ops->start(f->ops->backend_ctx, &o, on_start, order_call(f, r, now));
+	f->ops->start(
+	    f->ops->backend_ctx, &o, on_start, order_call_new(f, r, now));
 }
 
 static void
@@ -1222,7 +1228,8 @@
 	};
 
 	f->ops->count(f->ops->ctx, "stops", 1);
-	f->ops->stop(f->ops->backend_ctx, &o, on_stop, order_call(f, r, now));
+	f->ops->stop(
+	    f->ops->backend_ctx, &o, on_stop, order_call_new(f, r, now));
 }
 
 void
@@ -1298,9 +1305,9 @@
 		f->events.outranked(f->events.arg, now);
 		return;
 	}
-	/* The start was sent twice and the run has begun, so the lists of the
-	 * next hold tell its state.  If this answer counted as a refusal of
-	 * the run, the task would run again after it was done. */
+	/* The start was sent twice and the run has begun, so the next answer to
+	 * a hold shows its state.  If this answer counted as a refusal of the
+	 * run, the task would run again after it was done. */
 	if (r->running_since != 0)
 		return;
 	switch (why) {
@@ -1314,8 +1321,8 @@
 	case CELL_REFUSED_OLD:
 		if (!r->start_unanswered)
 			break;
-		/* An earlier copy of this start was carried out; the next hold
-		 * tells the state of the run. */
+		/* An earlier copy of this start was carried out; the next
+		 * answer to a hold shows the state of the run. */
 		r->start_unanswered = false;
 		run_started(f, r, now);
 		r->worker->hold_immediate = true;
