--- a/cell/schedule.c
+++ b/cell/schedule.c
@@ -50,12 +50,12 @@
 /* The first question names as many workers as the service can judge in this
  * time, because a longer one would delay the start. */
 #define FIRST_ASK_BUDGET_MS 650.0
-#define FIRST_ASK_MIN_WORKERS 16
+#define FIRST_ASK_WORKERS_MIN 16
 /* Workers asked about per waiting task on a slow link, as the answer carries a
  * ticket for each worker that is allowed. */
 #define SLOW_LINK_WORKERS_PER_TASK 6
 /* Expired tickets are renewed for at most this many workers at a time. */
-#define REFRESH_MAX_WORKERS 16
+#define REFRESH_WORKERS_MAX 16
 /* Time between two passes: capacity that becomes free within 4 ms is allocated
  * in one pass, and a long queue does not use up the processor of a small
  * machine, because each waiting stage adds to the interval. */
@@ -73,13 +73,14 @@
 #define LIMITED_STAGES_ASKING_MAX 2
 /* When a team's limit refuses a stage of rank 0, other ranks of the team are
  * not started for this long. */
-#define URGENT_HOLD_TIME (150 * OGL_MS)
+#define LOWER_RANKS_PAUSE (150 * OGL_MS)
 
 /* While a gang waits for its team's limit, more than half of the limit may be
  * unused for this long. */
 #define UNDERUSE_TIME_MAX (1500 * OGL_MS)
 
-/* Cost of one unit of pace, in thousandths of a core left over on a worker. */
+/* What one unit of pace adds to placement_cost, whose unit is a thousandth of a
+ * core left over on the worker. */
 #define PACE_COST_MILLI 60e3
 /* A worker more than this many times slower than healthy ones counts as
  * faulty. */
@@ -436,8 +437,8 @@
 }
 
 static void
-list_candidates(struct cell_sched *s, const struct cell_stage *st, bool policy,
-    uint32_t rank, ogl_time now)
+list_candidates(struct cell_sched *s, const struct cell_stage *st,
+    bool policy_needed, uint32_t rank, ogl_time now)
 {
 	struct ogl_res need = cell_stage_need(st);
 	guint i;
@@ -446,7 +447,7 @@
 	g_ptr_array_set_size(s->expired, 0);
 	g_ptr_array_set_size(s->chosen, 0);
 	s->some_at_worker_max = false;
-	if (policy) {
+	if (policy_needed) {
 		list_allowed(s, st, rank, now);
 		return;
 	}
@@ -633,17 +634,17 @@
 
 /*
  * Whether other ranks wait because the team's limit refused its urgent work
- * (rank 0).  By precedence alone, the team's long tasks would take what becomes
- * free of the limit, and its short urgent tasks would wait for seconds although
+ * (rank 0).  Otherwise the team's long tasks would use any part of the limit
+ * that becomes free, and its short urgent tasks would wait for seconds although
  * the cell has room.
  */
 static bool
-held_back_for_urgent(struct cell_sched *s, const struct cell_stage *st,
+waits_for_urgent(struct cell_sched *s, const struct cell_stage *st,
     uint32_t rank, ogl_time now)
 {
 	return CELL_USES_URGENT && rank > 0 &&
 	       now - team_state_of(s, st->job->def->team)->urgent_limited_at <
-		   URGENT_HOLD_TIME;
+		   LOWER_RANKS_PAUSE;
 }
 
 static bool
@@ -661,7 +662,7 @@
 
 	if (t == NULL)
 		return true;
-	if (held_back_for_urgent(s, st, rank, now) ||
+	if (waits_for_urgent(s, st, rank, now) ||
 	    rank > team_state_of(s, st->job->def->team)->waiting_gang_rank)
 		return false;
 	max = shard_limit(s, t);
@@ -722,7 +723,7 @@
 
 	if (s->slow_link)
 		n = MIN(n, SLOW_LINK_WORKERS_PER_TASK * cell_stage_waiting(st));
-	return (guint)CLAMP(n, FIRST_ASK_MIN_WORKERS, CELL_ADVICE_WORKERS_MAX);
+	return (guint)CLAMP(n, FIRST_ASK_WORKERS_MIN, CELL_ADVICE_WORKERS_MAX);
 }
 
 static bool
@@ -814,8 +815,8 @@
 	if (st->def->gang && !gang_would_fit(s, st))
 		return false;
 	g_ptr_array_sort(s->expired, by_room);
-	if (s->expired->len > REFRESH_MAX_WORKERS)
-		g_ptr_array_set_size(s->expired, REFRESH_MAX_WORKERS);
+	if (s->expired->len > REFRESH_WORKERS_MAX)
+		g_ptr_array_set_size(s->expired, REFRESH_WORKERS_MAX);
 	return cell_advice_ask(
 	    s->parts.advice, st, p, s->expired, rank_of(s, st), now);
 }
@@ -1000,8 +1001,8 @@
 /* Reserves workers that the gang may use, those with the most room first, until
  * their total capacity is enough for it. */
 static void
-reserve_workers(
-    struct cell_sched *s, struct cell_stage *st, uint32_t rank, bool policy)
+reserve_workers(struct cell_sched *s, struct cell_stage *st, uint32_t rank,
+    bool policy_needed)
 {
 	struct ogl_res need = cell_stage_need(st);
 	uint32_t n = 0;
@@ -1013,7 +1014,7 @@
 		struct cell_worker *w = s->schedulable->pdata[i];
 
 		if (reserved_against(w, rank) || !could_run(st, w) ||
-		    (policy && cell_advice_approval(st, w) == NULL))
+		    (policy_needed && cell_advice_approval(st, w) == NULL))
 			continue;
 		n += tasks_that_fit(&w->capacity, &need);
 		w->reserved = rank + 1;
@@ -1105,13 +1106,13 @@
     const struct cell_queue *q, uint32_t rank, unsigned precedence,
     ogl_time now)
 {
-	bool policy = q->policy.needed;
+	bool policy_needed = q->policy.needed;
 	uint32_t tasks = st->def->gang ? st->ntasks : 1;
 	uint32_t active_before;
 	bool placed;
 
 	if (!st->job->settled || !st->job->stored) {
-		/* So that the answer is there when the stage may start. */
+		/* The answer should have arrived when the stage may start. */
 		if (g_hash_table_size(st->asked) == 0)
 			request_advice(s, st, q, now);
 		log_wait(s, st,
@@ -1124,7 +1125,7 @@
 		return LIMITED;
 	}
 	active_before = st->nactive;
-	list_candidates(s, st, policy, rank, now);
+	list_candidates(s, st, policy_needed, rank, now);
 	s->tight_deadline = deadline_is_tight(q, st, now);
 	if (st->def->gang)
 		placed = place_gang(s, st, rank, now);
@@ -1141,7 +1142,7 @@
 	log_wait(s, st, find_wait_reason(s, st, &q->policy), now);
 	request_advice(s, st, q, now);
 	if (st->def->gang && precedence == 0)
-		reserve_workers(s, st, rank, policy);
+		reserve_workers(s, st, rank, policy_needed);
 	return st->nactive > active_before ? PLACED : UNPLACED;
 }
 
@@ -1300,7 +1301,7 @@
 cell_sched_has_room(struct cell_sched *s, struct cell_stage *st,
     const struct cell_worker *other, ogl_time now)
 {
-	bool policy = queue_of(s, st->job)->policy.needed;
+	bool policy_needed = queue_of(s, st->job)->policy.needed;
 	const struct team_state *t = team_state_of(s, st->job->def->team);
 	GHashTableIter it;
 	gpointer p;
@@ -1314,7 +1315,7 @@
 
 		if (w == other || !has_room_on(s, st, w, now))
 			continue;
-		if (!policy || cell_advice_approval(st, w) != NULL)
+		if (!policy_needed || cell_advice_approval(st, w) != NULL)
 			return true;
 	}
 	return false;
