--- a/cell/window.c
+++ b/cell/window.c
@@ -35,7 +35,7 @@
 {
 	w->size = 1;
 	w->in_flight = 0;
-	w->has_served = false;
+	w->has_answered = false;
 	w->closed_until = 0;
 }
 
@@ -62,9 +62,9 @@
 cell_window_answered(struct cell_window *w)
 {
 	w->size = MIN(w->size + 1, WINDOW_CALLS_MAX);
-	if (!w->has_served)
+	if (!w->has_answered)
 		w->size = MAX(w->size, FIRST_ANSWER_WINDOW_CALLS);
-	w->has_served = true;
+	w->has_answered = true;
 	w->closed_until = 0;
 }
 
@@ -73,7 +73,7 @@
 void
 cell_window_refused(struct cell_window *w, ogl_time now)
 {
-	if (w->has_served)
+	if (w->has_answered)
 		return;
 	w->size = 1;
 	w->closed_until = now + REFUSED_RETRY_DELAY;
--- a/cell/window.h
+++ b/cell/window.h
@@ -15,8 +15,8 @@
 struct cell_window {
 	unsigned size;         /* limit on calls in flight; 0 counts as 1 */
 	unsigned in_flight;    /* calls in flight */
-	bool has_served;       /* the owner has answered a call */
-	ogl_time closed_until; /* no calls before; 0 open */
+	bool has_answered;     /* the owner has answered a call */
+	ogl_time closed_until; /* no call is sent before; 0: open */
 	ogl_time shrunk_at;    /* last reduction of the size */
 };
 
