--- a/cell/lead.c
+++ b/cell/lead.c
@@ -5,9 +5,9 @@
  * the stream still ends at the offset the claimant knows, so of several claims
  * after the same record only one succeeds.  The epoch of the new owner is the
  * claim's offset + 1, which is unique among the claims of the shard.  The owner
- * puts it into its records on the store and its orders to workers.  The next
- * claim has to name the epoch as its offset, so a claimant does not have to
- * read before it claims.
+ * puts it into its records on the store and its orders to workers.  The offset
+ * that the next claim has to name is equal to the epoch, so a claimant that
+ * knows the epoch does not have to read the claims first.
  *
  * An owner appends a heartbeat to the ownership stream of the whole cell every
  * HEARTBEAT_INTERVAL, the first as soon as it has won.  All nodes read that
@@ -88,9 +88,10 @@
 #define OTHER_SHARD_DELAY_MS 200
 #define READ_WAIT_MS 1000
 #define READ_TIMEOUT_MS 2200
-/* Least time from one read to the next if there are several shards, since each
- * owner's heartbeat ends a read: 300 nodes with 8 owners would read 6,000 times
- * a second.  Does not apply while a shard has no owner. */
+/* Minimum time between the starts of two reads if there are several shards.
+ * Each owner's heartbeat ends a read, so 300 nodes with 8 owners would
+ * otherwise read 6,000 times a second.  Does not apply while a shard has no
+ * owner. */
 #define READ_INTERVAL_MIN (250 * OGL_MS)
 #define APPEND_TIMEOUT_MS 900
 #define HEARTBEATS_IN_FLIGHT_MAX 6
@@ -792,8 +793,9 @@
 static void
 heartbeat_if_due(struct lead_shard *s, ogl_time now)
 {
-	ogl_time overdue = CLAMP(s->heartbeat_took * HEARTBEAT_OVERDUE_FACTOR,
-	    HEARTBEAT_OVERDUE_MIN, HEARTBEAT_INTERVAL);
+	ogl_time overdue_after =
+	    CLAMP(s->heartbeat_took * HEARTBEAT_OVERDUE_FACTOR,
+		HEARTBEAT_OVERDUE_MIN, HEARTBEAT_INTERVAL);
 
 	if (!s->own)
 		return;
@@ -803,7 +805,7 @@
 	if (now < s->heartbeat_at ||
 	    s->heartbeats_in_flight >= HEARTBEATS_IN_FLIGHT_MAX)
 		return;
-	s->heartbeat_at = now + overdue;
+	s->heartbeat_at = now + overdue_after;
 	send_heartbeat(s, false, now);
 }
 
