--- a/cell/node.c
+++ b/cell/node.c
@@ -1,4 +1,7 @@
 /*
+ * Runs the parts of a node: election (lead.c), front end (front.c) and owners
+ * (owner.c), and exchanges messages with its peers.
+ *
  * Each node pings the owner of each shard.  When no pong comes, it closes the
  * connection and opens a new one.  At most one owner may ask the advice service
  * through the node: the service takes one question at a time from each machine,
@@ -32,8 +35,8 @@
 #define OWNER_SUSPECT_TIMEOUT (550 * OGL_MS)
 /* No pong for this time: the connection is closed and opened again. */
 #define RECONNECT_TIMEOUT (900 * OGL_MS)
-/* Greatest age reported, also for a configuration that was never confirmed;
- * every receiver takes it for stale. */
+/* Highest age that is reported, also for a configuration that was never
+ * confirmed.  Every receiver treats a configuration of this age as stale. */
 #define CONFIG_AGE_MAX_MS 3600000
 /* A successor counts as alive for this time after its last ping. */
 #define SUCCESSOR_TIMEOUT (600 * OGL_MS)
@@ -58,13 +61,13 @@
 	 * STRONGER_FACTOR.  After a gap of a second the next ping counts as the
 	 * first. */
 	ogl_time stronger_since;
-	ogl_time stronger_heard;
+	ogl_time stronger_heard_at;
 	/* As the owner: the node that could best take over, as of its last
 	 * ping. */
 	char *successor; /* its address, NULL none */
 	uint32_t successor_strength;
 	uint32_t successor_uptime_ms;
-	ogl_time successor_heard;
+	ogl_time successor_heard_at;
 	ogl_time handover_at; /* the handover was sent, 0 not yet */
 	/* As the successor: */
 	bool claim_pending; /* claims the shard once it has read the jobs */
@@ -336,9 +339,9 @@
 	if (!p->store_ok || p->leaving || p->owned > 0 || n->strength == 0 ||
 	    p->strength < n->strength * STRONGER_FACTOR)
 		return;
-	if (now - s->stronger_heard > OGL_SEC)
+	if (now - s->stronger_heard_at > OGL_SEC)
 		s->stronger_since = now;
-	s->stronger_heard = now;
+	s->stronger_heard_at = now;
 	if (now - s->stronger_since < STRONGER_TIME ||
 	    !cell_lead_able(n->lead, s->shard, now))
 		return;
@@ -354,11 +357,12 @@
  * owner loses the advice that the shard's waiting work has got.
  */
 static bool
-better_successor(const struct node_shard *s, uint32_t strength, uint32_t uptime)
+better_successor(
+    const struct node_shard *s, uint32_t strength, uint32_t uptime_ms)
 {
 	if (strength != s->successor_strength)
 		return strength > s->successor_strength;
-	return uptime < s->successor_uptime_ms;
+	return uptime_ms < s->successor_uptime_ms;
 }
 
 /* Makes the node that sent the ping the successor if it is a better one, and
@@ -380,7 +384,7 @@
 	if (!eligible)
 		return;
 	if (!same && s->successor != NULL &&
-	    now - s->successor_heard < SUCCESSOR_TIMEOUT &&
+	    now - s->successor_heard_at < SUCCESSOR_TIMEOUT &&
 	    !better_successor(s, strength, p->uptime_ms))
 		return;
 	if (!same) {
@@ -389,7 +393,7 @@
 	}
 	s->successor_strength = strength;
 	s->successor_uptime_ms = p->uptime_ms;
-	s->successor_heard = now;
+	s->successor_heard_at = now;
 }
 
 /* Adds what this node knows of the configuration, for a node that can't read
@@ -428,9 +432,9 @@
 	return a;
 }
 
-/* The age in the pong is counted from when the ping was sent.  The peer stated
- * it at that time or later, so it is not underestimated, however long the
- * messages took. */
+/* The age in the pong is subtracted from the time when the ping was sent.  The
+ * peer determined it at that time or later, so the configuration never counts
+ * as newer than it is, however long the messages took. */
 static void
 learn_config(struct cell_node *n, const Ogl__CellPong *pong, ogl_time now)
 {
@@ -476,7 +480,7 @@
 }
 
 /* The owner may have restarted, or have lost only its connection to the store.
- * Its pongs tell so much earlier than a timeout would. */
+ * Its pongs show this much earlier than a timeout would. */
 static void
 handle_pong(struct node_shard *s, const Ogl__CellMsg *m, ogl_time now)
 {
@@ -892,7 +896,7 @@
 		return;
 	}
 	if (s->successor == NULL ||
-	    now - s->successor_heard > SUCCESSOR_TIMEOUT ||
+	    now - s->successor_heard_at > SUCCESSOR_TIMEOUT ||
 	    !cell_lead_able(n->lead, s->shard, now)) {
 		cell_lead_resign(n->lead, s->shard, now);
 		return;
