--- a/cell/front.c
+++ b/cell/front.c
@@ -1,9 +1,12 @@
 /*
+ * The front end of a node: checks the calls of callers, passes them on to the
+ * owners of the shards and returns the answers.
+ *
  * A call that the configuration alone decides is answered here.  Any other call
  * is passed on to a shard's owner and is in one of two states:
  *
- *	WAITING  not sent: no owner is known, or too many calls to it are under
- *	         way.  Kept for OWNER_TIMEOUT, then refused as not accepted,
+ *	WAITING  not sent: no owner is known, or too many calls to it are in
+ *	         flight.  Kept for OWNER_TIMEOUT, then refused as not accepted,
  *	         which is certain since no owner was sent it.
  *	SENT     the owner has it or may have it.  Repeated while no answer
  *	         comes, to the shard's current owner.  All repeats have the
@@ -43,7 +46,7 @@
  * owner's window to allow it. */
 #define OWNER_TIMEOUT (900 * OGL_MS)
 /* Time without an answer until the first repeat; it doubles with each of the
- * next REPEAT_DOUBLINGS_MAX.  An owner answers in some 15 ms, but store and
+ * next REPEAT_DOUBLINGS_MAX.  An owner answers in about 15 ms, but store and
  * network may delay the answer. */
 #define REPEAT_DELAY (450 * OGL_MS)
 #define REPEAT_DOUBLINGS_MAX 2
@@ -507,8 +510,8 @@
 	return &f->owners[p->shard].window;
 }
 
-/* Sends the call unless no owner is known or too many calls to it are under
- * way. */
+/* Sends the call unless no owner is known or too many calls to it are in
+ * flight. */
 static void
 try_send_call(struct cell_front *f, struct pending_call *p, ogl_time now)
 {
@@ -525,7 +528,7 @@
 	send_call(f, p, now);
 }
 
-/* Stops counting the call as under way to the owner of its shard. */
+/* Stops counting the call as in flight to the owner of its shard. */
 static void
 leave_window(struct cell_front *f, struct pending_call *p)
 {
@@ -656,7 +659,7 @@
     const struct cell_queue *q, const char *team, struct ogl_str rest,
     ogl_time now)
 {
-	uint32_t budget =
+	uint32_t budget_ms =
 	    r->budget_ms > 0 ? r->budget_ms : CALL_BUDGET_DEFAULT_MS;
 	struct pending_call *p;
 	const char *why = "malformed body";
@@ -670,7 +673,7 @@
 	 * is unknown, and could not retry.  If it is not sent, the job
 	 * certainly does not run.
 	 */
-	if (budget * OGL_MS <= REPLY_MARGIN) {
+	if (budget_ms * OGL_MS <= REPLY_MARGIN) {
 		refuse(
 		    f, r, token, CELL_BUSY, CALLER_RETRY_MS, "no time is left");
 		return;
@@ -691,7 +694,7 @@
 	p->queue = g_strdup(q->name);
 	p->job = job;
 	p->began = now;
-	p->deadline = now + budget * OGL_MS - REPLY_MARGIN;
+	p->deadline = now + budget_ms * OGL_MS - REPLY_MARGIN;
 	ogl__cell_call__init(&p->call);
 	p->call.token = token;
 	p->call.kind = rest.n == 0 ? OGL__CELL_CALL_KIND__cell_pending
