--- a/cell/journal.c
+++ b/cell/journal.c
@@ -3,9 +3,9 @@
  *
  * Everything marked while an append is in flight goes into the next one.  The
  * appends of an epoch are numbered, and the store accepts them only in that
- * order.  An append whose answer is lost may have been stored or may still be.
- * It is sent again unchanged, under its number, until the store answers; the
- * number makes it take effect only once.  Only an append that the store refused
+ * order.  An append whose answer is lost may have been stored or may still be
+ * stored later.  It is sent again unchanged, under its number, until the store
+ * answers; the number makes it take effect only once.  Only an append that the store refused
  * each time it was sent is known not to be stored, and only then can the
  * submissions in it be refused.
  *
@@ -27,7 +27,7 @@
 #include "ablate.h"
 #include "journal.h"
 
-/* Least time between two appends.  Each append costs a fee and occupies the
+/* Minimum time between two appends.  Each append costs a fee and occupies the
  * partition for 2 ms, while 15 ms are not noticeable to a caller against an
  * objective of 250 ms. */
 #define APPEND_INTERVAL (15 * OGL_MS)
@@ -425,8 +425,8 @@
 
 /*
  * Jobs beyond the size limit of a batch wait for the next one.  All waiters
- * then do so too, because each is told only when everything marked before it is
- * stored.
+ * then wait for it too, because each is told only when everything marked before
+ * it is stored.
  */
 static struct batch *
 make_batch(struct cell_journal *g, ogl_time now)
@@ -675,9 +675,9 @@
  * submissions are unmarked and refused; everything else goes into new batches,
  * whose seq starts with that of the oldest one.  Since the nodes that take
  * calls repeat them, one job may have several submissions, both in a batch and
- * for the next one.  All of them are told, as a remaining one would get
- * CELL_STORED with a later batch, and a job submitted again under the same id
- * would count as stored although it is not.
+ * for the next one.  All of them are told.  A submission that was left out
+ * would get CELL_STORED with a later batch, and a job submitted again under the
+ * same id would count as stored although it is not.
  */
 static void
 take_back_batches(struct cell_journal *g, ogl_time now)
