--- a/cell/relay.c
+++ b/cell/relay.c
@@ -478,7 +478,7 @@
 static void
 relay_read(void *ctx, const struct cell_read *q, cell_read_fn *done, void *arg)
 {
-	const struct cell_target nobody = {"", "", 0};
+	const struct cell_target no_worker = {"", "", 0};
 	struct cell_relay *r = ctx;
 	struct node *n = NULL;
 	Ogl__CellOrder *m;
@@ -490,7 +490,7 @@
 		return;
 	}
 	m = message_new(
-	    OGL__CELL_ORDER_KIND__cell_order_list, &nobody, q->timeout_ms);
+	    OGL__CELL_ORDER_KIND__cell_order_list, &no_worker, q->timeout_ms);
 	m->from = q->from;
 	call_new(r, n, m, arg)->list_done = done;
 	batch_add(r, n, m);
