--- a/cell/journal.c
+++ b/cell/journal.c
@@ -5,9 +5,9 @@
  * appends of an epoch are numbered, and the store accepts them only in that
  * order.  An append whose answer is lost may have been stored or may still be
  * stored later.  It is sent again unchanged, under its number, until the store
- * answers; the number makes it take effect only once.  Only an append that the store refused
- * each time it was sent is known not to be stored, and only then can the
- * submissions in it be refused.
+ * answers; the number makes it take effect only once.  Only an append that the
+ * store refused each time it was sent is known not to be stored, and only then
+ * can the submissions in it be refused.
  *
  * An overdue answer may be lost or only slow: the store's latency can rise
  * sixtyfold from one moment to the next.  So the append is sent again while the
