--- a/src/session.c
+++ b/src/session.c
@@ -8,13 +8,13 @@
  * the last it accepted, so messages of an old owner and delayed copies have
  * no effect.
  *
- * Leases are counted on the worker's clock.  Each answer carries the clock's
- * reading X; the next message renews "until X + lease_ms".  However long the
- * message is under way, and however long either side is suspended, the lease
- * ends at most lease_ms after we received X, on our clock.  So once that
- * time and a margin for clock drift have passed, a worker that does not
- * answer runs none of our tasks, and they may start elsewhere.  The time
- * limits of start commands are counted from the same X.
+ * Leases are measured on the worker's clock.  Each answer carries a reading X
+ * of that clock, and the next message renews the leases until X + lease_ms.
+ * However long the message is under way or either side is suspended, the
+ * leases end at most lease_ms after we received X, by our clock.  When this
+ * end and a margin for clock drift have passed, a worker that does not answer
+ * runs none of our tasks any more, and they may be started elsewhere.  The
+ * time limits of start commands are also measured from X.
  *
  * A worker is recorded as in use before the first start there, and as no
  * longer in use once its leases have expired without an answer.  A successor
@@ -26,7 +26,7 @@
 
 #include "shard_impl.h"
 
-#define DRIFT_DIVISOR 10 /* a tenth of the lease covers clock drift */
+#define DRIFT_MARGIN_DIVISOR 10 /* lease_ms over this covers clock drift */
 
 static void
 task_ref_free(void *v)
@@ -69,7 +69,7 @@
 	sh->by_worker = g_hash_table_new(g_str_hash, g_str_equal);
 	sh->by_token =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-	sh->next_hosts = 0;
+	sh->next_hosts_update = 0;
 }
 
 void
@@ -87,7 +87,7 @@
 	ogl_time soon =
 	    MAX(now, s->sent_at + OGL_SYNC_MIN_INTERVAL_MS * OGL_MS);
 
-	if (s->fails == 0)
+	if (s->failed_syncs == 0)
 		s->next_sync = MIN(s->next_sync, soon);
 	sh->sessions_due = MIN(sh->sessions_due, s->next_sync);
 }
@@ -156,17 +156,19 @@
 		s->gone = false;
 		s->next_sync = now;
 	}
-	/* The worker leaves as soon as the list or its own report says so:
-	 * the list lags, and must not make it schedulable again. */
-	leaving = h->leaving || !h->listed || s->says_leaving;
+	/* The worker is leaving if the host list or its own report says so.
+	 * The list may be older than the report, so the list alone must not
+	 * make the worker schedulable again. */
+	leaving = h->leaving || !h->listed || s->reported_leaving;
 	if (s->leaving != leaving) {
 		s->leaving = leaving;
 		update_schedulable(sh, s);
 	}
 }
 
-/* Updates the workers to contact from the host list, which lags.  A worker
- * that the list lacks may still run tasks, until its leases have expired. */
+/* Updates the set of workers to contact from the host list, which may be out
+ * of date, and from the workers recorded as in use.  A worker that is missing
+ * from the list may still run tasks until its leases have expired. */
 void
 ogl_sessions_update_hosts(struct ogl_shard *sh, ogl_time now)
 {
@@ -190,7 +192,7 @@
 static ogl_time
 drift_margin(const struct ogl_shard *sh)
 {
-	return sh->env->cfg->lease_ms * OGL_MS / DRIFT_DIVISOR;
+	return sh->env->cfg->lease_ms * OGL_MS / DRIFT_MARGIN_DIVISOR;
 }
 
 /* Returns the time by which a worker that no longer answers has certainly
@@ -206,6 +208,8 @@
 	return t;
 }
 
+/* Ends the worker's tasks that may have started as lapsed, and queues the
+ * others again. */
 static void
 lapse_tasks(
     struct ogl_shard *sh, struct ogl_session *s, const char *why, ogl_time now)
@@ -333,7 +337,8 @@
 	}
 }
 
-/* Acks are sent once: a worker that misses one reports the end again. */
+/* Each ack is sent once.  A worker that does not receive it reports the task's
+ * end again and is sent a new ack. */
 static void
 add_acks(Ogl__WorkerSync *m, struct ogl_session *s)
 {
@@ -345,8 +350,8 @@
 	g_ptr_array_set_free_func(s->acks, ack_free);
 }
 
-/* Whether a task that was never reported as running is to be stopped.  Only a
- * full report tells whether the worker has it. */
+/* Whether a stop is pending for a task that the worker never reported as
+ * running.  Only a full report shows whether the worker has the task. */
 static bool
 stopping_unreported(const struct ogl_session *s)
 {
@@ -365,7 +370,7 @@
 {
 	int64_t *key = g_new(int64_t, 1);
 
-	/* The upper half of the shard's tokens belongs to sessions. */
+	/* Bit 31 marks those of the shard's tokens that belong to sessions. */
 	sh->token_count = (sh->token_count + 1) & 0x7fffffff;
 	*key = (int64_t)(ogl_shard_token_base(sh->index) | 0x80000000u |
 			 sh->token_count);
@@ -386,8 +391,8 @@
 	m->seq = ++s->seq;
 	m->boot = s->reported ? s->boot : 0;
 	m->owner = strdup(c->name);
-	/* Changes reported in a lost answer may be missing: ask for all. */
-	m->full = !s->reported || s->needs_full_report || s->fails > 0 ||
+	/* A lost answer may have reported changes; a full report has them. */
+	m->full = !s->reported || s->needs_full_report || s->failed_syncs > 0 ||
 		  stopping_unreported(s);
 	if (s->reported && s->in_use && !s->needs_full_report) {
 		m->lease_from_ms = s->clock_ms;
@@ -514,8 +519,8 @@
 	       t->attempt == attempt;
 }
 
-/* Handles a task reported as running: it is bound here, or an earlier owner
- * started it and it is adopted, or it has to be stopped. */
+/* Handles a task reported as running.  One that is not bound here is adopted
+ * if an earlier owner may have started it, and is stopped otherwise. */
 static void
 on_running(struct ogl_shard *sh, struct ogl_session *s,
     const Ogl__TaskReport *r, struct ogl_job *j, uint32_t i, ogl_time now)
@@ -561,11 +566,11 @@
 	bool adoptable;
 
 	drop_stop(s, r->task, r->attempt);
-	/* An end of the task is being appended; its ack follows.  If this
-	 * report is of a later attempt, on another worker, that worker will
-	 * report it again.  If the later attempt were bound now, the task would
-	 * never end: its end would be dropped since one is pending, and the
-	 * pending one ignored as that of an older attempt. */
+	/* An end of the task is being appended; its ack follows.  A report of
+	 * a later attempt, on another worker, is ignored too, and that worker
+	 * will repeat it.  If the later attempt were bound now, its end would
+	 * be dropped because one is pending, the pending one would be ignored
+	 * as that of an older attempt, and the task would never end. */
 	if (t != NULL && t->end_pending)
 		return;
 	adoptable = t != NULL && t->phase == OGL_TASK_WAITING &&
@@ -623,10 +628,11 @@
 	g_ptr_array_add(sh->requeue, ref->job);
 }
 
-/* Handles bound tasks that a full report lacks: they are lost, unless their
- * start has not arrived there yet.  A restarted worker has forgotten all tasks.
- * One whose start was sent before the restart may have run although that was
- * never reported, so its start must not be sent again. */
+/* Handles bound tasks that are missing from a full report.  A task that was
+ * reported as running before is lost.  The start of any other has not arrived
+ * yet, unless the worker restarted and forgot its tasks: a task whose start was
+ * sent before the restart may have run unreported, so its start must not be
+ * sent again. */
 static void
 handle_unreported(struct ogl_shard *sh, struct ogl_session *s,
     const Ogl__WorkerReport *r, bool restarted, ogl_time now)
@@ -716,10 +722,10 @@
 apply_report(struct ogl_shard *sh, struct ogl_session *s,
     const Ogl__WorkerReport *r, ogl_time now)
 {
-	bool was_known = s->reported;
+	bool had_reported = s->reported;
 	bool restarted = s->boot != 0 && r->boot != s->boot;
 
-	if (was_known && r->boot != s->boot && !r->full) {
+	if (had_reported && r->boot != s->boot && !r->full) {
 		/* The worker restarted, so a full report is needed. */
 		s->needs_full_report = true;
 		update_schedulable(sh, s);
@@ -729,7 +735,7 @@
 	s->boot = r->boot;
 	s->clock_ms = r->clock_ms;
 	s->clock_at = now;
-	s->says_leaving = r->leaving;
+	s->reported_leaving = r->leaving;
 	s->leaving |= r->leaving;
 	update_capacity(sh, s, r);
 	for (size_t i = 0; i < r->n_tasks; i++)
@@ -741,7 +747,7 @@
 	}
 	record_in_use(sh, s, now);
 	update_schedulable(sh, s);
-	if (!was_known && s->reported)
+	if (!had_reported && s->reported)
 		ogl_session_wake(sh, s, now);
 }
 
@@ -767,10 +773,10 @@
 	uint32_t wait_ms = sh->env->cfg->sync_ms;
 
 	sh->env->counters->sync_fails++;
-	s->fails++;
+	s->failed_syncs++;
 	/* The first retries come well within the lease, so that it survives a
 	 * lost message; a worker that stays silent is tried less often. */
-	wait_ms = s->fails < 5 ? wait_ms / 4 : wait_ms * 2;
+	wait_ms = s->failed_syncs < 5 ? wait_ms / 4 : wait_ms * 2;
 	s->next_sync = now + wait_ms * OGL_MS;
 }
 
@@ -801,7 +807,7 @@
 		s->seq = MAX(s->seq, ev->u.worker->seq);
 		return;
 	}
-	s->fails = 0;
+	s->failed_syncs = 0;
 	s->answered_at = now;
 	s->next_sync = now + sh->env->cfg->sync_ms * OGL_MS;
 	apply_report(sh, s, ev->u.worker, now);
@@ -838,8 +844,8 @@
 	if (!s->in_use && !s->reported && s->leaving && s->tasks->len == 0) {
 		s->gone = true;
 		/* If the host list later shows the worker as staying, its old
-		 * report must not prevent that it is contacted again. */
-		s->says_leaving = false;
+		 * report must not keep it from being contacted. */
+		s->reported_leaving = false;
 	}
 	if (s->leaving)
 		unbind_unsent(sh, s, now);
@@ -851,7 +857,8 @@
 		s->next_sync = now + sh->env->cfg->sync_ms * OGL_MS / 4;
 }
 
-/* A sync counts as unanswered if the platform's adapter never reports on it. */
+/* Treats a sync as unanswered if the platform's adapter has reported neither an
+ * answer nor an error after twice the timeout. */
 static void
 time_out_sync(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
 {
@@ -886,8 +893,8 @@
 {
 	ogl_time due = OGL_NEVER;
 
-	if (now >= sh->next_hosts) {
-		sh->next_hosts = now + OGL_SEC;
+	if (now >= sh->next_hosts_update) {
+		sh->next_hosts_update = now + OGL_SEC;
 		ogl_sessions_update_hosts(sh, now);
 		sh->sessions_due = now;
 	}
@@ -906,5 +913,5 @@
 ogl_time
 ogl_sessions_next(const struct ogl_shard *sh)
 {
-	return MIN(sh->next_hosts, sh->sessions_due);
+	return MIN(sh->next_hosts_update, sh->sessions_due);
 }
--- a/src/shard_impl.h
+++ b/src/shard_impl.h
@@ -33,9 +33,9 @@
 	bool in_use_pending;    /* the record of its use is not confirmed yet */
 	bool reported;          /* it reported all its tasks in this epoch */
 	bool needs_full_report; /* the next sync asks for a full report */
-	bool leaving;
-	bool says_leaving; /* according to its newest report */
-	bool gone;         /* not in the host list, and no task left */
+	bool leaving;           /* by the host list or its own report */
+	bool reported_leaving;  /* its newest report says that it is leaving */
+	bool gone;              /* not in the host list, and no task left */
 	uint64_t boot;
 	uint64_t clock_ms;    /* the worker's clock as last reported */
 	ogl_time clock_at;    /* when clock_ms was received */
@@ -43,9 +43,9 @@
 	ogl_time answered_at; /* time of its last answer */
 	ogl_time next_sync;
 	ogl_time sent_at;
-	uint64_t token; /* of the sync in progress, 0 for none */
-	uint64_t seq;
-	uint32_t fails;
+	uint64_t token;        /* of the sync in progress, 0 for none */
+	uint64_t seq;          /* of the newest sync */
+	uint32_t failed_syncs; /* since the last answer */
 	GPtrArray *tasks; /* struct ogl_task_ref *, tasks bound to the worker */
 	GPtrArray *stops; /* Ogl__TaskStop *, sent until the task stops */
 	GPtrArray *acks;  /* Ogl__TaskAck *, sent once */
@@ -70,8 +70,8 @@
 	uint64_t known_epoch;
 	bool known_offered;
 	ogl_time ownerless_since; /* 0 while the known owner is alive */
-	ogl_time outranked_since; /* since when a higher-ranked node is alive,
-				     0 for none; owner only */
+	ogl_time outranked_since; /* when a higher-ranked node was found
+				     alive, 0: none; owner only */
 
 	struct ogl_stream *stream;
 	struct ogl_state *state;
@@ -79,9 +79,9 @@
 
 	/* The owner's state. */
 	ogl_time claimed_at;
-	ogl_time recovery_until; /* all earlier leases have ended by then */
+	ogl_time recovery_until; /* latest end of earlier owners' leases */
 	bool recovering; /* tasks of earlier owners may run unknown to us */
-	ogl_time promise_until; /* every successor promised up to then */
+	ogl_time promise_until; /* end of the successors' earliest promise */
 	ogl_time next_promise_ask;
 	GHashTable *promises; /* successor -> ogl_time *, end of its promise */
 	uint64_t promise_seq;
@@ -109,8 +109,8 @@
 	GHashTable *cancels;     /* job id -> GArray of waiters */
 	GHashTable *inflight;    /* request id -> struct ogl_inflight */
 	struct ogl_escrow *escrow;
-	ogl_time next_hosts;
-	ogl_time sessions_due; /* no session has work before this time */
+	ogl_time next_hosts_update; /* when to read the host list again */
+	ogl_time sessions_due;      /* no session has work before this time */
 	ogl_time next_maintenance;
 	ogl_time next_infeasible;
 	bool place_due;     /* placement is to be tried again */
@@ -201,7 +201,7 @@
 /* Returns how many tasks of the team, its subteams included, this shard may
  * have placed now; UINT64_MAX without a limit. */
 void ogl_escrow_want(struct ogl_shard *sh, const char *team, uint64_t tasks);
-/* Notes that this shard could place so many tasks of the team in total, which
+/* Notes that this shard could place `tasks` tasks of the team in total, which
  * is more than it is allowed. */
 void ogl_escrow_recorded(
     struct ogl_shard *sh, const Ogl__Allot *a, ogl_time now);
@@ -252,8 +252,8 @@
 /* Returns an empty record under the current epoch, for ogl_shard_append. */
 void ogl_shard_append(struct ogl_shard *sh, Ogl__Record *r, ogl_time now);
 bool ogl_shard_may_act(const struct ogl_shard *sh, ogl_time now);
-/* Whether this owner may start tasks and renew leases, because no later
- * owner can have waited out its right to act. */
+/* Whether this owner may start tasks and renew leases.  A later owner waits
+ * until this right has certainly ended. */
 bool ogl_shard_log_up(const struct ogl_shard *sh, ogl_time now);
 /* Whether the log answered a short time ago. */
 void ogl_shard_task_end(struct ogl_shard *sh, struct ogl_job *j, uint32_t i,
--- a/src/shardcall.c
+++ b/src/shardcall.c
@@ -1,9 +1,9 @@
 /*
  * Calls to the owner of a shard, made directly or through another node.
  *
- * A job is accepted, and its submitter answered, once the job's record has
- * taken effect on the log.  The submitter's request id is kept with the job:
- * a repeated submission under the same id gives the same job.
+ * A job is accepted when its record has taken effect on the log; its submitter
+ * is answered then.  The submitter's request id is kept with the job: a
+ * repeated submission under the same id gives the same job.
  *
  * A submission under the caller's own id goes first to the shard that the id
  * belongs to, its home.  The node that took the call suggests a shard with
@@ -27,18 +27,18 @@
 
 enum {
 	MAX_JOB_TASKS = 10000,
-	MAX_QUEUED_WORK = 200000, /* longest queue of a shard */
-	RETRY_OWNER_MS = 300,     /* the shard may have a ready owner by then */
-	RETRY_LOG_MS = 1000,      /* the log may be up again by then */
-	RETRY_FULL_MS = 5000,     /* the queue may be shorter by then */
+	MAX_QUEUED_WORK = 200000, /* most tasks and gangs in the queue */
+	RETRY_OWNER_MS = 300,     /* retry delay until an owner is ready */
+	RETRY_LOG_MS = 1000,      /* retry delay while the log is down */
+	RETRY_FULL_MS = 5000,     /* retry delay while the queue is full */
 	INFEASIBLE_MIN_S = 60,    /* a job infeasible this long is cancelled */
-	/* After this many failed syncs, a worker's report is not awaited. */
-	UNRESPONSIVE_FAILS = 3
+	/* A worker with this many failed syncs is no longer waited for. */
+	UNRESPONSIVE_FAILED_SYNCS = 3
 };
 
 #define REFUSED_ERROR "it can never run: its shard refused it for good"
 
-/* A short request in flight; its id is the key. */
+/* A short request whose outcome is not recorded yet. */
 struct ogl_inflight {
 	char *id;
 	char *team;
@@ -46,7 +46,7 @@
 	GBytes *body;
 	uint64_t budget_ms;
 	GArray *waiters; /* uint64_t */
-	bool sent;
+	bool sent;       /* to an executor */
 };
 
 static void
@@ -176,7 +176,7 @@
 }
 
 static void
-refuse_all(struct ogl_shard *sh, GArray *waiters, enum ogl_verdict v,
+refuse_waiters(struct ogl_shard *sh, GArray *waiters, enum ogl_verdict v,
     const char *error)
 {
 	for (guint i = 0; i < waiters->len; i++)
@@ -185,14 +185,14 @@
 }
 
 static void
-refuse_table(struct ogl_shard *sh, GHashTable *table, const char *error)
+refuse_table_waiters(struct ogl_shard *sh, GHashTable *table, const char *error)
 {
 	GHashTableIter it;
 	void *v;
 
 	g_hash_table_iter_init(&it, table);
 	while (g_hash_table_iter_next(&it, NULL, &v))
-		refuse_all(sh, v, OGL_MAY_HAVE_RUN, error);
+		refuse_waiters(sh, v, OGL_MAY_HAVE_RUN, error);
 }
 
 void
@@ -204,14 +204,14 @@
 	void *v;
 
 	(void)now;
-	refuse_table(sh, sh->submits, error);
-	refuse_table(sh, sh->cancels, error);
-	refuse_table(sh, sh->referrals, error);
+	refuse_table_waiters(sh, sh->submits, error);
+	refuse_table_waiters(sh, sh->cancels, error);
+	refuse_table_waiters(sh, sh->referrals, error);
 	g_hash_table_iter_init(&it, sh->inflight);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct ogl_inflight *f = v;
 
-		refuse_all(sh, f->waiters,
+		refuse_waiters(sh, f->waiters,
 		    f->sent ? OGL_MAY_HAVE_RUN : OGL_NOT_RUN, error);
 	}
 	g_clear_pointer(&sh->submits, g_hash_table_destroy);
@@ -279,7 +279,7 @@
 	}
 }
 
-/* Returns why the team's limit never lets the job run, or NULL. */
+/* Returns why the job can never run within the team's limit, or NULL. */
 static const char *
 limit_reason(struct ogl_shard *sh, const char *team, const Ogl__Submit *s)
 {
@@ -318,8 +318,8 @@
 		g_free(id);
 }
 
-/* Returns whether the id has a job, or one whose record is not on the log yet.
- * If so, the waiter is answered, now or together with the other submitters. */
+/* Returns whether a job was already submitted under the id, and if so answers
+ * the waiter, now or once the job's record is on the log. */
 static bool
 known_request(struct ogl_shard *sh, const char *team, const char *request_id,
     uint64_t waiter)
@@ -454,7 +454,8 @@
 	g_free(key);
 }
 
-/* Whether workers that might fit a job have not reported yet. */
+/* Whether some workers have not reported yet, so that a job that seems
+ * infeasible may fit on one of them. */
 static bool
 workers_unreported(const struct ogl_shard *sh)
 {
@@ -464,7 +465,8 @@
 		const struct ogl_session *s =
 		    g_ptr_array_index(sh->sessions, i);
 
-		if (!s->reported && !s->gone && s->fails < UNRESPONSIVE_FAILS)
+		if (!s->reported && !s->gone &&
+		    s->failed_syncs < UNRESPONSIVE_FAILED_SYNCS)
 			return true;
 	}
 	return false;
@@ -569,7 +571,8 @@
 	g_free(views);
 }
 
-/* Whether no task of the job can have started, under any owner. */
+/* Whether certainly no task of the job was started, by this or an earlier
+ * owner. */
 static bool
 never_started(const struct ogl_shard *sh, const struct ogl_job *j)
 {
@@ -582,8 +585,8 @@
 	return !j->inherited;
 }
 
-/* Records the job's cancellation.  The reason is empty when the caller asked
- * for it. */
+/* Records the job's cancellation.  The reason is empty if a caller requested
+ * it. */
 static void
 record_cancel(
     struct ogl_shard *sh, struct ogl_job *j, const char *reason, ogl_time now)
@@ -619,8 +622,8 @@
 }
 
 /* Cancels jobs that have been infeasible on this shard's workers for
- * INFEASIBLE_MIN_S.  Their callers would wait forever otherwise, and can
- * submit the job elsewhere. */
+ * INFEASIBLE_MIN_S.  Otherwise their callers would wait forever; after the
+ * cancellation they can submit the job elsewhere. */
 void
 ogl_shardcall_cancel_infeasible(struct ogl_shard *sh, ogl_time now)
 {
@@ -789,7 +792,7 @@
 	ogl_shard_append(sh, r, now);
 }
 
-/* ---- dispatch by path ------------------------------------------------- */
+/* ---- routing of calls by path ----------------------------------------- */
 
 void
 ogl_shard_call(
