--- a/src/state.c
+++ b/src/state.c
@@ -3,9 +3,9 @@
  * comes to the same state, since whether a record is valid depends only on
  * the records before it:
  *
- *  - A claim is valid if it was made from the epoch in force.  Of two rival
- *    claims the first in log order wins; the other names an epoch that is no
- *    longer in force.  The claim's offset + 1 becomes the epoch.
+ *  - A claim is valid if it names the epoch in force as the previous one.  Of
+ *    two rival claims the first in log order wins; the other names an epoch
+ *    that is no longer in force.  The claim's offset + 1 becomes the epoch.
  *  - Any other record is valid if its writer, boot and epoch are the owner's.
  *    An owner that was suspended and superseded may still append records;
  *    every reader ignores them, that owner included.
@@ -25,7 +25,7 @@
 	HTTP_STATUS_MIN = 100,
 	HTTP_STATUS_MAX = 999,
 	JOB_TASKS_MAX = 10000,   /* a record with more tasks is damaged */
-	MAX_FAILURES = 3,        /* then a restartable task is not retried */
+	MAX_FAILURES = 3,        /* most failures of a restartable task */
 	SNAP_PART_ENTRIES = 500, /* jobs and ids in one part of a snapshot */
 	ENDED_JOB_KEEP_S = 3600, /* ended jobs can be queried this long */
 	REFERRAL_KEEP_S = 86400, /* callers may repeat an id this long */
@@ -153,7 +153,7 @@
 	return j;
 }
 
-/* Whether a task that ended in this state is never started again. */
+/* Whether a task whose attempt ended in this state is not started again. */
 static bool
 end_is_final(
     const struct ogl_job *j, const struct ogl_task *t, Ogl__TaskState end)
@@ -161,7 +161,7 @@
 	if (end == OGL__TASK_STATE__succeeded || j->cancelled)
 		return true;
 	if (j->spec->kind == OGL__KIND__gang && j->nended > j->nsucceeded)
-		return true; /* a member ended and will not succeed */
+		return true; /* a task of the gang ended without success */
 	if (end == OGL__TASK_STATE__refused)
 		return false;
 	if (!j->spec->restartable)
@@ -500,12 +500,12 @@
 struct snapshot_writer {
 	GPtrArray *records;
 	Ogl__ShardSnap *part;
-	size_t space; /* jobs and ids that the part can still hold */
-	uint64_t snap;
+	size_t space;    /* jobs and ids that the part can still hold */
+	uint64_t number; /* of the snapshot */
 };
 
 static Ogl__ShardSnap *
-new_part(struct snapshot_writer *c)
+new_part(struct snapshot_writer *writer)
 {
 	Ogl__Record *r = malloc(sizeof *r);
 
@@ -513,14 +513,14 @@
 	r->body_case = OGL__RECORD__BODY_SHARD_SNAP;
 	r->shard_snap = malloc(sizeof *r->shard_snap);
 	ogl__shard_snap__init(r->shard_snap);
-	r->shard_snap->snap = c->snap;
-	r->shard_snap->part = c->records->len;
+	r->shard_snap->snap = writer->number;
+	r->shard_snap->part = writer->records->len;
 	r->shard_snap->jobs = calloc(SNAP_PART_ENTRIES, sizeof(void *));
 	r->shard_snap->ids = calloc(SNAP_PART_ENTRIES, sizeof(void *));
-	g_ptr_array_add(c->records, r);
-	c->part = r->shard_snap;
-	c->space = SNAP_PART_ENTRIES;
-	return c->part;
+	g_ptr_array_add(writer->records, r);
+	writer->part = r->shard_snap;
+	writer->space = SNAP_PART_ENTRIES;
+	return writer->part;
 }
 
 static Ogl__JobSnap *
@@ -588,9 +588,10 @@
 	return s;
 }
 
-/* Ownership, referrals, workers and allotments go into the first part. */
+/* Adds what only the first part contains: the ownership, referrals, workers
+ * and allotments. */
 static void
-snap_head(const struct ogl_state *st, Ogl__ShardSnap *p)
+fill_first_part(const struct ogl_state *st, Ogl__ShardSnap *p)
 {
 	GHashTableIter it;
 	void *k, *v;
@@ -629,40 +630,40 @@
 /* Returns the part to add one more job or id to; begins a new one if the last
  * one is full. */
 static Ogl__ShardSnap *
-part_with_space(struct snapshot_writer *c)
+part_with_space(struct snapshot_writer *writer)
 {
-	if (c->space == 0)
-		new_part(c);
-	c->space--;
-	return c->part;
+	if (writer->space == 0)
+		new_part(writer);
+	writer->space--;
+	return writer->part;
 }
 
 GPtrArray *
 ogl_state_snapshot(const struct ogl_state *st, uint64_t now_ms)
 {
-	struct snapshot_writer c = {
-	    .records = g_ptr_array_new(), .snap = now_ms};
+	struct snapshot_writer writer = {
+	    .records = g_ptr_array_new(), .number = now_ms};
 	Ogl__ShardSnap *p;
 	GHashTableIter it;
 	void *v;
 
-	snap_head(st, new_part(&c));
+	fill_first_part(st, new_part(&writer));
 	g_hash_table_iter_init(&it, st->jobs);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		p = part_with_space(&c);
+		p = part_with_space(&writer);
 		p->jobs[p->n_jobs++] = snap_job(v);
 	}
 	g_hash_table_iter_init(&it, st->ids);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		p = part_with_space(&c);
+		p = part_with_space(&writer);
 		p->ids[p->n_ids++] = snap_id(v);
 	}
-	for (guint i = 0; i < c.records->len; i++) {
-		Ogl__Record *r = g_ptr_array_index(c.records, i);
+	for (guint i = 0; i < writer.records->len; i++) {
+		Ogl__Record *r = g_ptr_array_index(writer.records, i);
 
-		r->shard_snap->parts = c.records->len;
+		r->shard_snap->parts = writer.records->len;
 	}
-	return c.records;
+	return writer.records;
 }
 
 /* ---- pruning ---------------------------------------------------------- */
@@ -836,7 +837,7 @@
  * A reader that begins in mid-stream looks for the first complete snapshot.
  * An owner that is suspended while its snapshot is being appended may be
  * superseded before the snapshot is stored.  A reader that accepted it would
- * treat all claims since then as invalid and its own claim, made from the old
+ * treat all claims since then as invalid and its own claim, which names the old
  * epoch, as valid, and the shard would have two owners permanently.  So the
  * records before the snapshot give the least epoch that it must have.
  */
--- a/src/state.h
+++ b/src/state.h
@@ -21,12 +21,12 @@
 	bool stopping;        /* owner: it is to be stopped */
 	bool start_sent;      /* owner: a start of this attempt was sent */
 	bool intent_recorded; /* the log holds the intent to start it */
-	bool awaits_intent;   /* owner: not sent until that record applies */
+	bool awaits_intent;   /* owner: start waits for that record */
 	uint8_t failures;     /* attempts that ended as failed */
 	uint32_t attempt;     /* newest attempt known */
 	uint32_t worker;      /* owner: session number while placed */
 	ogl_time bound_at;    /* owner: when it was bound to its worker */
-	uint64_t work_number; /* owner: number in the queue, 0: none */
+	uint64_t work_number; /* owner: number in the queue, 0: not in it */
 	char *reason;
 };
 
@@ -44,11 +44,11 @@
 	uint32_t nplaced; /* owner: tasks bound to workers */
 	bool cancelled;
 	Ogl__Verdict cancel_verdict;
-	char *cancel_reason;       /* why the owner did; NULL: a caller did */
-	ogl_time infeasible_since; /* owner: since when no worker can hold it */
+	char *cancel_reason;       /* why the owner cancelled it, or NULL */
+	ogl_time infeasible_since; /* owner: when found infeasible, 0: not */
 	bool cancel_pending;       /* owner: the cancel is being appended */
 	bool inherited;            /* owner: accepted by an earlier owner */
-	uint64_t number;           /* owner: names the job in place.c, lend.c */
+	uint64_t number;           /* owner: job number for place.c, lend.c */
 };
 
 /* A request id and the answer to its request. */
@@ -108,13 +108,13 @@
 void ogl_state_apply(struct ogl_state *st, const Ogl__Record *r,
     uint64_t offset, const struct ogl_state_hooks *hooks, void *ctx,
     ogl_time now);
-/* Applies the record at this offset if it is valid: a claim made from the
+/* Applies the record at this offset if it is valid: a claim that names the
  * epoch in force, or any other record by the owner under its epoch.  hooks
  * may be NULL; they are called with ctx and now. */
 
 bool ogl_state_stale(const struct ogl_state *st, const Ogl__Record *r);
 /* Whether the record proves that an epoch newer than st's was in force when
- * it was written, so that st follows an owner that is superseded. */
+ * it was written, so that st is the state of a superseded owner. */
 
 struct ogl_state *ogl_state_new_after(const Ogl__Record *r);
 /* Returns an empty, incomplete state to replace one that r proved stale. */
@@ -138,11 +138,12 @@
 /* Fills in v, borrowing j's strings; task views are left empty. */
 
 bool ogl_http_status_is_valid(uint32_t status);
-/* Whether it can be an HTTP status; a damaged message may hold any number. */
+/* Whether status can be an HTTP status.  A damaged message may hold any
+ * number. */
 
 char *ogl_request_key(const char *team, const char *request_id);
-/* Returns a caller's request id as a name unique in the cell.  The caller frees
- * it with g_free. */
+/* Combines a team and its request id into a key that is unique in the cell.
+ * The caller frees it with g_free. */
 
 Ogl__Submit *ogl_submit_copy(const Ogl__Submit *s);
 
