--- a/src/calls.c
+++ b/src/calls.c
@@ -1,12 +1,12 @@
 /*
- * Calls: what callers and operators ask of a node, and what nodes forward to
- * each other.
+ * Handles the calls of callers and operators, and the calls that other nodes
+ * forward to this one.
  *
- * First the caller's key is checked; it determines the team.  Then a table
- * says, by method and path, whether the call is answered here (operators'
- * views), by the executors (short requests), by the owner of one shard (jobs,
- * short requests with an id) or by the owners of all shards (lists).  In the
- * last two cases the call is forwarded.  Every forwarded call may be repeated
+ * A table says, by method and path, which keys allow the call and whether it
+ * is answered here (operators' views), by the executors (short requests), by
+ * the owner of one shard (jobs, short requests with an id) or by the owners of
+ * all shards (lists).  In the last two cases the call is forwarded.  The
+ * caller's key determines the team.  Every forwarded call may be repeated
  * without harm, since submissions carry an id (the caller's or one made here).
  * So after a lost message or a change of owner the call is sent again until
  * its deadline.
@@ -60,8 +60,8 @@
 	bool referred;       /* `shard` is where the home referred the job */
 	uint32_t suggest;    /* shard + 1 proposed to the home, 0: none */
 	uint32_t refused_by; /* shard + 1 that can never run it, 0: none */
-	bool any_shard;      /* a job without a caller's id, for any shard */
-	uint32_t unanswered; /* times sent to an owner without an answer */
+	bool any_shard;      /* a job without a caller's id: any shard fits */
+	uint32_t unanswered; /* copies sent to an owner and not answered */
 	bool waits_locally;  /* a shard of this node holds it as a waiter */
 	ogl_time deadline;
 	ogl_time next_send;
@@ -87,7 +87,7 @@
 };
 
 struct ogl_calls {
-	GHashTable *live;         /* id -> struct call */
+	GHashTable *open_calls;   /* id -> struct call */
 	GHashTable *by_token;     /* token -> struct call */
 	GHashTable *remote_calls; /* waiter -> struct remote_call */
 	GHashTable *dispatched;   /* cookie -> struct dispatched */
@@ -142,7 +142,7 @@
 	 * call of this one. */
 	c->last_id =
 	    ogl_random_mix(ogl_random_next(&n->rnd) ^ n->cfg.boot) >> 2;
-	c->live =
+	c->open_calls =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, call_free);
 	c->by_token = g_hash_table_new(g_int64_hash, g_int64_equal);
 	c->remote_calls = g_hash_table_new_full(
@@ -156,7 +156,7 @@
 ogl_calls_end(struct ogl_calls *c)
 {
 	g_hash_table_destroy(c->by_token);
-	g_hash_table_destroy(c->live);
+	g_hash_table_destroy(c->open_calls);
 	g_hash_table_destroy(c->remote_calls);
 	g_hash_table_destroy(c->dispatched);
 	g_free(c);
@@ -165,7 +165,7 @@
 size_t
 ogl_calls_open_count(const struct ogl_node *n)
 {
-	return g_hash_table_size(n->calls->live);
+	return g_hash_table_size(n->calls->open_calls);
 }
 
 /* ---- replies ---------------------------------------------------------- */
@@ -207,7 +207,7 @@
 call_done(struct ogl_node *n, struct call *c)
 {
 	g_hash_table_remove(n->calls->by_token, &c->token);
-	g_hash_table_remove(n->calls->live, &c->id);
+	g_hash_table_remove(n->calls->open_calls, &c->id);
 }
 
 static void
@@ -331,7 +331,7 @@
 	for (uint32_t i = 0; i < n->cfg.shards; i++) {
 		if (!c->answered->data[i])
 			send_to_owner(n, c, i);
-		if (!g_hash_table_contains(n->calls->live, &id))
+		if (!g_hash_table_contains(n->calls->open_calls, &id))
 			return; /* answered by a shard of this node */
 	}
 }
@@ -448,7 +448,7 @@
 /* Asks the home to refer the job to the next shard, since this one can never
  * run it. */
 static void
-return_home(struct ogl_node *n, struct call *c)
+ask_home_for_next(struct ogl_node *n, struct call *c)
 {
 	c->refused_by = c->shard + 1;
 	c->suggest = (c->shard + 1) % n->cfg.shards + 1;
@@ -495,7 +495,7 @@
 	}
 	if (status == 422 && c->has_caller_id &&
 	    ++c->nrefused < n->cfg.shards) {
-		return_home(n, c);
+		ask_home_for_next(n, c);
 		return;
 	}
 	if (status == 422 && c->any_shard && ++c->nrefused < n->cfg.shards) {
@@ -553,7 +553,7 @@
 		answer_remote(n, waiter, status, v, retry_after_ms, body);
 		return;
 	}
-	c = g_hash_table_lookup(n->calls->live, &waiter);
+	c = g_hash_table_lookup(n->calls->open_calls, &waiter);
 	if (c != NULL)
 		handle_answer(n, c, shard, status, v, retry_after_ms, body);
 }
@@ -594,7 +594,7 @@
 ogl_calls_forward_reply(
     struct ogl_node *n, const struct ogl_peer *from, const Ogl__ForwardReply *r)
 {
-	struct call *c = g_hash_table_lookup(n->calls->live, &r->call);
+	struct call *c = g_hash_table_lookup(n->calls->open_calls, &r->call);
 	GBytes *body;
 
 	(void)from;
@@ -633,7 +633,7 @@
 ogl_calls_request_done(struct ogl_node *n, uint64_t cookie, uint32_t status,
     enum ogl_verdict v, uint64_t retry_after_ms, GBytes *body)
 {
-	struct call *c = g_hash_table_lookup(n->calls->live, &cookie);
+	struct call *c = g_hash_table_lookup(n->calls->open_calls, &cookie);
 	struct dispatched *d;
 
 	if (c != NULL) {
@@ -670,7 +670,7 @@
 	c->deadline = n->now + (ogl_time)(ms > 0 ? MIN(ms, CALL_TIMEOUT_MS)
 						 : CALL_TIMEOUT_MS) *
 				   OGL_MS;
-	g_hash_table_insert(n->calls->live, &c->id, c);
+	g_hash_table_insert(n->calls->open_calls, &c->id, c);
 	g_hash_table_insert(n->calls->by_token, &c->token, c);
 	return c;
 }
@@ -745,8 +745,8 @@
 	s->request_id = id;
 }
 
-/* The body to forward.  A submission without an id gets one here, so that
- * sending it twice creates one job. */
+/* Returns the body to forward.  A submission without an id gets one here, so
+ * that sending it twice creates one job. */
 static GBytes *
 body_with_id(struct ogl_node *n, Ogl__Submit *s)
 {
@@ -885,8 +885,8 @@
 	return true;
 }
 
-/* The row of a call, or NULL; *other_method is then set if the path is known
- * with another method. */
+/* Returns the row of a call, or NULL.  In that case *other_method says whether
+ * the path is known with another method. */
 static const struct call_row *
 find_row(struct ogl_str method, const char *path, const char **arg,
     bool *other_method)
@@ -1032,7 +1032,7 @@
 ogl_calls_edit_done(
     struct ogl_node *n, uint64_t waiter, uint64_t version, const GError *error)
 {
-	struct call *c = g_hash_table_lookup(n->calls->live, &waiter);
+	struct call *c = g_hash_table_lookup(n->calls->open_calls, &waiter);
 	char *key = ogl_op_take_key_text(n, waiter);
 
 	if (c == NULL) {
@@ -1067,7 +1067,7 @@
 	call_done(n, c);
 }
 
-/* ---- time ------------------------------------------------------------- */
+/* ---- ticks ------------------------------------------------------------ */
 
 static void
 call_timeout(struct ogl_node *n, struct call *c)
@@ -1118,7 +1118,7 @@
 		return;
 	cs->next_tick = n->now + TICK_MS * OGL_MS;
 	due = g_ptr_array_new();
-	g_hash_table_iter_init(&it, cs->live);
+	g_hash_table_iter_init(&it, cs->open_calls);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct call *c = v;
 
@@ -1135,6 +1135,7 @@
 ogl_time
 ogl_calls_next(const struct ogl_node *n)
 {
-	return g_hash_table_size(n->calls->live) == 0 ? OGL_NEVER
-						      : n->calls->next_tick;
+	return g_hash_table_size(n->calls->open_calls) == 0
+		   ? OGL_NEVER
+		   : n->calls->next_tick;
 }
