--- a/src/shard.c
+++ b/src/shard.c
@@ -8,19 +8,20 @@
  * The claimant and the old owner both learn this by reading it.
  *
  * Fencing.  The new owner contacts, under its epoch, every worker recorded as
- * in use.  A worker that answers obeys no older epoch from then on and reports
- * all its tasks.  Until each of these workers has answered or its leases have
- * certainly ended, the shard recovers: no waiting task of a job accepted
- * before the claim is started.  The old owner's right to act ends right_ms
- * after it last saw the end of the stream without a claim, so all leases have
- * ended at claimed_at + right_ms + lease_ms plus a margin.
+ * in use.  A worker that answers ignores older epochs from then on and reports
+ * all its tasks.  The shard is in recovery until each of these workers has
+ * answered or its leases have certainly ended.  During recovery no waiting
+ * task of a job accepted before the claim is started.  The old owner's right
+ * to act ends right_ms after it last saw the end of the stream without a
+ * claim, so all leases have ended at claimed_at + right_ms + lease_ms plus a
+ * margin.
  *
  * Log outage.  While the log is down nobody can claim, but an owner cannot
  * tell this from a loss of its own connection.  It may act beyond right_ms as
  * long as every named successor promises not to claim, yet never longer than
  * late_claim_ms after its last log contact.  A claimant that is not a named
  * successor therefore waits late_claim_ms instead of right_ms before it
- * considers the leases of silent workers ended.
+ * considers the leases of workers that do not answer as ended.
  */
 
 #include <stdarg.h>
@@ -36,7 +37,7 @@
 	OFFER_POLL_MS = 50,   /* by an owner that offers the shard */
 	READER_POLL_MS = 100, /* by a claimant */
 	OUTRANKED_MIN_S = 10, /* time that a higher-ranked node must be alive */
-	INFEASIBLE_EVERY_MS = 10000, /* time between searches for such jobs */
+	INFEASIBLE_EVERY_MS = 10000, /* time between infeasibility checks */
 	/* Time between checks of limits, successors, rank and snapshot. */
 	MAINTENANCE_EVERY_MS = 250,
 };
@@ -312,7 +313,7 @@
 }
 
 static void
-hook_job(void *ctx, struct ogl_job *j, ogl_time now)
+hook_job_accepted(void *ctx, struct ogl_job *j, ogl_time now)
 {
 	struct ogl_shard *sh = ctx;
 
@@ -351,7 +352,7 @@
 }
 
 static void
-hook_intent(
+hook_start_intended(
     void *ctx, struct ogl_job *j, uint32_t i, uint32_t attempt, ogl_time now)
 {
 	struct ogl_shard *sh = ctx;
@@ -370,7 +371,7 @@
 }
 
 static void
-hook_id(void *ctx, struct ogl_request_id *r, ogl_time now)
+hook_id_changed(void *ctx, struct ogl_request_id *r, ogl_time now)
 {
 	struct ogl_shard *sh = ctx;
 
@@ -379,7 +380,7 @@
 }
 
 static void
-hook_worker(void *ctx, const char *name, bool on, ogl_time now)
+hook_worker_in_use_changed(void *ctx, const char *name, bool on, ogl_time now)
 {
 	struct ogl_shard *sh = ctx;
 
@@ -388,7 +389,7 @@
 }
 
 static void
-hook_allot(void *ctx, const Ogl__Allot *a, ogl_time now)
+hook_allot_changed(void *ctx, const Ogl__Allot *a, ogl_time now)
 {
 	struct ogl_shard *sh = ctx;
 
@@ -398,18 +399,18 @@
 
 static const struct ogl_state_hooks hooks = {
     .claimed = hook_claimed,
-    .job_accepted = hook_job,
+    .job_accepted = hook_job_accepted,
     .cancelled = hook_cancelled,
     .task_ended = hook_task_ended,
-    .start_intended = hook_intent,
+    .start_intended = hook_start_intended,
     .referred = hook_referred,
-    .id_changed = hook_id,
-    .worker_in_use_changed = hook_worker,
-    .allot_changed = hook_allot,
+    .id_changed = hook_id_changed,
+    .worker_in_use_changed = hook_worker_in_use_changed,
+    .allot_changed = hook_allot_changed,
 };
 
-/* Handles a state that later records can't be applied to.  A reader replaces
- * it by `new_state`; an owner loses its ownership. */
+/* Discards a state that later records can't be applied to.  A reader goes on
+ * with `new_state`; an owner loses its ownership. */
 static void
 reset_state(struct ogl_shard *sh, struct ogl_state *new_state)
 {
@@ -463,7 +464,8 @@
 /* ---- owning ----------------------------------------------------------- */
 
 /* Ends the tasks whose start was recorded but which no worker reports and no
- * silent worker can still run.  Such a task ended unreported or was never sent.
+ * unresponsive worker can still run.  Such a task ended unreported or was never
+ * sent.
  * It must not run twice, so its verdict says that it may have run. */
 static void
 lapse_unknown_starts(struct ogl_shard *sh, struct ogl_job *j, ogl_time now)
@@ -510,10 +512,10 @@
 static void
 prune_team(void *ctx, const char *team, const struct ogl_team_view *view)
 {
-	struct prune_ctx *f = ctx;
+	struct prune_ctx *prune = ctx;
 
 	ogl_state_keep_newest(
-	    f->sh->state, team, view->idle_keep_jobs, f->before_ms);
+	    prune->sh->state, team, view->idle_keep_jobs, prune->before_ms);
 }
 
 /* Forgets jobs and request ids past their retention, so that the snapshot
@@ -523,10 +525,10 @@
 {
 	uint64_t at_ms = (uint64_t)(now / OGL_MS);
 	uint32_t keep_ms = sh->env->cfg->id_keep_ms;
-	struct prune_ctx f = {sh, at_ms > keep_ms ? at_ms - keep_ms : 0};
+	struct prune_ctx prune = {sh, at_ms > keep_ms ? at_ms - keep_ms : 0};
 
 	ogl_state_prune(sh->state, at_ms, keep_ms);
-	ogl_settings_each_team(sh->env->settings, prune_team, &f);
+	ogl_settings_each_team(sh->env->settings, prune_team, &prune);
 }
 
 static void
@@ -554,8 +556,9 @@
 	g_ptr_array_free(parts, TRUE);
 }
 
-/* Replaces successors that died.  This is done while the log is up, since in
- * an outage a dead successor could not promise anything. */
+/* Records new successors when others than the recorded ones rank highest, for
+ * example because one died.  This is done while the log is up, since in an
+ * outage a dead successor could not promise anything. */
 static void
 renew_successors(struct ogl_shard *sh, ogl_time now)
 {
@@ -590,14 +593,14 @@
 static void
 update_outranked(struct ogl_shard *sh, ogl_time now)
 {
-	struct ogl_candidate b = ogl_claim_top_candidate(sh);
+	struct ogl_candidate top = ogl_claim_top_candidate(sh);
 	bool outranked =
-	    b.name != NULL &&
-	    b.rank > ogl_member_rank(b.m, sh->env->cfg->name, sh->index) &&
-	    now - b.state_changed_at >= OUTRANKED_MIN_S * OGL_SEC;
-	bool before = sh->outranked_since != 0;
+	    top.name != NULL &&
+	    top.rank > ogl_member_rank(top.m, sh->env->cfg->name, sh->index) &&
+	    now - top.state_changed_at >= OUTRANKED_MIN_S * OGL_SEC;
+	bool was_outranked = sh->outranked_since != 0;
 
-	if (outranked != before) {
+	if (outranked != was_outranked) {
 		sh->outranked_since = outranked ? now : 0;
 		ogl_member_changed(sh->env->member);
 		ogl_stream_follow(sh->stream,
