--- a/src/claim.c
+++ b/src/claim.c
@@ -2,9 +2,9 @@
  * Choice of a shard's owner, and the claim.
  *
  * The live node with the highest rendezvous weight should own the shard.  When
- * gossip knows of no owner that is alive and keeps the shard, that node reads
- * the shard's stream to its end and appends a claim that names the epoch it
- * found there.
+ * gossip knows of no live owner, or only of one that offers the shard, that
+ * node reads the shard's stream to its end and appends a claim that names the
+ * epoch it found there.
  */
 
 #include <stdlib.h>
@@ -13,7 +13,7 @@
 #include "shard_impl.h"
 
 enum {
-	RECENT_WRITE_MS = 30000, /* an owner that wrote within this is alive */
+	RECENT_WRITE_MS = 30000, /* an owner that wrote within it is alive */
 	CLOCK_SKEW_MS = 500,     /* most that two hosts' clocks differ */
 	GOSSIP_WAIT_MS = 3000,   /* time for gossip to confirm the owner */
 };
@@ -28,52 +28,53 @@
 	sh->known_offered = offered;
 }
 
-/* Keeps the node if it is alive and ranks above the candidate so far. */
+/* Makes the node the candidate if it is alive and ranks above the present
+ * candidate. */
 static void
 consider_candidate(void *ctx, const struct ogl_peer *p)
 {
-	struct ogl_candidate *b = ctx;
-	uint64_t r = ogl_member_rank(b->m, p->fact->name, b->shard);
+	struct ogl_candidate *top = ctx;
+	uint64_t r = ogl_member_rank(top->m, p->fact->name, top->shard);
 
 	if (p->fact->state != OGL__MEMBER_FACT__STATE__alive ||
-	    (b->name != NULL && r <= b->rank) ||
-	    (b->skip != NULL && strcmp(b->skip, p->fact->name) == 0))
+	    (top->name != NULL && r <= top->rank) ||
+	    (top->skip != NULL && strcmp(top->skip, p->fact->name) == 0))
 		return;
-	b->name = p->fact->name;
-	b->rank = r;
-	b->state_changed_at = p->state_changed_at;
+	top->name = p->fact->name;
+	top->rank = r;
+	top->state_changed_at = p->state_changed_at;
 }
 
 struct ogl_candidate
 ogl_claim_top_candidate(const struct ogl_shard *sh)
 {
-	struct ogl_candidate b = {.m = sh->env->member, .shard = sh->index};
+	struct ogl_candidate top = {.m = sh->env->member, .shard = sh->index};
 
-	ogl_member_each(sh->env->member, consider_candidate, &b);
-	return b;
+	ogl_member_each(sh->env->member, consider_candidate, &top);
+	return top;
 }
 
 static bool
 ranks_first(const struct ogl_shard *sh)
 {
-	struct ogl_candidate b = ogl_claim_top_candidate(sh);
+	struct ogl_candidate top = ogl_claim_top_candidate(sh);
 
-	return b.name == NULL ||
-	       ogl_member_rank(b.m, sh->env->cfg->name, sh->index) > b.rank;
+	return top.name == NULL ||
+	       ogl_member_rank(top.m, sh->env->cfg->name, sh->index) > top.rank;
 }
 
 size_t
 ogl_claim_successors(
     const struct ogl_shard *sh, char *names[OGL_MAX_SUCCESSORS])
 {
-	struct ogl_candidate b = ogl_claim_top_candidate(sh);
+	struct ogl_candidate top = ogl_claim_top_candidate(sh);
 	size_t n = 0;
 
-	if (b.name != NULL) {
-		names[n++] = strdup(b.name);
+	if (top.name != NULL) {
+		names[n++] = strdup(top.name);
 		struct ogl_candidate second = {
-		    .m = b.m, .shard = sh->index, .skip = b.name};
-		ogl_member_each(b.m, consider_candidate, &second);
+		    .m = top.m, .shard = sh->index, .skip = top.name};
+		ogl_member_each(top.m, consider_candidate, &second);
 		if (second.name != NULL)
 			names[n++] = strdup(second.name);
 	}
--- a/src/right.c
+++ b/src/right.c
@@ -4,8 +4,8 @@
  * The right ends right_ms after the last read of the log that showed no rival
  * claim.  While the log does not answer, the owner asks every named successor
  * to promise not to claim for a while, and may act as long as all of them
- * promise.  A promise counts from the time it was asked for, because its
- * answer may have been delayed in a buffer.
+ * promise, up to late_claim_ms after the last read.  A promise counts from the
+ * time it was asked for, because its answer may have been delayed in a buffer.
  */
 
 #include <string.h>
@@ -28,15 +28,15 @@
 ogl_shard_may_act(const struct ogl_shard *sh, ogl_time now)
 {
 	const struct ogl_node_config *c = sh->env->cfg;
-	ogl_time contact = ogl_stream_current_at(sh->stream);
-	ogl_time until = contact + c->right_ms * OGL_MS;
+	ogl_time log_contact = ogl_stream_current_at(sh->stream);
+	ogl_time until = log_contact + c->right_ms * OGL_MS;
 
 	/* A claimant that is not a named successor waits late_claim_ms, so no
 	 * promise is needed when no successor is named. */
 	if (sh->state->successors->len == 0)
-		until = contact + c->late_claim_ms * OGL_MS;
-	until = MAX(
-	    until, MIN(sh->promise_until, contact + c->late_claim_ms * OGL_MS));
+		until = log_contact + c->late_claim_ms * OGL_MS;
+	until = MAX(until,
+	    MIN(sh->promise_until, log_contact + c->late_claim_ms * OGL_MS));
 	return now <= until;
 }
 
