--- a/src/member.c
+++ b/src/member.c
@@ -6,21 +6,24 @@
  * grow with the cell.  A probe unanswered after one period is repeated through
  * a few other members.  A member that has not answered after two periods
  * becomes a suspect, and after suspect_ms it is dead.  A suspect that learns
- * of the suspicion raises its incarnation, which overrules the suspicion.
+ * of the suspicion raises its incarnation number, which overrules the
+ * suspicion.
  *
  * A fact describes one node: its address, state, settings version and shards.
  * Facts are piggybacked on messages.  A changed fact is sent a number of times
  * that grows with the logarithm of the cell's size; the sender's own fact is
- * in every message.  Of two facts on one node that with the larger boot wins,
- * then that with the larger incarnation, the worse state and the larger beat.
- * A report of death does not make a live node dead at once, though, only
- * suspect, which leaves it time to refute the report.  The reporter may have
- * been cut off itself and consider the whole cell dead.  If such reports were
- * accepted at once, all shards would be claimed again and all nodes evicted.
+ * in every message.  Of two facts about one node, the one with the larger boot
+ * wins.  If the boots are equal, the larger incarnation wins, then the worse
+ * state, then the larger beat.  However, a report of death makes a live node
+ * only a suspect at first, so that it has time to refute the report.  The
+ * reporter may have been cut off itself and consider the whole cell dead.  If
+ * such reports were accepted at once, all shards would be claimed again and
+ * all nodes evicted.
  *
- * What a member reports on its log contact counts only in an answer to a probe
- * of this node, and as of the time at which the probe was sent.  A message may
- * be delayed in a buffer, and an old report must not be taken for a new one.
+ * What a member reports about its log contact and the age of its settings
+ * counts only if it comes in an answer to a probe of this node, and is dated
+ * to the time when the probe was sent.  A message may be delayed in a buffer,
+ * and an old report must not be taken for a new one.
  */
 
 #include <string.h>
@@ -144,8 +147,8 @@
 	    ogl_random_hash(name, strlen(name)) ^ ogl_random_mix(shard + 1));
 }
 
-/* How often a changed fact is sent: three times the binary logarithm of the
- * cell's size. */
+/* Returns how many times a changed fact is sent: three times the binary
+ * logarithm of the cell's size. */
 static uint32_t
 retransmit_count(const struct ogl_member *m)
 {
@@ -169,7 +172,7 @@
 	return strcmp(pa->fact->name, pb->fact->name);
 }
 
-/* Returns facts that still have to be sent, those sent fewest times first. */
+/* Returns the facts to send next, those with the most sends left first. */
 static GPtrArray *
 facts_to_send(struct ogl_member *m)
 {
--- a/src/member.h
+++ b/src/member.h
@@ -15,7 +15,7 @@
 	ogl_time acked_probe_sent; /* send time of the last answered probe */
 	/* Its last answer to a probe: */
 	ogl_time down_since;      /* start of its log outage, 0 for none */
-	ogl_time current_at;      /* its settings were current then */
+	ogl_time current_at;      /* when its settings were current */
 	uint64_t current_version; /* version of those settings */
 
 	uint32_t sends_left; /* messages that are still to carry the fact */
