--- a/src/node.c
+++ b/src/node.c
@@ -1,8 +1,8 @@
 /*
- * A node and its parts.  Each event is passed to one part, which is chosen by
- * the event's type and the part number in its token; then every part that is
- * due is ticked.  The parts call each other through the tables of functions
- * below, never through sockets or clocks.
+ * A node: passes events to its parts and ticks them.  Each event goes to one
+ * part, which is chosen by the event's type and the part number in its token;
+ * then every part that is due is ticked.  The parts call each other through the
+ * tables of functions below; none uses a socket or reads a clock.
  */
 
 #include <sodium.h>
@@ -435,7 +435,8 @@
 	}
 }
 
-/* Writes the shards that we own into our own fact; changes are gossiped. */
+/* Writes the shards that this node owns into its own fact.  Changes other
+ * than of their load are gossiped. */
 static void
 update_own_fact(struct ogl_node *n)
 {
@@ -587,9 +588,9 @@
 		++*(size_t *)ctx;
 }
 
-/* The shutdown is complete when no call is open and other nodes own our
- * shards.  It also completes when no other node is alive or none claims them
- * in time: all that must be kept is in the log. */
+/* Ends the shutdown when no call is open and this node owns no shard any more.
+ * It also ends when no other node is alive or the shards are not claimed in
+ * time, since all that must be kept is in the log. */
 static void
 check_stop(struct ogl_node *n)
 {
--- a/src/node_impl.h
+++ b/src/node_impl.h
@@ -70,8 +70,8 @@
 void ogl_calls_answer_waiter(struct ogl_node *n, uint32_t shard,
     uint64_t waiter, uint32_t status, enum ogl_verdict v,
     uint64_t retry_after_ms, GBytes *body);
-/* Passes a local shard's answer on to the call, or to the peer whose call it
- * is, that has this waiter number. */
+/* Passes a local shard's answer on to the call with this waiter number, or to
+ * the peer that forwarded the call. */
 void ogl_calls_forward(
     struct ogl_node *n, const struct ogl_peer *from, const Ogl__Forward *f);
 void ogl_calls_forward_reply(struct ogl_node *n, const struct ogl_peer *from,
--- a/src/opcalls.c
+++ b/src/opcalls.c
@@ -1,4 +1,5 @@
-/* Operators' calls: the settings tree, keys, the audit trail and views. */
+/* Answers operators' calls: the settings tree, keys, the audit trail and
+ * views of hosts, members and this node. */
 
 #include <jansson.h>
 #include <stdlib.h>
@@ -7,7 +8,7 @@
 #include "node_impl.h"
 
 enum {
-	LOG_RETRY_MS = 1000 /* told to callers if the log is unreachable */
+	LOG_RETRY_MS = 1000 /* retry delay while the log is unreachable */
 };
 
 static void
