--- a/src/reqs.c
+++ b/src/reqs.c
@@ -1,12 +1,11 @@
 /*
- * Short requests, which an executor answers directly.
+ * Queues short requests and sends them to executors, which answer them.
  *
  * A request waits in the queue, which decides on the order, until the router
  * has a free slot at a target; it is then sent, and its answer is passed on.
  * The queue is bounded by time: a request that is expected to wait longer
  * than its team allows is refused at once, with a time after which to retry.
- * An accepted request that has waited as long as its team allows is refused
- * then.
+ * An accepted request is refused once it has waited as long as its team allows.
  *
  * A request is sent to another target only if it certainly did not run, or if
  * its caller declared it as idempotent, and only within the retry budget.  If
@@ -40,14 +39,14 @@
 	bool abandoned; /* its caller no longer waits for the answer */
 	bool started;   /* sent, and charged to its team in the queue */
 	char *team;
-	char *label;
+	char *work_kind;
 	GBytes *body;
 	ogl_time submitted_at;
 	ogl_time wait_until; /* latest time to queue or retry it */
 	ogl_time deadline;   /* end of the time for the whole request */
 	uint32_t tried[MAX_TRIES];
 	uint32_t ntried;
-	GSequenceIter *expiry;
+	GSequenceIter *expiry; /* its place in reqs.expiry, NULL: not waiting */
 };
 
 struct target {
@@ -64,7 +63,7 @@
 	void *ctx;
 	struct ogl_route *route;
 	struct ogl_queue *queue;
-	GHashTable *live;      /* id -> struct req */
+	GHashTable *open_reqs; /* id -> struct req */
 	GHashTable *by_cookie; /* cookie -> struct req */
 	GSequence *expiry;     /* waiting struct req, by wait_until */
 	GHashTable *targets;   /* name -> struct target */
@@ -79,7 +78,7 @@
 	struct req *r = v;
 
 	g_free(r->team);
-	g_free(r->label);
+	g_free(r->work_kind);
 	g_bytes_unref(r->body);
 	g_free(r);
 }
@@ -108,7 +107,7 @@
 	q->ctx = ctx;
 	q->route = ogl_route_init(seed, c->zone);
 	q->queue = ogl_queue_init(&ogl_queue_learned, seed + 1);
-	q->live =
+	q->open_reqs =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, req_free);
 	q->by_cookie = g_hash_table_new(g_int64_hash, g_int64_equal);
 	q->expiry = g_sequence_new(NULL);
@@ -125,7 +124,7 @@
 		return;
 	g_sequence_free(q->expiry);
 	g_hash_table_destroy(q->by_cookie);
-	g_hash_table_destroy(q->live);
+	g_hash_table_destroy(q->open_reqs);
 	g_hash_table_destroy(q->by_number);
 	g_hash_table_destroy(q->targets);
 	ogl_queue_end(q->queue);
@@ -217,7 +216,7 @@
 	count_verdict(q, v);
 	if (!abandoned)
 		g_hash_table_remove(q->by_cookie, &r->cookie);
-	g_hash_table_remove(q->live, &r->id);
+	g_hash_table_remove(q->open_reqs, &r->id);
 	if (!abandoned)
 		q->ops->done(q->ctx, cookie, status, v, retry_ms, body, now);
 }
@@ -232,7 +231,7 @@
 	g_bytes_unref(body);
 }
 
-/* Milliseconds after which a caller that is refused now should retry. */
+/* Returns the time after which a caller that is refused now should retry. */
 static uint64_t
 retry_after_ms(const struct ogl_reqs *q, ogl_time now)
 {
@@ -263,7 +262,7 @@
 
 	w.id = r->id;
 	w.team = r->team;
-	w.label = r->label;
+	w.label = r->work_kind;
 	w.kind = OGL__KIND__request;
 	w.tasks = 1;
 	w.res.cpu_milli = 1000;
@@ -277,8 +276,8 @@
 
 void
 ogl_reqs_submit(struct ogl_reqs *q, uint64_t cookie, const char *team,
-    const char *label, struct ogl_str body, bool idempotent, uint64_t budget_ms,
-    ogl_time now)
+    const char *work_kind, struct ogl_str body, bool idempotent,
+    uint64_t budget_ms, ogl_time now)
 {
 	struct req *r = g_new0(struct req, 1);
 	struct ogl_team_view view;
@@ -289,7 +288,7 @@
 	r->cookie = cookie;
 	r->idempotent = idempotent;
 	r->team = g_strdup(team);
-	r->label = g_strdup(label);
+	r->work_kind = g_strdup(work_kind);
 	r->body = g_bytes_new(body.p, body.n);
 	r->submitted_at = now;
 	budget_ms =
@@ -298,7 +297,7 @@
 	    MIN(budget_ms, view.exists ? view.max_queue_ms : MAX_BUDGET_MS);
 	r->wait_until = now + (ogl_time)max_wait_ms * OGL_MS;
 	r->deadline = now + (ogl_time)budget_ms * OGL_MS;
-	g_hash_table_insert(q->live, &r->id, r);
+	g_hash_table_insert(q->open_reqs, &r->id, r);
 	g_hash_table_insert(q->by_cookie, &r->cookie, r);
 	if (g_hash_table_size(q->targets) == 0) {
 		q->counters->refused++;
@@ -332,7 +331,7 @@
 		return; /* it runs; its answer will be dropped */
 	ogl_queue_remove(q->queue, r->id);
 	stop_waiting(r);
-	g_hash_table_remove(q->live, &r->id);
+	g_hash_table_remove(q->open_reqs, &r->id);
 }
 
 /* ---- sending ---------------------------------------------------------- */
@@ -346,7 +345,7 @@
 	a->token = (uint64_t)TOKEN_PART << 56 | r->id;
 	a->addr = g_strdup(t->addr);
 	a->name = g_strdup(r->team);
-	a->work_kind = g_strdup(r->label);
+	a->work_kind = g_strdup(r->work_kind);
 	a->data = g_bytes_ref(r->body);
 	a->timeout_ms = (uint32_t)MAX((r->deadline - now) / OGL_MS, 1);
 	r->phase = REQ_SENT;
@@ -362,7 +361,7 @@
 	q->dispatch_due = false;
 	ogl_queue_retry_deferred(q->queue, now);
 	while (ndeferred < MAX_TRIES && ogl_queue_pop(q->queue, now, &w)) {
-		struct req *r = g_hash_table_lookup(q->live, &w.id);
+		struct req *r = g_hash_table_lookup(q->open_reqs, &w.id);
 		uint32_t t;
 
 		if (!ogl_route_pick(
@@ -438,7 +437,7 @@
 ogl_reqs_event(struct ogl_reqs *q, const struct ogl_event *ev, ogl_time now)
 {
 	uint64_t id = ev->token & 0xffffffffffffff;
-	struct req *r = g_hash_table_lookup(q->live, &id);
+	struct req *r = g_hash_table_lookup(q->open_reqs, &id);
 	enum ogl_io_result io;
 
 	if (r == NULL || r->phase != REQ_SENT) {
@@ -510,7 +509,7 @@
 size_t
 ogl_reqs_open_count(const struct ogl_reqs *q)
 {
-	return g_hash_table_size(q->live);
+	return g_hash_table_size(q->open_reqs);
 }
 
 size_t
--- a/src/reqs.h
+++ b/src/reqs.h
@@ -35,11 +35,11 @@
 /* Applies the teams' shares from the settings to the queue. */
 
 void ogl_reqs_submit(struct ogl_reqs *q, uint64_t cookie, const char *team,
-    const char *label, struct ogl_str body, bool idempotent, uint64_t budget_ms,
-    ogl_time now);
+    const char *work_kind, struct ogl_str body, bool idempotent,
+    uint64_t budget_ms, ogl_time now);
 /* Admits a request or refuses it at once through ops->done.  cookie must be
- * unique among the requests not yet answered; label is the kind of work;
- * budget_ms is the time for the whole request, 0: the default. */
+ * unique among the requests not yet answered; budget_ms is the time for the
+ * whole request, 0: the default. */
 
 void ogl_reqs_caller_gone(struct ogl_reqs *q, uint64_t cookie);
 /* The caller no longer waits for the answer: the request is dropped if it is
