--- a/src/node.c
+++ b/src/node.c
@@ -597,12 +597,12 @@
 	size_t others = 0;
 	bool idle =
 	    ogl_calls_open_count(n) == 0 && ogl_reqs_open_count(n->reqs) == 0;
-	bool late = n->now - n->stop_began >= SHUTDOWN_TIMEOUT_S * OGL_SEC;
+	bool timed_out = n->now - n->stop_began >= SHUTDOWN_TIMEOUT_S * OGL_SEC;
 
 	if (!n->stopping || n->exited || !idle)
 		return;
 	ogl_member_each(n->member, count_alive, &others);
-	if (!owns_nothing(n) && others > 0 && !late)
+	if (!owns_nothing(n) && others > 0 && !timed_out)
 		return;
 	n->exited = true;
 	ogl_member_each(n->member, announce_left, n);
--- a/src/opcalls.c
+++ b/src/opcalls.c
@@ -90,7 +90,7 @@
 /* Sets the author of the edit for the audit trail: the id of the caller's
  * key. */
 static void
-set_who(struct ogl_node *n, const struct ogl_event *ev, Ogl__Edit *e)
+set_author(struct ogl_node *n, const struct ogl_event *ev, Ogl__Edit *e)
 {
 	struct ogl_key_view view = {0};
 
@@ -113,7 +113,7 @@
 		n->counters.bad_input++;
 		refuse(r, 422, 0, "the edit is not valid", f);
 	} else {
-		set_who(n, ev, e);
+		set_author(n, ev, e);
 		send_edit(n, e, waiter, r);
 		ogl__edit__free_unpacked(e, NULL);
 	}
@@ -160,7 +160,7 @@
 		goto out;
 	}
 	e->base_version = ogl_settings_version(n->settings);
-	set_who(n, ev, e);
+	set_author(n, ev, e);
 	send_edit(n, e, waiter, r);
 	if (r->status == 0) {
 		map_key = g_new(int64_t, 1);
@@ -205,7 +205,7 @@
 	e.base_version = ogl_settings_version(n->settings);
 	e.n_changes = 1;
 	e.changes = list;
-	set_who(n, ev, &e);
+	set_author(n, ev, &e);
 	send_edit(n, &e, waiter, r);
 	free(e.who);
 	g_free(shown);
--- a/src/right.c
+++ b/src/right.c
@@ -88,7 +88,7 @@
 }
 
 static void
-take_promise(struct ogl_shard *sh, const char *from, const Ogl__Promise *p)
+accept_promise(struct ogl_shard *sh, const char *from, const Ogl__Promise *p)
 {
 	ogl_time *until;
 	ogl_time earliest = OGL_NEVER;
@@ -114,7 +114,7 @@
 {
 	if (p->given) {
 		if (sh->role == OGL_ROLE_OWNER)
-			take_promise(sh, from, p);
+			accept_promise(sh, from, p);
 		return;
 	}
 	/* A node whose claim is already sent can't promise not to claim. */
--- a/src/session.c
+++ b/src/session.c
@@ -84,11 +84,11 @@
 void
 ogl_session_wake(struct ogl_shard *sh, struct ogl_session *s, ogl_time now)
 {
-	ogl_time soon =
+	ogl_time earliest =
 	    MAX(now, s->sent_at + OGL_SYNC_MIN_INTERVAL_MS * OGL_MS);
 
 	if (s->failed_syncs == 0)
-		s->next_sync = MIN(s->next_sync, soon);
+		s->next_sync = MIN(s->next_sync, earliest);
 	sh->sessions_due = MIN(sh->sessions_due, s->next_sync);
 }
 
--- a/src/shard.c
+++ b/src/shard.c
@@ -633,8 +633,8 @@
 		update_outranked(sh, now);
 		write_snapshot(sh, now);
 	}
-	if (now >= sh->next_infeasible) {
-		sh->next_infeasible = now + INFEASIBLE_EVERY_MS * OGL_MS;
+	if (now >= sh->next_infeasible_check) {
+		sh->next_infeasible_check = now + INFEASIBLE_EVERY_MS * OGL_MS;
 		ogl_shardcall_cancel_infeasible(sh, now);
 	}
 	if (sh->place_due && ogl_shard_may_act(sh, now)) {
--- a/src/shard_impl.h
+++ b/src/shard_impl.h
@@ -36,11 +36,11 @@
 	bool leaving;           /* by the host list or its own report */
 	bool reported_leaving;  /* its newest report says that it is leaving */
 	bool gone;              /* not in the host list, and no task left */
-	uint64_t boot;
-	uint64_t clock_ms;    /* the worker's clock as last reported */
-	ogl_time clock_at;    /* when clock_ms was received */
-	ogl_time lease_end;   /* latest end of its leases by our clock */
-	ogl_time answered_at; /* time of its last answer */
+	uint64_t boot;          /* identifies the worker's process */
+	uint64_t clock_ms;      /* the worker's clock as last reported */
+	ogl_time clock_at;      /* when clock_ms was received */
+	ogl_time lease_end;     /* latest end of its leases by our clock */
+	ogl_time answered_at;   /* time of its last answer */
 	ogl_time next_sync;
 	ogl_time sent_at;
 	uint64_t token;        /* of the sync in progress, 0 for none */
@@ -87,7 +87,7 @@
 	uint64_t promise_seq;
 	ogl_time promise_asked_at;
 	ogl_time no_claim_until; /* end of our own promise, as a successor */
-	ogl_time snapshot_at;
+	ogl_time snapshot_at;    /* time of the last snapshot */
 	uint32_t next_job;
 	uint64_t next_work;
 	uint64_t job_number;
@@ -112,7 +112,7 @@
 	ogl_time next_hosts_update; /* when to read the host list again */
 	ogl_time sessions_due;      /* no session has work before this time */
 	ogl_time next_maintenance;
-	ogl_time next_infeasible;
+	ogl_time next_infeasible_check;
 	bool place_due;     /* placement is to be tried again */
 	GPtrArray *requeue; /* jobs that may have tasks to queue again */
 	uint64_t nplaced;
--- a/src/shardcall.c
+++ b/src/shardcall.c
@@ -387,8 +387,8 @@
 /* Returns whether the submission is referred to another shard, and if so
  * answers the waiter, now or once the referral is on the log. */
 static bool
-refer(struct ogl_shard *sh, const struct ogl_owner_call *c, const char *id,
-    ogl_time now)
+refer_submission(struct ogl_shard *sh, const struct ogl_owner_call *c,
+    const char *id, ogl_time now)
 {
 	const Ogl__JobReferred *r;
 	char *key;
@@ -492,7 +492,7 @@
 		    "the log can't be reached, so nothing is accepted");
 		goto out;
 	}
-	if (refer(sh, c, s->request_id, now) ||
+	if (refer_submission(sh, c, s->request_id, now) ||
 	    refused_before(sh, c, s->request_id))
 		goto out;
 	if (ogl_queue_length(sh->queue) > MAX_QUEUED_WORK) {
