--- a/src/shard.c
+++ b/src/shard.c
@@ -21,7 +21,7 @@
  * long as every named successor promises not to claim, yet never longer than
  * late_claim_ms after its last log contact.  A claimant that is not a named
  * successor therefore waits late_claim_ms instead of right_ms before it
- * considers the leases of workers that do not answer as ended.
+ * treats the leases of workers that do not answer as ended.
  */
 
 #include <stdarg.h>
