--- a/src/node.c
+++ b/src/node.c
@@ -1,8 +1,8 @@
 /*
- * A node and its parts.  Each event is passed to one part, which is chosen by
- * the event's type and the part number in its token; then every part that is
- * due is ticked.  The parts call each other through the tables of functions
- * below, never through sockets or clocks.
+ * A node: passes events to its parts and ticks them.  Each event goes to one
+ * part, which is chosen by the event's type and the part number in its token;
+ * then every part that is due is ticked.  The parts call each other through the
+ * tables of functions below; none uses a socket or reads a clock.
  */
 
 #include <sodium.h>
@@ -435,7 +435,8 @@
 	}
 }
 
-/* Writes the shards that we own into our own fact; changes are gossiped. */
+/* Writes the shards that this node owns into its own fact.  Changes other
+ * than of their load are gossiped. */
 static void
 update_own_fact(struct ogl_node *n)
 {
@@ -587,21 +588,21 @@
 		++*(size_t *)ctx;
 }
 
-/* The shutdown is complete when no call is open and other nodes own our
- * shards.  It also completes when no other node is alive or none claims them
- * in time: all that must be kept is in the log. */
+/* Ends the shutdown when no call is open and this node owns no shard any more.
+ * It also ends when no other node is alive or the shards are not claimed in
+ * time, since all that must be kept is in the log. */
 static void
 check_stop(struct ogl_node *n)
 {
 	size_t others = 0;
 	bool idle =
 	    ogl_calls_open_count(n) == 0 && ogl_reqs_open_count(n->reqs) == 0;
-	bool late = n->now - n->stop_began >= SHUTDOWN_TIMEOUT_S * OGL_SEC;
+	bool timed_out = n->now - n->stop_began >= SHUTDOWN_TIMEOUT_S * OGL_SEC;
 
 	if (!n->stopping || n->exited || !idle)
 		return;
 	ogl_member_each(n->member, count_alive, &others);
-	if (!owns_nothing(n) && others > 0 && !late)
+	if (!owns_nothing(n) && others > 0 && !timed_out)
 		return;
 	n->exited = true;
 	ogl_member_each(n->member, announce_left, n);
