--- a/src/lend.c
+++ b/src/lend.c
@@ -3,10 +3,10 @@
  *
  * Entitlements.  The capacity in use on the schedulable workers, but at least
  * nine tenths of all their capacity, is distributed down the tree of teams by
- * weight; no team gets more than what it holds plus what it waits for.  All
- * amounts are dominant shares: the largest part, over the resources, of the
- * schedulable workers' capacity.  What a team holds above its entitlement is
- * lent to it.
+ * weight; no team gets more than what it holds plus what it waits for.  An
+ * amount is counted by its dominant share: the fraction of the schedulable
+ * workers' capacity, in the resource where this fraction is largest.  What a
+ * team holds above its entitlement is lent to it.
  *
  * Preemption.  A piece of waiting work preempts others if it has waited longer
  * than a bound, its turn in the queue has come, and its team has been well
@@ -20,15 +20,16 @@
  * serving while the replacement is placed.
  *
  * Invariants.  The team that preempts does not get above its entitlement.  A
- * team that is preempted was above its own.  Afterwards it lacks a part of its
- * entitlement that is at most half the part the preempting team lacked before.
- * If it had to keep its whole entitlement, tasks larger than what their team
- * holds above its entitlement could never be preempted, and other teams might
- * never get room.  So the least part that any team has of its entitlement rises
- * with each preemption, and at constant demands teams cannot preempt each other
- * in turn.  As demands do change, a team that was preempted may not preempt for
- * a while, and a preempted task is protected for a time that doubles with each
- * preemption, so that the newest task is not preempted over and over.
+ * team that is preempted was above its own.  Afterwards it may lack a fraction
+ * of its entitlement, at most half the fraction that the preempting team lacked
+ * before.  If it had to keep its whole entitlement, tasks larger than what
+ * their team holds above its entitlement could never be preempted, and other
+ * teams might never get room.  Each preemption raises the smallest fraction of
+ * its entitlement that any team holds, so at constant demands teams cannot
+ * preempt each other in turn.  As demands do change, a team that was preempted
+ * may not preempt for a while, and a preempted task is protected for a time
+ * that doubles with each preemption, so that the newest task is not preempted
+ * repeatedly.
  *
  * Modes.  Tasks are checkpointed first.  One that still holds its room after
  * CHECKPOINT_TIMEOUT_MS is stopped.  Throttling is not used: a throttled task
@@ -41,21 +42,22 @@
 #include "lend.h"
 
 #define ROUND_INTERVAL_MS 1000
-#define DISTRIBUTED_MIN 0.9 /* minimum part of the capacity to distribute */
-/* Parts of its entitlement: a team that lacks more than LACK_START for
- * LACK_MIN_MS starts to preempt, and stops when it lacks LACK_STOP or less. */
+#define DISTRIBUTED_MIN 0.9 /* least fraction of the capacity to distribute */
+/* LACK_START and LACK_STOP are fractions of a team's entitlement.  A team that
+ * lacks more than LACK_START for LACK_MIN_MS starts to preempt, and stops when
+ * it lacks LACK_STOP or less. */
 #define LACK_START 0.2
 #define LACK_STOP 0.05
 #define LACK_MIN_MS 10000
-/* A team that regains this part of its lack by itself preempts nothing. */
+/* A team that regains this fraction of its lack by itself preempts nothing. */
 #define LACK_REGAINED 0.5
-#define ROUND_SHARE_MAX 0.1     /* part of the capacity preempted per round */
+#define ROUND_SHARE_MAX 0.1     /* fraction of the capacity, per round */
 #define ROUND_STEPS_MAX 1000000 /* tasks and workers examined in one round */
-#define ROUND_FAILURES_MAX 8    /* failed attempts, then a team is skipped */
-#define ROUND_GAP_MAX_MS 3000 /* after a longer gap, lacks are observed anew */
-#define PASSED_OVER_LIMIT 1   /* pieces of work, see select_pending */
-#define START_COST_S 5.0      /* cost of a restart: favours fewer tasks */
-#define SERVICE_COST_S 1.0e6  /* makes services the last choice */
+#define ROUND_FAILURES_MAX 8    /* failed attempts until a team is skipped */
+#define ROUND_GAP_MAX_MS 3000   /* a longer gap resets all lacks */
+#define PASSED_OVER_LIMIT 1     /* pieces of work, see select_pending */
+#define START_COST_S 5.0        /* cost per task: favours fewer tasks */
+#define SERVICE_COST_S 1.0e6    /* makes services the last choice */
 /* A team that was preempted does not preempt others for this time. */
 #define PREEMPTED_TEAM_WAIT_MS 30000
 #define CHECKPOINT_TIMEOUT_MS 15000 /* after this, the task is stopped */
@@ -71,7 +73,8 @@
 	DIMS
 };
 
-struct sum {
+/* Amounts of the resources. */
+struct res_vec {
 	double r[DIMS];
 };
 
@@ -81,16 +84,16 @@
 	struct team_node *own_leaf; /* counts the team's own work */
 	GPtrArray *children;        /* struct team_node */
 	double weight;
-	ogl_time preempted_at;  /* last time, 0 for never */
-	ogl_time lacking_since; /* 0 while it lacks less than LACK_START */
-	double lacking_share;   /* held_share at lacking_since */
+	ogl_time preempted_at;     /* last time, 0 for never */
+	ogl_time lacking_since;    /* 0 while it lacks less than LACK_START */
+	double share_when_lacking; /* held_share at lacking_since */
 	bool preempting;
 	/* In this round: */
-	struct sum held;     /* without the tasks that are stopping */
-	struct sum all_held; /* with the tasks that are stopping */
-	struct sum wanted;   /* all_held and the waiting work */
-	double held_share;   /* dominant share of held */
-	double demand;       /* dominant share of wanted */
+	struct res_vec held;     /* without the tasks that are stopping */
+	struct res_vec all_held; /* with the tasks that are stopping */
+	struct res_vec wanted;   /* all_held and the waiting work */
+	double held_share;       /* dominant share of held */
+	double demand;           /* dominant share of wanted */
 	double entitlement;
 	bool unsatisfied;  /* used while the capacity is distributed */
 	uint32_t failures; /* pieces of work for which no room was made */
@@ -99,7 +102,7 @@
 /* What is preempted together: a task or a gang. */
 struct unit {
 	struct team_node *leaf;
-	struct sum res;
+	struct res_vec res;
 	double size;  /* dominant share */
 	double cost;  /* share times lost run time in s, plus fixed costs */
 	size_t first; /* index of its first task, then task.next */
@@ -120,8 +123,8 @@
 };
 
 struct worker {
-	struct sum room; /* free or about to be freed */
-	size_t begin;    /* its tasks in ogl_lend.candidates */
+	struct res_vec room; /* free or about to be freed */
+	size_t begin;        /* its tasks in ogl_lend.candidates */
 	size_t end;
 };
 
@@ -139,7 +142,7 @@
 	ogl_time next_round;
 	ogl_time last_round;
 	/* In this round: */
-	struct sum total;
+	struct res_vec total;
 	GArray *workers;      /* struct worker */
 	GArray *tasks;        /* struct task */
 	GArray *units;        /* struct unit */
@@ -156,25 +159,26 @@
 	size_t steps; /* tasks and workers examined so far */
 };
 
-/* ---- sums ------------------------------------------------------------- */
+/* ---- amounts of resources --------------------------------------------- */
 
-static struct sum
-sum_of(const struct ogl_res *r)
+static struct res_vec
+res_vec_of(const struct ogl_res *r)
 {
-	struct sum s = {{r->cpu_milli, r->mem_mb, r->accel}};
+	struct res_vec s = {{r->cpu_milli, r->mem_mb, r->accel}};
 
 	return s;
 }
 
+/* Adds n times s. */
 static void
-sum_add(struct sum *to, const struct sum *s, double n)
+res_vec_add(struct res_vec *to, const struct res_vec *s, double n)
 {
 	for (int i = 0; i < DIMS; i++)
 		to->r[i] += n * s->r[i];
 }
 
 static bool
-sum_fits(const struct sum *need, const struct sum *room)
+res_vec_fits(const struct res_vec *need, const struct res_vec *room)
 {
 	for (int i = 0; i < DIMS; i++) {
 		if (need->r[i] > room->r[i] + ROUNDING_TOLERANCE)
@@ -184,7 +188,7 @@
 }
 
 static double
-dominant_share(const struct ogl_lend *l, const struct sum *s)
+dominant_share(const struct ogl_lend *l, const struct res_vec *s)
 {
 	double max_share = 0;
 
@@ -274,7 +278,7 @@
 static void
 node_reset(struct team_node *n)
 {
-	struct sum none = {{0}};
+	struct res_vec none = {{0}};
 
 	n->held = n->all_held = n->wanted = none;
 	n->failures = 0;
@@ -293,8 +297,8 @@
 		struct team_node *c = g_ptr_array_index(n->children, i);
 
 		all += sum_tree(l, c);
-		sum_add(&n->held, &c->held, 1);
-		sum_add(&n->wanted, &c->wanted, 1);
+		res_vec_add(&n->held, &c->held, 1);
+		res_vec_add(&n->wanted, &c->wanted, 1);
 	}
 	if (n->children->len == 0)
 		all = dominant_share(l, &n->all_held);
@@ -418,7 +422,7 @@
 void
 ogl_lend_begin(struct ogl_lend *l, ogl_time now)
 {
-	struct sum none = {{0}};
+	struct res_vec none = {{0}};
 
 	l->next_round = now + ROUND_INTERVAL_MS * OGL_MS;
 	l->total = none;
@@ -440,10 +444,10 @@
 ogl_lend_add_worker(struct ogl_lend *l, const struct ogl_res *capacity,
     const struct ogl_res *room)
 {
-	struct worker w = {.room = sum_of(room)};
-	struct sum all = sum_of(capacity);
+	struct worker w = {.room = res_vec_of(room)};
+	struct res_vec all = res_vec_of(capacity);
 
-	sum_add(&l->total, &all, 1);
+	res_vec_add(&l->total, &all, 1);
 	g_array_append_val(l->workers, w);
 	return l->workers->len - 1;
 }
@@ -453,14 +457,14 @@
 {
 	struct team_node *leaf = leaf_of(l, t->team);
 	struct task task = {.t = *t, .next = SIZE_MAX};
-	struct sum res = sum_of(&t->res);
+	struct res_vec res = res_vec_of(&t->res);
 
-	sum_add(&leaf->all_held, &res, 1);
-	sum_add(&leaf->wanted, &res, 1);
+	res_vec_add(&leaf->all_held, &res, 1);
+	res_vec_add(&leaf->wanted, &res, 1);
 	if (!t->stopping)
-		sum_add(&leaf->held, &res, 1);
+		res_vec_add(&leaf->held, &res, 1);
 	else if (t->worker != OGL_LEND_NO_WORKER)
-		sum_add(
+		res_vec_add(
 		    &g_array_index(l->workers, struct worker, t->worker).room,
 		    &res, 1);
 	g_array_append_val(l->tasks, task);
@@ -470,9 +474,9 @@
 ogl_lend_add_pending(struct ogl_lend *l, const struct ogl_lend_pending *w)
 {
 	struct pending pending = {.w = *w, .leaf = leaf_of(l, w->team)};
-	struct sum res = sum_of(&w->res);
+	struct res_vec res = res_vec_of(&w->res);
 
-	sum_add(&pending.leaf->wanted, &res, w->tasks);
+	res_vec_add(&pending.leaf->wanted, &res, w->tasks);
 	g_array_append_val(l->pending, pending);
 }
 
@@ -529,7 +533,7 @@
 join_unit(struct ogl_lend *l, size_t i, ogl_time now)
 {
 	struct task *task = task_at(l, i);
-	struct sum res = sum_of(&task->t.res);
+	struct res_vec res = res_vec_of(&task->t.res);
 	double size = dominant_share(l, &res);
 	double run_s = (double)MAX(now - task->t.since, 0) / OGL_SEC;
 	struct unit *u;
@@ -538,7 +542,7 @@
 	u = unit_at(l, task->unit);
 	task->next = u->first;
 	u->first = i;
-	sum_add(&u->res, &res, 1);
+	res_vec_add(&u->res, &res, 1);
 	u->size = dominant_share(l, &u->res);
 	u->cost += size * (run_s + START_COST_S);
 	if (task->t.kind == OGL__KIND__service)
@@ -550,7 +554,7 @@
 }
 
 static gint
-by_worker(gconstpointer a, gconstpointer b, gpointer data)
+compare_worker_and_cost(gconstpointer a, gconstpointer b, gpointer data)
 {
 	const struct ogl_lend *l = data;
 	const struct task *x = task_at(l, *(const size_t *)a);
@@ -571,7 +575,7 @@
 		join_unit(l, i, now);
 	for (size_t i = 0; i < l->tasks->len; i++) {
 		struct task *task = task_at(l, i);
-		struct sum res = sum_of(&task->t.res);
+		struct res_vec res = res_vec_of(&task->t.res);
 		const struct unit *u = unit_at(l, task->unit);
 
 		if (!u->preemptible ||
@@ -580,7 +584,7 @@
 		task->cost_ratio = u->cost / dominant_share(l, &res);
 		g_array_append_val(l->candidates, i);
 	}
-	g_array_sort_with_data(l->candidates, by_worker, l);
+	g_array_sort_with_data(l->candidates, compare_worker_and_cost, l);
 	for (size_t i = l->candidates->len; i > 0; i--) {
 		size_t at = g_array_index(l->candidates, size_t, i - 1);
 		struct worker *w = &g_array_index(
@@ -602,13 +606,13 @@
 
 	for (size_t i = u->first; i != SIZE_MAX; i = task_at(l, i)->next) {
 		const struct ogl_lend_task *t = &task_at(l, i)->t;
-		struct sum res = sum_of(&t->res);
+		struct res_vec res = res_vec_of(&t->res);
 
-		sum_add(
+		res_vec_add(
 		    &g_array_index(l->workers, struct worker, t->worker).room,
 		    &res, sign);
 	}
-	sum_add(&u->leaf->held, &u->res, -sign);
+	res_vec_add(&u->leaf->held, &u->res, -sign);
 	u->leaf->held_share = dominant_share(l, &u->leaf->held);
 	u->released = sign > 0;
 }
@@ -618,12 +622,12 @@
 static bool
 may_be_preempted(const struct ogl_lend *l, const struct unit *u)
 {
-	struct sum rest = u->leaf->held;
+	struct res_vec rest = u->leaf->held;
 
 	if (!u->preemptible || u->released ||
 	    u->leaf->held_share <= u->leaf->entitlement + ROUNDING_TOLERANCE)
 		return false;
-	sum_add(&rest, &u->res, -1);
+	res_vec_add(&rest, &u->res, -1);
 	return dominant_share(l, &rest) >=
 	       u->leaf->entitlement * l->min_kept - ROUNDING_TOLERANCE;
 }
@@ -640,13 +644,13 @@
 /* Drops units that turned out not to be needed, the most expensive first. */
 static void
 drop_unneeded(
-    struct ogl_lend *l, const struct worker *w, const struct sum *need)
+    struct ogl_lend *l, const struct worker *w, const struct res_vec *need)
 {
 	for (guint i = l->trial->len; i > 0; i--) {
 		size_t unit = g_array_index(l->trial, size_t, i - 1);
 
 		release_unit(l, unit, -1);
-		if (sum_fits(need, &w->room))
+		if (res_vec_fits(need, &w->room))
 			g_array_remove_index(l->trial, i - 1);
 		else
 			release_unit(l, unit, 1);
@@ -663,7 +667,8 @@
 /* Finds the units to preempt on one worker and leaves them in l->trial.
  * Returns their cost, or a negative number if no room can be made. */
 static double
-try_worker(struct ogl_lend *l, const struct worker *w, const struct sum *need)
+try_worker(
+    struct ogl_lend *l, const struct worker *w, const struct res_vec *need)
 {
 	double cost = -1;
 
@@ -678,10 +683,10 @@
 			continue;
 		release_unit(l, unit, 1);
 		g_array_append_val(l->trial, unit);
-		if (sum_fits(need, &w->room))
+		if (res_vec_fits(need, &w->room))
 			break;
 	}
-	if (sum_fits(need, &w->room)) {
+	if (res_vec_fits(need, &w->room)) {
 		drop_unneeded(l, w, need);
 		cost = 0;
 		for (guint i = 0; i < l->trial->len; i++)
@@ -693,19 +698,19 @@
 }
 
 static struct worker *
-worker_with_room(const struct ogl_lend *l, const struct sum *need)
+worker_with_room(const struct ogl_lend *l, const struct res_vec *need)
 {
 	for (guint i = 0; i < l->workers->len; i++) {
 		struct worker *w = &g_array_index(l->workers, struct worker, i);
 
-		if (sum_fits(need, &w->room))
+		if (res_vec_fits(need, &w->room))
 			return w;
 	}
 	return NULL;
 }
 
 static struct worker *
-cheapest_worker(struct ogl_lend *l, const struct sum *need)
+cheapest_worker(struct ogl_lend *l, const struct res_vec *need)
 {
 	struct worker *best = NULL;
 	double least_cost = 0;
@@ -727,7 +732,7 @@
 
 /* Finds room for one task and adds the units to preempt for it to plan. */
 static bool
-make_room(struct ogl_lend *l, const struct sum *need, GArray *plan)
+make_room(struct ogl_lend *l, const struct res_vec *need, GArray *plan)
 {
 	struct worker *w;
 
@@ -746,7 +751,7 @@
 			g_array_append_val(plan, unit);
 		}
 	}
-	sum_add(&w->room, need, -1);
+	res_vec_add(&w->room, need, -1);
 	return true;
 }
 
@@ -806,11 +811,11 @@
 {
 	GArray *saved_workers = g_array_copy(l->workers);
 	GArray *plan = g_array_new(FALSE, FALSE, sizeof(size_t));
-	struct sum need = sum_of(&pending->w.res);
-	struct sum after = pending->leaf->held;
+	struct res_vec need = res_vec_of(&pending->w.res);
+	struct res_vec after = pending->leaf->held;
 	bool ok = true;
 
-	sum_add(&after, &need, pending->w.tasks);
+	res_vec_add(&after, &need, pending->w.tasks);
 	if (pending->leaf->failures >= ROUND_FAILURES_MAX ||
 	    dominant_share(l, &after) >
 		pending->leaf->entitlement + ROUNDING_TOLERANCE)
@@ -838,15 +843,14 @@
 	g_array_free(saved_workers, TRUE);
 }
 
-/* A team that lacks a good part of its entitlement preempts until it has
- * nearly all; a team that regains it by itself soon enough preempts nothing.
- * Tasks end at random.  Without this rule, most preemptions would be for teams
- * that get their share anyway, on average over half a minute. */
+/* Decides whether a team preempts, see LACK_START and LACK_REGAINED.  Tasks end
+ * at random, so without this rule most preemptions would be for teams that get
+ * their share anyway when averaged over half a minute. */
 static void
 update_lack(struct team_node *n, ogl_time now)
 {
-	double regained_part = (n->held_share - n->lacking_share) /
-			       (n->entitlement - n->lacking_share);
+	double regained_part = (n->held_share - n->share_when_lacking) /
+			       (n->entitlement - n->share_when_lacking);
 
 	if (n->held_share >= n->entitlement * (1 - LACK_STOP)) {
 		n->lacking_since = 0;
@@ -857,7 +861,7 @@
 		n->lacking_since = 0;
 	} else if (n->lacking_since == 0 || regained_part >= LACK_REGAINED) {
 		n->lacking_since = now;
-		n->lacking_share = n->held_share;
+		n->share_when_lacking = n->held_share;
 	} else if (now - n->lacking_since >= LACK_MIN_MS * OGL_MS) {
 		n->preempting = true;
 	}
@@ -895,7 +899,7 @@
 }
 
 static gint
-by_turn(gconstpointer a, gconstpointer b)
+compare_queue_position(gconstpointer a, gconstpointer b)
 {
 	const struct pending *x = a, *y = b;
 
@@ -922,7 +926,7 @@
 			    *pending;
 	}
 	g_array_set_size(l->pending, n);
-	g_array_sort(l->pending, by_turn);
+	g_array_sort(l->pending, compare_queue_position);
 	for (guint i = 0; i < n && passed_over < PASSED_OVER_LIMIT; i++) {
 		struct pending *pending =
 		    &g_array_index(l->pending, struct pending, i);
--- a/src/lend.h
+++ b/src/lend.h
@@ -15,7 +15,7 @@
 #include "orioleglade.h"
 
 #define OGL_LEND_NO_WORKER UINT32_MAX
-#define OGL_LEND_MIN_WAIT_MS 5000 /* work waits longer before it preempts */
+#define OGL_LEND_MIN_WAIT_MS 5000 /* least wait before it preempts */
 
 struct ogl_lend;
 
