--- a/src/sched.c
+++ b/src/sched.c
@@ -4,9 +4,8 @@
  * the team limits (escrow.c) bound the placed tasks of each team.
  *
  * Tasks of batch jobs and services are queued one by one; a gang is queued as
- * a single item for all its tasks that have not ended.  A task is removed from
- * its worker only by ogl_sched_unbind, and tasks are queued only by
- * ogl_sched_enqueue.
+ * a single item for all its tasks that have not ended.  Only ogl_sched_unbind
+ * removes a task from its worker, and only ogl_sched_enqueue queues tasks.
  */
 
 #include <stdlib.h>
@@ -15,10 +14,12 @@
 #include "shard_impl.h"
 
 enum {
-	STEP_PLACEMENTS_MAX = 2000,  /* units of work placed in one step */
-	CONSECUTIVE_MISSES_MAX = 64, /* failed starts that end a step */
+	STEP_PLACEMENTS_MAX = 2000,  /* starts in one ogl_sched_place call */
+	CONSECUTIVE_MISSES_MAX = 64, /* failed starts that end the call */
 	GANG_RESERVE_S = 60,         /* how long room is reserved for a gang */
-	ATTEMPT_BITS = 12, /* low bits of an attempt, below the claim count */
+	/* Low bits of an attempt number; the bits above hold the number of
+	 * claims of the shard, see new_attempt. */
+	ATTEMPT_BITS = 12,
 	TEAM_PATH_BYTES = 128 /* including the terminating zero */
 };
 
@@ -253,18 +254,18 @@
 /* ---- waiting ---------------------------------------------------------- */
 
 void
-ogl_sched_demand_of(const struct ogl_job *j, struct ogl_demand *a)
+ogl_sched_demand_of(const struct ogl_job *j, struct ogl_demand *demand)
 {
 	const Ogl__Res *r = j->spec->res;
 
-	memset(a, 0, sizeof *a);
-	a->kind = j->spec->kind;
-	a->job = j->number;
+	memset(demand, 0, sizeof *demand);
+	demand->kind = j->spec->kind;
+	demand->job = j->number;
 	if (r == NULL)
 		return;
-	a->res.cpu_milli = r->cpu_milli;
-	a->res.mem_mb = r->mem_mb;
-	a->res.accel = r->accel;
+	demand->res.cpu_milli = r->cpu_milli;
+	demand->res.mem_mb = r->mem_mb;
+	demand->res.accel = r->accel;
 }
 
 static bool
@@ -334,7 +335,8 @@
 }
 
 /* A gang runs as a whole or not at all: if some of its tasks are placed while
- * others wait, the placed ones are stopped and then all are queued together. */
+ * others wait, the placed ones are stopped.  The gang is queued once none is
+ * placed and each of its tasks waits or has ended. */
 static void
 enqueue_gang(struct ogl_shard *sh, struct ogl_job *j, ogl_time now)
 {
@@ -403,8 +405,8 @@
 /* ---- binding ---------------------------------------------------------- */
 
 static void
-bind(struct ogl_shard *sh, struct ogl_session *s, struct ogl_job *j, uint32_t i,
-    uint32_t attempt, ogl_time now)
+bind_task(struct ogl_shard *sh, struct ogl_session *s, struct ogl_job *j,
+    uint32_t i, uint32_t attempt, ogl_time now)
 {
 	struct ogl_task *t = &j->tasks[i];
 	struct ogl_task_ref *ref = g_new0(struct ogl_task_ref, 1);
@@ -437,7 +439,7 @@
 	if (!s->in_placer ||
 	    !ogl_place_hold(sh->placer, s->placer_index, &demand))
 		return false;
-	bind(sh, s, j, i, attempt, now);
+	bind_task(sh, s, j, i, attempt, now);
 	return true;
 }
 
@@ -478,6 +480,7 @@
 	j->nplaced--;
 	sh->nplaced--;
 	for_team_and_ancestors(j->team, add_placed_count, sh, -1);
+	/* A gang is one item of the queue, which ends with its last task. */
 	if (work != 0 && (j->spec->kind != OGL__KIND__gang || j->nplaced == 0))
 		ogl_queue_ended(sh->queue, work, ok, now);
 	sh->place_due = true;
@@ -493,8 +496,9 @@
 
 /* ---- placing ---------------------------------------------------------- */
 
-/* Attempt numbers of a task increase, also from one owner to the next, so that
- * a report of an earlier attempt is never mistaken for a newer one. */
+/* Attempt numbers of a task increase, so that a report of an earlier attempt is
+ * never mistaken for a newer one.  They also increase from one owner to the
+ * next, because each claim of the shard raises the least number. */
 static uint32_t
 new_attempt(const struct ogl_shard *sh, const struct ogl_task *t)
 {
@@ -539,7 +543,7 @@
 	struct ogl_session *s =
 	    g_ptr_array_index(sh->by_placer_index, placer_index);
 
-	bind(sh, s, j, i, new_attempt(sh, &j->tasks[i]), now);
+	bind_task(sh, s, j, i, new_attempt(sh, &j->tasks[i]), now);
 	j->tasks[i].work_number = work;
 	if (!j->spec->restartable)
 		record_intent(sh, j, i, now);
--- a/src/sched_lend.c
+++ b/src/sched_lend.c
@@ -14,7 +14,7 @@
 #include "shard_impl.h"
 
 enum {
-	TEAM_PATH_BYTES = 128,
+	TEAM_PATH_BYTES = 128, /* including the terminating zero */
 	/* Low bits of a task id that hold the task's index in its job, which
 	 * has fewer than 2^16 tasks. */
 	TASK_INDEX_BITS = 16
@@ -164,7 +164,8 @@
 }
 
 /* Adds waiting work, beginning with the work that the last placement found no
- * room for, so that other work of a team does not use up its limit before. */
+ * room for, so that other work of the same team does not use up its limit
+ * first. */
 static void
 add_all_pending_work(struct ogl_shard *sh, ogl_time now)
 {
@@ -211,8 +212,8 @@
 	ogl_sched_stop_task(sh, ref->job, ref->index, preemption->mode, now);
 }
 
-/* A task has ended only when its end is in the log.  While the log is down, a
- * preempted task could therefore not start again. */
+/* A task counts as ended only once its end is in the log, so a task that is
+ * preempted while the log is down could not start again. */
 static bool
 may_reclaim(const struct ogl_shard *sh, ogl_time now)
 {
