--- a/src/place.c
+++ b/src/place.c
@@ -8,8 +8,8 @@
  * that fit on no worker are remembered until a worker gains room for them, so
  * a full cell refuses a task after a few comparisons.
  *
- * Invariant: on no worker does the sum of what is held exceed its capacity,
- * unless the worker itself lowered its capacity; then it gets no more tasks.
+ * Invariant: the resources held on a worker never exceed its capacity, unless
+ * the worker itself lowered its capacity; then it gets no more tasks.
  */
 
 #include <string.h>
--- a/src/place.h
+++ b/src/place.h
@@ -41,7 +41,7 @@
 	unsigned from_class;  /* class to begin at; lower ones come last */
 	uint32_t offers_left; /* 0 ends the search; offer may set it */
 	uint32_t misses_left; /* workers without room that may be examined */
-	bool skipped;         /* some workers that may fit were not examined */
+	bool skipped;         /* workers that may have room were not examined */
 	void (*offer)(void *ctx, uint32_t w);
 	void *ctx;
 };
@@ -60,7 +60,7 @@
 void ogl_grid_walk(const struct ogl_grid *g,
     const struct ogl_grid_entry *entries, struct ogl_grid_walk *k);
 /* Calls offer for workers with room for the need, until offers_left is 0.
- * Buckets in which a worker may not fit are left once misses_left is 0. */
+ * Buckets whose workers may lack room are skipped once misses_left is 0. */
 
 void ogl_grid_clear(struct ogl_grid *g);
 size_t ogl_grid_bytes(const struct ogl_grid *g);
@@ -150,15 +150,15 @@
 struct ogl_place_zone {
 	char *name;
 	struct ogl_grid grid[OGL_ACCEL_GROUPS];
-	struct ogl_grid racks;    /* by the sums of their workers */
-	uint64_t cpu, mem, accel; /* avail over indexed workers */
+	struct ogl_grid racks;    /* by the sums of their workers' avail */
+	uint64_t cpu, mem, accel; /* sums of avail of indexed workers */
 };
 
 struct ogl_place_rack {
 	uint16_t zone;
-	uint64_t cpu, mem, accel; /* avail over indexed workers */
+	uint64_t cpu, mem, accel; /* sums of avail of indexed workers */
 	GArray *workers;          /* uint32_t */
-	uint32_t last_plan;       /* number of the last plan that tried it */
+	uint32_t last_plan; /* plans_made at the last plan that tried it */
 };
 
 /* A worker with room reserved for some tasks of a gang. */
@@ -170,9 +170,9 @@
 /* Room reserved for one waiting gang; there is at most one reservation. */
 struct ogl_reservation {
 	bool active;
-	bool worker_lost;      /* a chosen worker can no longer be used */
-	struct ogl_demand ask; /* of each task of the gang */
-	uint32_t n;            /* number of its tasks */
+	bool worker_lost;         /* a chosen worker can no longer be used */
+	struct ogl_demand demand; /* of each task of the gang */
+	uint32_t n;               /* number of tasks of the gang */
 	ogl_time until;
 	ogl_time chosen_at; /* when the workers were last chosen */
 	GArray *workers;    /* struct ogl_reserved_worker */
@@ -210,7 +210,7 @@
 	uint32_t no_fit_count;
 	struct ogl_gang_bound gang_bounds[OGL_MAX_GANG_BOUNDS];
 	uint32_t gang_bound_count, next_gang_bound;
-	uint32_t plans_made; /* number of the last plan */
+	uint32_t plans_made; /* plans over many racks so far */
 	uint64_t total_cpu, total_mem, total_accel; /* over usable workers */
 	uint64_t held_cpu, held_mem, held_accel;
 	uint64_t random_state;
--- a/src/place_gang.c
+++ b/src/place_gang.c
@@ -1,14 +1,14 @@
 /*
  * Gangs, whose tasks are placed all at once or not at all, and the reservation.
  *
- * A gang is first planned without changing anything, then held.  The plan tries
- * single racks with enough free room in total, found in the zone's grid of
- * racks, then many racks, starting in the zone with the most room.  All tasks
- * of a gang have the same need, so how many a worker takes does not depend on
- * the others, and a plan over all racks finds room whenever there is enough.
- * When it fails, the number of tasks that did fit is remembered, and raised as
- * workers gain room; while it is below the gang's size the gang is refused at
- * once.
+ * A gang is first planned without changing anything, then held.  The plan first
+ * tries single racks, found in the zone's grid of racks by the sum of their
+ * workers' free room, then many racks, starting in the zone with the most room.
+ * All tasks of a gang have the same need, so how many fit on a worker does not
+ * depend on the other workers, and a plan over all racks finds room whenever
+ * there is enough.  When it fails, the number of tasks that did fit is kept as
+ * an upper bound, which rises as workers gain room.  Gangs with at least this
+ * need and more tasks than the bound are refused at once.
  *
  * Without a reservation a large gang may wait forever, since room that becomes
  * free goes to smaller tasks at once.  The reservation keeps room on chosen
@@ -22,17 +22,18 @@
 
 #include "place.h"
 
-#define SINGLE_RACK_OFFERS 4        /* racks with enough room tried per zone */
-#define SINGLE_RACK_MISSES 32       /* racks without room examined per zone */
-#define BISECTION_STEPS 7           /* of the search in choose_workers */
-#define MIN_CHOOSE_INTERVAL OGL_SEC /* between choices of workers */
+#define SINGLE_RACK_OFFERS 4  /* racks with enough room tried per zone */
+#define SINGLE_RACK_MISSES 32 /* racks without room examined per zone */
+#define BISECTION_STEPS 7     /* of the search in choose_workers */
+/* Least time between two choices of the workers of the reservation. */
+#define MIN_CHOOSE_INTERVAL OGL_SEC
 
 /* ---- plans ------------------------------------------------------------ */
 
 struct plan {
 	struct ogl_place *p;
-	const struct ogl_demand *ask;
-	uint32_t n; /* tasks wanted */
+	const struct ogl_demand *demand; /* of each task */
+	uint32_t n;                      /* tasks wanted */
 	uint32_t planned;
 	uint32_t *w;            /* worker of each planned task */
 	bool use_accel_workers; /* even when no accelerator is needed */
@@ -51,10 +52,10 @@
 		s = &k->p->entries[w];
 		if (!s->indexed)
 			continue;
-		if (k->ask->res.accel == 0 && s->accel_group != 0 &&
+		if (k->demand->res.accel == 0 && s->accel_group != 0 &&
 		    !k->use_accel_workers)
 			continue;
-		fit = ogl_place_tasks_fit(&k->ask->res, &s->avail);
+		fit = ogl_place_tasks_fit(&k->demand->res, &s->avail);
 		for (; fit > 0 && k->planned < k->n; fit--)
 			k->w[k->planned++] = w;
 	}
@@ -76,7 +77,7 @@
 static bool
 plan_single_rack(struct plan *k)
 {
-	struct ogl_res all = ogl_place_multiply(&k->ask->res, k->n);
+	struct ogl_res all = ogl_place_multiply(&k->demand->res, k->n);
 	uint32_t i, zones = k->p->zones->len, start = ogl_place_random(k->p);
 	struct ogl_place_zone *z;
 
@@ -114,8 +115,9 @@
 }
 
 /*
- * Fills the racks of a zone: first those that may hold half of the gang, then a
- * quarter, and so on down to single tasks, so that few racks are used.
+ * Fills the racks of a zone: first those whose free room suffices, in sum, for
+ * half of the gang, then for a quarter, and so on down to single tasks, so that
+ * few racks are used.
  */
 static void
 plan_zone(struct plan *k, uint32_t z)
@@ -134,14 +136,14 @@
 		};
 
 		tasks = tasks > 1 ? (tasks + 1) / 2 : 0;
-		need = ogl_place_multiply(&k->ask->res, MAX(tasks, 1));
+		need = ogl_place_multiply(&k->demand->res, MAX(tasks, 1));
 		k->walk = &walk;
 		ogl_grid_walk(g, k->p->rack_entries, &walk);
 	}
 }
 
 static uint64_t
-fit_sum(uint32_t need, uint64_t sum)
+tasks_fit_sum(uint32_t need, uint64_t sum)
 {
 	return need > 0 ? sum / need : UINT32_MAX;
 }
@@ -150,10 +152,10 @@
 static uint64_t
 zone_upper_bound(const struct ogl_place_zone *z, const struct ogl_res *need)
 {
-	uint64_t n = fit_sum(need->cpu_milli, z->cpu);
+	uint64_t n = tasks_fit_sum(need->cpu_milli, z->cpu);
 
-	n = MIN(n, fit_sum(need->mem_mb, z->mem));
-	return MIN(n, fit_sum(need->accel, z->accel));
+	n = MIN(n, tasks_fit_sum(need->mem_mb, z->mem));
+	return MIN(n, tasks_fit_sum(need->accel, z->accel));
 }
 
 /* Plans over many racks, starting in the zone with the most room. */
@@ -164,8 +166,8 @@
 	uint64_t bound, sum = 0, best_bound = 0;
 
 	for (z = 0; z < zones; z++) {
-		bound =
-		    zone_upper_bound(ogl_place_zone_at(k->p, z), &k->ask->res);
+		bound = zone_upper_bound(
+		    ogl_place_zone_at(k->p, z), &k->demand->res);
 		sum += bound;
 		if (bound > best_bound) {
 			best_bound = bound;
@@ -184,7 +186,7 @@
 static bool
 plan_gang(struct plan *k)
 {
-	const struct ogl_res *need = &k->ask->res;
+	const struct ogl_res *need = &k->demand->res;
 
 	if (k->n == 0)
 		return true;
@@ -223,7 +225,7 @@
     bool use_accel_workers)
 {
 	const struct ogl_place_worker *k = &p->workers[w];
-	const struct ogl_res *need = &p->reserved.ask.res;
+	const struct ogl_res *need = &p->reserved.demand.res;
 	struct ogl_res room;
 
 	if (!p->entries[w].indexed)
@@ -252,8 +254,8 @@
 }
 
 /* Adds workers to the reservation, each for as many tasks as would fit once the
- * fraction of its work has ended, until *left, the tasks still without a
- * worker, is 0. */
+ * given fraction of its work has ended.  *left is the number of tasks that
+ * still need a worker. */
 static void
 reserve_on_workers(struct ogl_place *p, double fraction, bool use_accel_workers,
     uint32_t *left)
@@ -273,12 +275,11 @@
 
 /*
  * Chooses the workers to reserve room on; false when the gang would not fit
- * even if all work but services ended.  Bisection finds the least fraction of
- * every worker's work that has to end.  The reservation then takes room for a
- * few tasks on each of many workers, because the first tasks to end on many
- * workers end long before the last tasks on a few.  Room that is already free
- * counts at any fraction, so choosing again loses none of it and uses the room
- * that has become free since.
+ * even if all work but services ended.  Bisection finds the smallest fraction
+ * f such that the gang fits once every worker has ended the fraction f of its
+ * work.  This reserves room for a few tasks on each of many workers, which is
+ * free long before a few workers have ended all their work.  Free room counts
+ * in full at any f, so choosing again uses all room that is free by then.
  */
 static bool
 choose_workers(struct ogl_place *p, ogl_time now)
@@ -355,14 +356,14 @@
     const struct ogl_demand *demand, uint32_t n, ogl_time until, ogl_time now)
 {
 	ogl_place_expire_reservation(p, now);
-	if (p->reserved.active && p->reserved.ask.job != job)
+	if (p->reserved.active && p->reserved.demand.job != job)
 		return false;
 	if (until <= now)
 		return false;
 	apply_reservation(p, false);
 	p->reserved.active = true;
-	p->reserved.ask = *demand;
-	p->reserved.ask.job = job;
+	p->reserved.demand = *demand;
+	p->reserved.demand.job = job;
 	p->reserved.n = n;
 	p->reserved.until = until;
 	if (choose_workers(p, now))
@@ -375,7 +376,7 @@
 void
 ogl_place_unreserve(struct ogl_place *p, uint64_t job)
 {
-	if (!p->reserved.active || p->reserved.ask.job != job)
+	if (!p->reserved.active || p->reserved.demand.job != job)
 		return;
 	end_reservation(p);
 }
@@ -408,12 +409,12 @@
 ogl_place_gang(struct ogl_place *p, const struct ogl_demand *demand, uint32_t n,
     ogl_time now, uint32_t *w)
 {
-	struct plan k = {.p = p, .ask = demand, .n = n, .w = w};
+	struct plan k = {.p = p, .demand = demand, .n = n, .w = w};
 	uint32_t i;
 	bool own, ok;
 
 	ogl_place_expire_reservation(p, now);
-	own = p->reserved.active && p->reserved.ask.job == demand->job;
+	own = p->reserved.active && p->reserved.demand.job == demand->job;
 	ok = own ? plan_reserved(p, &k, now) : plan_gang(&k);
 	if (!ok)
 		return false;
--- a/src/place_health.c
+++ b/src/place_health.c
@@ -13,7 +13,7 @@
  * not distort the records of their jobs.
  *
  * Without this, a broken worker would be given a large part of all new tasks,
- * because it is always empty: all it starts ends at once.  Many jobs would fail
+ * because its tasks end at once and it always has room.  Many jobs would fail
  * on that one worker.
  *
  * The records of jobs are kept in a two-way set-associative table sized by the
@@ -48,7 +48,7 @@
 struct worker_record {
 	uint64_t jobs[MAX_FAILED_JOBS];    /* jobs that failed here recently */
 	uint8_t failures[MAX_FAILED_JOBS]; /* failures of each of these jobs */
-	uint8_t njobs, next;
+	uint8_t njobs, next; /* next: index for the next failed job */
 	uint8_t quarantines; /* since the record was made */
 	uint8_t successes;   /* since the last quarantine */
 };
@@ -130,18 +130,19 @@
 }
 
 static struct worker_record *
-worker_record(struct ogl_health *h, uint32_t w, bool make)
+worker_record(struct ogl_health *h, uint32_t w, bool create)
 {
 	if (w >= h->workers->len) {
-		if (!make)
+		if (!create)
 			return NULL;
 		g_ptr_array_set_size(h->workers, (int)w + 1);
 	}
-	if (h->workers->pdata[w] == NULL && make)
+	if (h->workers->pdata[w] == NULL && create)
 		h->workers->pdata[w] = g_new0(struct worker_record, 1);
 	return h->workers->pdata[w];
 }
 
+/* A success removes half of the failed jobs from the worker's record. */
 static void
 worker_succeeded(struct ogl_health *h, uint32_t w)
 {
--- a/src/place_index.c
+++ b/src/place_index.c
@@ -16,7 +16,7 @@
 }
 
 static uint32_t
-tasks_fit_one(uint32_t need, uint32_t room)
+tasks_fit_dimension(uint32_t need, uint32_t room)
 {
 	return need > 0 ? room / need : UINT32_MAX;
 }
@@ -24,10 +24,10 @@
 uint32_t
 ogl_place_tasks_fit(const struct ogl_res *need, const struct ogl_res *room)
 {
-	uint32_t n = tasks_fit_one(need->cpu_milli, room->cpu_milli);
+	uint32_t n = tasks_fit_dimension(need->cpu_milli, room->cpu_milli);
 
-	n = MIN(n, tasks_fit_one(need->mem_mb, room->mem_mb));
-	return MIN(n, tasks_fit_one(need->accel, room->accel));
+	n = MIN(n, tasks_fit_dimension(need->mem_mb, room->mem_mb));
+	return MIN(n, tasks_fit_dimension(need->accel, room->accel));
 }
 
 static unsigned
@@ -229,8 +229,8 @@
 	}
 	s->avail = ogl_place_free_room(k);
 	if (k->reserved_tasks > 0) {
-		reserved =
-		    ogl_place_multiply(&p->reserved.ask.res, k->reserved_tasks);
+		reserved = ogl_place_multiply(
+		    &p->reserved.demand.res, k->reserved_tasks);
 		ogl_res_sub(&s->avail, &reserved);
 	}
 	sums_add(p, s);
--- a/src/place_pick.c
+++ b/src/place_pick.c
@@ -1,9 +1,9 @@
 /*
  * Policies of placement by kind: which worker a task goes to.
  *
- *   batch    among the workers tightest in the dimension that matters most to
- *            the task, the one whose free processors and memory it balances
- *            best;
+ *   batch    among the workers with the least room in the resource of which
+ *            the task needs most, relative to the mean capacity, the one whose
+ *            free processors and memory it leaves best balanced;
  *   service  the zone, then the rack, then the worker with the fewest tasks
  *            of the job;
  *   gang     a single task as batch; for whole gangs see place_gang.c.
@@ -21,7 +21,9 @@
 #define MAX_OFFERS_PER_ZONE 8  /* workers compared in one zone */
 #define MAX_MISSES_PER_ZONE 48 /* workers without room, in the first search */
 #define TIGHTNESS_WEIGHT 0.05  /* relative to balance in the score */
-#define IMBALANCE_FLOOR 0.05   /* a smaller free fraction is almost full */
+/* Added to the divisor in imbalance, so that workers with a smaller free
+ * fraction, which are almost full, hardly differ. */
+#define IMBALANCE_FLOOR 0.05
 
 /* ---- batch: best fit -------------------------------------------------- */
 
@@ -34,9 +36,7 @@
 	uint32_t best;
 };
 
-/*
- * How far free processors and memory differ, relative to the scarcer one.
- */
+/* How far free processors and memory differ, relative to the scarcer one. */
 static double
 imbalance(double cpu, double mem)
 {
@@ -196,7 +196,8 @@
 	return k.best != OGL_PLACE_NONE;
 }
 
-/* The untried zone with the fewest tasks of the job, then the most room. */
+/* Finds the untried zone with the fewest tasks of the job; among equals the one
+ * with the most free processors. */
 static bool
 next_zone(const struct ogl_place *p, uint64_t job, uint8_t *tried, uint32_t *z)
 {
