--- a/src/queue.c
+++ b/src/queue.c
@@ -7,8 +7,8 @@
  * An item is waiting (in the policy's order), deferred (popped, but it did not
  * fit; it waits for ogl_queue_retry_deferred), popped, or running.  Invariants:
  * the age heap holds exactly the waiting and the deferred items, so its size is
- * the queue length and the longest wait is at its top; `deferred` holds exactly
- * the deferred items.
+ * the queue length and the item that has waited longest is at its top;
+ * `deferred` holds exactly the deferred items.
  *
  * Each deferred item was popped once since the last ogl_queue_retry_deferred,
  * so pushing all of them again costs O(log n) for each of those pops.
@@ -33,8 +33,8 @@
 	GPtrArray *deferred;
 	struct ogl_queue_heap age;
 	uint64_t seq;
-	struct ogl_queue_item
-	    *last_dropped; /* its strings may still be in use, see drop */
+	/* Its strings may still be in use, see remove_item. */
+	struct ogl_queue_item *last_removed;
 };
 
 double
@@ -77,7 +77,7 @@
 	g_ptr_array_free(q->deferred, TRUE);
 	g_hash_table_destroy(q->items);
 	g_hash_table_destroy(q->team_names);
-	g_free(q->last_dropped);
+	g_free(q->last_removed);
 	g_free(q);
 }
 
@@ -117,11 +117,11 @@
 /* Removes an item from the table, but frees it only when the next one is
  * removed: strings of popped work stay valid until the next call. */
 static void
-drop(struct ogl_queue *q, struct ogl_queue_item *it)
+remove_item(struct ogl_queue *q, struct ogl_queue_item *it)
 {
 	g_hash_table_steal(q->items, &it->w.id);
-	g_free(q->last_dropped);
-	q->last_dropped = it;
+	g_free(q->last_removed);
+	q->last_removed = it;
 }
 
 static struct ogl_queue_item *
@@ -144,11 +144,11 @@
 }
 
 static void
-drop_unstarted(struct ogl_queue *q, struct ogl_queue_item *it)
+remove_unstarted(struct ogl_queue *q, struct ogl_queue_item *it)
 {
 	if (q->policy->withdrawn != NULL)
 		q->policy->withdrawn(q->policy_state, it);
-	drop(q, it);
+	remove_item(q, it);
 }
 
 void
@@ -163,7 +163,7 @@
 	struct ogl_queue_item *it = find(q, w->id);
 
 	if (it != NULL && it->state == OGL_QUEUE_POPPED)
-		drop_unstarted(q, it);
+		remove_unstarted(q, it);
 	else if (it != NULL)
 		return;
 	it = item_new(q, w);
@@ -220,7 +220,7 @@
 	if (it == NULL || it->state == OGL_QUEUE_RUNNING)
 		return false;
 	if (it->state == OGL_QUEUE_POPPED) {
-		drop_unstarted(q, it);
+		remove_unstarted(q, it);
 		return false;
 	}
 	if (it->state == OGL_QUEUE_DEFERRED)
@@ -228,7 +228,7 @@
 	else
 		q->policy->unlink(q->policy_state, it);
 	ogl_queue_heap_del(&q->age, it);
-	drop_unstarted(q, it);
+	remove_unstarted(q, it);
 	return true;
 }
 
@@ -256,7 +256,7 @@
 		return;
 	if (q->policy->ended != NULL)
 		q->policy->ended(q->policy_state, it, ok, now);
-	drop(q, it);
+	remove_item(q, it);
 }
 
 size_t
--- a/src/queue_learned.c
+++ b/src/queue_learned.c
@@ -20,8 +20,8 @@
  * request of one second is long, a task of one second is short.  The boundary
  * comes from a histogram of recent service by level, split where the two sides
  * differ most (queue_split.c).  The service of each team is normalized to the
- * same sum, so that a flood from one team moves the boundary no more than any
- * other team can.
+ * same sum, so that a team with a very large amount of work moves the boundary
+ * no more than any other team can.
  *
  * Awaited work, which a caller seems to be waiting for, ranks as if it took
  * half as long.
