--- a/src/fair.c
+++ b/src/fair.c
@@ -19,11 +19,11 @@
  * with waiting work; it never goes back.  When a child begins to wait, its
  * virtual time is raised to that clock minus a small credit, so an idle team
  * accumulates no claim.  When the first child of a node begins to wait, there
- * has been room for all work below the node until now.  What a team received
- * beyond its share then cost the others nothing, so the clock starts at the
- * greatest virtual time and no debts remain.
+ * has been room for all work below the node until now.  Until then, what a team
+ * received beyond its share cost the others nothing, so the clock starts at the
+ * greatest virtual time, which cancels all debts.
  *
- * A team's own work is a child named "" beside its sub-teams.
+ * A team's own work is a child named "" beside its subteams.
  *
  * Picking scans the siblings with waiting work.  Virtual times change while
  * work runs, so a heap couldn't keep their order; with a hundred teams the
@@ -264,9 +264,10 @@
 	}
 }
 
-/* Without this, a team with much work that fits nowhere would be picked for
- * each of its items before any other team, and the other teams' work would
- * wait although there is room for it. */
+/* Changes what counts as deferred in pick_child.  If deferred work did not
+ * count, a team with much work that fits nowhere would be picked for each of
+ * its items before any other team, and the other teams' work would wait
+ * although there is room for it. */
 void
 ogl_fair_change_deferred(struct ogl_fair_node *leaf, double units)
 {
