--- a/src/escrow.c
+++ b/src/escrow.c
@@ -9,12 +9,12 @@
  * changes what every holder may start without any message.
  *
  * The owner of one shard, chosen by a hash of the team's name, is the team's
- * coordinator.  A holder that could use more asks it.  The coordinator grants
- * what is free; for the rest it asks the other holders to shrink to what they
- * use, and counts a part as smaller only after its holder has said so.  A
- * larger part is granted only after the new split has taken effect on the
- * coordinator's log, so that a new coordinator, which starts from the log, can
- * never grant the same part twice.
+ * coordinator.  A holder that could use a larger part asks the coordinator for
+ * it.  The coordinator grants what is free; for the rest it asks the other
+ * holders to shrink to what they use, and counts a part as smaller only after
+ * its holder has confirmed it.  A larger part is sent to its holder only once
+ * the new split is in the coordinator's log, so that a new coordinator, which
+ * starts from the log, can never grant the same part twice.
  *
  * A new owner of a holder's shard does not know its part and starts nothing of
  * a limited team until the coordinator has sent it.  Answers carry the
@@ -38,7 +38,7 @@
 	RECLAIM_INTERVAL_MS = 400, /* time between reclaims for one team */
 	/* A want that is not repeated within this time is dropped. */
 	WANT_TIMEOUT_MS = 4 * START_RETRY_MS,
-	TURN_MAX_MS = 10000, /* the oldest want is served first this long */
+	TURN_MAX_MS = 10000, /* longest time that one want goes first */
 	TICK_MS = 100
 };
 
@@ -423,7 +423,7 @@
 		record_split(sh, s, now);
 }
 
-/* Whether shard i wants more and its turn comes before shard k's. */
+/* Whether shard i wants more and its turn is before that of shard k. */
 static bool
 goes_before(const struct split *s, uint32_t i, uint32_t k)
 {
