--- a/src/json.c
+++ b/src/json.c
@@ -26,7 +26,7 @@
 #include "json.h"
 
 #define BRIEF_MAX_BYTES 60 /* longest quotation of a faulty value */
-#define ROOT_PATH "$"      /* path of faults in the whole text */
+#define ROOT_PATH "$"      /* path of the whole text */
 
 /* State of one walk. */
 struct reader {
--- a/src/settings.c
+++ b/src/settings.c
@@ -16,7 +16,7 @@
  * count towards the parent's limit, too.
  *
  * The state, including which removed paths and audit entries are dropped,
- * depends on nothing but the edits in log order.  Two followers of one log thus
+ * depends only on the edits and their order.  Two followers of one log thus
  * hold the same tree, also when one of them started from the other's dump.
  */
 
@@ -61,8 +61,8 @@
 	g_free(a);
 }
 
-/* Constant time, so that the time of a table lookup does not tell how many
- * bytes of a hash were right. */
+/* Compares in constant time, so that the time of a table lookup does not reveal
+ * how many bytes of a hash matched. */
 static gboolean
 hash_equal(gconstpointer a, gconstpointer b)
 {
@@ -239,7 +239,7 @@
 
 /* ---- applying --------------------------------------------------------- */
 
-/* Does nothing for a key whose hash or team is missing; a dump may have one. */
+/* Skips a key whose hash or team is missing; a dump may contain such a key. */
 static void
 index_key(struct ogl_settings *s, const char *id)
 {
--- a/src/settings_edit.c
+++ b/src/settings_edit.c
@@ -24,11 +24,11 @@
 #include "json.h"
 #include "settings.h"
 
-#define CHANGES_MAX 256      /* limit for one edit */
+#define CHANGES_MAX 256      /* changes in one edit */
 #define VALUE_MAX_BYTES 1024 /* JSON text of one value */
 #define WHO_MAX_BYTES 128
-/* Both are checked against the tree before the edit, so one edit that adds
- * several teams or keys may exceed them. */
+/* These limits are checked against the tree before the edit, so one edit that
+ * adds several teams or keys may exceed them. */
 #define TEAMS_MAX 4096
 #define KEYS_MAX 65536
 
@@ -619,7 +619,7 @@
 	d->overlay = g_tree_new_full(compare_paths, NULL, g_free, value_free);
 	check_edit(d);
 	if (e->n_changes > CHANGES_MAX)
-		goto refused; /* without the faults of its changes */
+		goto refused; /* its changes are not checked */
 	d->n = e->n_changes;
 	d->changes = g_new0(struct change, d->n);
 	read_changes(d);
