--- a/orioleglade.h
+++ b/orioleglade.h
@@ -254,7 +254,7 @@
 	uint64_t job; /* number of the job; a service's tasks are spread out */
 };
 
-/* Why tasks can never run on the workers known. */
+/* Whether tasks can ever run on the known workers, and if not, why. */
 enum ogl_feasibility {
 	OGL_FEASIBLE = 0,         /* it can run when enough room is free */
 	OGL_INFEASIBLE_NO_WORKER, /* no worker is large enough for one task */
@@ -305,9 +305,11 @@
 
 bool ogl_place_reserve(struct ogl_place *p, uint64_t job,
     const struct ogl_demand *demand, uint32_t n, ogl_time until, ogl_time now);
-/* Reserves resources on chosen workers for a waiting gang as they become free,
- * until the time `until`; shorter tasks may be backfilled.  Only one gang can
- * have a reservation: returns false when another one has it. */
+/* Reserves resources on chosen workers for a waiting gang, now and as tasks
+ * there end, until the time `until`.  Other tasks may use the remaining
+ * resources.  Returns false when another gang has the only reservation, when
+ * `until` has passed, or when the gang could not run even if all tasks but
+ * those of services ended. */
 
 void ogl_place_unreserve(struct ogl_place *p, uint64_t job);
 
@@ -335,8 +337,7 @@
 	struct ogl_res res;     /* of each task */
 	uint64_t declared_ms;   /* run time as submitted, 0: none */
 	ogl_time waiting_since; /* when it began to wait */
-	bool
-	    preempted; /* was preempted: goes before similar work of its team */
+	bool preempted; /* if so, it goes before similar work of its team */
 };
 
 struct ogl_queue_policy; /* table of function pointers, see src/queue.h */
@@ -580,12 +581,15 @@
 	uint32_t probe_ms;      /* between membership probes */
 	uint32_t suspect_ms;    /* until a suspected host counts as dead */
 	uint32_t commit_ms;     /* group commit delay */
-	/* How long an owner may act after its last contact with the log. */
+	/* How long an owner may act after its last contact with the log,
+	 * unless its successors allow it to act for longer, see late_claim_ms.
+	 */
 	uint32_t right_ms;
 	uint32_t stale_ms; /* settings not confirmed for longer are stale */
-	/* The same limit while its named successors promise not to claim.  Any
-	 * other node that claims waits this long before it takes over, since
-	 * the old owner may act until then. */
+	/* How long an owner may act after its last contact with the log while
+	 * its named successors promise not to claim.  Any other node that
+	 * claims waits this long before it takes over, since the old owner may
+	 * act until then. */
 	uint32_t late_claim_ms;
 	uint32_t snapshot_records; /* records between snapshots */
 	uint32_t snapshot_ms;      /* age that forces a snapshot */
