--- a/src/sched.c
+++ b/src/sched.c
@@ -405,8 +405,8 @@
 /* ---- binding ---------------------------------------------------------- */
 
 static void
-bind_task(struct ogl_shard *sh, struct ogl_session *s, struct ogl_job *j,
-    uint32_t i, uint32_t attempt, ogl_time now)
+bind(struct ogl_shard *sh, struct ogl_session *s, struct ogl_job *j, uint32_t i,
+    uint32_t attempt, ogl_time now)
 {
 	struct ogl_task *t = &j->tasks[i];
 	struct ogl_task_ref *ref = g_new0(struct ogl_task_ref, 1);
@@ -439,7 +439,7 @@
 	if (!s->in_placer ||
 	    !ogl_place_hold(sh->placer, s->placer_index, &demand))
 		return false;
-	bind_task(sh, s, j, i, attempt, now);
+	bind(sh, s, j, i, attempt, now);
 	return true;
 }
 
@@ -543,7 +543,7 @@
 	struct ogl_session *s =
 	    g_ptr_array_index(sh->by_placer_index, placer_index);
 
-	bind_task(sh, s, j, i, new_attempt(sh, &j->tasks[i]), now);
+	bind(sh, s, j, i, new_attempt(sh, &j->tasks[i]), now);
 	j->tasks[i].work_number = work;
 	if (!j->spec->restartable)
 		record_intent(sh, j, i, now);
