--- a/src/place_gang.c
+++ b/src/place_gang.c
@@ -69,7 +69,7 @@
 	k->planned = 0;
 	plan_rack(k, rack);
 	if (k->planned == k->n)
-		k->walk->offers_left = 0;
+		k->walk->offers_left = 0; /* ends the search */
 }
 
 /* Looks for one rack that can hold the whole gang; in each zone the racks with
@@ -111,7 +111,7 @@
 	r->last_plan = k->p->plans_made;
 	plan_rack(k, rack);
 	if (k->planned == k->n)
-		k->walk->offers_left = 0;
+		k->walk->offers_left = 0; /* ends the search */
 }
 
 /*
@@ -142,6 +142,7 @@
 	}
 }
 
+/* Number of tasks with the need in one resource that fit in a sum of room. */
 static uint64_t
 tasks_fit_sum(uint32_t need, uint64_t sum)
 {
@@ -208,6 +209,8 @@
 
 /* ---- the reservation -------------------------------------------------- */
 
+/* Free room of a worker in one resource once the given fraction of its work,
+ * services not counted, has ended. */
 static uint32_t
 free_after_end(uint32_t capacity, uint32_t held, uint32_t held_by_services,
     double fraction)
@@ -386,7 +389,8 @@
 /*
  * Plans the gang that has the reservation, with the reserved room available.
  * When that fails, the workers are chosen again if one was lost or the last
- * choice is at least MIN_CHOOSE_INTERVAL old.
+ * choice is at least MIN_CHOOSE_INTERVAL old.  The reservation ends if the gang
+ * would not fit on any choice of workers.
  */
 static bool
 plan_reserved(struct ogl_place *p, struct plan *k, ogl_time now)
