--- a/cell/loader.c
+++ b/cell/loader.c
@@ -5,14 +5,16 @@
  * Phases of a takeover:
  *
  *	PREPARING  jobs are read, page by page, while another node still owns
- *		   the shard and changes them; only at that owner's request
+ *		   the shard and changes them.  Entered only when that owner
+ *		   asks for it
  *	FENCING    the store is told the epoch, after which no earlier owner
- *		   can write.  No caller is served before, and an answer may
- *		   be lost, so an overdue fence is sent again while the first
- *		   is pending; a repeated fence changes nothing
+ *		   can write.  Callers are not served until this is done, so
+ *		   a fence whose answer is overdue, and may be lost, is sent
+ *		   again while the first is pending.  A repeated fence changes
+ *		   nothing
  *	LOADING    jobs are read; no other node can change them now.  After
- *		   PREPARING, only the records written since its first page
- *		   are read
+ *		   PREPARING, only the tail is read: the records written
+ *		   since the first page of PREPARING
  *
  * The store lists keys in order, and a job's key contains its id, which is
  * random.  So the fraction of the key space that the first page covers tells
@@ -26,29 +28,30 @@
 #include "job.h"
 #include "loader.h"
 
-/* A page without an answer for this time or OVERDUE_FACTOR times the store's
- * last response time, whichever is longer, is requested again while the first
- * request is pending.  The answer may be lost, or the store may be up to 60
- * times slower than usual.  Each repetition doubles the time. */
+/* A page is requested again, while the first request is pending, if no answer
+ * arrives within the longer of this time and OVERDUE_FACTOR times the store's
+ * last response time.  The answer may be lost, or the store may be up to 60
+ * times slower than usual.  Each repetition doubles the time to the next. */
 #define PAGE_OVERDUE_MIN_MS 250
 #define OVERDUE_FACTOR 4
 #define PAGE_OVERDUE_MAX_MS 4000
 #define PAGE_TIMEOUT_MS 4000
-/* Pending requests for one page. */
+/* Maximum number of pending requests for one page. */
 #define PAGE_REQUESTS_MAX 3
 /* A page has up to 1 MB, but most have half of that or less. */
 #define PAGE_TYPICAL_KBITS 4000
-/* Pages requested at a time on a link of at least FAST_LINK_KBPS; one on slower
- * links. */
+/* Maximum number of pages requested at a time on a link of at least
+ * FAST_LINK_KBPS.  On a slower link only one page is requested at a time. */
 #define PARALLEL_PAGES_MAX 8
 #define FAST_LINK_KBPS 50000
-/* Size of a range as a fraction of what a page covers on average; below 1
- * because ids are not spread evenly. */
+/* Size of a range of keys, relative to the range that an average page covers.
+ * It is below 1 because ids are not spread evenly. */
 #define RANGE_PER_PAGE 0.85
-/* Leading digits of an id that give its position in the id space. */
+/* Number of leading digits of an id from which its position in the id space is
+ * computed. */
 #define ID_PREFIX_DIGITS 8
-/* A fence without an answer for this time or OVERDUE_FACTOR times the store's
- * last response time, whichever is longer, is sent again. */
+/* A fence is sent again if no answer arrives within the longer of this time and
+ * OVERDUE_FACTOR times the store's last response time. */
 #define FENCE_OVERDUE_MIN_MS 150
 #define FENCE_OVERDUE_MAX_MS 2400
 #define FENCE_TIMEOUT_MS 2400
@@ -71,13 +74,14 @@
 	struct cell_loader_events events;
 	enum phase phase;
 	uint64_t epoch;
+	/* Answers to requests of an earlier generation are ignored. */
 	uint64_t generation;
-	bool tail_pending; /* a request for the tail is pending */
-	ogl_time next_request_at;
-	GPtrArray *ranges; /* struct range, not completely read */
+	bool tail_pending;        /* a request for the tail is pending */
+	ogl_time next_request_at; /* next fence or request for the tail */
+	GPtrArray *ranges;        /* struct range, not completely read */
 	uint32_t parallel_pages_max;
 	uint32_t last_range_number;
-	bool sequential; /* a page was not sorted */
+	bool sequential; /* one page at a time, as a page was not sorted */
 	bool tail_offset_known;
 	uint32_t fences_pending;
 	uint32_t fence_overdue_ms;
@@ -396,7 +400,8 @@
 	}
 	if (strlen(r->key) != CELL_ID_LEN + 1)
 		return;
-	/* Dropped since the first read: the job has ended or is forgotten. */
+	/* A record read earlier may have been dropped since, because the job
+	 * has ended or its retention time is over. */
 	if (r->dropped)
 		g_hash_table_remove(
 		    def ? l->records.defs : l->records.progress, id);
@@ -447,9 +452,9 @@
 	return fraction_of_id(key + 1);
 }
 
-/* Splits the keys between after and until, which have one prefix, into ranges
- * of about a page each.  covered: fraction of the id space that the last page
- * covered. */
+/* Splits the keys between after and until, which have the same prefix, into
+ * ranges of about a page each, at most PARALLEL_PAGES_MAX.  covered: fraction
+ * of the id space that the last page covered. */
 static void
 split_prefix(struct cell_loader *l, const char *after, const char *until,
     double covered, ogl_time now)
@@ -488,7 +493,7 @@
 	char prefix = last[0];
 	double covered = fraction_of_key(last, prefix, 0) -
 			 fraction_of_key(r->after, prefix, 0);
-	bool into_defs =
+	bool extends_to_defs =
 	    prefix == 'p' && (r->until == NULL || r->until[0] != 'p');
 
 	if (l->parallel_pages_max == 1 || l->sequential || covered <= 0 ||
@@ -496,8 +501,8 @@
 		add_range(l, last, r->until, now);
 		return;
 	}
-	split_prefix(l, last, into_defs ? "s" : r->until, covered, now);
-	if (into_defs)
+	split_prefix(l, last, extends_to_defs ? "s" : r->until, covered, now);
+	if (extends_to_defs)
 		add_range(l, "s", r->until, now);
 }
 
@@ -518,8 +523,8 @@
 	return true;
 }
 
-/* Applies the records of a page that lie in its range; true if the range is now
- * completely read. */
+/* Applies the records of a page that lie in its range.  Returns whether the
+ * range is now completely read. */
 static bool
 apply_page(struct cell_loader *l, const struct range *r,
     const struct cell_newest_answer *a)
@@ -536,8 +541,9 @@
 	return !a->more || a->n == 0;
 }
 
-/* The tail starts at the lowest end offset of all pages, as records may be
- * written while the pages are read. */
+/* Records may be written while the pages are read, and each page comes with the
+ * end offset that the stream had then.  The tail starts at the lowest of these
+ * offsets. */
 static void
 lower_tail_offset(struct cell_loader *l, uint64_t end)
 {
--- a/cell/loader.h
+++ b/cell/loader.h
@@ -13,12 +13,12 @@
 
 struct cell_loader;
 
-/* The records that were read.  They are borrowed for the call, but jobs may be
- * taken out of defs. */
+/* The records that were read.  They are valid during the callback only, but
+ * jobs may be taken out of defs. */
 struct cell_loaded {
 	GHashTable *progress; /* id -> Ogl__CellProgress */
-	GHashTable *defs;     /* id -> Ogl__CellJob */
-	GBytes *workers;      /* record of CELL_WORKERS_KEY; NULL none */
+	GHashTable *defs;     /* id -> Ogl__CellJob, the submission */
+	GBytes *workers;      /* record CELL_WORKERS_KEY; NULL none */
 };
 
 struct cell_loader_events {
@@ -42,7 +42,7 @@
 
 void cell_loader_open(
     struct cell_loader *l, uint64_t epoch, ogl_time store_took, ogl_time now);
-/* Fences the stream with the epoch and reads it; loaded is called at the end.
+/* Fences the stream with the epoch, reads it and then calls events.loaded.
  * store_took: the store's last response time, 0 if unknown. */
 void cell_loader_close(struct cell_loader *l);
 /* Drops what was read, and ignores answers that arrive later. */
