--- a/cell/advice.c
+++ b/cell/advice.c
@@ -19,24 +19,28 @@
 /* The next question of a lane is sent this long before the lane is free, to
  * hide the time it takes on the network. */
 #define LANE_SEND_AHEAD (12 * OGL_MS)
-/* Fraction of the lanes reserved for the short questions of rank 0, which would
- * otherwise wait for the long ones of other ranks. */
+/* Fraction of the lanes that only questions of rank 0, the highest priority,
+ * may use.  They are short and would otherwise wait for the long questions of
+ * other ranks. */
 #define RANK0_LANES_FRACTION 0.3
-/* Time for question and answer on the network, beyond the service's time. */
+/* Time allowed for question and answer on the network, in addition to the
+ * service's time. */
 #define NETWORK_MARGIN_MS 700
-/* A ticket counts as expired this long before it expires, because the start
- * order takes time to reach the worker. */
+/* A ticket is not used within this time before its expiry, because it must
+ * still be valid when the start order reaches the worker. */
 #define TICKET_EXPIRY_MARGIN (120 * OGL_MS)
-/* A token is the epoch in its upper bits and a counter in this many lower ones;
- * no owner asks 2^32 questions in one epoch. */
+/* The lower bits of a token count the owner's questions, the upper ones contain
+ * its epoch.  This is the number of lower bits; no owner asks 2^32 questions in
+ * one epoch. */
 #define TOKEN_QUESTION_BITS 32
-/* A node whose question failed or got no answer is not used for this long. */
+/* After a question that failed or got no answer, the lane is not used for this
+ * time. */
 #define LANE_PAUSE (1500 * OGL_MS)
 
 struct lane {
 	char *addr; /* address of the node */
 	ogl_time heard_at;
-	ogl_time busy_until;
+	ogl_time busy_until; /* expected end of the service's work */
 	ogl_time paused_until;
 };
 
@@ -46,7 +50,7 @@
 	uint32_t occurrence;
 	uint32_t step;
 	GPtrArray *workers; /* ids */
-	char *lane_addr;
+	char *lane_addr;    /* address of the node it was sent to */
 	ogl_time sent_at;
 	ogl_time deadline;
 };
@@ -135,8 +139,8 @@
 }
 
 /*
- * Returns the lane that is free first; NULL if none is free within
- * LANE_SEND_AHEAD, or the free ones are reserved for rank 0.
+ * Returns the lane that becomes free first.  Returns NULL if no lane becomes
+ * free within LANE_SEND_AHEAD, or if those that do are reserved for rank 0.
  *
  * Questions are not queued in lanes, so that they are asked in the scheduler's
  * order rather than in order of arrival.  Ranks other than 0 leave
@@ -253,10 +257,11 @@
 }
 
 /*
- * Marks the worker as asked about, unless it is not listed when the answer
- * arrives, as happens when its entry lapses for a moment.  No ticket is stored
- * for it then.  With the mark it would never be asked about again, and a stage
- * that only this worker may run would wait for ever.
+ * Records that the service was asked about the worker, so that it is not asked
+ * again.  A worker that is not listed when the answer arrives, for example
+ * because its entry lapsed for a moment, is left out: no ticket is stored for
+ * it, so it has to be asked about again.  Otherwise a stage that may run on no
+ * other worker would wait for ever.
  */
 static void
 mark_asked(struct cell_advice *a, struct cell_stage *s, const char *id)
@@ -271,6 +276,7 @@
 store_answer(struct cell_advice *a, struct cell_stage *s,
     const struct question *q, const Ogl__CellAdvice *m, ogl_time now)
 {
+	/* The answer may be up to age_ms old when it arrives. */
 	ogl_time expires =
 	    now + ((ogl_time)m->valid_ms - (ogl_time)m->age_ms) * OGL_MS -
 	    TICKET_EXPIRY_MARGIN;
@@ -283,8 +289,9 @@
 		    expires);
 }
 
-/* Pauses a lane whose question failed or got no answer, because the service is
- * slow or the node hangs; an answer ends the pause. */
+/* Pauses the question's lane if the question failed or got no answer, as the
+ * service may be slow or the node may hang.  A successful answer ends the
+ * pause. */
 static void
 update_lane_pause(
     struct cell_advice *a, const struct question *q, bool ok, ogl_time now)
--- a/cell/advice.h
+++ b/cell/advice.h
@@ -1,9 +1,10 @@
 /*
  * Asks the advice service, through the nodes, which workers may run a step.
  *
- * The service handles one question at a time from each machine, so questions
- * are spread over all nodes, each sent to the node expected to answer first.  A
- * node's place for one question is called its lane.
+ * The service handles one question at a time from each machine.  Questions are
+ * therefore spread over all nodes, and each is sent through the node that is
+ * expected to answer first.  Each node has a lane, which holds one question at
+ * a time.
  */
 
 #ifndef OGL_CELL_ADVICE_H
@@ -51,9 +52,9 @@
 bool cell_advice_ask(struct cell_advice *a, struct cell_stage *s,
     const struct cell_policy *p, GPtrArray *workers, uint32_t rank,
     ogl_time now);
-/* Asks about up to CELL_ADVICE_WORKERS_MAX workers (struct cell_worker).  False
- * when no lane is free, no worker is given or a question for the stage is
- * pending already.  Some lanes are reserved for rank 0. */
+/* Asks about the first CELL_ADVICE_WORKERS_MAX workers (struct cell_worker).
+ * Returns false if no lane is free, no worker is given or a question for the
+ * stage is already pending.  Some lanes are reserved for rank 0. */
 
 #define CELL_ADVICE_WORKERS_MAX 100
 
@@ -65,7 +66,8 @@
 
 const struct cell_approval *cell_advice_approval(
     const struct cell_stage *s, const struct cell_worker *w);
-/* The service's approval of a worker in its present incarnation; NULL if it was
- * not given or not asked for.  Its ticket may have expired. */
+/* The service's approval of a worker in its present incarnation.  NULL if the
+ * service did not approve the worker or was not asked.  The ticket may have
+ * expired. */
 
 #endif
