--- a/cell/job.c
+++ b/cell/job.c
@@ -10,7 +10,9 @@
 
 #include "job.h"
 
-#define STEP_TASKS_MAX 20000 /* a body of 256 KiB could ask for more */
+/* A body of 256 KiB could ask for more tasks, as a step's count is one number
+ * in it. */
+#define STEP_TASKS_MAX 20000
 #define STEPS_MAX 1000
 #define FAILED_RUNS_MAX 64 /* far above the attempts_max of any queue */
 
@@ -567,7 +569,7 @@
 }
 
 /* Returns the stage of a task, and begins its occurrence first if necessary.
- * NULL if the occurrence is finished or there is no such task. */
+ * Returns NULL if the occurrence is finished or there is no such task. */
 static struct cell_stage *
 begun_stage(struct cell_job *j, const struct cell_task_name *name)
 {
--- a/cell/job.h
+++ b/cell/job.h
@@ -24,9 +24,11 @@
 	GArray *failed_runs; /* uint64_t, numbers of failed runs; NULL none */
 	uint64_t run;        /* highest run number used */
 	char *checkpoint;    /* NULL none */
-	struct cell_run *active; /* NULL: no run, and none may exist */
+	struct cell_run *active; /* NULL: this owner knows of no run */
 	struct cell_run *copy;   /* second run, where the step allows it */
-	bool assumed_running;    /* may run on a worker that has not answered */
+	/* An earlier owner started it, and it may still run on a worker that
+	 * has not answered since the takeover. */
+	bool assumed_running;
 	char *avoid_worker;      /* worker of the last failed run; NULL none */
 	ogl_time not_before;     /* earliest start */
 	uint32_t silent_workers; /* silent workers on which it may run */
@@ -65,8 +67,8 @@
 	GQueue *queue;    /* the scheduler's list it is in; NULL none */
 	GList link;
 	GArray *approvals; /* struct cell_approval */
-	GHashTable *asked; /* set of serials of workers the policy judged */
-	bool asking;
+	GHashTable *asked; /* serials of workers the policy has answered for */
+	bool asking;       /* a question for the stage is pending */
 	enum cell_wait wait_reason; /* reason last logged */
 	ogl_time wait_since;
 	ogl_time blocked_since; /* when placing it first failed; 0: placed */
@@ -85,10 +87,10 @@
 	Ogl__CellJobState state;
 	GPtrArray *occurrences; /* struct cell_occurrence, unfinished */
 	uint32_t next_occurrence;
-	GArray *finished;  /* uint32_t, numbers of finished occurrences */
-	ogl_time accepted; /* node clock */
-	uint64_t ended_ms; /* wall clock */
-	bool begun;
+	GArray *finished;      /* uint32_t, numbers of finished occurrences */
+	ogl_time accepted;     /* node clock */
+	uint64_t ended_ms;     /* wall clock */
+	bool begun;            /* a run of it has begun */
 	bool stored;           /* the submission is stored */
 	bool beyond_rate;      /* submitted beyond its team's rate */
 	bool dirty;            /* queued in the journal */
@@ -103,8 +105,8 @@
 	bool end_stored;       /* the end is stored, so callers may see it */
 	uint64_t queue_config_version;   /* version of queue_config */
 	struct cell_queue *queue_config; /* NULL not looked up yet */
-	/* Tasks that do not run may be started: the job was accepted by this
-	 * owner, or all workers have answered since the takeover. */
+	/* Whether tasks without a known run may be started, because this owner
+	 * accepted the job or all workers have answered since the takeover. */
 	bool settled;
 };
 
@@ -128,7 +130,7 @@
 
 struct cell_occurrence *cell_job_occurrence(
     const struct cell_job *j, uint32_t number);
-/* NULL when it has not begun or is finished. */
+/* The occurrence with that number; NULL if it has not begun or is finished. */
 
 void cell_job_finish_occurrence(struct cell_job *j, struct cell_occurrence *o);
 /* Marks the occurrence as finished, as all its tasks are done, and frees it. */
@@ -137,7 +139,7 @@
 
 struct ogl_res cell_stage_need(const struct cell_stage *s);
 /* Resources that one task uses.  A step with `fills` uses only processor time
- * that others leave unused, so its tasks count with none. */
+ * that others leave unused, so no processor time is counted for its tasks. */
 
 void cell_stage_delay_start(
     struct cell_stage *s, uint32_t index, ogl_time until);
@@ -148,8 +150,9 @@
 
 struct cell_approval *cell_stage_approval(
     const struct cell_stage *s, uint32_t worker);
-/* The approval of the worker with that serial; NULL: not allowed, or not asked.
- * The pointer is valid until the next answer is stored. */
+/* The approval of the worker with that serial number; NULL if the policy did
+ * not approve it or was not asked.  The pointer is valid until the next answer
+ * is stored. */
 
 bool cell_stage_ready(const struct cell_stage *s);
 /* Whether all steps that it depends on are done. */
@@ -167,11 +170,11 @@
 GBytes *cell_job_pack_def(const struct cell_job *j);
 GBytes *cell_job_pack_progress(const struct cell_job *j);
 void cell_job_restore_progress(struct cell_job *j, const Ogl__CellProgress *p);
-/* Restores the progress that an earlier owner wrote; makes no runs. */
+/* Restores the progress that an earlier owner stored.  Runs are not created. */
 
 struct cell_task *cell_stage_shared_task(struct cell_stage *s, uint32_t index);
-/* The task that holds attempts, checkpoint and earliest start.  Members of a
- * gang share those of its first task. */
+/* The task in which the failed runs, checkpoint and earliest start are kept.
+ * All members of a gang share those of its first task. */
 
 void cell_task_save_checkpoint(struct cell_task *t, const char *checkpoint);
 /* Replaces the checkpoint; an empty one or NULL changes nothing. */
@@ -183,7 +186,8 @@
 void cell_job_record_run_ms(struct cell_job *j, uint32_t step, double ms);
 /* Records that a run of the step has taken that time. */
 double cell_job_measured_chain_ms(const struct cell_job *j);
-/* Longest chain of run times: measured, or declared where none is measured. */
+/* Longest chain of run times, each measured or, if there is no measurement,
+ * declared. */
 
 void cell_job_clear(struct cell_job *j);
 /* Frees its stages and the submission; no run may point at them. */
