--- a/cell/escrow.c
+++ b/cell/escrow.c
@@ -30,19 +30,19 @@
 
 #include "escrow.h"
 
-/* Least time between two reports that ask for more for a team; a round trip to
- * the coordinator takes 2 to 6 ms. */
+/* Minimum time between two reports that ask for a larger part of a team's
+ * limit.  A round trip to the coordinator takes 2 to 6 ms. */
 #define REPORT_INTERVAL_MIN (8 * OGL_MS)
-/* Delay before the next report or query after a grant that was less than
- * wanted: other shards have to return something first. */
+/* Delay before the next report or query after a grant of less than the shard
+ * wanted, because other shards have to return something first. */
 #define DENIED_BACKOFF (60 * OGL_MS)
-/* A message without an answer for this long, or its recipient, counts as
- * lost. */
+/* If a message is not answered within this time, it or its recipient is assumed
+ * to be lost, and it is sent again. */
 #define ANSWER_TIMEOUT (120 * OGL_MS)
 /* How often each team is checked for messages to repeat and parts to return. */
 #define SWEEP_INTERVAL (100 * OGL_MS)
-/* A shard keeps spare capacity, so that ordinary variation needs no message: an
- * eighth of what it uses, and a fiftieth of the limit. */
+/* A shard keeps an eighth of what it uses and a fiftieth of the limit as spare
+ * capacity, so that ordinary variation needs no message. */
 #define SPARE_USED_DIVISOR 8
 #define SPARE_PPM (CELL_PART_WHOLE_PPM / 50)
 /* A part that exceeds use and spare capacity for this long is reduced. */
@@ -51,7 +51,8 @@
  * follow at once. */
 #define REQUEST_AHEAD_PPM (CELL_PART_WHOLE_PPM / 50)
 
-/* What the coordinator knows of one shard. */
+/* What the coordinator knows of one shard.  held, used and wanted are in
+ * millionths of the team's limit. */
 struct shard_state {
 	bool reported;
 	uint64_t epoch;  /* epoch of the owner that reported last */
@@ -64,7 +65,8 @@
 
 struct team {
 	char *name;
-	/* State of this shard as a holder of a part. */
+	/* State of this shard as a holder of a part; held and wanted are in
+	 * millionths of the limit. */
 	bool known; /* the coordinator has said what this shard holds */
 	uint32_t held;
 	uint32_t wanted;
@@ -217,7 +219,7 @@
 	if (t->known && part <= t->held)
 		return;
 	t->wanted = MIN(part + REQUEST_AHEAD_PPM, CELL_PART_WHOLE_PPM);
-	/* Another report would invalidate the grant that is on its way. */
+	/* Another report would invalidate a grant that answers the last one. */
 	if (now >= t->next_report_at && !t->unanswered)
 		send_report(e, t, now);
 	else
@@ -289,7 +291,8 @@
 	return true;
 }
 
-/* The largest part that the shard may hold besides the parts of the others. */
+/* The largest part that the shard may hold: what the parts and the use of the
+ * other shards leave of the limit. */
 static uint32_t
 available_to(const struct cell_escrow *e, const struct team *t, uint32_t shard)
 {
@@ -349,7 +352,7 @@
 	}
 }
 
-/* Records the report.  False if it is outdated. */
+/* Records the report.  Returns false if it is outdated. */
 static bool
 update_state(struct shard_state *state, const Ogl__CellPart *m)
 {
--- a/cell/escrow.h
+++ b/cell/escrow.h
@@ -38,8 +38,8 @@
 
 void cell_escrow_request(
     struct cell_escrow *e, const char *team, uint32_t part, ogl_time now);
-/* Asks for a part of that many millionths, with which waiting tasks could
- * start. */
+/* Asks for a part of that many millionths of the team's limit, so that waiting
+ * tasks can start. */
 
 void cell_escrow_receive(
     struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now);
