--- a/cell/cell_config.c
+++ b/cell/cell_config.c
@@ -1,4 +1,6 @@
 /*
+ * Holds a configuration and looks up its entries.
+ *
  * A path is routed by a linear search over the queues for the longest prefix.
  * Queues and teams are looked up by name, and teams by key, in hash tables.
  */
@@ -14,8 +16,8 @@
 	GPtrArray *services;
 	GPtrArray *teams;
 	GHashTable *keys; /* key -> struct cell_team, borrowed */
-	/* Name -> entry, both borrowed.  Made at the first lookup, since the
-	 * builder sets the names after it has added the entries. */
+	/* Name -> entry, both borrowed.  Created by the first lookup, because
+	 * the builder adds an entry before it sets the entry's name. */
 	GHashTable *queue_names;
 	GHashTable *team_names;
 };
--- a/cell/cell_config.h
+++ b/cell/cell_config.h
@@ -18,7 +18,7 @@
 	uint32_t valid_ms; /* how long its tickets are valid */
 };
 
-/* Where callers submit jobs. */
+/* A queue, to which callers submit jobs. */
 struct cell_queue {
 	char *name;
 	char *host;   /* Host header of its requests */
@@ -36,7 +36,7 @@
 struct cell_team {
 	char *name;
 	double rate;        /* jobs a second that it is entitled to */
-	struct ogl_res max; /* limit of what its runs use; 0: none */
+	struct ogl_res max; /* limit of what its runs use; 0: no limit */
 };
 
 struct cell_service {
@@ -54,7 +54,8 @@
 struct cell_queue *cell_config_add_queue(struct cell_config *c);
 struct cell_team *cell_config_add_team(struct cell_config *c);
 struct cell_service *cell_config_add_service(struct cell_config *c);
-/* Add a zeroed entry, which the builder fills; c takes its strings over. */
+/* Add a zeroed entry, which the caller fills in.  Its strings are freed with
+ * c. */
 
 void cell_config_add_key(
     struct cell_config *c, const char *key, const struct cell_team *team);
@@ -62,14 +63,14 @@
 
 const struct cell_queue *cell_config_route(const struct cell_config *c,
     struct ogl_str host, struct ogl_str path, struct ogl_str *rest);
-/* The queue that a request is for, NULL if there is none.  rest is set to what
- * follows the queue's prefix in path. */
+/* The queue that a request is for, NULL if there is none.  If there is one,
+ * *rest is set to the part of path after the queue's prefix. */
 
 const struct cell_queue *cell_config_queue(
     struct cell_config *c, const char *name);
 const struct cell_team *cell_config_team(
     struct cell_config *c, const char *name);
-/* NULL if there is none of that name. */
+/* The queue or team with that name, NULL if there is none. */
 const struct cell_team *cell_config_team_of_key(
     const struct cell_config *c, struct ogl_str key);
 /* The team that the key belongs to, NULL if the key is unknown. */
