--- a/cell/held.c
+++ b/cell/held.c
@@ -1,8 +1,11 @@
 /*
- * A task whose start got no answer is stopped and then started on another
- * worker, so the record of the workers may name it under both.  Each task
- * therefore counts the workers that hold it back, and may be started once the
- * last of them has answered or, if they never answer, when the longest lease
+ * Delays the start of tasks that may be running on a worker that was silent or
+ * draining before a takeover.
+ *
+ * A task whose start was not answered is stopped and then started on another
+ * worker, so the record of the workers may list it for both.  Each task
+ * therefore counts the workers for which it is delayed.  It may be started once
+ * all of them have answered or, if one never answers, when the longest lease
  * has expired.
  */
 
@@ -13,7 +16,8 @@
 struct cell_held {
 	cell_stage_lookup_fn *find_stage;
 	void *arg;
-	GHashTable *workers; /* id -> GArray of struct cell_task_name */
+	/* Worker id -> GArray of struct cell_task_name, the delayed tasks. */
+	GHashTable *workers;
 };
 
 static void
--- a/cell/known.c
+++ b/cell/known.c
@@ -1,15 +1,17 @@
 /*
- * A successor calls every worker in the record.  It starts no task that an
+ * Packs and unpacks the record of the workers that a shard's owner stores.
+ *
+ * A new owner calls every worker in the record.  It starts no task that an
  * earlier owner may have started until each worker has reported what it runs,
  * or the worker's lease has expired, which takes 5 s.  An unreachable worker
  * would thus delay the whole shard at each change of owner.  So once a worker
- * has been silent for a short time, the record lists the tasks that may run
- * there, and only these wait for it.
+ * has been silent for a short time, or is draining, the record lists the tasks
+ * that may run there, and only these wait for it.
  *
- * The list stays complete only if the worker gets no other work.  Hence it is
- * closed to new work (open_in_record is cleared) before the record that calls
- * it silent is sent, and opened only once a later record, which does not call
- * it silent, is stored.
+ * The list stays complete only if the worker gets no other work.  Hence
+ * open_in_record is cleared, and the worker gets no new work, before a record
+ * with its tasks is sent.  It gets work again only after a later record, which
+ * does not list its tasks, has been stored.
  */
 
 #include <string.h>
@@ -29,8 +31,8 @@
 	return t;
 }
 
-/* Adds every task that may be running on the worker, and those that it may
- * begin because of a start without an answer. */
+/* Adds each task that may be running on the worker, and each that it may yet
+ * begin because a start order was not answered. */
 static void
 add_tasks(Ogl__CellKnown *k, const struct cell_worker *w)
 {
--- a/cell/known.h
+++ b/cell/known.h
@@ -10,9 +10,10 @@
 GBytes *cell_known_pack(
     struct cell_fleet *f, uint64_t number, GPtrArray *open_ids, ogl_time now);
 /* Returns the record with that number, to be stored now; numbers rise within an
- * epoch.  Workers that it calls silent or draining get no work from here on.
- * The ids of the others are appended to open_ids (to be freed): these may be
- * given work once the record is stored, see cell_fleet_record_stored. */
+ * epoch.  Workers that are silent or draining get no new work after this call.
+ * The ids of the others are appended to open_ids and are freed by the caller.
+ * These workers may get work once the record is stored, see
+ * cell_fleet_record_stored. */
 
 typedef void cell_known_fn(
     void *arg, const Ogl__CellKnown *known, ogl_time now);
