--- a/cell/admission.c
+++ b/cell/admission.c
@@ -1,9 +1,12 @@
 /*
- * A refusal is final.  A repeat of the refused call may still be on its way;
- * accepting it would run a job whose caller was told that it never runs.
+ * Limits the rate at which each team submits jobs, and remembers the calls that
+ * were refused.
  *
- * Rates are limited by token buckets, one per team.  A full bucket holds the
- * jobs of one second or more.
+ * A refusal is final.  A repeat of the refused call may still arrive; accepting
+ * it would run a job whose caller was told that it never runs.
+ *
+ * Rates are limited by token buckets, one per team.  A full bucket allows the
+ * jobs of one second or more at once.
  */
 
 #include <glib.h>
--- a/cell/order_msg.c
+++ b/cell/order_msg.c
@@ -1,6 +1,6 @@
 /*
- * Converts orders to workers, and their outcomes, from and to messages between
- * nodes.
+ * Converts orders for workers, their outcomes, and entries of the list of
+ * workers to and from messages between nodes.
  *
  * libprotobuf-c frees the contents of a message with the C library's free, so
  * messages are allocated with malloc here instead of with GLib.
--- a/cell/roster.c
+++ b/cell/roster.c
@@ -1,13 +1,15 @@
 /*
- * The list is a stream of the store with an entry of each worker.  First the
- * newest entry of every worker is read, page by page.  From then on the changes
- * are read, beginning at the end that the stream had at the first page.  When
- * records to be read have been trimmed, the whole list is read again.
+ * Reads the platform's list of workers and then follows its changes.
+ *
+ * The list is a stream of the store with the entries of all workers.  First the
+ * newest entry of each worker is read, page by page.  Then the changes are
+ * read, beginning at the end offset that came with the first page.  If records
+ * have been trimmed before they were read, the whole list is read again.
  */
 
 #include "roster.h"
 
-/* Each heartbeat of a worker changes its entry.  Reading at intervals fetches
+/* Each heartbeat of a worker changes its entry, so reading at intervals fetches
  * many changes with one call. */
 #define READ_INTERVAL (250 * OGL_MS)
 #define READ_TIMEOUT_MS 1200
@@ -19,12 +21,12 @@
 	bool open;
 	uint64_t generation;
 	bool loaded;
-	bool reading;
+	bool reading;   /* a read is pending */
 	bool following; /* read changes from next_offset, not pages */
 	char *last_key; /* last key of the previous page, NULL at the first */
 	uint64_t next_offset;
 	ogl_time next_read_at;
-	GHashTable *listed; /* workers on the pages read so far */
+	GHashTable *listed; /* ids of workers on the pages read so far */
 };
 
 /* Argument of the callback of a read. */
@@ -43,8 +45,8 @@
 	return c;
 }
 
-/* Frees c and returns its roster, or NULL if the read was sent before the last
- * open or close, so that its answer no longer counts. */
+/* Frees c.  Returns its roster; NULL if the read was sent before the last open
+ * or close, so that its answer is ignored. */
 static struct cell_roster *
 read_call_end(struct read_call *c)
 {
--- a/cell/zones.c
+++ b/cell/zones.c
@@ -3,6 +3,8 @@
  *
  * The set is kept with the offset up to which the settings stream was applied,
  * so that lists from peers and records from the stream may arrive in any order.
+ * The first list always replaces the set, later ones only if they are newer.
+ * Records that were applied already are ignored.
  */
 
 #include <string.h>
@@ -11,9 +13,9 @@
 
 struct cell_zones {
 	GHashTable *evacuated; /* set of names */
-	uint64_t known_to; /* first offset of the settings stream not applied */
-	uint64_t changes;  /* number of changes so far */
-	bool complete;     /* a complete list was applied */
+	uint64_t known_to;     /* offset of the next settings record to apply */
+	uint64_t changes;      /* number of changes so far */
+	bool complete;         /* a complete list was applied */
 };
 
 struct cell_zones *
