--- a/cell/plan.c
+++ b/cell/plan.c
@@ -3,19 +3,22 @@
  *
  * The listed workers are counted until two counts in a row are equal.  When
  * all machines start together, workers appear in the list with their first
- * heartbeats, and the number of shards cannot be changed once decided.  Nodes
- * start counting after a random delay, small ones last, so that most nodes find
- * the number already decided and read no list.
+ * heartbeats, so an early count would be too low, and the number of shards
+ * cannot be changed once decided.  Nodes start counting after a random delay,
+ * and those on small machines last, so that most nodes find the number already
+ * decided and do not read the list.
  */
 
 #include "plan.h"
 
 #define START_DELAY_RANGE_MS 300
 #define SMALL_MACHINE_DELAY_MS 900
-/* Machines with less than this, in thousandths of a processor, are delayed. */
+/* Nodes on machines with fewer thousandths of a processor than this start
+ * counting later, by SMALL_MACHINE_DELAY_MS. */
 #define SMALL_MACHINE_CPU_MILLI 400
 #define COUNT_INTERVAL (300 * OGL_MS)
-/* After this time the last count decides even if it changed or is zero. */
+/* After this time a count decides even if it differs from the previous one or
+ * is zero. */
 #define DECISION_TIMEOUT (5 * OGL_SEC)
 #define RETRY_DELAY (200 * OGL_MS)
 #define LIST_TIMEOUT_MS 2000
--- a/cell/straggler.c
+++ b/cell/straggler.c
@@ -29,13 +29,13 @@
 #define STRAGGLER_PACE_MIN 2.5
 /* Time to stop a run, ask the advice service and start the task again. */
 #define MOVE_COST_MS 450.0
-/* Additional time to restore a checkpoint. */
+/* Additional time of a restart that restores a checkpoint. */
 #define RESTORE_COST_MS 600.0
 /* The remaining time must be more than this many times the restart time, plus
  * MOVE_COST_MS. */
 #define GAIN_FACTOR_MIN 1.3
-/* A task that is slow even after this many moves stays where it is: the workers
- * are not the cause. */
+/* A task that is still slow after this many moves is not moved again, because
+ * the workers are not the cause. */
 #define MOVES_PER_TASK_MAX 3
 
 bool
@@ -124,8 +124,8 @@
 
 		if (g_hash_table_size(w->runs) == 0)
 			cell_fleet_decay_pace(f, w);
-		/* Progress is reported in the answers to holds; such a worker
-		 * has answered the last one of this owner. */
+		/* Progress is reported in the answers to holds, so only workers
+		 * that answered the last hold of this owner are checked. */
 		else if (w->fenced && w->failures == 0)
 			move_stragglers_of(f, s, w, now);
 	}
