--- a/cell/escrow.c
+++ b/cell/escrow.c
@@ -7,10 +7,11 @@
  * so that all parts together never exceed the whole limit.  A shard that does
  * not use its part reduces it without being asked, and reports that.
  *
- * Reports are numbered.  The coordinator uses the highest number of the latest
- * owner of a shard, and a shard accepts a grant only if it answers its last
- * report: otherwise a grant that was overtaken by a report in which the shard
- * held less would restore a part that was already granted to another shard.
+ * Reports are numbered.  For each shard, the coordinator uses the report with
+ * the highest number from the latest owner.  A shard accepts a grant only if it
+ * answers the shard's last report.  Otherwise a grant that arrives after the
+ * shard has reported a smaller part would restore the larger one, which may
+ * already be granted to another shard.
  *
  * None of this is stored.  A new coordinator grants nothing before each shard
  * has reported what it holds, under a number that invalidates all grants of the
@@ -140,7 +141,7 @@
 }
 
 static struct team *
-team_of(struct cell_escrow *e, const char *name)
+find_or_add_team(struct cell_escrow *e, const char *name)
 {
 	struct team *t = g_hash_table_lookup(e->teams, name);
 
@@ -215,7 +216,7 @@
 
 	if (!e->open || e->shards == 1)
 		return;
-	t = team_of(e, team);
+	t = find_or_add_team(e, team);
 	if (t->known && part <= t->held)
 		return;
 	t->wanted = MIN(part + REQUEST_AHEAD_PPM, CELL_PART_WHOLE_PPM);
@@ -229,7 +230,7 @@
 static void
 handle_grant(struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now)
 {
-	struct team *t = team_of(e, m->team);
+	struct team *t = find_or_add_team(e, m->team);
 	uint32_t before = t->held;
 
 	if (m->number != t->number)
@@ -246,7 +247,7 @@
 static void
 handle_query(struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now)
 {
-	struct team *t = team_of(e, m->team);
+	struct team *t = find_or_add_team(e, m->team);
 	uint32_t used = e->events.used(e->events.arg, t->name);
 
 	if (m->wanted > 0) {
@@ -328,10 +329,10 @@
 }
 
 /*
- * Asks the shards that hold what they want to return what they do not use, by a
- * query with wanted set.  After a takeover a shard may hold nothing but still
- * have something in use at its last report.  It is asked as well, because
- * nothing else would make it report the end of that use.
+ * Sends a query with wanted set to the shards that want no more than they hold,
+ * which asks them to return what they do not use.  After a takeover a shard may
+ * hold nothing although its last report says that something is in use.  It is
+ * asked as well, because nothing else would make it report the end of that use.
  */
 static void
 query_holders(struct cell_escrow *e, struct team *t, ogl_time now)
@@ -411,7 +412,7 @@
 static void
 handle_report(struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now)
 {
-	struct team *t = team_of(e, m->team);
+	struct team *t = find_or_add_team(e, m->team);
 
 	if (coordinator_of(e, m->team) != e->shard)
 		return;
