--- a/cell/admission.c
+++ b/cell/admission.c
@@ -47,7 +47,7 @@
 }
 
 static struct bucket *
-bucket_of(
+find_or_add_bucket(
     struct cell_admission *a, const char *team, double burst, ogl_time now)
 {
 	struct bucket *b = g_hash_table_lookup(a->buckets, team);
@@ -69,7 +69,7 @@
 
 	if (rate <= 0)
 		return true;
-	b = bucket_of(a, team, burst, now);
+	b = find_or_add_bucket(a, team, burst, now);
 	b->tokens += rate * (double)(now - b->filled_at) / OGL_SEC;
 	b->tokens = MIN(b->tokens, burst);
 	b->filled_at = now;
--- a/cell/held.c
+++ b/cell/held.c
@@ -52,7 +52,7 @@
 }
 
 static void
-hold_task(struct cell_held *h, GArray *tasks, const Ogl__CellKnownTask *t,
+delay_task(struct cell_held *h, GArray *tasks, const Ogl__CellKnownTask *t,
     ogl_time until)
 {
 	struct cell_task_name name = {
@@ -77,7 +77,7 @@
 		return;
 	tasks = g_array_new(FALSE, FALSE, sizeof(struct cell_task_name));
 	for (i = 0; i < k->n_tasks; i++)
-		hold_task(h, tasks, k->tasks[i], until);
+		delay_task(h, tasks, k->tasks[i], until);
 	g_hash_table_replace(h->workers, g_strdup(k->id), tasks);
 }
 
