--- a/cell/loader.c
+++ b/cell/loader.c
@@ -91,7 +91,7 @@
 	 * written meanwhile, is read next. */
 	bool reading_tail;
 	uint64_t tail_offset;       /* first offset of the tail not read yet */
-	ogl_time prepared_at;       /* 0 not prepared */
+	ogl_time prepared_at;       /* when all pages were read; 0 not yet */
 	struct cell_loaded records; /* read so far */
 };
 
@@ -226,7 +226,7 @@
 }
 
 static uint32_t
-page_overdue(const struct cell_loader *l, ogl_time store_took)
+initial_page_overdue_ms(const struct cell_loader *l, ogl_time store_took)
 {
 	ogl_time overdue_ms = store_took / OGL_MS * OVERDUE_FACTOR;
 
@@ -241,7 +241,7 @@
 		return;
 	l->phase = PHASE_PREPARING;
 	l->generation++;
-	l->page_overdue_ms = page_overdue(l, store_took);
+	l->page_overdue_ms = initial_page_overdue_ms(l, store_took);
 	begin_reading(l, now);
 }
 
@@ -264,7 +264,7 @@
 	l->epoch = epoch;
 	l->tail_pending = false;
 	l->next_request_at = now;
-	l->page_overdue_ms = page_overdue(l, store_took);
+	l->page_overdue_ms = initial_page_overdue_ms(l, store_took);
 	l->fences_pending = 0;
 	l->fence_overdue_ms = (uint32_t)CLAMP(
 	    fence_ms, FENCE_OVERDUE_MIN_MS, FENCE_OVERDUE_MAX_MS);
@@ -630,7 +630,7 @@
 	if (l->tail_offset >= a->end)
 		finish_loading(l, now);
 	else if (a->n == 0)
-		l->tail_offset = a->end; /* the rest is unreadable */
+		l->tail_offset = a->end; /* skip unreadable records */
 }
 
 static void
