--- a/cell/job.h
+++ b/cell/job.h
@@ -50,7 +50,7 @@
 	CELL_WAIT_SETTLE,    /* an earlier owner may have started them */
 	CELL_WAIT_LIMIT,     /* the team's limit is reached */
 	CELL_WAIT_ADVICE,    /* the policy has not answered yet */
-	CELL_WAIT_TICKET,    /* tickets of allowed workers with room expired */
+	CELL_WAIT_TICKET,    /* tickets of workers with room have expired */
 	CELL_WAIT_ROOM,      /* no allowed worker has room */
 	CELL_WAIT_WORKER_MAX /* workers with room run worker_max of its tasks */
 };
@@ -93,7 +93,7 @@
 	bool begun;            /* a run of it has begun */
 	bool stored;           /* the submission is stored */
 	bool beyond_rate;      /* submitted beyond its team's rate */
-	bool dirty;            /* queued in the journal */
+	bool dirty;            /* waits in the journal to be stored */
 	bool write_def;        /* the submission has to be written */
 	bool drop_def;         /* the submission has to be dropped */
 	bool drop_records;     /* both records have to be dropped */
--- a/cell/known.c
+++ b/cell/known.c
@@ -54,6 +54,8 @@
 	k->tasks = (Ogl__CellKnownTask **)g_ptr_array_free(tasks, FALSE);
 }
 
+/* Makes the worker's entry in the record with that number.  If the worker is
+ * silent or draining, it gets no new work from now on. */
 static Ogl__CellKnown *
 known_new(struct cell_worker *w, uint64_t number, ogl_time now)
 {
