--- a/cell/escrow.c
+++ b/cell/escrow.c
@@ -7,10 +7,11 @@
  * so that all parts together never exceed the whole limit.  A shard that does
  * not use its part reduces it without being asked, and reports that.
  *
- * Reports are numbered.  The coordinator uses the highest number of the latest
- * owner of a shard, and a shard accepts a grant only if it answers its last
- * report: otherwise a grant that was overtaken by a report in which the shard
- * held less would restore a part that was already granted to another shard.
+ * Reports are numbered.  For each shard, the coordinator uses the report with
+ * the highest number from the latest owner.  A shard accepts a grant only if it
+ * answers the shard's last report.  Otherwise a grant that arrives after the
+ * shard has reported a smaller part would restore the larger one, which may
+ * already be granted to another shard.
  *
  * None of this is stored.  A new coordinator grants nothing before each shard
  * has reported what it holds, under a number that invalidates all grants of the
@@ -30,19 +31,19 @@
 
 #include "escrow.h"
 
-/* Least time between two reports that ask for more for a team; a round trip to
- * the coordinator takes 2 to 6 ms. */
+/* Minimum time between two reports that ask for a larger part of a team's
+ * limit.  A round trip to the coordinator takes 2 to 6 ms. */
 #define REPORT_INTERVAL_MIN (8 * OGL_MS)
-/* Delay before the next report or query after a grant that was less than
- * wanted: other shards have to return something first. */
+/* Delay before the next report or query after a grant of less than the shard
+ * wanted, because other shards have to return something first. */
 #define DENIED_BACKOFF (60 * OGL_MS)
-/* A message without an answer for this long, or its recipient, counts as
- * lost. */
+/* If a message is not answered within this time, it or its recipient is assumed
+ * to be lost, and it is sent again. */
 #define ANSWER_TIMEOUT (120 * OGL_MS)
 /* How often each team is checked for messages to repeat and parts to return. */
 #define SWEEP_INTERVAL (100 * OGL_MS)
-/* A shard keeps spare capacity, so that ordinary variation needs no message: an
- * eighth of what it uses, and a fiftieth of the limit. */
+/* A shard keeps an eighth of what it uses and a fiftieth of the limit as spare
+ * capacity, so that ordinary variation needs no message. */
 #define SPARE_USED_DIVISOR 8
 #define SPARE_PPM (CELL_PART_WHOLE_PPM / 50)
 /* A part that exceeds use and spare capacity for this long is reduced. */
@@ -51,7 +52,8 @@
  * follow at once. */
 #define REQUEST_AHEAD_PPM (CELL_PART_WHOLE_PPM / 50)
 
-/* What the coordinator knows of one shard. */
+/* What the coordinator knows of one shard.  held, used and wanted are in
+ * millionths of the team's limit. */
 struct shard_state {
 	bool reported;
 	uint64_t epoch;  /* epoch of the owner that reported last */
@@ -64,7 +66,8 @@
 
 struct team {
 	char *name;
-	/* State of this shard as a holder of a part. */
+	/* State of this shard as a holder of a part; held and wanted are in
+	 * millionths of the limit. */
 	bool known; /* the coordinator has said what this shard holds */
 	uint32_t held;
 	uint32_t wanted;
@@ -138,7 +141,7 @@
 }
 
 static struct team *
-team_of(struct cell_escrow *e, const char *name)
+find_or_add_team(struct cell_escrow *e, const char *name)
 {
 	struct team *t = g_hash_table_lookup(e->teams, name);
 
@@ -213,11 +216,11 @@
 
 	if (!e->open || e->shards == 1)
 		return;
-	t = team_of(e, team);
+	t = find_or_add_team(e, team);
 	if (t->known && part <= t->held)
 		return;
 	t->wanted = MIN(part + REQUEST_AHEAD_PPM, CELL_PART_WHOLE_PPM);
-	/* Another report would invalidate the grant that is on its way. */
+	/* Another report would invalidate a grant that answers the last one. */
 	if (now >= t->next_report_at && !t->unanswered)
 		send_report(e, t, now);
 	else
@@ -227,7 +230,7 @@
 static void
 handle_grant(struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now)
 {
-	struct team *t = team_of(e, m->team);
+	struct team *t = find_or_add_team(e, m->team);
 	uint32_t before = t->held;
 
 	if (m->number != t->number)
@@ -244,7 +247,7 @@
 static void
 handle_query(struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now)
 {
-	struct team *t = team_of(e, m->team);
+	struct team *t = find_or_add_team(e, m->team);
 	uint32_t used = e->events.used(e->events.arg, t->name);
 
 	if (m->wanted > 0) {
@@ -289,7 +292,8 @@
 	return true;
 }
 
-/* The largest part that the shard may hold besides the parts of the others. */
+/* The largest part that the shard may hold: what the parts and the use of the
+ * other shards leave of the limit. */
 static uint32_t
 available_to(const struct cell_escrow *e, const struct team *t, uint32_t shard)
 {
@@ -325,10 +329,10 @@
 }
 
 /*
- * Asks the shards that hold what they want to return what they do not use, by a
- * query with wanted set.  After a takeover a shard may hold nothing but still
- * have something in use at its last report.  It is asked as well, because
- * nothing else would make it report the end of that use.
+ * Sends a query with wanted set to the shards that want no more than they hold,
+ * which asks them to return what they do not use.  After a takeover a shard may
+ * hold nothing although its last report says that something is in use.  It is
+ * asked as well, because nothing else would make it report the end of that use.
  */
 static void
 query_holders(struct cell_escrow *e, struct team *t, ogl_time now)
@@ -349,7 +353,7 @@
 	}
 }
 
-/* Records the report.  False if it is outdated. */
+/* Records the report.  Returns false if it is outdated. */
 static bool
 update_state(struct shard_state *state, const Ogl__CellPart *m)
 {
@@ -408,7 +412,7 @@
 static void
 handle_report(struct cell_escrow *e, const Ogl__CellPart *m, ogl_time now)
 {
-	struct team *t = team_of(e, m->team);
+	struct team *t = find_or_add_team(e, m->team);
 
 	if (coordinator_of(e, m->team) != e->shard)
 		return;
