--- a/cell/relay_serve.c
+++ b/cell/relay_serve.c
@@ -1,15 +1,16 @@
 /*
- * The other side of relay.c: carries out orders from owners of shards on other
- * nodes, and returns the workers' answers.
+ * Makes calls to workers for the owners of shards on other nodes.  An owner
+ * sends each call as an order (relay.c), and gets the worker's answer.
  *
- * The specs of the latest jobs are cached up to a number of bytes; the oldest
- * is evicted first.  An owner that relies on an evicted spec is told so, and
- * sends the start again with the spec.
+ * The specs of the latest jobs are cached up to a total size; the oldest is
+ * evicted first.  An owner leaves the spec out of a start if this node should
+ * have it.  If the spec was evicted, the answer says so, and the owner sends
+ * the start again with the spec.
  *
  * Answers to one owner are batched for a short time.
  *
- * Starts and stops to the same worker are queued, each up to its owner's
- * timeout.
+ * Starts and stops to the same worker are queued, each until the timeout that
+ * the owner has set for it.
  */
 
 #include <string.h>
@@ -19,14 +20,15 @@
 
 #define SPEC_CACHE_BYTES_MAX ((size_t)2 * 1024 * 1024)
 /* Answers to one owner are batched for this long. */
-#define BATCH_DELAY (2 * OGL_MS)
+#define ANSWER_BATCH_DELAY (2 * OGL_MS)
 /* Concurrent starts and stops to one worker.  A worker accepts 64 connections
  * from all nodes together, and any node may have orders for any worker. */
 #define CALLS_PER_WORKER_MAX 1
 
 /* ---- specs ------------------------------------------------------------ */
 
-/* Specs of the latest jobs that this node forwarded or started tasks of. */
+/* Specs of the latest jobs that this node forwarded to an owner or started
+ * tasks of. */
 struct spec_cache {
 	GHashTable *specs; /* job -> spec */
 	GQueue fifo;       /* jobs, oldest first; the keys of the table */
@@ -154,7 +156,7 @@
 	while (i < v->batches->len) {
 		const struct batch *b = v->batches->pdata[i];
 
-		if (now - b->created_at < BATCH_DELAY) {
+		if (now - b->created_at < ANSWER_BATCH_DELAY) {
 			i++;
 			continue;
 		}
@@ -172,7 +174,7 @@
 	for (i = 0; i < v->batches->len; i++) {
 		const struct batch *b = v->batches->pdata[i];
 
-		due = MIN(due, b->created_at + BATCH_DELAY);
+		due = MIN(due, b->created_at + ANSWER_BATCH_DELAY);
 	}
 	return due;
 }
@@ -182,14 +184,16 @@
 /* Starts and stops to one worker. */
 struct worker_queue {
 	char *addr;
-	unsigned running; /* calls in progress */
-	GQueue waiting;   /* struct queued_order */
+	unsigned in_flight; /* calls without an answer yet */
+	GQueue waiting;     /* struct queued_order */
 };
 
-/* The workers' entries that were sent to the owner of a shard. */
+/* The entries of the list of workers that the owner of a shard was sent last.
+ * Only entries that differ from these are sent to it again. */
 struct list_reader {
 	char *owner;
-	/* Offset of the owner's next read if it gets the last answer. */
+	/* Offset from which the owner reads next, provided that it has received
+	 * the last answer. */
 	uint64_t next_offset;
 	GHashTable *sent; /* worker -> GBytes of its entry without the offset */
 };
@@ -201,7 +205,7 @@
 	uint32_t shard;
 	char *owner; /* address of the owner */
 	uint64_t token;
-	uint64_t from; /* first offset of a read of the list */
+	uint64_t read_offset; /* where a read of the list starts */
 };
 
 static struct call *
@@ -212,7 +216,7 @@
 
 	c->serve = v;
 	c->queue = NULL;
-	c->from = 0;
+	c->read_offset = 0;
 	c->shard = shard;
 	c->owner = g_strdup(owner);
 	c->token = token;
@@ -376,7 +380,7 @@
 	call_free(c);
 }
 
-static void start_waiting(
+static void send_queued_orders(
     struct cell_relay_serve *v, struct worker_queue *q, ogl_time now);
 
 static void
@@ -394,8 +398,8 @@
 	}
 	call_free(c);
 	if (v != NULL) {
-		q->running--;
-		start_waiting(v, q, now);
+		q->in_flight--;
+		send_queued_orders(v, q, now);
 	}
 }
 
@@ -408,7 +412,7 @@
 }
 
 static void
-make_hold(const struct cell_ops *ops, const Ogl__CellOrder *m, struct call *c)
+send_hold(const struct cell_ops *ops, const Ogl__CellOrder *m, struct call *c)
 {
 	struct cell_hold h = {.to = {m->addr, m->worker, m->epoch},
 	    .last_seen = m->last_seen,
@@ -434,17 +438,19 @@
 		g_hash_table_insert(
 		    v->list_readers, GUINT_TO_POINTER(c->shard), l);
 	}
-	/* All entries are sent again if the owner is another one, did not get
-	 * the last answer, or has read through another node since. */
-	if (l->next_offset != c->from || g_strcmp0(l->owner, c->owner) != 0)
+	/* An unexpected offset shows that the owner did not receive the last
+	 * answer or has read through another node since.  All entries are then
+	 * sent again, as they are to a new owner. */
+	if (l->next_offset != c->read_offset ||
+	    g_strcmp0(l->owner, c->owner) != 0)
 		g_hash_table_remove_all(l->sent);
 	g_free(l->owner);
 	l->owner = g_strdup(c->owner);
 	return l;
 }
 
-/* Records that the entry is sent to the owner.  False if it is the same as the
- * one sent before. */
+/* Returns whether the entry differs from the one that the owner was sent last,
+ * and if so, records the new one as sent. */
 static bool
 record_if_changed(struct list_reader *l, const Ogl__CellEntry *m)
 {
@@ -463,8 +469,8 @@
 	return true;
 }
 
-/* Adds the changed entries and always the last one, because the owner's next
- * read starts after its offset. */
+/* Adds the changed entries to the answer.  The last entry is added even if it
+ * is unchanged, because its offset tells the owner where to read next. */
 static void
 add_entries(struct list_reader *l, Ogl__CellOrderAnswer *m,
     const struct cell_read_answer *a)
@@ -498,20 +504,21 @@
 		m->first = a->first;
 		m->end = a->end;
 		l = list_reader_of(c->serve, c);
-		l->next_offset = c->from;
+		l->next_offset = c->read_offset;
 		add_entries(l, m, a);
 	}
 	call_free(c);
 }
 
 static void
-read_list(const struct cell_ops *ops, const Ogl__CellOrder *m, struct call *c)
+read_workers(
+    const struct cell_ops *ops, const Ogl__CellOrder *m, struct call *c)
 {
 	struct cell_read q = {.stream = CELL_WORKERS,
 	    .from = m->from,
 	    .timeout_ms = m->timeout_ms};
 
-	c->from = m->from;
+	c->read_offset = m->from;
 	ops->read(ops->backend_ctx, &q, on_list, c);
 }
 
@@ -534,10 +541,10 @@
 	return o;
 }
 
-/* Sends the start to its worker.  False if the spec is missing; the start has
- * then been answered. */
+/* Sends the start to its worker.  If the spec is missing, answers the start
+ * with that and returns false. */
 static bool
-make_start(struct cell_relay_serve *v, const Ogl__CellOrder *m, struct call *c,
+send_start(struct cell_relay_serve *v, const Ogl__CellOrder *m, struct call *c,
     ogl_time now)
 {
 	struct cell_order o = order_from_msg(m);
@@ -554,8 +561,8 @@
 	return true;
 }
 
-/* Sends a start or a stop; fewer than CALLS_PER_WORKER_MAX calls to its worker
- * may be in progress. */
+/* Sends a start or a stop.  The caller checks that fewer than
+ * CALLS_PER_WORKER_MAX calls to the worker are in flight. */
 static void
 call_worker(struct cell_relay_serve *v, struct worker_queue *q,
     const Ogl__CellOrder *m, struct call *c, ogl_time now)
@@ -564,24 +571,26 @@
 
 	c->queue = q;
 	if (m->kind == OGL__CELL_ORDER_KIND__cell_order_start) {
-		if (make_start(v, m, c, now))
-			q->running++;
+		if (send_start(v, m, c, now))
+			q->in_flight++;
 		return;
 	}
 	o = order_from_msg(m);
-	q->running++;
+	q->in_flight++;
 	v->ops->stop(v->ops->backend_ctx, &o, on_order, c);
 }
 
 /* Carries out the orders that wait for this worker, as far as
  * CALLS_PER_WORKER_MAX allows.  An order that has waited past its timeout is
- * answered as not sent; the owner has counted it as lost. */
+ * answered as not sent, as its owner no longer waits and has counted the call
+ * as lost. */
 static void
-start_waiting(struct cell_relay_serve *v, struct worker_queue *q, ogl_time now)
+send_queued_orders(
+    struct cell_relay_serve *v, struct worker_queue *q, ogl_time now)
 {
 	struct queued_order *queued;
 
-	while (q->running < CALLS_PER_WORKER_MAX &&
+	while (q->in_flight < CALLS_PER_WORKER_MAX &&
 	       (queued = g_queue_pop_head(&q->waiting)) != NULL) {
 		if (now >= queued->deadline)
 			reject(queued->call,
@@ -590,7 +599,7 @@
 			call_worker(v, q, queued->order, queued->call, now);
 		queued_order_free(queued);
 	}
-	if (q->running == 0)
+	if (q->in_flight == 0)
 		g_hash_table_remove(v->queues, q->addr);
 }
 
@@ -605,7 +614,7 @@
 	queued->call = c;
 	queued->deadline = now + m->timeout_ms * OGL_MS;
 	g_queue_push_tail(&q->waiting, queued);
-	start_waiting(v, q, now);
+	send_queued_orders(v, q, now);
 }
 
 static void
@@ -614,10 +623,10 @@
 {
 	switch (m->kind) {
 	case OGL__CELL_ORDER_KIND__cell_order_hold:
-		make_hold(v->ops, m, c);
+		send_hold(v->ops, m, c);
 		break;
 	case OGL__CELL_ORDER_KIND__cell_order_list:
-		read_list(v->ops, m, c);
+		read_workers(v->ops, m, c);
 		break;
 	case OGL__CELL_ORDER_KIND__cell_order_stop:
 	case OGL__CELL_ORDER_KIND__cell_order_start:
