--- a/cell/relay.c
+++ b/cell/relay.c
@@ -7,10 +7,10 @@
  * once.  Stops and holds go through a node chosen by the worker's id, so that a
  * worker has few connections.
  *
- * A relayed call ends in the same way as a direct one: exactly once, as done,
- * refused, lost or not sent.  A call that gets no answer is lost, since the
- * relay may still carry it out.  A relay that leaves calls unanswered is not
- * used for a while.
+ * As with a direct call, the callback of a relayed call is called exactly once,
+ * with the result done, refused, lost or not sent.  The result is lost if no
+ * answer comes, since the relay may still carry the call out.  A relay that
+ * leaves calls unanswered is not used for a while.
  *
  * Orders to the same relay are batched for a short time.
  */
@@ -32,9 +32,10 @@
  * fewer relays need fewer, larger messages. */
 #define NON_START_RELAYS_MAX 6
 /* How long orders to one node are batched. */
-#define BATCH_DELAY (2 * OGL_MS)
-/* A batch older than this is withdrawn: this process was suspended meanwhile,
- * and the ownership under which its orders were given may have ended. */
+#define ORDER_BATCH_DELAY (2 * OGL_MS)
+/* A batch older than this is not sent.  The process must have been suspended
+ * while the batch waited, and may have lost the ownership under which the
+ * orders were given. */
 #define BATCH_AGE_MAX (200 * OGL_MS)
 /* A node not heard from for this long is not used; nodes ping four times per
  * second. */
@@ -42,17 +43,18 @@
 /* A node not heard from for this long has been replaced by another one, and its
  * entry is removed. */
 #define NODE_EXPIRY (60 * OGL_SEC)
-/* A relay gives a call up after the call's timeout; its answer takes at most
- * this much longer. */
+/* A relay stops waiting for a worker after the call's timeout.  Its answer is
+ * then awaited for this much longer. */
 #define ANSWER_MARGIN (400 * OGL_MS)
 /* A relay that left calls unanswered is not used for this long. */
 #define RELAY_BACKOFF (2 * OGL_SEC)
-/* When this many consecutive starts to a worker were lost through relays, it is
- * called directly for a time, as it may be unreachable only from a relay. */
+/* After this many consecutive relayed starts to a worker were lost, starts go
+ * to it directly for DIRECT_CALL_TIME, as it may be unreachable only from the
+ * relays. */
 #define LOST_STARTS_MAX 4
 #define DIRECT_CALL_TIME (5 * OGL_SEC)
-/* The shortest delay of answers is kept for the present period of this length
- * and for the one before it. */
+/* The shortest time to an answer is recorded for the present period of this
+ * length and for the previous one. */
 #define DELAY_PERIOD (200 * OGL_MS)
 /* A token is the epoch in its upper bits and a counter below them. */
 #define TOKEN_EPOCH_SHIFT 32
@@ -66,11 +68,11 @@
 	ogl_time backoff_until;
 	uint64_t unanswered; /* consecutive calls without an answer */
 	Ogl__CellOrders batch;
-	size_t batch_capacity; /* number of orders */
+	size_t batch_capacity; /* number of orders that fit into the array */
 	ogl_time batch_since;  /* when the batch's first order was added */
 };
 
-/* Lost starts through relays to one worker. */
+/* Counts the relayed starts to one worker that were lost. */
 struct relay_losses {
 	unsigned consecutive;
 	ogl_time direct_until;
@@ -101,10 +103,10 @@
 	ogl_time now;      /* time of the last step or event */
 	uint64_t token;    /* token of the last call */
 	GHashTable *nodes; /* addr -> struct node */
-	GPtrArray *sorted; /* struct node, sorted by address */
-	GHashTable *calls; /* token -> struct pending_call */
-	GHashTable *spec_nodes; /* job -> address of a node with its spec */
-	GHashTable *losses;     /* worker -> struct relay_losses */
+	GPtrArray *sorted_nodes; /* struct node, by address */
+	GHashTable *calls;       /* token -> struct pending_call */
+	GHashTable *spec_nodes;  /* job -> address of a node with its spec */
+	GHashTable *losses;      /* worker -> struct relay_losses */
 	/* Shortest delays of answers in the present and the previous period of
 	 * DELAY_PERIOD; 0 if there was no answer. */
 	ogl_time period_start;
@@ -159,7 +161,7 @@
 	r->link_kbps = link_kbps;
 	r->nodes =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, node_free);
-	r->sorted = g_ptr_array_new();
+	r->sorted_nodes = g_ptr_array_new();
 	r->calls =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, call_free);
 	r->losses =
@@ -194,11 +196,11 @@
 	GHashTableIter it;
 	gpointer p;
 
-	g_ptr_array_set_size(r->sorted, 0);
+	g_ptr_array_set_size(r->sorted_nodes, 0);
 	g_hash_table_iter_init(&it, r->nodes);
 	while (g_hash_table_iter_next(&it, NULL, &p))
-		g_ptr_array_add(r->sorted, p);
-	g_ptr_array_sort(r->sorted, by_addr);
+		g_ptr_array_add(r->sorted_nodes, p);
+	g_ptr_array_sort(r->sorted_nodes, by_addr);
 }
 
 void
@@ -245,14 +247,14 @@
 {
 	struct node *best = NULL;
 	uint32_t best_weight = 0;
-	guint up = 0;
+	guint nodes_up = 0;
 	guint i;
 
-	for (i = 0; i < r->sorted->len && up < max_nodes; i++) {
-		struct node *n = r->sorted->pdata[i];
+	for (i = 0; i < r->sorted_nodes->len && nodes_up < max_nodes; i++) {
+		struct node *n = r->sorted_nodes->pdata[i];
 		uint32_t w = weight(key, n->addr);
 
-		up += r->now - n->last_heard < NODE_TIMEOUT;
+		nodes_up += r->now - n->last_heard < NODE_TIMEOUT;
 		if (!usable(r, n) || (best != NULL && w <= best_weight))
 			continue;
 		best = n;
@@ -275,19 +277,19 @@
 	g_hash_table_remove(r->spec_nodes, job);
 }
 
-/* Whether the node is among those that may have connections to workers. */
+/* Whether the node is among the RELAYS_MAX that may call workers. */
 static bool
 is_relay(const struct cell_relay *r, const struct node *n)
 {
-	guint up = 0;
+	guint nodes_up = 0;
 	guint i;
 
-	for (i = 0; i < r->sorted->len && up < RELAYS_MAX; i++) {
-		const struct node *x = r->sorted->pdata[i];
+	for (i = 0; i < r->sorted_nodes->len && nodes_up < RELAYS_MAX; i++) {
+		const struct node *x = r->sorted_nodes->pdata[i];
 
 		if (x == n)
 			return true;
-		up += r->now - x->last_heard < NODE_TIMEOUT;
+		nodes_up += r->now - x->last_heard < NODE_TIMEOUT;
 	}
 	return false;
 }
@@ -578,7 +580,8 @@
 	g_free(ended);
 }
 
-/* Ends the call.  m: NULL if no answer came. */
+/* Passes the result of the call to its callback and frees the call.  m is NULL
+ * if no answer came. */
 static void
 finish(struct cell_relay *r, struct pending_call *call,
     const Ogl__CellOrderAnswer *m, ogl_time now)
@@ -600,7 +603,8 @@
 	call_free(call);
 }
 
-/* Removes the call from the table; the caller has to pass it to finish. */
+/* Removes the call from the table without freeing it; the caller has to pass
+ * it to finish.  NULL if there is no such call. */
 static struct pending_call *
 remove_call(struct cell_relay *r, uint64_t token)
 {
@@ -611,8 +615,8 @@
 	return call;
 }
 
-/* Sends a start again, now with the spec, since the relay has dropped the spec.
- * False if the call can't be repeated. */
+/* Sends a start again with the spec, because the relay no longer has it.
+ * Returns false if the call can't be repeated. */
 static bool
 resend_with_spec(struct cell_relay *r, struct pending_call *call)
 {
@@ -627,9 +631,9 @@
 	return true;
 }
 
-/* Records how long the answer to a start or a stop took.  A call without an
- * answer counts with the time that it waited, since its answer would take at
- * least as long. */
+/* Records how long the answer to a start or a stop took.  For a call without
+ * an answer, the time that it has waited is recorded, since its answer would
+ * take at least as long. */
 static void
 record_delay(
     struct cell_relay *r, const struct pending_call *call, ogl_time now)
@@ -728,7 +732,7 @@
 
 /* Drops the batch and ends its orders as not sent. */
 static void
-withdraw_batch(struct cell_relay *r, struct node *n, ogl_time now)
+drop_batch(struct cell_relay *r, struct node *n, ogl_time now)
 {
 	Ogl__CellOrderAnswer answer = OGL__CELL_ORDER_ANSWER__INIT;
 	GArray *tokens = g_array_new(FALSE, FALSE, sizeof(uint64_t));
@@ -753,14 +757,14 @@
 {
 	guint i;
 
-	for (i = 0; i < r->sorted->len; i++) {
-		struct node *n = r->sorted->pdata[i];
+	for (i = 0; i < r->sorted_nodes->len; i++) {
+		struct node *n = r->sorted_nodes->pdata[i];
 
 		if (n->batch.n_orders == 0 ||
-		    now - n->batch_since < BATCH_DELAY)
+		    now - n->batch_since < ORDER_BATCH_DELAY)
 			continue;
 		if (now - n->batch_since > BATCH_AGE_MAX) {
-			withdraw_batch(r, n, now);
+			drop_batch(r, n, now);
 			continue;
 		}
 		r->events.send(r->events.arg, n->addr, &n->batch);
@@ -773,8 +777,8 @@
 {
 	guint i;
 
-	for (i = 0; i < r->sorted->len; i++)
-		withdraw_batch(r, r->sorted->pdata[i], now);
+	for (i = 0; i < r->sorted_nodes->len; i++)
+		drop_batch(r, r->sorted_nodes->pdata[i], now);
 }
 
 ogl_time
@@ -783,11 +787,11 @@
 	ogl_time due = OGL_NEVER;
 	guint i;
 
-	for (i = 0; i < r->sorted->len; i++) {
-		const struct node *n = r->sorted->pdata[i];
+	for (i = 0; i < r->sorted_nodes->len; i++) {
+		const struct node *n = r->sorted_nodes->pdata[i];
 
 		if (n->batch.n_orders > 0)
-			due = MIN(due, n->batch_since + BATCH_DELAY);
+			due = MIN(due, n->batch_since + ORDER_BATCH_DELAY);
 	}
 	return due;
 }
@@ -846,7 +850,7 @@
 	g_hash_table_unref(r->calls);
 	g_hash_table_unref(r->spec_nodes);
 	g_hash_table_unref(r->losses);
-	g_ptr_array_unref(r->sorted);
+	g_ptr_array_unref(r->sorted_nodes);
 	g_hash_table_unref(r->nodes);
 	g_free(r);
 }
--- a/cell/relay.h
+++ b/cell/relay.h
@@ -28,29 +28,30 @@
 /* Calls in progress end as lost. */
 
 void cell_relay_set_ops(struct cell_relay *r, struct cell_ops *ops);
-/* Sets the functions read, newest, start, stop and hold of the table, and their
- * argument, to those of the relay. */
+/* Replaces read, newest, start, stop and hold in the table, and the backend_ctx
+ * that is passed to them, by those of the relay. */
 
 void cell_relay_open(struct cell_relay *r, uint64_t epoch);
 /* Numbers calls by the epoch, so that a late answer to an earlier owner, or to
  * an earlier process of this node, matches none of them. */
 void cell_relay_close(struct cell_relay *r, ogl_time now);
-/* The ownership has ended: orders not yet sent are withdrawn, and end as not
- * sent. */
+/* To be called when the ownership has ended.  Orders that are still in a batch
+ * are dropped, and their calls end as not sent. */
 void cell_relay_update_node(
     struct cell_relay *r, const char *addr, bool leaving, ogl_time now);
-/* The node at addr is up, or shuts down if leaving is set.  To be called for
- * each node that is up at least once per second. */
+/* Reports that the node at addr is up, or that it shuts down if leaving is set.
+ * To be called for each node that is up at least once per second. */
 
 void cell_relay_note_spec(
     struct cell_relay *r, const char *job, const char *addr);
-/* The node at addr has the job's spec, because it forwarded the job. */
+/* Records that the node at addr has the job's spec, because it forwarded the
+ * job. */
 void cell_relay_job_ended(struct cell_relay *r, const char *job);
-/* No more tasks of the job will be started. */
+/* To be called when no more tasks of the job will be started. */
 
 void cell_relay_answer(
     struct cell_relay *r, const Ogl__CellOrderAnswer *m, ogl_time now);
-/* A relay has answered an order. */
+/* Handles a relay's answer to an order. */
 
 void cell_relay_step(struct cell_relay *r, size_t workers, ogl_time now);
 /* Ends calls without an answer as lost, and decides whether calls are relayed.
