--- a/cell/lead.c
+++ b/cell/lead.c
@@ -46,17 +46,17 @@
  * end an ownership. */
 #define HEARTBEAT_INTERVAL (400 * OGL_MS)
 #define HEARTBEAT_TIMEOUT (1300 * OGL_MS)
-/* Timeout when the owner's address also refuses connections or the owner does
- * not answer pings.  Its process, machine or network has probably failed, so
- * one missed heartbeat is enough. */
-#define HEARTBEAT_TIMEOUT_DEAD (650 * OGL_MS)
+/* Timeout for an owner whose address refuses connections or that does not
+ * answer pings.  Its process, machine or network has probably failed, so one
+ * missed heartbeat is enough. */
+#define HEARTBEAT_TIMEOUT_UNREACHABLE (650 * OGL_MS)
 /* A heartbeat is repeated when its answer takes longer than this multiple of
  * the time that the last one took; at least HEARTBEAT_OVERDUE_MIN and at most
  * HEARTBEAT_INTERVAL. */
 #define HEARTBEAT_OVERDUE_FACTOR 4
 #define HEARTBEAT_OVERDUE_MIN (150 * OGL_MS)
-/* An owner without an answer from the store for this long reports that to its
- * peers. */
+/* An owner that has had no answer from the store for this long reports to its
+ * peers that it is not able to act as the owner. */
 #define ABLE_TIMEOUT (750 * OGL_MS)
 /* On a slow link, answers to heartbeats wait behind the jobs that a new owner
  * reads.  The time that the link needs for this many kilobits is added to
@@ -73,8 +73,8 @@
 /* A period of at least this length in which reads failed and none was answered
  * is an outage. */
 #define OUTAGE_MIN (500 * OGL_MS)
-/* Claims get a random delay below this, so that most claimants read the first
- * claim before they would append their own. */
+/* Each claim gets a random delay below this, so that most nodes read the first
+ * claim before their own is due, and do not send it. */
 #define CLAIM_JITTER_MS 150
 /* Processor capacity from which a machine claims without delay, in thousandths
  * of a core.  A machine with half of it claims WEAK_DELAY_MS later, one with a
@@ -120,8 +120,10 @@
 	uint64_t resigned_epoch; /* last epoch whose owner has resigned */
 	uint64_t reported_epoch; /* epoch of the last changed event */
 	char *owner;             /* address; NULL: vacant or never claimed */
-	bool own;                /* this node is the owner */
-	ogl_time last_heard; /* last sign of the owner, or last failed read */
+	bool is_owner;           /* this node is the owner */
+	/* Last sign of the owner, or last failed read: the heartbeat timeout
+	 * starts here. */
+	ogl_time last_heard;
 
 	uint64_t suspect_epoch; /* epoch whose owner may be unable, 0 if none */
 	bool reading_claims;
@@ -130,12 +132,12 @@
 	ogl_time claim_at; /* OGL_NEVER unless scheduled */
 	ogl_time no_claim_until;
 	unsigned heartbeats_in_flight;
-	bool announced;           /* a heartbeat as this owner was stored */
-	ogl_time heartbeat_at;    /* next heartbeat is due */
-	ogl_time heartbeat_took;  /* duration of the last answered one */
+	bool announced; /* a heartbeat of this ownership was stored */
+	ogl_time next_heartbeat_at;
+	ogl_time heartbeat_took;  /* how long the last answered one took */
 	ogl_time heartbeat_ok_at; /* last heartbeat stored, or ownership won */
 	bool heartbeat_refused;   /* the last answer was a refusal */
-	ogl_time dead_hint_at;    /* last sign that the owner's process ended */
+	ogl_time unreachable_at;  /* last report that it is unreachable */
 };
 
 struct cell_lead {
@@ -148,12 +150,12 @@
 	ogl_time able_timeout;
 	GRand *rand;
 
-	bool loaded; /* the newest records were read */
+	bool loaded; /* the newest record of each key was read once */
 	bool reading;
-	bool newest_next; /* next read gets the newest record of each key */
+	bool newest_wanted; /* next read gets the newest record of each key */
 	ogl_time read_sent_at;
-	ogl_time read_at;     /* earliest time of the next read */
-	uint64_t next_offset; /* offset to read from */
+	ogl_time next_read_at; /* no read is sent before this time */
+	uint64_t next_offset;  /* offset to read from */
 	ogl_time last_read_ok;
 	bool read_failing;        /* a read has failed since last_read_ok */
 	ogl_time outage_ended_at; /* first answer after the last outage */
@@ -164,7 +166,7 @@
 	bool planning; /* an append of the number of shards is in flight */
 	uint32_t shards;
 	struct lead_shard *by_shard;
-	ogl_time claim_took;   /* duration of the last successful claim */
+	ogl_time claim_took;   /* how long the last successful claim took */
 	bool claiming_stopped; /* the process is about to end */
 };
 
@@ -210,7 +212,7 @@
 	l->weak_delay_ms = weak_delay_for(self->strength);
 	l->able_timeout = able_timeout_for(self->link_kbps);
 	l->rand = g_rand_new_with_seed((guint32)(seed ^ seed >> 32));
-	l->newest_next = true;
+	l->newest_wanted = true;
 	l->last_read_ok = CELL_LONG_AGO;
 	l->confirmed_at = CELL_LONG_AGO;
 	return l;
@@ -245,7 +247,7 @@
 		s->lead = l;
 		s->shard = i;
 		s->claim_at = OGL_NEVER;
-		s->dead_hint_at = CELL_LONG_AGO;
+		s->unreachable_at = CELL_LONG_AGO;
 		s->last_heard = now;
 	}
 	l->events.planned(l->events.arg, shards, now);
@@ -286,9 +288,9 @@
 static void
 step_down(struct lead_shard *s, ogl_time now)
 {
-	if (!s->own)
+	if (!s->is_owner)
 		return;
-	s->own = false;
+	s->is_owner = false;
 	log_owner(s, "ownership_lost", s->owner);
 	s->lead->events.lost(s->lead->events.arg, s->shard, now);
 }
@@ -347,9 +349,9 @@
 	}
 	if (l->claiming_stopped)
 		return; /* others claim once the heartbeat timeout is over */
-	s->own = true;
+	s->is_owner = true;
 	s->announced = false;
-	s->heartbeat_at = now;
+	s->next_heartbeat_at = now;
 	s->heartbeat_ok_at = now;
 	s->heartbeat_refused = false;
 	delay_other_claims(l);
@@ -374,7 +376,7 @@
 	s->suspect_epoch = 0;
 	if (!m->vacant) {
 		s->claim_at = OGL_NEVER;
-		if (!s->own)
+		if (!s->is_owner)
 			set_owner(s,
 			    from_earlier_boot(s->lead, m) ? NULL : m->addr,
 			    now);
@@ -422,7 +424,7 @@
 {
 	uint32_t i;
 
-	l->read_at = now + READ_RETRY_DELAY;
+	l->next_read_at = now + READ_RETRY_DELAY;
 	l->read_failing = true;
 	for (i = 0; i < l->shards; i++) {
 		l->by_shard[i].last_heard = now;
@@ -456,9 +458,9 @@
 {
 	l->confirmed_at = MAX(l->confirmed_at, l->read_sent_at);
 	read_answered(l, now);
-	l->read_at = now;
+	l->next_read_at = now;
 	if (l->shards > 1 && !any_vacant(l))
-		l->read_at = l->read_sent_at + READ_INTERVAL_MIN;
+		l->next_read_at = l->read_sent_at + READ_INTERVAL_MIN;
 }
 
 static void
@@ -475,9 +477,9 @@
 	}
 }
 
-/* Called after an answered probe.  A suspect owner that has given no sign since
- * counts as unable to reach the store, unless an outage of this node has just
- * ended. */
+/* Called after an answered probe.  An owner that was reported as suspect and
+ * has given no sign since then counts as unable to reach the store, unless an
+ * outage of this node has just ended. */
 static void
 resolve_suspects(struct cell_lead *l, ogl_time now)
 {
@@ -488,7 +490,7 @@
 		struct lead_shard *s = &l->by_shard[i];
 
 		if (past_outage && s->suspect_epoch != 0 &&
-		    s->suspect_epoch == s->epoch && !s->own &&
+		    s->suspect_epoch == s->epoch && !s->is_owner &&
 		    s->owner != NULL) {
 			log_owner(s, "owner_unable", s->owner);
 			set_owner(s, NULL, now);
@@ -508,8 +510,8 @@
 		return;
 	}
 	if (a->trimmed) {
-		l->newest_next = true;
-		l->read_at = now;
+		l->newest_wanted = true;
+		l->next_read_at = now;
 		return;
 	}
 	apply_records(l, a, now);
@@ -549,8 +551,8 @@
 	l->ops->read(l->ops->backend_ctx, &r, on_probe, l);
 }
 
-/* Applies the record with the number of shards before all others, which need
- * it.  The page may list others before it. */
+/* Applies the record with the number of shards first, as the other records
+ * can't be applied without it and may be listed before it. */
 static void
 on_newest(void *arg, const struct cell_newest_answer *a, ogl_time now)
 {
@@ -563,7 +565,7 @@
 		return;
 	}
 	l->loaded = true;
-	l->newest_next = false;
+	l->newest_wanted = false;
 	for (i = 0; i < a->n; i++) {
 		if (strcmp(a->records[i].key, PLAN_KEY) == 0)
 			apply_record(l, &a->records[i], now);
@@ -584,11 +586,11 @@
 	struct cell_newest q = {
 	    .stream = CELL_LEAD, .timeout_ms = READ_TIMEOUT_MS};
 
-	if (l->reading || now < l->read_at)
+	if (l->reading || now < l->next_read_at)
 		return;
 	l->reading = true;
 	l->read_sent_at = now;
-	if (l->newest_next)
+	if (l->newest_wanted)
 		l->ops->newest(l->ops->backend_ctx, &q, on_newest, l);
 	else
 		l->ops->read(l->ops->backend_ctx, &r, on_read, l);
@@ -706,8 +708,8 @@
 	ogl_time sent_at;
 };
 
-/* The next heartbeat is due HEARTBEAT_INTERVAL after the answered one was sent,
- * however often that was repeated. */
+/* Sets the next heartbeat to HEARTBEAT_INTERVAL after the answered one was
+ * sent, unless a repeat has already set a later time. */
 static void
 apply_heartbeat_answer(struct lead_shard *s, const struct heartbeat *h,
     enum ogl_io_result io, ogl_time now)
@@ -715,7 +717,8 @@
 	s->heartbeat_refused = io == OGL_IO_REFUSED;
 	if (io == OGL_IO_LOST)
 		return;
-	s->heartbeat_at = MAX(s->heartbeat_at, h->sent_at + HEARTBEAT_INTERVAL);
+	s->next_heartbeat_at =
+	    MAX(s->next_heartbeat_at, h->sent_at + HEARTBEAT_INTERVAL);
 	s->heartbeat_took = now - h->sent_at;
 	if (io != OGL_IO_OK)
 		return;
@@ -752,8 +755,8 @@
 	append(s, &m, on_heartbeat, h);
 }
 
-/* If a claim is refused or its answer lost, the claims are read.  The last one
- * names the owner, which may be this node. */
+/* If a claim is refused because of another one, or its answer is lost, the
+ * claims are read.  The last claim names the owner, which may be this node. */
 static void
 on_claim(void *arg, const struct cell_append_answer *a, ogl_time now)
 {
@@ -797,15 +800,15 @@
 	    CLAMP(s->heartbeat_took * HEARTBEAT_OVERDUE_FACTOR,
 		HEARTBEAT_OVERDUE_MIN, HEARTBEAT_INTERVAL);
 
-	if (!s->own)
+	if (!s->is_owner)
 		return;
 	if (now - s->heartbeat_ok_at > PROBE_SILENCE_MIN &&
 	    now - s->lead->last_read_ok > PROBE_SILENCE_MIN)
 		cell_lead_probe(s->lead, now);
-	if (now < s->heartbeat_at ||
+	if (now < s->next_heartbeat_at ||
 	    s->heartbeats_in_flight >= HEARTBEATS_IN_FLIGHT_MAX)
 		return;
-	s->heartbeat_at = now + overdue_after;
+	s->next_heartbeat_at = now + overdue_after;
 	send_heartbeat(s, false, now);
 }
 
@@ -823,15 +826,18 @@
 	return delay_ms;
 }
 
-/* Whether a read sent after the timeout had passed showed no sign of the owner.
- * A read that is still unanswered shows nothing. */
+/* Whether the heartbeat timeout has passed and an answered read that was sent
+ * after it has shown no sign of the owner.  Probes the store if there is no
+ * such read yet. */
 static bool
 heartbeat_timed_out(struct lead_shard *s, ogl_time now)
 {
 	struct cell_lead *l = s->lead;
-	bool dead = now - s->dead_hint_at < HEARTBEAT_TIMEOUT_DEAD;
+	bool unreachable =
+	    now - s->unreachable_at < HEARTBEAT_TIMEOUT_UNREACHABLE;
 	ogl_time due =
-	    s->last_heard + (dead ? HEARTBEAT_TIMEOUT_DEAD : HEARTBEAT_TIMEOUT);
+	    s->last_heard +
+	    (unreachable ? HEARTBEAT_TIMEOUT_UNREACHABLE : HEARTBEAT_TIMEOUT);
 
 	if (now <= due)
 		return false;
@@ -847,7 +853,7 @@
 {
 	bool vacant = s->owner == NULL || s->epoch == 0;
 
-	if (s->own || s->claiming || s->reading_claims ||
+	if (s->is_owner || s->claiming || s->reading_claims ||
 	    now < s->no_claim_until || s->claim_at != OGL_NEVER)
 		return;
 	if (!cell_lead_store_answers(s->lead, now))
@@ -929,7 +935,7 @@
 
 	s->no_claim_until = now + RESIGN_BACKOFF;
 	s->claim_at = OGL_NEVER;
-	if (!s->own)
+	if (!s->is_owner)
 		return;
 	send_heartbeat(s, true, now);
 	step_down(s, now);
@@ -947,7 +953,7 @@
 {
 	struct lead_shard *s = &l->by_shard[shard];
 
-	if (!l->claiming_stopped && !s->own && !s->claiming)
+	if (!l->claiming_stopped && !s->is_owner && !s->claiming)
 		send_claim(s, now);
 }
 
@@ -956,7 +962,7 @@
 {
 	struct lead_shard *s = &l->by_shard[shard];
 
-	if (!s->own)
+	if (!s->is_owner)
 		return;
 	step_down(s, now);
 	set_owner(s, NULL, now);
@@ -971,7 +977,7 @@
 {
 	struct lead_shard *s = &l->by_shard[shard];
 
-	if (s->own || epoch < s->epoch || s->owner == NULL)
+	if (s->is_owner || epoch < s->epoch || s->owner == NULL)
 		return;
 	/*
 	 * Only a read answered from now on shows that the store is unreachable
@@ -997,8 +1003,8 @@
 
 	if (epoch <= s->epoch)
 		return;
-	/* Either this node's claim was stored and the answer lost, or the claim
-	 * is from before its restart.  Reading the claims decides. */
+	/* Either the answer to this node's claim was lost, or the claim is from
+	 * before its restart.  Reading the claims shows which. */
 	if (strcmp(addr, l->addr) == 0) {
 		read_claims(s);
 		return;
@@ -1022,7 +1028,7 @@
 {
 	struct lead_shard *s = &l->by_shard[shard];
 
-	if (s->own || epoch != s->epoch || s->owner == NULL)
+	if (s->is_owner || epoch != s->epoch || s->owner == NULL)
 		return;
 	s->last_heard = now;
 	s->suspect_epoch = 0;
@@ -1032,7 +1038,7 @@
 void
 cell_lead_report_unreachable(struct cell_lead *l, uint32_t shard, ogl_time now)
 {
-	l->by_shard[shard].dead_hint_at = now;
+	l->by_shard[shard].unreachable_at = now;
 }
 
 /* ---- state ------------------------------------------------------------ */
@@ -1050,7 +1056,7 @@
 	uint32_t i;
 
 	for (i = 0; i < l->shards; i++)
-		n += l->by_shard[i].own;
+		n += l->by_shard[i].is_owner;
 	return n;
 }
 
@@ -1062,13 +1068,13 @@
 
 	if (!s->heartbeat_refused)
 		last_ok_at = MAX(last_ok_at, l->last_read_ok);
-	return s->own && now - last_ok_at < l->able_timeout;
+	return s->is_owner && now - last_ok_at < l->able_timeout;
 }
 
 bool
 cell_lead_is_owner(const struct cell_lead *l, uint32_t shard)
 {
-	return l->by_shard[shard].own;
+	return l->by_shard[shard].is_owner;
 }
 
 uint64_t
@@ -1086,7 +1092,7 @@
 bool
 cell_lead_may_act(const struct cell_lead *l, uint32_t shard, ogl_time now)
 {
-	return l->by_shard[shard].own &&
+	return l->by_shard[shard].is_owner &&
 	       now - l->confirmed_at < CONFIRMED_MAX_AGE;
 }
 
@@ -1099,7 +1105,7 @@
 bool
 cell_lead_announced(const struct cell_lead *l, uint32_t shard)
 {
-	return l->by_shard[shard].own && l->by_shard[shard].announced;
+	return l->by_shard[shard].is_owner && l->by_shard[shard].announced;
 }
 
 bool
--- a/cell/lead.h
+++ b/cell/lead.h
@@ -1,7 +1,8 @@
 /*
- * Leader election for the shards of the cell.  Claims go to the claims stream
- * of each shard; heartbeats and resignations of all owners go to one ownership
- * stream.
+ * Elects one node as the owner of each shard of the cell, and tells each node
+ * who the owners are.  A node becomes the owner by a claim, which it appends to
+ * the claims stream of the shard.  Heartbeats and resignations of all owners go
+ * to one ownership stream.
  */
 
 #ifndef OGL_CELL_LEAD_H
@@ -12,7 +13,8 @@
 struct cell_lead;
 
 struct cell_lead_events {
-	/* The number of shards is known.  Called once, before all others. */
+	/* The cell's number of shards has become known.  Called once, before
+	 * any other event. */
 	void (*planned)(void *arg, uint32_t shards, ogl_time now);
 	void (*won)(void *arg, uint32_t shard, uint64_t epoch, ogl_time now);
 	void (*lost)(void *arg, uint32_t shard, ogl_time now);
@@ -25,8 +27,9 @@
 struct cell_lead_self {
 	const char *node;
 	const char *addr; /* address for peers */
-	uint64_t boot;    /* different after each start of the process */
-	/* Thousandths of a core, 0 if unknown; weak nodes claim later. */
+	uint64_t boot;    /* identifies the run of the process */
+	/* Processor capacity in thousandths of a core, 0 if unknown.  Nodes
+	 * with less capacity delay their claims. */
 	uint32_t strength;
 	uint32_t link_kbps; /* capacity of its link, 0 if unknown */
 };
@@ -41,7 +44,8 @@
  * about 20 times a second. */
 
 bool cell_lead_needs_plan(const struct cell_lead *l);
-/* Whether the ownership stream was read and holds no number of shards yet. */
+/* Whether the ownership stream was read, holds no number of shards yet, and no
+ * proposal of this node is in flight. */
 void cell_lead_plan(struct cell_lead *l, uint32_t shards);
 /* Proposes a number of shards.  The first proposal that reaches the store is
  * final. */
@@ -61,37 +65,39 @@
  * keeps the shards it owns until it resigns or another node claims them. */
 
 void cell_lead_claim(struct cell_lead *l, uint32_t shard, ogl_time now);
-/* Claims the shard at once, at the request of its present owner. */
+/* Claims the shard without delay.  Called when its present owner is stopping
+ * and has chosen this node as its successor. */
 
 void cell_lead_epoch_refused(struct cell_lead *l, uint32_t shard, ogl_time now);
-/* The store or a worker has refused this node's epoch; gives up ownership. */
+/* Gives up ownership, because the store or a worker has refused this node's
+ * epoch. */
 
 void cell_lead_suspect(
     struct cell_lead *l, uint32_t shard, uint64_t epoch, ogl_time now);
-/* The owner of that epoch has reported that it lost ownership or that the store
- * does not take its writes.  Any node that reaches the store may claim at
- * once. */
+/* Takes the report of the owner of that epoch that it has lost ownership or
+ * that the store does not take its writes.  Once a read of this node is
+ * answered, the shard counts as vacant, without a heartbeat timeout. */
 
 void cell_lead_learn_owner(struct cell_lead *l, uint32_t shard, uint64_t epoch,
     const char *addr, ogl_time now);
-/* A peer has reported the owner of the shard in that epoch. */
+/* Takes a peer's report of the owner of the shard in that epoch. */
 
 void cell_lead_owner_alive(
     struct cell_lead *l, uint32_t shard, uint64_t epoch, ogl_time now);
-/* The owner of that epoch has reported that it reaches the store. */
+/* Takes the report of the owner of that epoch that it reaches the store. */
 
 void cell_lead_report_unreachable(
     struct cell_lead *l, uint32_t shard, ogl_time now);
-/* The owner's address refuses connections, or the owner does not answer pings.
- * A shorter heartbeat timeout applies for a while. */
+/* Reports that the owner's address refuses connections, or that the owner does
+ * not answer pings.  A shorter heartbeat timeout then applies for a while. */
 
 bool cell_lead_able(const struct cell_lead *l, uint32_t shard, ogl_time now);
-/* Whether this node owns the shard and reaches the store: its heartbeats are
- * stored, or they get no answer while its reads are answered. */
+/* Whether this node owns the shard and reaches the store: either its heartbeats
+ * are stored, or they get no answer while its reads are answered. */
 
 bool cell_lead_is_owner(const struct cell_lead *l, uint32_t shard);
 uint64_t cell_lead_epoch(const struct cell_lead *l, uint32_t shard);
-/* Highest epoch known, 0 if none. */
+/* Highest known epoch of the shard, 0 if none. */
 const char *cell_lead_addr(const struct cell_lead *l, uint32_t shard);
 /* Peer address of the owner; NULL if the shard has no known owner. */
 
@@ -99,12 +105,12 @@
 /* Reads the end of the ownership stream at once, in addition to the pending
  * long-poll read. */
 ogl_time cell_lead_confirmed_at(const struct cell_lead *l);
-/* Time at which the last complete read of the stream was sent.  Every owner
- * that had announced itself by then is known. */
+/* Time when the last answered read of the ownership stream was sent.  This node
+ * knows of every owner whose first heartbeat was on the stream by then. */
 bool cell_lead_announced(const struct cell_lead *l, uint32_t shard);
-/* Whether this node owns the shard and its first heartbeat is on the stream.
- * Before that it must not call a worker, because an earlier owner relies on
- * cell_lead_confirmed_at to learn of any owner that calls workers. */
+/* Whether this node owns the shard and its first heartbeat is on the ownership
+ * stream.  Until then it must not call any worker: an earlier owner that reads
+ * the stream must find every later owner that may have called workers. */
 
 bool cell_lead_may_act(const struct cell_lead *l, uint32_t shard, ogl_time now);
 /* Whether this node owns the shard and has read the ownership stream recently
