--- a/cell/journal.c
+++ b/cell/journal.c
@@ -1,5 +1,6 @@
 /*
- * Writes the owner's changed jobs to the store in batches, one append for each.
+ * Writes the owner's changed jobs to the store in batches.  Each batch is one
+ * append.
  *
  * Everything marked while an append is in flight goes into the next one.  The
  * appends of an epoch are numbered, and the store accepts them only in that
@@ -40,7 +41,7 @@
 /* On a slow link an answer queues behind other bytes, and each retry makes the
  * queue longer. */
 #define OVERDUE_MIN_SLOW_LINK_MS 300
-/* Limit for the answer to an attempt. */
+/* An attempt without an answer for this long is lost. */
 #define ATTEMPT_TIMEOUT_MS 2400
 /* Attempts of one append that may be without an answer at the same time. */
 #define ATTEMPTS_IN_FLIGHT_MAX 8
@@ -68,12 +69,12 @@
 	cell_stored_fn *fn;
 	void *arg;
 	uint64_t tag;
-	struct cell_job *submitted; /* its job; NULL: not a submission */
+	struct cell_job *submitted; /* job submitted with it, or NULL */
 };
 
 /* One append. */
 struct batch {
-	uint64_t number; /* unique in the journal; a seq may be used again */
+	uint64_t id;     /* unique in the journal; a seq may be used again */
 	uint64_t seq;    /* number of the append in its epoch */
 	GArray *puts;    /* struct cell_put */
 	GPtrArray *jobs; /* struct cell_job */
@@ -93,22 +94,26 @@
 	void *arg;
 	bool open;
 	uint64_t epoch;
-	uint64_t generation; /* identifies late answers of an earlier epoch */
-	uint64_t seq;        /* seq of the last batch */
-	uint64_t number;     /* number of the last batch */
+	/* Raised by each open and close; an answer to an attempt of an earlier
+	 * generation is ignored. */
+	uint64_t generation;
+	uint64_t last_seq; /* seq of the last batch */
+	uint64_t last_id;  /* id of the last batch */
 	/* An append of the epoch was stored, so the store knows the first seq
 	 * and accepts later appends only in order. */
 	bool epoch_accepted;
 	uint32_t overdue_ms;
 	bool slow_link;
-	ogl_time last_took; /* latency of the last answered attempt */
+	ogl_time last_latency; /* latency of the last answered attempt */
 	ogl_time last_sent_at;
 	ogl_time failing_since; /* 0 if the last append was stored */
 	ogl_time retry_at; /* while failing, no new batch before this time */
 	GPtrArray *marked; /* struct cell_job, for the next append */
 	GHashTable *other_records; /* key -> GBytes, for the next append */
 	GArray *waiters;           /* struct waiter, for the next append */
-	ogl_time urgent_at;        /* OGL_NEVER if no caller waits */
+	/* When changes are to be written that a caller waits for, and those
+	 * that none waits for; OGL_NEVER if there are none. */
+	ogl_time urgent_at;
 	ogl_time lazy_at;
 	GQueue batches; /* struct batch, not known to be stored, oldest first */
 };
@@ -117,7 +122,7 @@
 struct attempt {
 	struct cell_journal *journal;
 	uint64_t generation;
-	uint64_t number;
+	uint64_t batch_id;
 	ogl_time sent_at;
 };
 
@@ -200,7 +205,7 @@
 	if (slow_link == g->slow_link)
 		return;
 	g->slow_link = slow_link;
-	g->overdue_ms = overdue_ms_for(g, g->last_took);
+	g->overdue_ms = overdue_ms_for(g, g->last_latency);
 }
 
 void
@@ -232,9 +237,9 @@
 	g->open = true;
 	g->epoch_accepted = false;
 	g->epoch = epoch;
-	g->seq = 0;
+	g->last_seq = 0;
 	g->overdue_ms = overdue_ms_for(g, store_took);
-	g->last_took = store_took;
+	g->last_latency = store_took;
 	g->generation++;
 }
 
@@ -245,7 +250,7 @@
 	    FALSE, FALSE, sizeof(struct waiter), waiters->len);
 	guint i;
 
-	/* A callback may add another waiter. */
+	/* Copied, because a callback may add another waiter. */
 	g_array_append_vals(copy, waiters->data, waiters->len);
 	g_array_set_size(waiters, 0);
 	for (i = 0; i < copy->len; i++) {
@@ -259,14 +264,14 @@
 void
 cell_journal_close(struct cell_journal *g, ogl_time now)
 {
-	GList *at;
+	GList *item;
 
 	if (!g->open)
 		return;
 	g->open = false;
 	g->generation++;
-	for (at = g->batches.head; at != NULL; at = at->next)
-		notify_waiters(((struct batch *)at->data)->waiters,
+	for (item = g->batches.head; item != NULL; item = item->next)
+		notify_waiters(((struct batch *)item->data)->waiters,
 		    CELL_STORE_UNKNOWN, now);
 	notify_waiters(g->waiters, CELL_STORE_UNKNOWN, now);
 	clear_pending(g);
@@ -300,7 +305,8 @@
 	g->urgent_at = MIN(g->urgent_at, now);
 }
 
-/* A job may have several submissions before it is stored. */
+/* Clears the job in all its submissions; it may have several before it is
+ * stored. */
 static void
 clear_submitted(GArray *waiters, const struct cell_job *j)
 {
@@ -317,14 +323,14 @@
 void
 cell_journal_unmark(struct cell_journal *g, struct cell_job *j)
 {
-	GList *at;
+	GList *item;
 
 	if (j->dirty)
 		g_ptr_array_remove(g->marked, j);
 	j->dirty = false;
 	clear_submitted(g->waiters, j);
-	for (at = g->batches.head; at != NULL; at = at->next) {
-		struct batch *b = at->data;
+	for (item = g->batches.head; item != NULL; item = item->next) {
+		struct batch *b = item->data;
 
 		g_ptr_array_remove(b->jobs, j);
 		clear_submitted(b->waiters, j);
@@ -370,7 +376,7 @@
 		return true;
 	return b != NULL && b->in_flight > 0 &&
 	       now - b->sent_at >
-		   MAX(FAILING_TIMEOUT, FAILING_FACTOR * g->last_took);
+		   MAX(FAILING_TIMEOUT, FAILING_FACTOR * g->last_latency);
 }
 
 static bool
@@ -465,8 +471,8 @@
 	}
 	b->sent_at = now;
 	b->retry_at = now;
-	b->seq = ++g->seq;
-	b->number = ++g->number;
+	b->seq = ++g->last_seq;
+	b->id = ++g->last_id;
 	g_queue_push_tail(&g->batches, b);
 	return b;
 }
@@ -526,7 +532,7 @@
 
 	context->journal = g;
 	context->generation = g->generation;
-	context->number = b->number;
+	context->batch_id = b->id;
 	context->sent_at = now;
 	count_bytes(g, b);
 	g->ops->count(g->ops->ctx, "store_appends", 1);
@@ -537,13 +543,14 @@
 	g->ops->append(g->ops->backend_ctx, &a, on_appended, context);
 }
 
-/* Adapts overdue_ms to the latency of the last answer.  It decreases slowly. */
+/* Adapts overdue_ms to the latency of the last answer.  It rises at once, and
+ * falls by at most a quarter with each answer. */
 static void
 adapt_overdue_ms(struct cell_journal *g)
 {
 	uint32_t lowered = g->overdue_ms - g->overdue_ms / 4;
 
-	g->overdue_ms = MAX(overdue_ms_for(g, g->last_took), lowered);
+	g->overdue_ms = MAX(overdue_ms_for(g, g->last_latency), lowered);
 }
 
 static void
@@ -565,16 +572,16 @@
 complete_up_to(struct cell_journal *g, const struct batch *last,
     ogl_time sent_at, ogl_time now)
 {
-	uint64_t number = last->number;
+	uint64_t last_id = last->id;
 	struct batch *b;
 
 	if (last->attempts > 1)
 		log_repeated(g, last, now);
 	g->epoch_accepted = true;
 	g->failing_since = 0;
-	g->last_took = now - sent_at;
+	g->last_latency = now - sent_at;
 	adapt_overdue_ms(g);
-	while ((b = oldest_batch(g)) != NULL && b->number <= number) {
+	while ((b = oldest_batch(g)) != NULL && b->id <= last_id) {
 		g_queue_pop_head(&g->batches);
 		notify_waiters(b->waiters, CELL_STORED, now);
 		batch_free(b);
@@ -635,7 +642,7 @@
 	}
 }
 
-/* Adds the submitted jobs that the batch contains. */
+/* Adds to jobs the submitted jobs that the batch contains. */
 static void
 add_submitted_jobs(const struct batch *b, GHashTable *jobs)
 {
@@ -656,10 +663,10 @@
 gather_waiters(struct cell_journal *g, GHashTable *jobs, GArray *refused)
 {
 	GArray *rest = g_array_new(FALSE, FALSE, sizeof(struct waiter));
-	GList *at;
+	GList *item;
 
-	for (at = g->batches.head; at != NULL; at = at->next) {
-		struct batch *b = at->data;
+	for (item = g->batches.head; item != NULL; item = item->next) {
+		struct batch *b = item->data;
 
 		move_submissions(b->waiters, jobs, refused);
 		g_array_append_vals(rest, b->waiters->data, b->waiters->len);
@@ -686,12 +693,12 @@
 	GHashTable *jobs = g_hash_table_new(NULL, NULL);
 	GHashTableIter it;
 	gpointer k;
-	GList *at;
+	GList *item;
 
-	g->seq = oldest_batch(g)->seq - 1;
-	for (at = g->batches.tail; at != NULL; at = at->prev) {
-		requeue_batch(g, at->data);
-		add_submitted_jobs(at->data, jobs);
+	g->last_seq = oldest_batch(g)->seq - 1;
+	for (item = g->batches.tail; item != NULL; item = item->prev) {
+		requeue_batch(g, item->data);
+		add_submitted_jobs(item->data, jobs);
 	}
 	gather_waiters(g, jobs, refused);
 	g_queue_clear_full(&g->batches, batch_free);
@@ -709,10 +716,10 @@
 static bool
 none_can_be_stored(const struct cell_journal *g)
 {
-	const GList *at;
+	const GList *item;
 
-	for (at = g->batches.head; at != NULL; at = at->next) {
-		const struct batch *b = at->data;
+	for (item = g->batches.head; item != NULL; item = item->next) {
+		const struct batch *b = item->data;
 
 		if (b->in_flight > 0 || b->may_be_stored)
 			return false;
@@ -736,14 +743,14 @@
 }
 
 static struct batch *
-find_batch(struct cell_journal *g, uint64_t number)
+find_batch(struct cell_journal *g, uint64_t id)
 {
-	GList *at;
+	GList *item;
 
-	for (at = g->batches.head; at != NULL; at = at->next) {
-		struct batch *b = at->data;
+	for (item = g->batches.head; item != NULL; item = item->next) {
+		struct batch *b = item->data;
 
-		if (b->number == number)
+		if (b->id == id)
 			return b;
 	}
 	return NULL;
@@ -755,7 +762,7 @@
 	struct attempt *context = arg;
 	struct cell_journal *g = context->journal;
 	bool current = context->generation == g->generation;
-	struct batch *b = current ? find_batch(g, context->number) : NULL;
+	struct batch *b = current ? find_batch(g, context->batch_id) : NULL;
 	ogl_time sent_at = context->sent_at;
 
 	g_free(context);
@@ -789,22 +796,22 @@
 static ogl_time
 pipeline_wake(const struct cell_journal *g)
 {
-	const GList *at;
+	const GList *item;
 
 	if (!CELL_USES_PIPELINE || !g->epoch_accepted ||
-	    g->last_took < SLOW_STORE_LATENCY ||
+	    g->last_latency < SLOW_STORE_LATENCY ||
 	    g->batches.length >= BATCHES_IN_FLIGHT_MAX || g->failing_since != 0)
 		return OGL_NEVER;
-	for (at = g->batches.head; at != NULL; at = at->next) {
-		const struct batch *b = at->data;
+	for (item = g->batches.head; item != NULL; item = item->next) {
+		const struct batch *b = item->data;
 
 		if (b->in_flight != 1 || b->may_be_stored)
 			return OGL_NEVER;
 	}
-	return g->last_sent_at + g->last_took / BATCHES_IN_FLIGHT_MAX;
+	return g->last_sent_at + g->last_latency / BATCHES_IN_FLIGHT_MAX;
 }
 
-/* When the next batch is built. */
+/* When the next batch is to be built. */
 static ogl_time
 new_batch_wake(const struct cell_journal *g)
 {
@@ -826,23 +833,23 @@
 cell_journal_wake(const struct cell_journal *g)
 {
 	ogl_time due;
-	const GList *at;
+	const GList *item;
 
 	if (!g->open)
 		return OGL_NEVER;
 	due = new_batch_wake(g);
-	for (at = g->batches.head; at != NULL; at = at->next)
-		due = MIN(due, batch_wake(g, at->data));
+	for (item = g->batches.head; item != NULL; item = item->next)
+		due = MIN(due, batch_wake(g, item->data));
 	return due;
 }
 
 static void
 send_due(struct cell_journal *g, ogl_time now)
 {
-	GList *at;
+	GList *item;
 
-	for (at = g->batches.head; at != NULL; at = at->next) {
-		struct batch *b = at->data;
+	for (item = g->batches.head; item != NULL; item = item->next) {
+		struct batch *b = item->data;
 
 		if (batch_wake(g, b) <= now)
 			send_batch(g, b, now);
--- a/cell/journal.h
+++ b/cell/journal.h
@@ -1,6 +1,6 @@
 /*
- * Group commit of the owner's changed jobs to the store, under the owner's
- * epoch.
+ * Writes the changed jobs of a shard's owner to the store, under the owner's
+ * epoch.  All changes that are due are written with one append (group commit).
  */
 
 #ifndef OGL_CELL_JOURNAL_H
@@ -13,8 +13,8 @@
 /* Result passed to a callback that waited for the store. */
 enum cell_store_result {
 	CELL_STORED,
-	CELL_NOT_STORED,   /* certainly not stored, and never will be */
-	CELL_STORE_UNKNOWN /* ownership was lost first */
+	CELL_NOT_STORED,   /* not stored, and certainly never will be */
+	CELL_STORE_UNKNOWN /* the journal was closed first */
 };
 
 typedef void cell_stored_fn(
@@ -45,11 +45,11 @@
 
 void cell_journal_put(
     struct cell_journal *g, const char *key, GBytes *value, ogl_time now);
-/* Marks a record that is not part of a job, so that the next append writes it.
+/* Marks a record other than those of jobs, so that the next append writes it.
  * Takes ownership of value.  A later record with the same key replaces it. */
 
 void cell_journal_unmark(struct cell_journal *g, struct cell_job *j);
-/* Forgets the job; to be called before it is freed. */
+/* Removes all references to the job; to be called before it is freed. */
 
 void cell_journal_notify(
     struct cell_journal *g, cell_stored_fn *fn, void *arg, uint64_t tag);
@@ -68,7 +68,7 @@
 /* Sends the appends that are due. */
 
 ogl_time cell_journal_wake(const struct cell_journal *g);
-/* When to step next, OGL_NEVER if nothing is pending. */
+/* When to call cell_journal_step next, OGL_NEVER if nothing is pending. */
 
 bool cell_journal_idle(const struct cell_journal *g);
 /* Whether nothing is marked, in flight or waiting. */
