--- a/cell/fleet.c
+++ b/cell/fleet.c
@@ -38,13 +38,14 @@
 #define LEASE_MS 5000
 #define CLOCK_SLOW_FACTOR 1.0205 /* 1 / 0.98: a clock may be 2% slow */
 #define LEASE_END_MARGIN (250 * OGL_MS)
-/* When the answer to a hold is lost, the ends at its worker stay unknown until
- * the timeout, so it is short.  A worker whose runs end often answers long
- * before it. */
+/* The timeout is short, because after a lost answer the ends at its worker stay
+ * unknown until then.  A worker whose runs end often answers long before the
+ * timeout. */
 #define HOLD_WAIT_MS 450
 #define HOLD_TIMEOUT_MS 800
-/* After a lost answer a worker gets short holds for this time: with the usual
- * ones further lost answers would delay its ends by up to 0.8 s each. */
+/* After a lost answer, the holds to that worker are short for this time.  With
+ * the usual holds, each further lost answer would delay the ends there by up to
+ * 0.8 s. */
 #define LOSSY_PERIOD (2 * OGL_SEC)
 #define LOSSY_HOLD_WAIT_MS 100
 #define LOSSY_HOLD_TIMEOUT_MS 250
@@ -55,12 +56,14 @@
 /* Delay of the next hold after one that brought ends, so that ends in short
  * succession are fetched with one hold. */
 #define ENDS_BATCH_DELAY (20 * OGL_MS)
-/* While ends are not stored, a hold would return at once with the same ends.
- * It is delayed, but by no more than this, as the lease has to be renewed. */
+/* While ends are not stored, a hold would be answered at once with the same
+ * ends.  The next hold is therefore delayed, but by no more than this, as it
+ * has to renew the lease. */
 #define LEASE_RENEW_AFTER (700 * OGL_MS)
 #define HOLD_RETRY_DELAY (150 * OGL_MS)
-/* A worker has ended when this many connections in a row were refused, over at
- * least this time; a single one may be refused while the worker starts. */
+/* A worker counts as ended when this many connections in a row were refused
+ * over at least this time.  A single one may be refused while the worker
+ * starts. */
 #define GONE_REFUSALS_MIN 3
 #define GONE_REFUSED_MIN (400 * OGL_MS)
 /* A worker whose answer is overdue by this gets no new work. */
@@ -96,9 +99,9 @@
 	double baseline_pace;           /* pace of healthy workers */
 	bool open;
 	uint64_t epoch;
-	uint64_t generation;
+	uint64_t generation; /* raised by each open and close */
 	ogl_time opened_at;
-	bool old_leases_expired; /* no earlier owner's lease is left */
+	bool old_leases_expired; /* all leases of earlier owners have expired */
 	bool record_outdated;    /* the workers are to be stored again */
 	ogl_time confirmed_at;   /* latest time of confirmed ownership */
 	/* Nothing is started until ownership is confirmed as of this time. */
@@ -112,10 +115,10 @@
 	struct cell_fleet *fleet;
 	struct cell_worker *worker;
 	struct cell_run *run; /* NULL for a hold */
-	uint64_t generation;
+	uint64_t generation;  /* of the fleet when the call was sent */
 	uint64_t ends_acked;  /* ends up to this were acknowledged by a hold */
 	uint64_t hold_number; /* 0 for a start or stop */
-	ogl_time sent;
+	ogl_time sent_at;
 	bool stop;
 };
 
@@ -271,7 +274,7 @@
 }
 
 static struct cell_worker *
-worker_get(struct cell_fleet *f, const char *id, ogl_time now)
+get_or_add_worker(struct cell_fleet *f, const char *id, ogl_time now)
 {
 	struct cell_worker *w = g_hash_table_lookup(f->workers, id);
 
@@ -344,7 +347,7 @@
 		}
 		return;
 	}
-	w = worker_get(f, id, now);
+	w = get_or_add_worker(f, id, now);
 	if (g_strcmp0(w->addr, e->addr) != 0)
 		set_addr(f, w, e->addr, now);
 	set_string(&w->zone, e->zone);
@@ -411,7 +414,7 @@
 void
 cell_fleet_expect(struct cell_fleet *f, const Ogl__CellKnown *k, ogl_time now)
 {
-	struct cell_worker *w = worker_get(f, k->id, now);
+	struct cell_worker *w = get_or_add_worker(f, k->id, now);
 
 	w->expected = true;
 	w->tasks_recorded = k->closed;
@@ -562,22 +565,22 @@
 static struct ogl_res *
 team_usage(struct cell_fleet *f, const char *team)
 {
-	struct ogl_res *a = g_hash_table_lookup(f->teams, team);
+	struct ogl_res *used = g_hash_table_lookup(f->teams, team);
 
-	if (a == NULL) {
-		a = g_new0(struct ogl_res, 1);
-		g_hash_table_insert(f->teams, g_strdup(team), a);
+	if (used == NULL) {
+		used = g_new0(struct ogl_res, 1);
+		g_hash_table_insert(f->teams, g_strdup(team), used);
 	}
-	return a;
+	return used;
 }
 
 struct ogl_res
 cell_fleet_team_used(const struct cell_fleet *f, const char *team)
 {
 	const struct ogl_res none = {0};
-	const struct ogl_res *a = g_hash_table_lookup(f->teams, team);
+	const struct ogl_res *used = g_hash_table_lookup(f->teams, team);
 
-	return a != NULL ? *a : none;
+	return used != NULL ? *used : none;
 }
 
 void
@@ -640,7 +643,7 @@
 /* ---- clocks and leases ------------------------------------------------ */
 
 static void
-read_clock(struct cell_worker *w, uint64_t clock_ms, ogl_time now)
+record_clock(struct cell_worker *w, uint64_t clock_ms, ogl_time now)
 {
 	if (clock_ms == 0)
 		return;
@@ -648,7 +651,8 @@
 	w->clock_at = now;
 }
 
-/* Lower bound of the time on the worker's clock, unless that clock is slow. */
+/* Estimates the time on the worker's clock.  It is a lower bound unless that
+ * clock runs slow. */
 static uint64_t
 estimate_clock(const struct cell_worker *w, ogl_time now)
 {
@@ -668,7 +672,8 @@
 	return until_ms;
 }
 
-/* Time at which the worker's lease has certainly expired if not renewed. */
+/* Time from which the worker's lease has certainly expired unless it is
+ * renewed. */
 static ogl_time
 lease_expires_at(const struct cell_worker *w)
 {
@@ -714,14 +719,14 @@
 GPtrArray *
 cell_worker_runs(const struct cell_worker *w)
 {
-	GPtrArray *a = g_ptr_array_sized_new(g_hash_table_size(w->runs));
+	GPtrArray *runs = g_ptr_array_sized_new(g_hash_table_size(w->runs));
 	GHashTableIter it;
 	gpointer p;
 
 	g_hash_table_iter_init(&it, w->runs);
 	while (g_hash_table_iter_next(&it, &p, NULL))
-		g_ptr_array_add(a, p);
-	return a;
+		g_ptr_array_add(runs, p);
+	return runs;
 }
 
 /* Whether either list of the answer contains the run; false if a is NULL. */
@@ -762,11 +767,11 @@
     const struct cell_hold_answer *new_answer, ogl_time hold_sent_at,
     ogl_time now)
 {
-	GPtrArray *a = cell_worker_runs(w);
+	GPtrArray *runs = cell_worker_runs(w);
 	guint i;
 
-	for (i = 0; i < a->len; i++) {
-		struct cell_run *r = a->pdata[i];
+	for (i = 0; i < runs->len; i++) {
+		struct cell_run *r = runs->pdata[i];
 
 		if (answer_lists(new_answer, r))
 			continue;
@@ -788,7 +793,7 @@
 			run_ended(f, r, CELL_END_LAPSED, NULL, now);
 		}
 	}
-	g_ptr_array_unref(a);
+	g_ptr_array_unref(runs);
 }
 
 /*
@@ -845,7 +850,7 @@
 /* The progress of a gang is that of its slowest member, and a lasting task
  * makes none, so neither shows the pace of a worker. */
 static void
-learn_pace(struct cell_fleet *f, struct cell_worker *w, struct cell_run *r,
+observe_pace(struct cell_fleet *f, struct cell_worker *w, struct cell_run *r,
     uint64_t clock_ms)
 {
 	const Ogl__CellStep *step = r->stage != NULL ? r->stage->def : NULL;
@@ -876,7 +881,7 @@
 		r->start_unanswered = false;
 		run_started(f, r, now);
 		r->percent = row->percent;
-		learn_pace(f, w, r, a->clock_ms);
+		observe_pace(f, w, r, a->clock_ms);
 		if (*row->checkpoint != '\0' &&
 		    g_strcmp0(r->checkpoint, row->checkpoint) != 0) {
 			g_free(r->checkpoint);
@@ -906,26 +911,26 @@
 	}
 }
 
-/* Ends the runs that the worker should know but does not list. */
+/* Ends the runs that the answer would list if they were not over. */
 static void
 process_missing(struct cell_fleet *f, struct cell_worker *w, GHashTable *seen,
-    ogl_time sent, ogl_time now)
+    ogl_time hold_sent_at, ogl_time now)
 {
-	GPtrArray *a = cell_worker_runs(w);
+	GPtrArray *runs = cell_worker_runs(w);
 	guint i;
 
-	for (i = 0; i < a->len; i++) {
-		struct cell_run *r = a->pdata[i];
+	for (i = 0; i < runs->len; i++) {
+		struct cell_run *r = runs->pdata[i];
 
 		if (g_hash_table_contains(seen, r))
 			continue;
-		if (r->stop_answered && r->stop_answered_at <= sent)
+		if (r->stop_answered && r->stop_answered_at <= hold_sent_at)
 			run_ended(f, r, CELL_END_STOPPED, NULL, now);
 		else if (r->state == CELL_RUN_RUNNING && !r->order_pending &&
-			 r->running_since <= sent)
+			 r->running_since <= hold_sent_at)
 			run_ended(f, r, CELL_END_LAPSED, NULL, now);
 	}
-	g_ptr_array_unref(a);
+	g_ptr_array_unref(runs);
 }
 
 static void
@@ -948,8 +953,8 @@
 	w->tasks_recorded = false;
 	w->last_answer_at = now;
 	if (w->incarnation != 0 && w->incarnation != a->born_ms)
-		worker_restarted(f, w, a, c->sent, now);
-	read_clock(w, a->clock_ms, now);
+		worker_restarted(f, w, a, c->sent_at, now);
+	record_clock(w, a->clock_ms, now);
 	if (w->incarnation != a->born_ms) {
 		ends_before = 0;
 		/* An earlier owner may just have renewed the lease of the
@@ -965,7 +970,7 @@
 	process_running(f, w, a, seen, now);
 	process_ended(f, w, a, now);
 	if (a->nended < ENDS_PER_ANSWER_MAX)
-		process_missing(f, w, seen, c->sent, now);
+		process_missing(f, w, seen, c->sent_at, now);
 	g_hash_table_unref(seen);
 	w->next_hold_at = now;
 	if (w->ends_reported != ends_before) {
@@ -1061,7 +1066,7 @@
 	if (c->generation == f->generation &&
 	    c->hold_number == w->hold_number) {
 		w->hold_pending = false;
-		w->hold_duration = now - c->sent;
+		w->hold_duration = now - c->sent_at;
 		if (a->io == OGL_IO_OK)
 			process_hold(f, c, a, now);
 		else
@@ -1132,7 +1137,7 @@
 	c->fleet = f;
 	c->worker = w;
 	c->generation = f->generation;
-	c->sent = now;
+	c->sent_at = now;
 	c->ends_acked = h.last_seen;
 	c->hold_number = ++w->hold_number;
 	w->calls_pending++;
@@ -1190,7 +1195,7 @@
 	c->worker = r->worker;
 	c->run = r;
 	c->generation = f->generation;
-	c->sent = now;
+	c->sent_at = now;
 	r->worker->calls_pending++;
 	r->order_pending = true;
 	return c;
@@ -1307,9 +1312,9 @@
 		f->events.outranked(f->events.arg, now);
 		return;
 	}
-	/* The start was sent twice and the run has begun, so the next answer to
-	 * a hold shows its state.  If this answer counted as a refusal of the
-	 * run, the task would run again after it was done. */
+	/* The start was sent twice, and another copy was carried out.  If this
+	 * answer counted as a refusal of the run, the task would run again
+	 * after it was done.  The next answer to a hold shows its state. */
 	if (r->running_since != 0)
 		return;
 	switch (why) {
@@ -1369,8 +1374,8 @@
 		send_stop(f, r, now);
 }
 
-/* Frees the call of an answered start or stop and sets *run.  Returns false if
- * the run is no longer known, in which case it is freed. */
+/* Frees the call of an answered start or stop and sets *run to its run.  If the
+ * run is no longer known, frees it, too, and returns false. */
 static bool
 order_finish(struct call *c, struct cell_run **run)
 {
@@ -1391,16 +1396,16 @@
 {
 	struct call *c = arg;
 	struct cell_fleet *f = c->fleet;
-	ogl_time sent = c->sent;
+	ogl_time sent_at = c->sent_at;
 	struct cell_run *r;
 
 	if (!order_finish(c, &r))
 		return;
 	if (a->io == OGL_IO_OK || a->why != CELL_NOT_REFUSED)
-		read_clock(r->worker, a->clock_ms, now);
+		record_clock(r->worker, a->clock_ms, now);
 	if (a->io == OGL_IO_OK) {
-		f->ops->observe(
-		    f->ops->ctx, "start_ms", (uint64_t)((now - sent) / OGL_MS));
+		f->ops->observe(f->ops->ctx, "start_ms",
+		    (uint64_t)((now - sent_at) / OGL_MS));
 		start_confirmed(f, r, now);
 	} else if (a->io == OGL_IO_REFUSED) {
 		start_refused(f, r, a->why, now);
@@ -1516,15 +1521,15 @@
 static void
 step_runs(struct cell_fleet *f, struct cell_worker *w, ogl_time now)
 {
-	GPtrArray *a;
+	GPtrArray *runs;
 	guint i;
 
 	if (g_hash_table_size(w->runs) == 0)
 		return;
-	a = cell_worker_runs(w);
-	for (i = 0; i < a->len; i++)
-		step_run(f, a->pdata[i], now);
-	g_ptr_array_unref(a);
+	runs = cell_worker_runs(w);
+	for (i = 0; i < runs->len; i++)
+		step_run(f, runs->pdata[i], now);
+	g_ptr_array_unref(runs);
 }
 
 static void
--- a/cell/fleet.h
+++ b/cell/fleet.h
@@ -25,8 +25,8 @@
 
 struct cell_run {
 	struct cell_worker *worker;
-	/* NULL once the job has no more use for the run, which is then kept
-	 * only until it is certainly over. */
+	/* NULL once the job no longer needs the run, which is then kept only
+	 * until it is certainly over. */
 	struct cell_stage *stage;
 	struct cell_task_name name;
 	uint64_t number;
@@ -69,8 +69,10 @@
 	char *service;
 	struct ogl_res capacity;
 	struct ogl_res used;
-	bool listed;   /* on the platform's list */
-	bool expected; /* known to an earlier owner, has not answered us yet */
+	bool listed; /* on the platform's list */
+	/* An earlier owner may have called it, and it has not answered this
+	 * owner yet. */
+	bool expected;
 	bool draining;
 	bool evacuated; /* its zone is evacuated: nothing starts there */
 	uint64_t entry_born_ms; /* incarnation that the list entry describes */
@@ -91,11 +93,11 @@
 	uint64_t ends_stored;   /* ends up to this are stored */
 	uint64_t ends_acked;    /* ends up to this were acknowledged to it */
 	uint64_t ends_reported; /* ends up to this were reported to the owner */
-	uint64_t hold_number;   /* last hold; only its answer counts */
+	uint64_t hold_number;   /* of the last hold; only its answer counts */
 	bool hold_pending;      /* a hold awaits its answer */
 	ogl_time hold_sent_at;
-	ogl_time lossy_until;    /* end of short holds after a lost answer */
-	ogl_time hold_duration;  /* last hold's time, answered or not */
+	ogl_time lossy_until;    /* holds are short until then, see fleet.c */
+	ogl_time hold_duration;  /* of the last hold, answered or not */
 	ogl_time next_hold_at;   /* no hold is sent before */
 	ogl_time last_answer_at; /* last answer to a hold */
 	uint32_t failures;       /* holds in a row without an answer */
@@ -173,20 +175,22 @@
  * something. */
 
 ogl_time cell_fleet_old_leases_end(const struct cell_fleet *f);
-/* When every lease that an earlier owner granted has certainly expired. */
+/* Time from which every lease that an earlier owner granted has certainly
+ * expired. */
 
 void cell_fleet_record_stored(
     struct cell_fleet *f, const char *id, uint64_t record);
-/* The record with that number is stored and tells successors to call the
- * worker: it may be given work, unless a later record calls it silent. */
+/* To be called when the record of the workers (known.h) with that number is
+ * stored.  It tells a new owner to call the worker, so the worker may be given
+ * work from now on, unless a later record calls it silent. */
 
 bool cell_worker_silent(const struct cell_worker *w, ogl_time now);
 /* Whether the worker has answered under our epoch before, but has not answered
  * for a while. */
 
 bool cell_fleet_record_outdated(struct cell_fleet *f);
-/* Whether the record of the workers is out of date: one came, left, moved or
- * changed its state since the last call. */
+/* Whether the stored record of the workers is out of date: since the last call
+ * a worker was added or removed, or its address or state has changed. */
 
 void cell_fleet_step(struct cell_fleet *f, ogl_time now);
 /* Sends the holds, starts and stops that are due, and ends the runs of workers
@@ -213,7 +217,8 @@
 /* Counts a stalled run against the worker's pace. */
 
 void cell_fleet_decay_pace(struct cell_fleet *f, struct cell_worker *w);
-/* The worker runs nothing: moves its pace towards that of healthy workers. */
+/* Moves the pace of a worker that runs nothing towards that of healthy
+ * workers. */
 
 void cell_fleet_move(
     struct cell_fleet *f, struct cell_run *r, const char *why, ogl_time now);
@@ -228,12 +233,12 @@
 /* Ends up to number of that incarnation of the worker are stored. */
 
 void cell_fleet_confirm(struct cell_fleet *f, ogl_time at);
-/* The store has confirmed our ownership as of `at`. */
+/* To be called when the store has confirmed the ownership as of `at`. */
 bool cell_fleet_awaits_confirmation(const struct cell_fleet *f);
 /* Whether nothing may be started until ownership is confirmed again. */
 void cell_fleet_require_confirmation(struct cell_fleet *f, ogl_time now);
-/* The process may have been suspended: nothing is started until ownership is
- * confirmed as of now. */
+/* To be called when the process may have been suspended.  Nothing is started
+ * until the ownership is confirmed as of now. */
 
 bool cell_worker_schedulable(const struct cell_worker *w, ogl_time now);
 /* Whether the worker may be given work. */
@@ -269,8 +274,9 @@
     struct cell_fleet *f, const char *team, const struct ogl_res *res);
 void cell_fleet_team_uncharge(
     struct cell_fleet *f, const char *team, const struct ogl_res *res);
-/* Add resources to those that count against a team's limit, and subtract them:
- * they are of tasks that may be running on workers without an answer yet. */
+/* Add resources to those that count against a team's limit, and subtract them
+ * again.  Used for tasks that may be running on workers that have not answered
+ * yet. */
 
 bool cell_fleet_settled(struct cell_fleet *f, ogl_time now);
 /* Whether every worker that could run something has answered under our epoch
