--- a/cell/front.c
+++ b/cell/front.c
@@ -42,15 +42,16 @@
  * for the transmission of the request, and for a pause of this process between
  * its reading of the clock and the answer. */
 #define FRESH_FRACTION 0.7
-/* Limits how long a call waits unsent: for an owner to become known, or for the
- * owner's window to allow it. */
+/* How long a call waits to be sent: until an owner is known, and until the
+ * owner's window (window.h) allows another call. */
 #define OWNER_TIMEOUT (900 * OGL_MS)
 /* Time without an answer until the first repeat; it doubles with each of the
  * next REPEAT_DOUBLINGS_MAX.  An owner answers in about 15 ms, but store and
  * network may delay the answer. */
 #define REPEAT_DELAY (450 * OGL_MS)
 #define REPEAT_DOUBLINGS_MAX 2
-/* Time kept for the transmission of the answer before a caller's deadline. */
+/* A call is given up this long before its caller's deadline, so that the answer
+ * arrives in time. */
 #define REPLY_MARGIN (150 * OGL_MS)
 #define CALL_BUDGET_DEFAULT_MS 3000
 #define CALLER_RETRY_MS 600
@@ -67,14 +68,14 @@
 	char *queue;
 	uint32_t shard;       /* shard that is asked now */
 	uint32_t shards_left; /* shards to ask after it */
-	uint32_t jobs_found;  /* waiting jobs of the shards asked before */
+	uint32_t jobs_found;  /* waiting jobs in the shards asked before */
 	bool sent;
 	bool in_window;          /* counted in the window of its shard */
-	uint64_t admitted_epoch; /* its owner asked for the job, 0 none */
+	uint64_t admitted_epoch; /* whose owner asked for the job, 0 none */
 	uint64_t sent_epoch; /* highest epoch of the shard it was sent under */
 	bool refused;        /* the last owner that it was sent to refused it */
-	ogl_time began;
-	unsigned repeats; /* sent again to the same owner this often */
+	ogl_time started_at;
+	unsigned repeats; /* times it was sent again to the same owner */
 	ogl_time repeat_at;
 	ogl_time deadline;
 };
@@ -91,9 +92,10 @@
 
 /* State of reading the newest record of each key, page by page. */
 struct listing {
-	char *after;      /* last key of the last page, NULL before the first */
-	uint64_t end;     /* end of the stream at the first page */
-	ogl_time sent;    /* when the first page was asked for */
+	char *after;  /* last key of the last page, NULL before the first */
+	uint64_t end; /* end of the stream at the first page */
+	/* When the first page was asked for. */
+	ogl_time requested_at;
 	GPtrArray *zones; /* names of evacuated zones found so far */
 };
 
@@ -109,13 +111,13 @@
 	GBytes *record; /* record that config was decoded from */
 	struct cell_zones *zones;
 	struct listing listing;
-	bool loaded;  /* a listing is complete; the stream is followed */
+	bool loaded;  /* a listing is complete; later records are read */
 	bool reading; /* a read is under way */
 	uint64_t next_offset;  /* offset to read from */
 	ogl_time next_read_at; /* no read is sent before this time */
 	ogl_time read_sent_at; /* time of sending the last read */
 	ogl_time last_read_ok; /* time of the last good answer */
-	ogl_time fresh_as_of;  /* config was certainly the newest then */
+	ogl_time fresh_as_of;  /* when config was last known the newest */
 	bool stale_logged;
 };
 
@@ -303,7 +305,7 @@
 			apply_config(f, config, c->record);
 		cell_config_unref(config);
 	}
-	/* A proof for another version says nothing about the one held here. */
+	/* Only a proof for the version held here counts. */
 	if (f->config != NULL && c->version == cell_config_version(f->config))
 		f->fresh_as_of = MAX(f->fresh_as_of, c->as_of);
 }
@@ -327,13 +329,13 @@
 
 /* ---- a listing of the settings, page by page --------------------------- */
 
-/* Afterwards the stream is read from its end as of the first page, so that no
- * record added during the listing is missed. */
+/* Keeps the stream's end as of the first page.  After the listing, the stream
+ * is read from there, so that no record added meanwhile is missed. */
 static void
 listing_begin(struct cell_front *f, uint64_t end)
 {
 	f->listing.end = end;
-	f->listing.sent = f->read_sent_at;
+	f->listing.requested_at = f->read_sent_at;
 	g_ptr_array_set_size(f->listing.zones, 0);
 }
 
@@ -366,7 +368,7 @@
 	    f, (char *const *)zones->pdata, zones->len - 1, f->listing.end);
 	f->loaded = true;
 	f->next_offset = f->listing.end;
-	f->read_sent_at = f->listing.sent;
+	f->read_sent_at = f->listing.requested_at;
 }
 
 static void
@@ -407,8 +409,8 @@
 	apply_records(f, a->records, a->n);
 	if (a->n > 0)
 		f->next_offset = a->records[a->n - 1].offset + 1;
-	/* A page that does not reach the end of the stream proves nothing about
-	 * later records. */
+	/* The configuration is known to be the newest only if the page reaches
+	 * the end of the stream. */
 	if (f->next_offset >= a->end)
 		read_succeeded(f, now);
 }
@@ -444,7 +446,7 @@
 
 static void
 log_call(struct cell_front *f, const struct pending_call *p, const char *event,
-    const char *more)
+    const char *details)
 {
 	const char *owner = owner_of(f, p)->addr;
 	char text[280];
@@ -454,7 +456,7 @@
 	    " shard=%u owner=%s sent=%d %s",
 	    p->id, (int)p->call.kind, p->team,
 	    f->config != NULL ? cell_config_version(f->config) : 0, p->shard,
-	    owner != NULL ? owner : "none", p->sent, more);
+	    owner != NULL ? owner : "none", p->sent, details);
 	f->ops->log(f->ops->ctx, "front", event, text);
 }
 
@@ -693,7 +695,7 @@
 	p->team = g_strdup(team);
 	p->queue = g_strdup(q->name);
 	p->job = job;
-	p->began = now;
+	p->started_at = now;
 	p->deadline = now + budget_ms * OGL_MS - REPLY_MARGIN;
 	ogl__cell_call__init(&p->call);
 	p->call.token = token;
@@ -885,13 +887,14 @@
 	bool may_be_accepted = p->sent && !p->refused;
 	bool no_owner = owner_of(f, p)->addr == NULL;
 
-	if (!may_be_accepted && no_owner && now - p->began > OWNER_TIMEOUT) {
+	if (!may_be_accepted && no_owner &&
+	    now - p->started_at > OWNER_TIMEOUT) {
 		log_call(f, p, "call_given_up", "why=no_owner");
 		answer(f, p->token, CELL_BUSY, CALLER_RETRY_MS,
 		    "no owner is known");
 		return true;
 	}
-	if (!p->sent && !no_owner && now - p->began > OWNER_TIMEOUT) {
+	if (!p->sent && !no_owner && now - p->started_at > OWNER_TIMEOUT) {
 		log_call(f, p, "call_given_up", "why=owner_behind");
 		answer(f, p->token, CELL_BUSY, CALLER_RETRY_MS,
 		    "the owner is behind with its calls");
