--- a/cell/node.c
+++ b/cell/node.c
@@ -20,20 +20,21 @@
 /* A step is due at least every STEP_INTERVAL.  A gap longer than PAUSE_MIN
  * means that the process did not run, and other nodes may have replaced it. */
 #define PAUSE_MIN (400 * OGL_MS)
-/* An owner resigns in favour of a node that is stronger by this factor and has
- * pinged it for this time. */
+/* An owner resigns in favour of a node whose strength is higher by this factor
+ * and that has pinged it for this time. */
 #define STRONGER_FACTOR 1.7
 #define STRONGER_TIME (2500 * OGL_MS)
-/* Orders read within this time after a pause may have been queued during it. */
+/* Orders received within this time after a pause may have been queued during
+ * the pause. */
 #define STALE_ORDERS_TIME (300 * OGL_MS)
 /* A link below this rate slows the reading of jobs at a takeover: half a
  * megabyte takes at least 80 ms over it. */
 #define SLOW_LINK_KBPS 50000
 #define PING_INTERVAL (250 * OGL_MS)
-/* No pong for this time, so two pings are unanswered: the owner's machine may
- * have failed without closing its connections. */
+/* After this time without a pong, two pings are unanswered, and the owner's
+ * machine may have failed without closing its connections. */
 #define OWNER_SUSPECT_TIMEOUT (550 * OGL_MS)
-/* No pong for this time: the connection is closed and opened again. */
+/* After this time without a pong, the connection is closed and opened again. */
 #define RECONNECT_TIMEOUT (900 * OGL_MS)
 /* Highest age that is reported, also for a configuration that was never
  * confirmed.  Every receiver treats a configuration of this age as stale. */
@@ -62,15 +63,16 @@
 	 * first. */
 	ogl_time stronger_since;
 	ogl_time stronger_heard_at;
-	/* As the owner: the node that could best take over, as of its last
-	 * ping. */
+	/* While this node owns the shard: the node that could best take over,
+	 * as of its last ping. */
 	char *successor; /* its address, NULL none */
 	uint32_t successor_strength;
 	uint32_t successor_uptime_ms;
 	ogl_time successor_heard_at;
 	ogl_time handover_at; /* the handover was sent, 0 not yet */
-	/* As the successor: */
-	bool claim_pending; /* claims the shard once it has read the jobs */
+	/* This node was chosen as the successor, and claims the shard once it
+	 * has read the jobs. */
+	bool claim_pending;
 };
 
 struct cell_node {
@@ -100,14 +102,14 @@
 
 /* ---- messages --------------------------------------------------------- */
 
-/* Names of the byte counters of a kind of message. */
-struct kind_names {
+/* Names of the byte counters for one kind of message. */
+struct byte_counters {
 	Ogl__CellMsg__BodyCase body;
 	const char *sent;
 	const char *received;
 };
 
-static const struct kind_names message_kinds[] = {
+static const struct byte_counters byte_counters[] = {
     {OGL__CELL_MSG__BODY_PING, "peer_sent_bytes_ping",
 	"peer_received_bytes_ping"},
     {OGL__CELL_MSG__BODY_PONG, "peer_sent_bytes_pong",
@@ -135,17 +137,17 @@
 {
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(message_kinds); i++) {
-		if (message_kinds[i].body == m->body_case)
+	for (i = 0; i < G_N_ELEMENTS(byte_counters); i++) {
+		if (byte_counters[i].body == m->body_case)
 			n->ops->count(n->ops->ctx,
-			    received ? message_kinds[i].received
-				     : message_kinds[i].sent,
+			    received ? byte_counters[i].received
+				     : byte_counters[i].sent,
 			    bytes);
 	}
 }
 
-/* Orders and their answers are frequent, and either their sender or their
- * receiver is the owner, so they don't name it. */
+/* Whether the message carries orders or their answers.  These don't name the
+ * owner: they are frequent, and the owner is their sender or their receiver. */
 static bool
 is_order(const Ogl__CellMsg *m)
 {
@@ -214,8 +216,8 @@
 	send_msg(s->node, s->shard, to, &m);
 }
 
-/* The message is dropped when the shard has no known owner; the sender repeats
- * it until it is answered. */
+/* Drops the message if the shard has no known owner; the sender repeats it
+ * until it is answered. */
 static void
 send_part(void *arg, uint32_t to_shard, const Ogl__CellPart *body)
 {
@@ -246,7 +248,7 @@
 	Ogl__CellMsg m = OGL__CELL_MSG__INIT;
 	Ogl__CellAdvice advice = OGL__CELL_ADVICE__INIT;
 	Ogl__CellTicket *tickets = g_new(Ogl__CellTicket, a->n);
-	Ogl__CellTicket **list = g_new(Ogl__CellTicket *, a->n);
+	Ogl__CellTicket **ticket_ptrs = g_new(Ogl__CellTicket *, a->n);
 	size_t i;
 
 	(void)now;
@@ -254,18 +256,18 @@
 		ogl__cell_ticket__init(&tickets[i]);
 		tickets[i].worker = (char *)(uintptr_t)a->tickets[i].worker;
 		tickets[i].ticket = (char *)(uintptr_t)a->tickets[i].ticket;
-		list[i] = &tickets[i];
+		ticket_ptrs[i] = &tickets[i];
 	}
 	advice.token = call->token;
 	advice.ok = a->io == OGL_IO_OK;
 	advice.valid_ms = a->valid_ms;
-	advice.tickets = list;
+	advice.tickets = ticket_ptrs;
 	advice.n_tickets = advice.ok ? a->n : 0;
 	m.body_case = OGL__CELL_MSG__BODY_ADVICE;
 	m.advice = &advice;
 	send_msg(call->node, call->shard, call->to, &m);
 	g_free(tickets);
-	g_free(list);
+	g_free(ticket_ptrs);
 	g_free(call->to);
 	g_free(call);
 }
@@ -375,7 +377,7 @@
 	bool same = g_strcmp0(s->successor, from) == 0;
 	bool eligible =
 	    p->store_ok && !p->leaving && strcmp(from, s->node->addr) != 0;
-	/* The strength of a node that owns a shard already counts half. */
+	/* If the node already owns a shard, its strength counts half. */
 	uint32_t strength = p->owned > 0 ? p->strength / 2 : p->strength;
 
 	if (same && !eligible) {
@@ -620,7 +622,7 @@
  * hash.
  */
 static bool
-offers_lane(const struct node_shard *s)
+serves_advice(const struct node_shard *s)
 {
 	const struct cell_node *n = s->node;
 
@@ -630,7 +632,8 @@
 }
 
 static void
-send_ping(struct node_shard *s, const char *to, bool lane, ogl_time now)
+send_ping(
+    struct node_shard *s, const char *to, bool offers_advice, ogl_time now)
 {
 	struct cell_node *n = s->node;
 	Ogl__CellMsg m = OGL__CELL_MSG__INIT;
@@ -642,7 +645,7 @@
 	p.strength = n->strength;
 	p.owned = cell_lead_owned_count(n->lead);
 	p.uptime_ms = (uint32_t)((now - n->started_at) / OGL_MS);
-	p.lane = lane;
+	p.lane = offers_advice;
 	p.config = cell_front_known_config(n->front).version;
 	p.cut_off = cell_front_cut_off(n->front, now);
 	m.body_case = OGL__CELL_MSG__BODY_PING;
@@ -840,7 +843,7 @@
 		s->pong_at = now;
 	}
 	s->next_ping_at = now + PING_INTERVAL;
-	send_ping(s, owner, offers_lane(s), now);
+	send_ping(s, owner, serves_advice(s), now);
 }
 
 static void
@@ -970,14 +973,14 @@
 ogl_time
 cell_node_wake(const struct cell_node *n, ogl_time now)
 {
-	ogl_time at = now + STEP_INTERVAL;
+	ogl_time due = now + STEP_INTERVAL;
 	uint32_t i;
 
 	if (!g_queue_is_empty((GQueue *)(uintptr_t)&n->loopback))
 		return now;
 	for (i = 0; i < n->shards; i++)
-		at = MIN(at, cell_owner_wake(n->per_shard[i].owner));
-	return MIN(at, cell_relay_serve_wake(n->serve));
+		due = MIN(due, cell_owner_wake(n->per_shard[i].owner));
+	return MIN(due, cell_relay_serve_wake(n->serve));
 }
 
 void
