--- a/cell/ops.h
+++ b/cell/ops.h
@@ -38,14 +38,14 @@
 
 struct cell_append {
 	enum cell_stream stream;
-	uint32_t shard; /* 0 for a stream that is not of a shard */
+	uint32_t shard; /* 0 for a stream of the whole cell */
 	/* If fenced, the store refuses an epoch below the highest it has seen.
 	 * Within an epoch seq rises by one with each call; a repeated call gets
 	 * the answer of the first. */
 	bool fenced;
 	uint64_t epoch;
 	uint64_t seq;
-	int64_t expected_end; /* refused at another end of the stream; -1 any */
+	int64_t expected_end; /* refused if the stream ends elsewhere; -1 any */
 	const struct cell_put *puts;
 	size_t nputs; /* 0: only tells the store the epoch */
 	uint32_t timeout_ms;
@@ -86,8 +86,8 @@
 	bool draining;
 	uint64_t born_ms; /* start of this incarnation, Unix ms; 0 unknown */
 	struct ogl_res capacity;
-	uint32_t cold_ms;   /* time after its start while it is slow */
-	uint32_t leaves_ms; /* draining: least time until it ends */
+	uint32_t cold_ms;   /* how long it is slow after its start */
+	uint32_t leaves_ms; /* draining: shortest time until it ends */
 };
 
 struct cell_record {
@@ -97,7 +97,8 @@
 	bool dropped; /* the key is deleted */
 	/* Decoded for the stream named; NULL for others and if malformed. */
 	struct cell_config *config; /* CELL_SETTINGS: the configuration */
-	/* CELL_SETTINGS: a zone that is evacuated or, if dropped, no longer */
+	/* CELL_SETTINGS: the zone that is evacuated, or that no longer is if
+	 * dropped is set. */
 	const char *zone;
 	struct cell_worker_entry *worker; /* CELL_WORKERS */
 };
@@ -159,7 +160,7 @@
 struct cell_hold {
 	struct cell_target to;
 	uint64_t last_seen; /* ends up to this number are stored */
-	uint64_t until_ms;  /* lease end, worker's clock; 0: unchanged */
+	uint64_t until_ms;  /* lease end on the worker's clock; 0 unchanged */
 	uint32_t wait_ms;   /* how long the answer waits for an end */
 	uint32_t timeout_ms;
 };
--- a/cell/owner.h
+++ b/cell/owner.h
@@ -41,8 +41,8 @@
 
 void cell_owner_open(
     struct cell_owner *o, uint64_t epoch, ogl_time store_took, ogl_time now);
-/* Takes the shard over under the epoch.  store_took: time that the store took
- * for its last answer, 0 not known. */
+/* Takes over the shard under the epoch.  store_took: how long the store took
+ * for its last answer, 0 if unknown. */
 void cell_owner_prepare(
     struct cell_owner *o, ogl_time store_took, ogl_time now);
 /* Reads the jobs while another node owns the shard, so that a takeover within
@@ -50,7 +50,7 @@
 bool cell_owner_prepared(const struct cell_owner *o, ogl_time now);
 /* Whether the jobs were read so recently that a takeover is short. */
 void cell_owner_close(struct cell_owner *o, ogl_time now);
-/* Gives the shard up: calls still waiting for the store are answered with
+/* Gives up the shard.  Calls that still wait for the store are answered with
  * cell_not_owner, as their outcome is unknown. */
 
 void cell_owner_set_config(struct cell_owner *o, struct cell_config *c);
@@ -83,24 +83,23 @@
 /* Takes the answers of workers to calls that another node made. */
 
 void cell_owner_set_announced(struct cell_owner *o, bool announced);
-/* Whether the ownership is announced; no worker is called before. */
+/* Sets whether the ownership is announced; no worker is called before it is. */
 void cell_owner_step(struct cell_owner *o, ogl_time confirmed, bool may_act,
     ogl_time now, ogl_time wall);
 /* Does what is due.  confirmed: time as of which the store last confirmed the
  * ownership; may_act: whether workers may be given orders; wall: the wall
  * clock. */
 void cell_owner_measure_load(struct cell_owner *o, ogl_time due, ogl_time now);
-/* Measures the load: the process runs at `now` and had asked to run at `due` at
- * the latest.  While it runs late, a part of the new jobs is refused. */
+/* Measures the load by how late the process runs: it should have run at `due`
+ * and runs at `now`.  While it runs late, a part of the new jobs is refused. */
 bool cell_owner_asks_first(const struct cell_owner *o);
-/* Whether it refuses some new jobs, so that it is to be asked before it is sent
- * one. */
+/* Whether the owner refuses some new jobs.  A node then has to ask it before
+ * sending it a job. */
 bool cell_owner_awaits_confirmation(const struct cell_owner *o);
-/* Whether a worker waits to be given work until the ownership is confirmed
- * again. */
+/* Whether nothing may be started until the ownership is confirmed again. */
 void cell_owner_require_confirmation(struct cell_owner *o, ogl_time now);
-/* This process may have been paused: nothing is started until the ownership is
- * confirmed as of now. */
+/* To be called when the process may have been paused.  Nothing is started until
+ * the ownership is confirmed as of now. */
 ogl_time cell_owner_wake(const struct cell_owner *o);
 /* When to call cell_owner_step next, OGL_NEVER if nothing is pending. */
 
--- a/cell/schedule.h
+++ b/cell/schedule.h
@@ -48,9 +48,9 @@
 bool cell_sched_has_room(struct cell_sched *s, struct cell_stage *st,
     const struct cell_worker *other, ogl_time now);
 /* Whether a healthy worker other than `other` has room for a task of the stage
- * now; its ticket may have expired.  False if any stage recently found no room,
- * or if the team's limit refused one: if a task were stopped to be moved then,
- * waiting work would take its place. */
+ * now, even if its ticket has expired.  Returns false if any stage recently
+ * found no room or was refused by the team's limit: waiting work would then
+ * take the place of a task that is stopped to be moved. */
 
 double cell_sched_objective_ms(const struct cell_sched *s, struct cell_job *j);
 /* Time in ms after its acceptance within which the job has to end. */
