--- a/cell/lead.c
+++ b/cell/lead.c
@@ -49,7 +49,7 @@
 /* Timeout for an owner whose address refuses connections or that does not
  * answer pings.  Its process, machine or network has probably failed, so one
  * missed heartbeat is enough. */
-#define HEARTBEAT_TIMEOUT_UNREACHABLE (650 * OGL_MS)
+#define HEARTBEAT_TIMEOUT_DEAD (650 * OGL_MS)
 /* A heartbeat is repeated when its answer takes longer than this multiple of
  * the time that the last one took; at least HEARTBEAT_OVERDUE_MIN and at most
  * HEARTBEAT_INTERVAL. */
@@ -833,11 +833,9 @@
 heartbeat_timed_out(struct lead_shard *s, ogl_time now)
 {
 	struct cell_lead *l = s->lead;
-	bool unreachable =
-	    now - s->unreachable_at < HEARTBEAT_TIMEOUT_UNREACHABLE;
-	ogl_time due =
-	    s->last_heard +
-	    (unreachable ? HEARTBEAT_TIMEOUT_UNREACHABLE : HEARTBEAT_TIMEOUT);
+	bool unreachable = now - s->unreachable_at < HEARTBEAT_TIMEOUT_DEAD;
+	ogl_time due = s->last_heard + (unreachable ? HEARTBEAT_TIMEOUT_DEAD
+						    : HEARTBEAT_TIMEOUT);
 
 	if (now <= due)
 		return false;
--- a/cell/relay.c
+++ b/cell/relay.c
@@ -85,7 +85,8 @@
 	char *worker; /* id of the worker, only for a start */
 	ogl_time created_at;
 	ogl_time deadline;
-	/* Only for a start sent without spec, to repeat it with the spec. */
+	/* Copies of the order and the spec of a start that was sent without the
+	 * spec, in case it has to be repeated with it; NULL for other calls. */
 	Ogl__CellOrder *message;
 	char *spec;
 	/* Exactly one of the three callbacks is set; arg is passed to it. */
@@ -107,8 +108,8 @@
 	GHashTable *calls;       /* token -> struct pending_call */
 	GHashTable *spec_nodes;  /* job -> address of a node with its spec */
 	GHashTable *losses;      /* worker -> struct relay_losses */
-	/* Shortest delays of answers in the present and the previous period of
-	 * DELAY_PERIOD; 0 if there was no answer. */
+	/* Start of the present period of DELAY_PERIOD, and the shortest time to
+	 * an answer in it and in the previous one; 0 if there was none. */
 	ogl_time period_start;
 	ogl_time min_delay;
 	ogl_time prev_min_delay;
--- a/cell/relay_serve.c
+++ b/cell/relay_serve.c
@@ -195,7 +195,7 @@
 	/* Offset from which the owner reads next, provided that it has received
 	 * the last answer. */
 	uint64_t next_offset;
-	GHashTable *sent; /* worker -> GBytes of its entry without the offset */
+	GHashTable *sent; /* worker -> GBytes, its entry without the offset */
 };
 
 /* A call to be made for an owner, and where to send its answer. */
